--- /dev/null
+++ b/internal/sidecar/config_golden_test.go
@@ -0,0 +1,292 @@
+package sidecar
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"peatpost/balancer"
+)
+
+// The golden files of a configuration say what each key of the file comes to. Their left side is the file's own names,
+// so that they hold whatever the fields are called.
+
+// configText is what a configuration was read to, a line for each key of the file.
+func configText(c *Config) string {
+	var out strings.Builder
+	line := func(key string, value any) { fmt.Fprintf(&out, "%s=%v\n", key, value) }
+	line("name", c.Name)
+	line("listen", c.Listen)
+	line("discovery", c.Discovery)
+	line("ops", c.Ops)
+	line("seed", strconv.FormatUint(c.Seed, 16))
+	line("limits.memory_mb", c.Limits.MemoryMB)
+	line("limits.sockets", c.Limits.Sockets)
+	line("peer_listen", c.peerListen)
+	for i, peer := range c.peers {
+		line(fmt.Sprintf("peers.%d", i), peer)
+	}
+	line("peers_all", c.peersAll)
+	line("state_dir", c.StateDir)
+	line("state_max_age_s", c.StateAge.Seconds())
+	line("fleet.on", c.Fleet.On)
+	line("fleet.advertise", c.Fleet.Advertise)
+	line("fleet.quiet_s", c.Fleet.QuietS)
+	line("fleet.probe_ms", c.Fleet.ProbeMS)
+	line("fleet.members", c.Fleet.Members)
+	line("fleet.datagrams_per_s", c.Fleet.DatagramsPerS)
+	out.WriteString(registryText("known.", c.known))
+	out.WriteString(settingsLines(&c.Settings))
+	for i, name := range c.zones {
+		line(fmt.Sprintf("settings.areas.%d", i), name)
+	}
+	for i, name := range c.kinds {
+		line(fmt.Sprintf("settings.skus.%d", i), name)
+	}
+	for i, name := range c.fields {
+		line(fmt.Sprintf("settings.reporting.fields.%d (by name)", i), name)
+	}
+	line("settings.limits.keepalive", c.idle.Microseconds())
+	return out.String()
+}
+
+// registryText is a list of endpoints, a line for each key of discovery's.
+func registryText(prefix string, r registry) string {
+	var out strings.Builder
+	line := func(key string, value any) { fmt.Fprintf(&out, "%s%s=%v\n", prefix, key, value) }
+	line("seq", r.Seq)
+	line("whole", r.Whole)
+	for i, h := range r.Hosts {
+		at := fmt.Sprintf("hosts.%d.", i)
+		line(at+"host", h.Name)
+		line(at+"dial", h.Dial)
+		line(at+"site", h.Site)
+		line(at+"class", h.Class)
+		line(at+"block", h.Block)
+		line(at+"health", h.Health)
+		line(at+"share", h.Share)
+		line(at+"born_ms", h.BornMS)
+	}
+	return out.String()
+}
+
+// settingsLines is what the settings were read to, a line for each key on the simulator's wire.
+func settingsLines(s *balancer.Settings) string {
+	var out strings.Builder
+	line := func(key string, value any) { fmt.Fprintf(&out, "settings.%s=%v\n", key, value) }
+	line("peers-total", s.Balancers)
+	line("position", s.Position)
+	line("zone", s.Zone)
+	line("areas (how many)", s.Zones)
+	line("skus (how many)", s.Kinds)
+	line("discovery", map[bool]string{false: "automatic", true: "subscribe"}[s.Subscribe])
+	line("tick", s.Tick)
+	line("over-share-worth", s.OverShareWorth)
+	line("value-by", map[bool]string{false: "request", true: "work"}[s.WorthByWork])
+	for i, c := range s.Classes {
+		at := fmt.Sprintf("classes.%d.", i)
+		line(at+"name", c.Name)
+		line(at+"repeat", map[balancer.Repeat]string{balancer.Safe: "pure", balancer.Keyed: "token", balancer.Unsafe: "side_effect"}[c.Repeat])
+		line(at+"group", map[balancer.Group]string{balancer.GroupAll: "all", balancer.GroupZone: "zone", balancer.GroupCell: "cell"}[c.Group])
+		line(at+"window", c.Window)
+		line(at+"target", c.Aim)
+		line(at+"give-up", c.GiveUp)
+		line(at+"credit", c.Worth)
+		line(at+"late-value", c.LateWorth)
+		line(at+"stream", c.Stream)
+	}
+	for i, tenant := range s.Tenants {
+		at := fmt.Sprintf("tenants.%d.", i)
+		line(at+"name", tenant.Name)
+		line(at+"allowance-per-s", tenant.Allowance)
+		line(at+"share", tenant.Share)
+	}
+	for i, f := range s.Fields {
+		line(fmt.Sprintf("reporting.fields.%d", i), map[balancer.Field]string{balancer.FieldOther: "(another)",
+			balancer.FieldInflight: "busy_reqs", balancer.FieldQueue: "pending", balancer.FieldUtil: "cpu_share",
+			balancer.FieldLatency: "svc_ms", balancer.FieldServed: "served_ps", balancer.FieldErrors: "failed_ps"}[f])
+	}
+	line("limits.cancel", s.Limits.Cancel)
+	line("limits.probes", s.Limits.Probes)
+	line("limits.second-copies", s.Limits.SecondCopies)
+	line("limits.retry-after", s.Limits.RetryAfter)
+	line("limits.may-tell", s.Limits.Tell)
+	line("limits.most-tries", s.Limits.MaxAttempts)
+	line("limits.most-held", s.Limits.MaxOpen)
+	line("limits.max-retry-after", s.Limits.MaxRetryAfter)
+	line("limits.dial-timeout", s.Limits.DialTimeout)
+	line("contract.drain-grace", s.Contract.DrainGrace)
+	line("contract.cold-from", s.Contract.ColdFrom)
+	line("contract.ramp-time", s.Contract.RampTime)
+	line("contract.fall-multiple", s.Contract.FallMultiple)
+	line("contract.overload-for", s.Contract.OverloadFor)
+	line("contract.ask-within", s.Contract.AskWithin)
+	line("contract.answer-slack", s.Contract.AnswerSlack)
+	line("prices.cross-zone", s.Prices.CrossZone)
+	line("prices.probe", s.Prices.Probe)
+	line("prices.peer", s.Prices.Peer)
+	line("prices.waste", s.Prices.Waste)
+	line("prices.late-fail", s.Prices.LateFail)
+	line("goal.whole", s.Goal.Whole)
+	line("goal.worst-window", s.Goal.WorstWindow)
+	line("goal.worst-class", s.Goal.WorstClass)
+	line("goal.worst-tenant", s.Goal.WorstTenant)
+	return out.String()
+}
+
+var (
+	goField = regexp.MustCompile(`into Go struct field [^ .]*\.(\S+) of type \S+`)
+	goValue = regexp.MustCompile(`into Go value of type .*`)
+)
+
+// plainError is an error's text, "" for none. Of the texts of encoding/json it leaves out the names of Go's types, which say
+// nothing of the file, and a line that only repeats the one before it.
+func plainError(err error) string {
+	if err == nil {
+		return ""
+	}
+	lines := strings.Split(goValue.ReplaceAllString(goField.ReplaceAllString(err.Error(), "into $1"), "into the whole"), "\n")
+	return strings.Join(slices.Compact(lines), "\n")
+}
+
+// equalLines compares a text with a golden file, line by line.
+func equalLines(t *testing.T, got, goldenPath string) {
+	t.Helper()
+	golden, err := os.ReadFile(goldenPath)
+	if err != nil {
+		t.Fatal(err)
+	}
+	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(golden), "\n")
+	if len(gotLines) != len(wantLines) {
+		t.Errorf("%s: %d lines, want %d", goldenPath, len(gotLines), len(wantLines))
+	}
+	for i := range min(len(gotLines), len(wantLines)) {
+		if gotLines[i] != wantLines[i] {
+			t.Errorf("%s:%d: got\n\t%s\nwant\n\t%s", goldenPath, i+1, gotLines[i], wantLines[i])
+		}
+	}
+}
+
+func TestConfigIsReadAsBefore(t *testing.T) {
+	for _, c := range []struct{ name, file, opsEnv, stateEnv string }{
+		{name: "full", file: "full.json"},
+		{name: "full-environment", file: "full.json", opsEnv: "127.0.0.9:9", stateEnv: "/tmp/elsewhere"},
+		{name: "least", file: "least.json"},
+		{name: "least-environment", file: "least.json", opsEnv: "127.0.0.9:9", stateEnv: "/tmp/elsewhere"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Setenv("BALANCER_OPS", c.opsEnv)
+			t.Setenv("BALANCER_STATE", c.stateEnv)
+			cfg, err := LoadConfig(filepath.Join("testdata", "config", c.file))
+			if err != nil {
+				t.Fatal(err)
+			}
+			equalLines(t, configText(cfg), filepath.Join("testdata", "config", c.name+".golden"))
+		})
+	}
+}
+
+// setKey puts a JSON value at a dotted path of a decoded JSON document; the value "" takes the key away.
+func setKey(t *testing.T, document any, path, value string) {
+	t.Helper()
+	key, rest, below := strings.Cut(path, ".")
+	switch node := document.(type) {
+	case map[string]any:
+		if below {
+			setKey(t, node[key], rest, value)
+		} else if value == "" {
+			delete(node, key)
+		} else {
+			var v any
+			if err := json.Unmarshal([]byte(value), &v); err != nil {
+				t.Fatal(err)
+			}
+			node[key] = v
+		}
+	case []any:
+		i, err := strconv.Atoi(key)
+		if err != nil || i >= len(node) {
+			t.Fatalf("%q is not an index under %d", key, len(node))
+		}
+		if below {
+			setKey(t, node[i], rest, value)
+		} else if err := json.Unmarshal([]byte(value), &node[i]); err != nil {
+			t.Fatal(err)
+		}
+	default:
+		t.Fatalf("nothing at %s", path)
+	}
+}
+
+// brokenKeys are changes of the full configuration that must not pass, but for those that the golden file gives "ok".
+var brokenKeys = []struct{ path, value string }{
+	{"name", `7`}, {"name", `"a/b"`}, {"name", ``},
+	{"listen", `"here"`}, {"listen", `7`}, {"listen", ``},
+	{"discovery", `""`}, {"discovery", `"x"`}, {"ops", `"x"`}, {"ops", ``},
+	{"seed", `"xyz"`}, {"seed", ``}, {"seed", `5`}, {"seed", `"18c1f30d27a5be9640"`},
+	{"limits", ``}, {"limits.memory_mb", `0`}, {"limits.memory_mb", `"much"`}, {"limits.sockets", `63`}, {"limits.sockets", `1.5`},
+	{"peer_listen", `"here"`}, {"peer_listen", ``}, {"peers.2", `"n4:7946"`}, {"peers", `"x"`}, {"peers_all", `"10.0.0.1"`},
+	{"state_dir", `1`}, {"state_max_age_s", `0`}, {"state_max_age_s", `604801`}, {"state_max_age_s", `-1`}, {"state_max_age_s", `null`},
+	{"fleet.on", `1`}, {"fleet.advertise", `"n4"`}, {"fleet.advertise", `"[fd00::1]:7946"`}, {"fleet.advertise", `"10.3.0.2:0"`},
+	{"fleet.quiet_s", `0.05`}, {"fleet.quiet_s", `61`}, {"fleet.probe_ms", `49`}, {"fleet.probe_ms", `10001`}, {"fleet.members", `1`},
+	{"fleet.members", `10001`}, {"fleet.datagrams_per_s", `9`}, {"fleet.datagrams_per_s", `10001`}, {"fleet.other", `1`}, {"fleet", `null`},
+	{"known", ``}, {"known.seq", `-1`}, {"known.seq", ``}, {"known.whole", ``}, {"known.hosts.0.host", `""`}, {"known.hosts.1.health", `"Fine"`},
+	{"known.hosts.0.dial", `"nowhere"`}, {"known.hosts.1.dial", `"nowhere"`}, {"known.hosts.0.block", `65536`}, {"known.hosts.0.share", `"1"`},
+	{"settings", ``}, {"settings", `[]`}, {"settings", `null`},
+	{"settings.peers-total", `0`}, {"settings.peers-total", `1.5`}, {"settings.position", `-1`}, {"settings.zone", `-1`}, {"settings.tick", `-1`},
+	{"settings.discovery", `"gossip"`}, {"settings.value-by", `"love"`}, {"settings.over-share-worth", `-1`}, {"settings.over-share-worth", `"much"`},
+	{"settings.areas", `"a"`}, {"settings.areas", `[1]`}, {"settings.skus", `{}`},
+	{"settings.classes", ``}, {"settings.classes", `[]`}, {"settings.classes.0.repeat", `"twice"`}, {"settings.classes.0.repeat", ``},
+	{"settings.classes.1.group", `"some"`}, {"settings.classes.1.window", `-1`}, {"settings.classes.1.target", ``}, {"settings.classes.1.target", `0`},
+	{"settings.classes.1.give-up", ``}, {"settings.classes.1.give-up", `0`}, {"settings.classes.1.credit", `-1`},
+	{"settings.classes.1.late-value", `1.5`}, {"settings.classes.0.stream", `"perhaps"`}, {"settings.classes.1", `{}`},
+	{"settings.tenants.1.allowance-per-s", `-1`}, {"settings.tenants.1.share", `"x"`},
+	{"settings.goal.whole", `-1`}, {"settings.goal.worst-class", `-1`}, {"settings.goal.worst-tenant", `-1`}, {"settings.goal.worst-window", `-1`},
+	{"settings.limits.cancel", `2`}, {"settings.limits.probes", `"x"`}, {"settings.limits.second-copies", `"x"`}, {"settings.limits.retry-after", `"x"`},
+	{"settings.limits.may-tell", `"x"`}, {"settings.limits.most-tries", `0`}, {"settings.limits.most-tries", `"3.5"`}, {"settings.limits.most-held", `0`},
+	{"settings.limits.max-retry-after", `-1`}, {"settings.limits.dial-timeout", `-1`}, {"settings.limits.dial-timeout", `0`},
+	{"settings.limits.keepalive", `0`}, {"settings.limits.keepalive", ``}, {"settings.limits.keepalive", `"x"`},
+	{"settings.contract.drain-grace", `-1`}, {"settings.contract.cold-from", `0`}, {"settings.contract.cold-from", `1.1`},
+	{"settings.contract.ramp-time", `-1`}, {"settings.contract.fall-multiple", `0`}, {"settings.contract.overload-for", `-1`},
+	{"settings.contract.ask-within", `-1`}, {"settings.contract.answer-slack", `-1`},
+	{"settings.prices.cross-zone", `-1`}, {"settings.prices.probe", `-1`}, {"settings.prices.peer", `-1`}, {"settings.prices.waste", `-1`},
+	{"settings.prices.late-fail", `-1`}, {"settings.prices.late-fail", `"NaN"`},
+	{"settings.reporting.how", `"loudly"`}, {"settings.reporting.how", `"none"`}, {"settings.reporting.fields", `"x"`},
+}
+
+func TestBrokenKeyIsNamedAsBefore(t *testing.T) {
+	t.Setenv("BALANCER_OPS", "")
+	t.Setenv("BALANCER_STATE", "")
+	full, err := os.ReadFile(filepath.Join("testdata", "config", "full.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out strings.Builder
+	for _, c := range brokenKeys {
+		var document any
+		if err := json.Unmarshal(full, &document); err != nil {
+			t.Fatal(err)
+		}
+		setKey(t, document, c.path, c.value)
+		broken, err := json.Marshal(document)
+		if err != nil {
+			t.Fatal(err)
+		}
+		result := "ok"
+		if _, err := parseConfig(broken); err != nil {
+			result = plainError(err)
+		}
+		value := c.value
+		if value == "" {
+			value = "(no such key)"
+		}
+		fmt.Fprintf(&out, "%s: %s -> %s\n", c.path, value, result)
+	}
+	equalLines(t, out.String(), filepath.Join("testdata", "config", "errors.golden"))
+}
--- /dev/null
+++ b/internal/sidecar/discovery_golden_test.go
@@ -0,0 +1,124 @@
+package sidecar
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Each list in testdata/discovery is read as before, or fails with the same error. The golden file's left side is
+// discovery's own names.
+func TestDiscoveryListIsReadAsBefore(t *testing.T) {
+	paths, err := filepath.Glob(filepath.Join("testdata", "discovery", "*.json"))
+	if err != nil || len(paths) == 0 {
+		t.Fatalf("lists: %v, %v", paths, err)
+	}
+	slices.Sort(paths)
+	var out strings.Builder
+	for _, path := range paths {
+		body, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&out, "%s\n", filepath.Base(path))
+		list, err := parseRegistry(body)
+		if err != nil {
+			fmt.Fprintf(&out, "\terror %q\n", plainError(err))
+			continue
+		}
+		out.WriteString(registryText("\t", list))
+	}
+	equalLines(t, out.String(), filepath.Join("testdata", "discovery", "lists.golden"))
+}
+
+// answerEach listens, reads one request a time, keeps its text and gives the answers in turn.
+func answerEach(t *testing.T, answers ...string) (address string, requests chan string) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	requests = make(chan string, len(answers))
+	go func() {
+		for len(answers) > 0 {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			in := bufio.NewReader(conn)
+			for len(answers) > 0 {
+				var head strings.Builder
+				for !strings.HasSuffix(head.String(), "\r\n\r\n") {
+					line, err := in.ReadString('\n')
+					if err != nil {
+						break
+					}
+					head.WriteString(line)
+				}
+				if head.Len() == 0 {
+					break
+				}
+				requests <- head.String()
+				io.WriteString(conn, answers[0])
+				answers = answers[1:]
+			}
+			conn.Close()
+		}
+	}()
+	return listener.Addr().String(), requests
+}
+
+// The calls of discovery are these, to the byte, and what comes of an answer beside its list.
+func TestDiscoveryCallsAreWrittenAsBefore(t *testing.T) {
+	const empty = `{"seq":43,"whole":false,"hosts":[]}`
+	zero, held := uint64(0), uint64(41)
+	for _, c := range []struct {
+		name      string
+		after     *uint64
+		wait      time.Duration
+		answer    string
+		request   string // method, path and query
+		want      string // the error, "" for none
+		wantOlder bool
+	}{
+		{"the whole list", nil, 0, httpAnswer(empty), "GET /registry/instances", "", false},
+		{"the whole list, whatever the wait", nil, watchWait, httpAnswer(empty), "GET /registry/instances", "", false},
+		{"from version 0 on", &zero, 0, httpAnswer(empty), "GET /registry/instances?after=0&wait_ms=0", "", false},
+		{"first call of a watch", &held, 0, httpAnswer(empty), "GET /registry/instances?after=41&wait_ms=0", "", false},
+		{"next call of a watch", &held, watchWait, httpAnswer(empty), "GET /registry/instances?after=41&wait_ms=20000", "", false},
+		{"an older list of changes", &held, 0, httpAnswer(`{"seq":40,"whole":false,"hosts":[]}`),
+			"GET /registry/instances?after=41&wait_ms=0", "discovery's answer: seq: changes of an older version: 40 after 41", true},
+		{"an older whole list", &held, 0, httpAnswer(`{"seq":40,"whole":true,"hosts":[]}`),
+			"GET /registry/instances?after=41&wait_ms=0", "", false},
+		{"a status that is not 200", nil, 0, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
+			"GET /registry/instances", "discovery answered 503 Service Unavailable", false},
+		{"an entry without an address", nil, 0, httpAnswer(`{"seq":1,"whole":true,"hosts":[{"host":"s","health":"Ready"}]}`),
+			"GET /registry/instances", `discovery's answer: hosts[0].dial: "" is not host:port`, false},
+		{"no version", nil, 0, httpAnswer(`{"whole":true,"hosts":[]}`), "GET /registry/instances", "discovery's answer: seq is missing", false},
+		{"cut short", nil, 0, "HTTP/1.1 200 OK\r\nContent-Length: 50\r\nConnection: close\r\n\r\n{", "GET /registry/instances", "unexpected EOF", false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			address, requests := answerEach(t, c.answer)
+			d := newDiscovery(address)
+			t.Cleanup(d.client.CloseIdleConnections)
+			_, err := d.list(context.Background(), c.after, c.wait)
+			if got := plainError(err); got != c.want || errors.Is(err, errOlder) != c.wantOlder {
+				t.Errorf("error %q, want %q", got, c.want)
+			}
+			want := c.request + " HTTP/1.1\r\nHost: " + address + "\r\nUser-Agent: Go-http-client/1.1\r\nAccept-Encoding: gzip\r\n\r\n"
+			if got := <-requests; got != want {
+				t.Errorf("request\n%q, want\n%q", got, want)
+			}
+		})
+	}
+}
