--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -76,9 +76,6 @@
 	return nil
 }
 
-// wireKinds are the kinds of control, in the order of tables.
-var wireKinds = []string{"probe", "discovery", "news", "view", "all"}
-
 // wire is the control bytes of counts, by kind.
 func (c *Costs) wire(n [kinds]int64) map[string]float64 {
 	x := func(k kind) float64 { return float64(n[k]) }
--- a/internal/sidecar/control_test.go
+++ b/internal/sidecar/control_test.go
@@ -29,12 +29,11 @@
 
 // ledger is what the stand-ins of one test saw.
 type ledger struct {
-	mu              sync.Mutex
-	probe, call     counted
-	discovery       counted
-	orders          counted
-	answerOf, whole string
-	news            chan struct{} // closed to let a watch be answered
+	mu          sync.Mutex
+	probe, call counted
+	discovery   counted
+	orders      counted
+	news        chan struct{} // closed to let a watch be answered
 }
 
 // taps counts the bytes read through it.
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -17,6 +17,7 @@
 
 	"github.com/cespare/xxhash/v2"
 	bolt "go.etcd.io/bbolt"
+	bolterrors "go.etcd.io/bbolt/errors"
 )
 
 // Version is the format of the records this package writes and reads.
@@ -242,7 +243,7 @@
 		}
 	}()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: LockWait, ReadOnly: true})
-	if errors.Is(err, bolt.ErrTimeout) {
+	if errors.Is(err, bolterrors.ErrTimeout) {
 		return nil, fmt.Errorf("state file %s: %w", path, err)
 	} else if err != nil {
 		return nil, &Error{File: path, Reason: err.Error()}
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	bolt "go.etcd.io/bbolt"
+	bolterrors "go.etcd.io/bbolt/errors"
 )
 
 // TestMain doubles as a writer process for the tests that kill one: with
@@ -31,7 +31,7 @@
 		}
 		for seq := uint64(1); ; seq++ {
 			_, err := Save(dir, snapshot("w", seq, 50+int(seq)))
-			if errors.Is(err, bolt.ErrTimeout) { // the other writer held the lock: this snapshot is skipped
+			if errors.Is(err, bolterrors.ErrTimeout) { // the other writer held the lock: this snapshot is skipped
 				continue
 			} else if err != nil {
 				fmt.Println("error", err)
