--- /dev/null
+++ b/balancer/decisions_golden_test.go
@@ -0,0 +1,157 @@
+package balancer
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"runtime"
+	"testing"
+)
+
+// A generated script of events is played against a balancer on a virtual clock. Everything that the balancer
+// asks of its host, log lines excepted, goes into a digest in a fixed binary form. The expected digests were
+// made by the code of main 0bd2efd: a change of structure or names must leave them as they are, and a change
+// of a decision has to replace them, with its reason in the commit.
+
+// goldenSettings are the settings that the scripts vary.
+func goldenSettings() Settings {
+	return Settings{
+		Balancers: 4, Position: 1, Zone: 0, Zones: 3, Kinds: 2, Tick: 5000,
+		Classes: []Class{{Name: "read", Repeat: Safe, Aim: 100_000, GiveUp: 600_000, Worth: 1, LateWorth: 0.3}},
+		Fields:  []Field{FieldInflight, FieldQueue},
+		Limits: Limits{Cancel: true, Probes: true, RetryAfter: true, MaxAttempts: 3, MaxOpen: 400,
+			MaxRetryAfter: 2_000_000, DialTimeout: 100_000},
+		Contract: Contract{DrainGrace: 500_000, ColdFrom: 0.2, RampTime: 10_000_000, FallMultiple: 2.5,
+			OverloadFor: 1_000_000, AskWithin: 8_000_000},
+		Prices: Prices{CrossZone: 0.02, Probe: 0.002},
+		Goal:   Goal{Whole: 0.6, WorstWindow: 0.2, WorstClass: 0.1, WorstTenant: 0.1},
+	}
+}
+
+func goldenScripts() []scriptOptions {
+	vary := func(change func(*Settings)) Settings {
+		s := goldenSettings()
+		change(&s)
+		return s
+	}
+	keyed := []Class{
+		{Name: "read", Repeat: Safe, Aim: 80_000, GiveUp: 500_000, Worth: 1},
+		{Name: "all", Repeat: Keyed, Group: GroupAll, Window: 200_000, Aim: 100_000, GiveUp: 600_000, Worth: 2},
+		{Name: "zone", Repeat: Keyed, Group: GroupZone, Window: 400_000, Aim: 100_000, GiveUp: 600_000, Worth: 2},
+		{Name: "cell", Repeat: Keyed, Group: GroupCell, Window: 400_000, Aim: 150_000, GiveUp: 900_000, Worth: 1},
+		{Name: "write", Repeat: Unsafe, Aim: 200_000, GiveUp: 900_000, Worth: 4, LateWorth: 0.5},
+	}
+	return []scriptOptions{
+		{name: "push, hints", settings: goldenSettings(),
+			servers: 12, rate: 900, work: 15_000, hints: 0.9, operators: true, outages: 1_500_000, length: 20_000_000},
+		{name: "subscribe, sparse, keyed and unsafe",
+			settings: vary(func(s *Settings) { s.Subscribe, s.Classes, s.Prices.Probe = true, keyed, 0.01 }),
+			servers:  160, rate: 400, work: 30_000, operators: true, length: 30_000_000},
+		{name: "tenants, overload, worth by work", settings: vary(func(s *Settings) {
+			s.Classes, s.WorthByWork, s.OverShareWorth = keyed, true, 0.3
+			s.Tenants = []Tenant{{Name: "a", Allowance: 100, Share: 0.5}, {Name: "b", Allowance: 50, Share: 0.5}, {}}
+			s.Limits.MaxOpen = 60
+		}), servers: 10, rate: 900, work: 20_000, hints: 0.5, operators: true, outages: 1_500_000, length: 20_000_000},
+		{name: "gossip, work from reports", settings: vary(func(s *Settings) {
+			s.Limits.Tell, s.Prices.Probe, s.Prices.Peer = true, 0.03, 0.0001
+			s.Fields = []Field{FieldQueue, FieldInflight, FieldLatency, FieldOther}
+		}), servers: 60, rate: 900, work: 20_000, operators: true, length: 20_000_000},
+		{name: "gossip, subscribe, classes, hints", settings: vary(func(s *Settings) {
+			s.Limits.Tell, s.Prices.Probe, s.Prices.Peer = true, 0.03, 0.0001
+			s.Subscribe, s.Classes = true, keyed
+		}), servers: 60, rate: 700, work: 30_000, hints: 0.5, operators: true, outages: 1_500_000, length: 20_000_000},
+		{name: "streams, uploads, late reports", settings: vary(func(s *Settings) {
+			s.Classes = []Class{keyed[0], keyed[4], {Name: "feed", Repeat: Safe, Aim: 150_000, GiveUp: 900_000, Worth: 1, Stream: true}}
+			s.Fields = []Field{FieldInflight, FieldErrors}
+		}), servers: 12, rate: 500, work: 20_000, uploads: 0.4, operators: true, lateLoad: true, length: 20_000_000},
+		{name: "utilisation only, no cancel, no retry-after", settings: vary(func(s *Settings) {
+			s.Fields = []Field{FieldUtil}
+			s.Limits.Cancel, s.Limits.RetryAfter, s.Goal = false, false, Goal{Whole: 1}
+		}), servers: 8, rate: 700, work: 15_000, outages: 1_500_000, length: 15_000_000},
+		{name: "queue only, sparse, one request in many", settings: vary(func(s *Settings) {
+			s.Fields, s.Subscribe, s.Prices.Probe = []Field{FieldQueue}, true, 0
+			s.Classes[0].Worth, s.Goal = 0, Goal{}
+		}), servers: 200, rate: 60, work: 25_000, hints: 0.2, operators: true, length: 40_000_000},
+		{name: "long outages", settings: vary(func(s *Settings) { s.Balancers = 2 }),
+			servers: 10, rate: 1200, work: 10_000, outages: 12_000_000, length: 90_000_000},
+		{name: "no probes", settings: vary(func(s *Settings) {
+			s.Limits.Probes, s.Fields, s.Balancers, s.Limits.MaxAttempts = false, nil, 1, 2
+		}), servers: 5, rate: 400, work: 15_000, operators: true, outages: 1_500_000, length: 30_000_000},
+	}
+}
+
+// goldenResult is what a script has to end with.
+type goldenResult struct {
+	events, actions int
+	digest          string // SHA-256 of all records
+}
+
+var goldenResults = map[string]goldenResult{
+	"push, hints": {
+		events: 38677, actions: 27276,
+		digest: "652ffa631be14491052747bdeb647a88425e528c80d459b58e453f2870248e95",
+	},
+	"subscribe, sparse, keyed and unsafe": {
+		events: 45103, actions: 34574,
+		digest: "ea4e000a8ef3662dca6fc51692721f83917dabdb18d60c5d3aefe2a5df53cb48",
+	},
+	"tenants, overload, worth by work": {
+		events: 30883, actions: 22529,
+		digest: "2c2b4df096d20610bc17bc933fa984d8fce0774a2afbd18ebea29333bceb1b40",
+	},
+	"gossip, work from reports": {
+		events: 44810, actions: 27095,
+		digest: "b709bed7ac32e25f114e3b466d2b0a1efa90d80f824f6eb08055cdef24ec2054",
+	},
+	"gossip, subscribe, classes, hints": {
+		events: 23471, actions: 15998,
+		digest: "4c6264d85259be4047a092452515932327560240146b5ae861861f90173258b6",
+	},
+	"streams, uploads, late reports": {
+		events: 31179, actions: 20529,
+		digest: "7a79a4207196625e52b9a8ed34c57c1a65c45dbb8d30f9bc527ad5ad4b7b8389",
+	},
+	"utilisation only, no cancel, no retry-after": {
+		events: 16453, actions: 11968,
+		digest: "464872346c31cdb0627c5ab63d38f139e63b61f580f8d54ff2bc18577b7cb3b3",
+	},
+	"queue only, sparse, one request in many": {
+		events: 14183, actions: 12079,
+		digest: "846010610dad2d3be829c4da84f6c4743bc969479610c0dc530fa813437b3f9d",
+	},
+	"long outages": {
+		events: 203681, actions: 144893,
+		digest: "aba10b9bad9ead4477786b924e051d23a58ec8116ade81cb2cf8bcdd792229b2",
+	},
+	"no probes": {
+		events: 22851, actions: 13961,
+		digest: "513df8b263bede18a181b7f45b5b0738c2a1139543671eb2c1782f747471c0fe",
+	},
+}
+
+// TestDecisionsMatchGoldenDigests plays the scripts and compares the digests of all actions.
+func TestDecisionsMatchGoldenDigests(t *testing.T) {
+	if runtime.GOARCH != "amd64" {
+		t.Skip("the digests hold for amd64: elsewhere the compiler may fuse a product and a sum")
+	}
+	total := map[byte]int{}
+	for _, options := range goldenScripts() {
+		t.Run(options.name, func(t *testing.T) {
+			s := &script{t: t, options: options, random: 33, digest: sha256.New(), actions: map[byte]int{},
+				requests: map[uint64]*scriptRequest{}}
+			s.play()
+			got := goldenResult{events: s.events, digest: hex.EncodeToString(s.digest.Sum(nil))}
+			for code, n := range s.actions {
+				got.actions += n
+				total[code] += n
+			}
+			if want := goldenResults[options.name]; got != want {
+				t.Errorf("the script ended with %+v, want %+v; actions by kind: %v", got, want, s.actions)
+			}
+		})
+	}
+	for _, code := range []byte("SRFCTPNWK") {
+		if total[code] == 0 {
+			t.Errorf("no script led to an action %c", code)
+		}
+	}
+}
--- /dev/null
+++ b/balancer/script_test.go
@@ -0,0 +1,486 @@
+package balancer
+
+import (
+	"container/heap"
+	"encoding/binary"
+	"hash"
+	"math"
+	"testing"
+)
+
+// The codes of the records that go into a digest.
+const (
+	recordSend     = 'S'
+	recordReject   = 'R'
+	recordFail     = 'F'
+	recordCancel   = 'C'
+	recordTimer    = 'T'
+	recordProbe    = 'P'
+	recordNotify   = 'N'
+	recordWatch    = 'W'
+	recordSnapshot = 'K'
+)
+
+// scriptRandom is a SplitMix64 generator, apart from the balancer's own.
+type scriptRandom uint64
+
+func (r *scriptRandom) next() uint64 {
+	*r += 0x9e3779b97f4a7c15
+	z := uint64(*r)
+	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
+	z = (z ^ z>>27) * 0x94d049bb133111eb
+	return z ^ z>>31
+}
+
+func (r *scriptRandom) float() float64        { return float64(r.next()>>11) / (1 << 53) }
+func (r *scriptRandom) below(n int) int       { return int(r.next() % uint64(n)) }
+func (r *scriptRandom) chance(p float64) bool { return r.float() < p }
+func (r *scriptRandom) micros(mean float64) Micros {
+	return 1 + Micros(-mean*math.Log(1-r.float()))
+}
+
+// scriptEvent is one event of the queue; events of one instant keep the order in which they were posted.
+type scriptEvent struct {
+	at       Micros
+	sequence int
+	run      func(now Micros)
+}
+
+type scriptQueue []scriptEvent
+
+func (q scriptQueue) Len() int { return len(q) }
+func (q scriptQueue) Less(i, j int) bool {
+	if q[i].at != q[j].at {
+		return q[i].at < q[j].at
+	}
+	return q[i].sequence < q[j].sequence
+}
+func (q scriptQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *scriptQueue) Push(x any)   { *q = append(*q, x.(scriptEvent)) }
+func (q *scriptQueue) Pop() any {
+	last := len(*q) - 1
+	event := (*q)[last]
+	*q = (*q)[:last]
+	return event
+}
+
+// scriptServer is the fake endpoint behind an entry of the list.
+type scriptServer struct {
+	entry    Endpoint
+	inflight int
+	speed    float64
+	faulty   bool
+}
+
+// scriptRequest is the fake client's view of a request.
+type scriptRequest struct {
+	class    uint8
+	work     float64
+	upload   bool
+	attempts int
+}
+
+// scriptOptions say what a script does, beside its settings.
+type scriptOptions struct {
+	name      string
+	settings  Settings
+	servers   int
+	rate      float64 // requests a second
+	work      float64 // mean service time, in microseconds
+	hints     float64 // part of the requests with a hint
+	uploads   float64
+	operators bool    // bans, limits and restarts occur
+	outages   float64 // mean time between changes of the whole fleet's state, in microseconds; 0 for none
+	lateLoad  bool    // load reports are often late
+	length    Micros
+}
+
+// script plays events against one balancer and is its host.
+type script struct {
+	t          *testing.T
+	options    scriptOptions
+	balancer   *Balancer
+	random     scriptRandom
+	queue      scriptQueue
+	now        Micros
+	sequence   int
+	generation int // of the balancer: events for an earlier one are dropped
+	digest     hash.Hash
+	events     int
+	actions    map[byte]int
+	servers    []*scriptServer
+	requests   map[uint64]*scriptRequest
+	slowness   float64 // of all fake endpoints; 1 for well
+	failures   float64 // chance of a failure at all fake endpoints
+	nextID     uint64
+}
+
+// post runs an event later, unless the balancer was restarted by then.
+func (s *script) post(delay Micros, run func(now Micros)) {
+	generation := s.generation
+	s.sequence++
+	heap.Push(&s.queue, scriptEvent{s.now + max(0, delay), s.sequence, func(now Micros) {
+		if generation == s.generation {
+			s.events++
+			run(now)
+		}
+	}})
+}
+
+// every repeats an event for the whole of the script, with random pauses.
+func (s *script) every(mean float64, run func(now Micros)) {
+	s.sequence++
+	heap.Push(&s.queue, scriptEvent{s.now + s.random.micros(mean), s.sequence, func(now Micros) {
+		s.events++
+		run(now)
+		s.every(mean, run)
+	}})
+}
+
+func (s *script) record(code byte, values ...uint64) {
+	s.actions[code]++
+	data := binary.BigEndian.AppendUint64([]byte{code}, uint64(s.now))
+	for _, v := range values {
+		data = binary.BigEndian.AppendUint64(data, v)
+	}
+	s.digest.Write(data)
+}
+
+func (s *script) server(id uint32) *scriptServer {
+	if int(id) > len(s.servers) || id == 0 {
+		return nil
+	}
+	return s.servers[id-1]
+}
+
+// Send lets the fake endpoint answer after a while, in one of all ways.
+func (s *script) Send(id uint64, endpoint uint32, timeout Micros) {
+	s.record(recordSend, id, uint64(endpoint), uint64(timeout))
+	request, server := s.requests[id], s.server(endpoint)
+	attempt := request.attempts
+	request.attempts++
+	if request.upload {
+		request.upload = false
+		deadline := s.options.settings.Classes[request.class].GiveUp
+		s.post(s.random.micros(20_000), func(now Micros) { s.balancer.Uploaded(now, id, now+deadline) })
+	}
+	status := s.status(server)
+	latency := 500 + Micros(s.slowness*request.work/server.speed*(0.5+s.random.float())*max(1, float64(server.inflight+1)/2))
+	if server.entry.Zone != 0 {
+		latency += 4_000
+	}
+	switch status {
+	case Full, ConnectFailed, Moot:
+		latency = 300 + latency/20
+	case Timeout:
+		latency = s.options.settings.Classes[request.class].GiveUp / 2
+		if s.random.chance(0.5) {
+			latency *= 4 // no answer by the client's deadline
+		}
+	}
+	server.inflight++
+	if s.options.settings.Classes[request.class].Stream && status != Full && s.random.chance(0.8) {
+		s.post(latency, func(now Micros) { s.balancer.Headers(now, id, attempt, latency) })
+		latency += s.random.micros(300_000)
+	}
+	outcome := Outcome{ID: id, Attempt: attempt, Endpoint: endpoint, Status: status, Latency: latency,
+		Settled: s.random.chance(0.02), Spent: s.random.chance(0.1)}
+	s.post(latency, func(now Micros) {
+		server.inflight--
+		outcome.Load = s.load(server)
+		s.balancer.Outcome(now, outcome)
+	})
+}
+
+// status draws how an attempt at a fake endpoint ends.
+func (s *script) status(server *scriptServer) Status {
+	fault := s.failures
+	if server.faulty {
+		fault = 0.7
+	}
+	if server.inflight > 10 {
+		return Full
+	}
+	if !s.random.chance(fault) {
+		return OK
+	}
+	return Error + Status(s.random.below(int(Moot)))
+}
+
+func (s *script) load(server *scriptServer) []float32 {
+	held := float64(server.inflight)
+	if s.options.lateLoad && s.random.chance(0.5) {
+		held = 0
+	}
+	var load []float32
+	for _, field := range s.options.settings.Fields {
+		value := math.NaN()
+		switch field {
+		case FieldInflight:
+			value = held
+		case FieldQueue:
+			value = max(0, held-2)
+		case FieldUtil:
+			value = min(1, held/2)
+		case FieldLatency:
+			value = s.options.work / server.speed / 1000 * (0.8 + 0.4*s.random.float())
+		case FieldServed:
+			value = 20
+		}
+		if s.random.chance(0.01) {
+			value = -1
+		}
+		load = append(load, float32(value))
+	}
+	if len(load) > 1 && s.random.chance(0.01) {
+		load = load[:1]
+	}
+	return load
+}
+
+func (s *script) Refuse(id uint64, after Micros) { s.record(recordReject, id, uint64(after)) }
+func (s *script) Fail(id uint64)                 { s.record(recordFail, id) }
+
+// Cancel ends an attempt soon; its own end then comes a second time.
+func (s *script) Cancel(id uint64, attempt int) {
+	s.record(recordCancel, id, uint64(attempt))
+	s.post(1000, func(now Micros) {
+		s.balancer.Outcome(now, Outcome{ID: id, Attempt: attempt, Status: Cancelled, Latency: 1000})
+	})
+}
+
+func (s *script) Timer(delay Micros, token uint32) {
+	s.record(recordTimer, uint64(delay), uint64(token))
+	s.post(delay, func(now Micros) { s.balancer.Timer(now, token) })
+}
+
+func (s *script) Probe(endpoint uint32) {
+	s.record(recordProbe, uint64(endpoint))
+	server := s.server(endpoint)
+	if s.random.chance(0.005) {
+		return // the answer is lost
+	}
+	status, latency := OK, 300+s.random.micros(200)
+	if server.entry.Zone != 0 {
+		latency += 4_000
+	}
+	if server.inflight > 4 && s.random.chance(0.7) {
+		latency += Micros(float64(server.inflight-2) / 2 * s.options.work)
+	}
+	if s.random.chance(0.02) || server.faulty && s.random.chance(0.5) {
+		status = Error + Status(s.random.below(int(Moot)))
+		latency += s.random.micros(50_000)
+	}
+	s.post(latency, func(now Micros) { s.balancer.Probed(now, endpoint, status, latency, s.load(server)) })
+}
+
+// Tell records a message. The other balancers send much the same, of which some comes late or broken.
+func (s *script) Tell(data []byte) {
+	s.record(recordNotify, uint64(len(data)))
+	s.digest.Write(data)
+	for range 2 {
+		message := append([]byte(nil), data...)
+		other := s.servers[s.random.below(len(s.servers))]
+		binary.BigEndian.PutUint32(message[1:], other.entry.ID)
+		binary.BigEndian.PutUint16(message[5:], uint16(other.entry.StartTime/1000))
+		message[7], message[8] = byte(other.inflight), byte(max(0, other.inflight-2))
+		if s.random.chance(0.05) {
+			message[s.random.below(len(message))]++
+		}
+		if s.random.chance(0.02) {
+			message = message[:s.random.below(len(message))]
+		}
+		s.post(s.random.micros(20_000), func(now Micros) { s.balancer.Told(now, message) })
+	}
+}
+
+// Watch answers a subscription with the list, late, never or with a failure.
+func (s *script) Watch(on bool) {
+	values := uint64(0)
+	if on {
+		values = 1
+	}
+	s.record(recordWatch, values)
+	switch {
+	case s.random.chance(0.3):
+		s.post(s.random.micros(100_000), func(now Micros) { s.balancer.Members(now, ListFailed, nil) })
+	case s.random.chance(0.1):
+	default:
+		s.post(s.random.micros(100_000), func(now Micros) { s.balancer.Members(now, ListFull, s.list()) })
+	}
+}
+
+func (s *script) Log(string) {}
+
+// list is the whole list as discovery has it now.
+func (s *script) list() []Endpoint {
+	var list []Endpoint
+	for _, server := range s.servers {
+		if server.entry.State != Gone {
+			list = append(list, server.entry)
+		}
+	}
+	return list
+}
+
+func (s *script) addServer(started Micros) *scriptServer {
+	id := uint32(len(s.servers) + 1)
+	server := &scriptServer{speed: 0.6 + 0.8*s.random.float(), entry: Endpoint{
+		ID: id, Zone: uint8(id % 3), Kind: uint8(id % 2), Cell: uint16(id % 7), State: Ready,
+		Share: float32(1 + id%2), StartTime: started,
+	}}
+	s.servers = append(s.servers, server)
+	return server
+}
+
+// start makes a balancer, the first or one after a restart that gets the state of the one before.
+func (s *script) start(learned []Kept) {
+	s.generation++
+	var err error
+	if s.balancer, err = New(s.options.settings, 1000+uint64(s.generation), s); err != nil {
+		s.t.Fatal(err)
+	}
+	for _, server := range s.servers {
+		server.inflight = 0
+	}
+	s.balancer.Start(s.now)
+	s.balancer.Members(s.now, ListCached, s.list())
+	s.balancer.Recall(s.now, learned)
+	if !s.options.settings.Subscribe {
+		s.balancer.Members(s.now, ListFull, s.list())
+	}
+}
+
+func (s *script) snapshot(now Micros) []Kept {
+	learned := s.balancer.Keep(now)
+	for _, k := range learned {
+		s.record(recordSnapshot, uint64(k.ID), math.Float64bits(k.Base), math.Float64bits(k.Current),
+			math.Float64bits(k.Pace), math.Float64bits(k.Errs))
+	}
+	return learned
+}
+
+// request lets a client come, with an overload in the middle of the script.
+func (s *script) request(now Micros) {
+	if third := s.options.length / 3; (now < third || now > 2*third) && s.random.chance(0.5) {
+		return
+	}
+	s.nextID++
+	class := uint8(s.random.below(len(s.options.settings.Classes)))
+	request := &scriptRequest{class: class, work: s.options.work * (0.3 + 1.4*s.random.float()),
+		upload: s.random.chance(s.options.uploads)}
+	s.requests[s.nextID] = request
+	in := Request{ID: s.nextID, Key: s.random.next(), Class: class, Upload: request.upload,
+		Deadline: now + s.options.settings.Classes[class].GiveUp, Retry: s.random.chance(0.1),
+		Tenant: uint16(min(s.random.below(4), s.random.below(4)))}
+	if s.random.chance(s.options.hints) {
+		in.HasHint, in.Hint = true, Micros(request.work*(0.5+s.random.float()))
+	}
+	if s.random.chance(0.002) {
+		in.Class = 200
+	}
+	if s.random.chance(0.002) {
+		in.Deadline = now
+	}
+	s.balancer.Request(now, in)
+	if id := in.ID; s.random.chance(0.03) {
+		s.post(s.random.micros(100_000), func(now Micros) { s.balancer.ClientGone(now, id) })
+	}
+	if s.random.chance(0.002) {
+		s.balancer.Request(now, in) // of an id that is known
+	}
+}
+
+// change alters the list: entries come, drain, go, restart and move.
+func (s *script) change(now Micros) {
+	server := s.servers[s.random.below(len(s.servers))]
+	changed := []Endpoint{}
+	switch s.random.below(6) {
+	case 0:
+		server.entry.State = Draining
+	case 1:
+		server.entry.State = Gone
+	case 2:
+		server.entry.State, server.entry.StartTime = Ready, now
+	case 3:
+		server.entry.Zone = uint8(s.random.below(3))
+		server.entry.Share = float32(s.random.below(4))
+	case 4:
+		started := now
+		if s.random.chance(0.5) {
+			started = 0
+		}
+		added := s.addServer(started)
+		changed = append(changed, added.entry)
+	case 5:
+		server.faulty = !server.faulty
+	}
+	changed = append(changed, server.entry)
+	switch s.random.below(8) {
+	case 0:
+		s.balancer.Members(now, ListFull, s.list())
+	case 1:
+		s.balancer.Members(now, ListFailed, nil)
+	default:
+		s.balancer.Members(now, ListDelta, changed)
+	}
+}
+
+// operate does what operators do: ban, reinstate, an upgrade's second process, a changed fleet, a restart.
+func (s *script) operate(now Micros) {
+	id := uint32(1 + s.random.below(len(s.servers)+2))
+	switch s.random.below(8) {
+	case 0, 1:
+		s.balancer.Ban(now, id)
+	case 2, 3, 4:
+		for id := range uint32(len(s.servers) + 3) {
+			if s.random.chance(0.5) {
+				s.balancer.Unban(now, id)
+			}
+		}
+	case 5:
+		s.balancer.Share(1 + s.random.below(2))
+	case 6:
+		s.balancer.Fleet(s.random.below(6))
+	case 7:
+		if learned := s.snapshot(now); s.random.chance(0.3) {
+			if len(learned) > 2 {
+				learned[0].Base, learned[1].Errs = math.Inf(1), -1
+			}
+			s.start(append(learned, Kept{ID: 1 << 20}))
+		}
+	}
+}
+
+// outage makes the whole fleet slow or lets it fail, or ends that.
+func (s *script) outage(Micros) {
+	s.slowness, s.failures = 1, 0.02
+	switch s.random.below(4) {
+	case 0:
+		s.slowness = 12
+	case 1:
+		s.failures = 0.9
+	}
+}
+
+func (s *script) play() {
+	s.slowness, s.failures = 1, 0.02
+	for range s.options.servers {
+		s.addServer(0)
+	}
+	s.start(nil)
+	s.every(1e6/s.options.rate, s.request)
+	s.every(700_000, s.change)
+	if s.options.operators {
+		s.every(900_000, s.operate)
+	}
+	if s.options.outages > 0 {
+		s.every(s.options.outages, s.outage)
+	}
+	for s.queue.Len() > 0 && s.now < s.options.length {
+		event := heap.Pop(&s.queue).(scriptEvent)
+		s.now = event.at
+		event.run(event.at)
+	}
+	s.snapshot(s.now)
+}
