--- /dev/null
+++ b/internal/state/golden_test.go
@@ -0,0 +1,108 @@
+package state
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	bolt "go.etcd.io/bbolt"
+)
+
+// goldenName is the sidecar's name in testdata/release21.db, which release 21.0 wrote.
+const goldenName = "n/0 ü"
+
+// golden is what release 21.0 was given to write: every field of every record is set.
+func golden() *Snapshot {
+	return &Snapshot{
+		Name: goldenName, Written: time.Date(2026, 11, 30, 8, 15, 30, 250_000_000, time.UTC), Seq: 4711, Whole: true,
+		Hosts: []Host{
+			{Name: "v001", Dial: "10.0.0.1:8080", Site: "a", Class: "m1", Block: 7, Health: "Ready", Share: 0.25, BornMS: 1_800_000_000_123},
+			{Name: "v/2 <é>", Dial: "10.0.0.2:8080", Site: "b", Class: "m2", Block: 65535, Health: "Terminating", Share: 1.5},
+		},
+		OpsSeq: 12, Banned: []string{"v001", "v/2 <é>"}, Drained: true,
+		Servers: []Server{
+			{Host: "v/2 <é>", Base: 0, Current: 1e21, Pace: 0.1, Errs: 1},
+			{Host: "v001", Base: 1250.5, Current: 1300.25, Pace: 87.125, Errs: 0.0625},
+		},
+		Epoch: 3, Stage: "canary", View: json.RawMessage(`{"epoch":9,"members":[{"name":"n0","addr":"10.0.0.9:7000"}]}`),
+	}
+}
+
+// records gives every record of a state file as it lies on disk, by bucket and key.
+func records(t *testing.T, path string) map[string]string {
+	t.Helper()
+	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: LockWait, ReadOnly: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	found := map[string]string{}
+	var walk func(at string, b *bolt.Bucket) error
+	walk = func(at string, b *bolt.Bucket) error {
+		return b.ForEach(func(key, value []byte) error {
+			name := at + "/" + string(key)
+			if value == nil {
+				return walk(name, b.Bucket(key))
+			}
+			found[name] = string(value)
+			return nil
+		})
+	}
+	err = db.View(func(tx *bolt.Tx) error {
+		return tx.ForEach(func(name []byte, b *bolt.Bucket) error { return walk(string(name), b) })
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return found
+}
+
+// copyGolden puts the file that release 21.0 wrote where a sidecar of that name looks for it.
+func copyGolden(t *testing.T, dir string) string {
+	t.Helper()
+	data, err := os.ReadFile(filepath.Join("testdata", "release21.db"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(dir, "n%2F0%20%C3%BC.db") // literally: other releases look there, too
+	if err := os.WriteFile(path, data, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+func TestReadsTheFileOfAnEarlierRelease(t *testing.T) {
+	dir := t.TempDir()
+	copyGolden(t, dir)
+	got, err := Load(dir, goldenName)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := golden(); !reflect.DeepEqual(got, want) {
+		t.Errorf("loaded\n%+v\nwant\n%+v", got, want)
+	}
+}
+
+func TestWritesTheRecordsOfAnEarlierRelease(t *testing.T) {
+	old, dir := copyGolden(t, t.TempDir()), t.TempDir()
+	if _, err := Save(dir, golden()); err != nil {
+		t.Fatal(err)
+	}
+	want, got := records(t, old), records(t, filepath.Join(dir, "n%2F0%20%C3%BC.db"))
+	if len(want) != 6 {
+		t.Errorf("%d records in the earlier release's file, want 6: meta, list, ops, fleet and two servers", len(want))
+	}
+	for name, record := range want {
+		if got[name] != record {
+			t.Errorf("record %q is\n%q\nwant\n%q", name, got[name], record)
+		}
+	}
+	for name := range got {
+		if _, ok := want[name]; !ok {
+			t.Errorf("record %q is not one of the earlier release's", name)
+		}
+	}
+}
