--- /dev/null
+++ b/internal/fleet/golden_test.go
@@ -0,0 +1,131 @@
+package fleet
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"flag"
+	"log/slog"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"peatpost/internal/fleet/link"
+	"peatpost/internal/fleet/view"
+)
+
+var updateGolden = flag.Bool("update-golden", false, "write the golden files anew; only for a form that is new to operators or on the disk")
+
+// compareGolden compares text with a golden file, byte for byte, and returns the file's.
+func compareGolden(t *testing.T, file string, text []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", file)
+	if *updateGolden {
+		if err := os.WriteFile(path, text, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(text, want) {
+		t.Errorf("%s differs:\n%s\nwant\n%s", path, text, want)
+	}
+	return want
+}
+
+func asJSON(t *testing.T, value any) []byte {
+	t.Helper()
+	text, err := json.MarshalIndent(value, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return append(text, '\n')
+}
+
+var goldenTime = time.Date(2026, 12, 3, 9, 31, 0, 0, time.UTC)
+
+func goldenStatus() Status {
+	return Status{
+		Name: "s0", Epoch: 7, Digest: "b3ef540f2075099a", SettledSince: goldenTime, CutOff: true, Settled: []string{"s0", "s1"},
+		Members: []MemberStatus{
+			{Name: "s0", State: string(view.Alive), Since: goldenTime, Zone: "a", Version: "21.0", Features: []string{"news", "state"},
+				Address: "10.0.0.1:7946", Start: goldenTime, HeardMS: -1},
+			{Name: "s1", State: string(view.Failed), Since: goldenTime, Zone: "b", Version: "20.0", Features: []string{},
+				Address: "10.0.0.2:7946", Start: goldenTime, HeardMS: 1234.567},
+			{Name: "s2", State: string(view.Left), Since: goldenTime, Address: "10.0.0.3:7946", Start: goldenTime, HeardMS: 0.25},
+		},
+		Traffic: map[string]Traffic{"news": {SentPerS: 1.5, SentBytesPerS: 2, ReceivedPerS: 3, ReceivedBytesPerS: 4, Sent: 5, SentBytes: 6,
+			Received: 7, HeldBack: 8, Refused: 9}},
+		Counts: map[string]uint64{"name_conflicts": 1},
+	}
+}
+
+// The status is told to operators as the golden files have it: whole, brief and as text.
+func TestGoldenStatus(t *testing.T) {
+	status := goldenStatus()
+	text := compareGolden(t, "status.json", asJSON(t, status))
+	var read Status
+	if err := json.Unmarshal(text, &read); err != nil {
+		t.Fatal(err)
+	}
+	if again := asJSON(t, read); !bytes.Equal(again, text) {
+		t.Errorf("read and told again it is\n%s", again)
+	}
+	compareGolden(t, "status.txt", []byte(status.Text()))
+	status.Members, status.Traffic, status.Counts = nil, nil, nil
+	status.CutOff = false
+	compareGolden(t, "status_brief.json", asJSON(t, status))
+	compareGolden(t, "status_brief.txt", []byte(status.Text()))
+}
+
+// A sidecar that begins alone with what an earlier process kept tells a status with the golden file's keys and values
+// (its clock's aside), and keeps the same again.
+func TestGoldenKeptAndTold(t *testing.T) {
+	kept := json.RawMessage(`{"epoch":41,"members":[{"name":"s0","addr":"10.0.0.1:7946"},{"name":"s1","addr":"10.0.0.2:7946"},{"name":"s2","addr":""}]}`)
+	nobody := func([]byte, netip.AddrPort) error { return nil }
+	settings, err := ParseSettings([]byte(`{"on":true}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	own := netip.MustParseAddrPort("10.0.0.1:7946")
+	f, err := Open(context.Background(), Options{Settings: settings, Name: "s0", Zone: "a", State: true, Listen: own, Peers: []netip.AddrPort{own},
+		Kept: kept, Link: link.New(nobody, link.Options{}), News: func([]byte) {}, Log: slog.New(slog.DiscardHandler)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer f.Close(false)
+	status, on := f.Status(false)
+	if !on {
+		t.Fatal("no status")
+	}
+	status.SettledSince = goldenTime
+	for i := range status.Members {
+		status.Members[i].Since, status.Members[i].Start = goldenTime, goldenTime
+	}
+	for channel, traffic := range status.Traffic { // what it sends before it is asked is by its clock
+		traffic.SentPerS, traffic.SentBytesPerS, traffic.Sent, traffic.SentBytes = 0, 0, 0, 0
+		status.Traffic[channel] = traffic
+	}
+	compareGolden(t, "status_alone.json", asJSON(t, status))
+	if text := compareGolden(t, "kept.json", append(f.Keep(), '\n')); !bytes.Equal(text, append(kept, '\n')) {
+		t.Errorf("kept is %s, begun with %s", text, kept)
+	}
+}
+
+// The configuration's table is read and written as the golden file has it.
+func TestGoldenSettings(t *testing.T) {
+	all := Settings{On: true, Advertise: "10.0.0.1:7946", QuietS: 2.5, ProbeMS: 300, Members: 50, DatagramsPerS: 80}
+	text := compareGolden(t, "settings.json", asJSON(t, all))
+	if got, err := ParseSettings(text); err != nil || got != all {
+		t.Errorf("read as %+v, %v", got, err)
+	}
+	defaults, err := ParseSettings(nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	compareGolden(t, "settings_default.json", asJSON(t, defaults))
+}
--- /dev/null
+++ b/internal/fleet/view/golden_test.go
@@ -0,0 +1,336 @@
+//go:build go1.25
+
+package view
+
+import (
+	"bytes"
+	"encoding/hex"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"io"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+	"time"
+
+	"peatpost/internal/fleet/link"
+)
+
+var updateGolden = flag.Bool("update-golden", false, "write the golden files anew; only for a form that is new on the wire or on the disk")
+
+// compareGolden compares got as JSON with a golden file, byte for byte.
+func compareGolden(t *testing.T, file string, got any) {
+	t.Helper()
+	path := filepath.Join("testdata", file)
+	text, err := json.MarshalIndent(got, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	text = append(text, '\n')
+	if *updateGolden {
+		if err := os.WriteFile(path, text, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if want := readGolden(t, file); !bytes.Equal(text, want) {
+		t.Errorf("%s differs:\n%s\nwant\n%s", path, text, want)
+	}
+}
+
+func readGolden(t *testing.T, file string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", file))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+func unhex(t *testing.T, text string) []byte {
+	t.Helper()
+	data, err := hex.DecodeString(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
+}
+
+var goldenMembers = []Member{
+	{Name: "s0", Zone: "a", Version: "21.0", Start: time.UnixMilli(1_800_000_000_123).UTC(), Features: FeatureNews | FeatureState,
+		Addr: netip.MustParseAddrPort("10.0.0.1:7946")},
+	{Name: "s1", Start: time.UnixMilli(0).UTC(), Addr: netip.MustParseAddrPort("10.0.0.2:1")},
+	{Name: "s2", Zone: "zone of 16 bytes", Version: "sixteen letters!", Start: time.UnixMilli(1).UTC(), Features: FeatureNews | 1<<40,
+		Addr: netip.MustParseAddrPort("10.0.0.3:65535")},
+	{Name: "s3", Zone: "Zürich", Version: "1", Start: time.UnixMilli(1 << 52).UTC(), Features: FeatureState, Addr: netip.MustParseAddrPort("10.0.0.4:9")},
+}
+
+// goldenMeta is what one member tells beside its name and address.
+type goldenMeta struct {
+	Name     string   `json:"name"`
+	Zone     string   `json:"zone"`
+	Version  string   `json:"version"`
+	StartMS  int64    `json:"start_ms"`
+	Features []string `json:"features"`
+	Hex      string   `json:"hex"`
+}
+
+// What members tell of themselves is written and read as the golden file has it.
+func TestGoldenMeta(t *testing.T) {
+	var list []goldenMeta
+	for _, m := range goldenMembers {
+		list = append(list, goldenMeta{m.Name, m.Zone, m.Version, m.Start.UnixMilli(), m.Features.Names(), hex.EncodeToString(m.meta())})
+	}
+	compareGolden(t, "meta.json", list)
+	if err := json.Unmarshal(readGolden(t, "meta.json"), &list); err != nil {
+		t.Fatal(err)
+	}
+	for i, g := range list {
+		m := goldenMembers[i]
+		for _, later := range []string{"", "0102"} { // a later version's fields are passed over
+			ip := m.Addr.Addr().As4()
+			got, err := readMember(m.Name, ip[:], m.Addr.Port(), unhex(t, g.Hex+later))
+			if err != nil || got != m {
+				t.Errorf("%s is read as %+v, %v, want %+v", g.Name, got, err, m)
+			}
+		}
+	}
+}
+
+const goldenMost = 5 // members in a push/pull
+
+// verdict is how a message is judged: why it is refused is told, but no part of the form.
+type verdict struct {
+	Name     string   `json:"name"`
+	Hex      string   `json:"hex"`
+	Accepted bool     `json:"accepted"`
+	Says     []string `json:"says,omitempty"` // of whom, in which incarnation, whether it is a goodbye
+	Ack      bool     `json:"ack,omitempty"`
+	Probe    bool     `json:"probe,omitempty"`
+}
+
+func judge(name string, data []byte, stream bool) verdict {
+	v := verdict{Name: name, Hex: hex.EncodeToString(data)}
+	note := func(name string, incarnation uint32, goodbye bool) {
+		v.Says = append(v.Says, fmt.Sprintf("%s %d %v", name, incarnation, goodbye))
+	}
+	if stream {
+		whole, err := vetStream(bytes.NewReader(data), goldenMost, note)
+		v.Accepted = err == nil && bytes.Equal(whole, data)
+		return v
+	}
+	what, err := vetPacket(data, note)
+	v.Accepted, v.Ack, v.Probe = err == nil, what.ack, what.probe
+	return v
+}
+
+// judgeAgain judges a golden file's messages again, each as the file says.
+func judgeAgain(t *testing.T, file string, stream bool) []verdict {
+	t.Helper()
+	var list []verdict
+	if err := json.Unmarshal(readGolden(t, file), &list); err != nil {
+		t.Fatal(err)
+	}
+	if len(list) == 0 {
+		t.Fatalf("%s: no messages", file)
+	}
+	for _, g := range list {
+		if got := judge(g.Name, unhex(t, g.Hex), stream); fmt.Sprint(got) != fmt.Sprint(g) {
+			t.Errorf("%s: judged %+v, want %+v", file, got, g)
+		}
+	}
+	return list
+}
+
+type fields = map[string]any
+
+// Messages of every kind, good ones and others, are judged as the golden file has them. Their bytes are what msgpack
+// makes of the fields, which come in any order: they are made once.
+func TestGoldenPackets(t *testing.T) {
+	dead := message(msgDead, fields{"Incarnation": 4, "Node": "s1", "From": "s1"})
+	ack := message(msgAck, fields{"SeqNo": 7})
+	address := []byte{10, 0, 0, 1}
+	indirect := func(field string, value any) []byte {
+		m := fields{"SeqNo": 7, "Node": "s1", "Target": address, "Port": 7946, "Nack": true, "SourceAddr": address, "SourcePort": 1, "SourceNode": "s2"}
+		m[field] = value
+		return message(msgIndirectPing, m)
+	}
+	ping := func(field string, value any) []byte {
+		m := fields{"SeqNo": 7, "Node": "s1", "SourceAddr": address, "SourcePort": 7946, "SourceNode": "s2"}
+		m[field] = value
+		return message(msgPing, m)
+	}
+	if *updateGolden {
+		var list []verdict
+		for _, c := range []struct {
+			name string
+			data []byte
+		}{
+			{"ping", ping("SeqNo", 8)},
+			{"ping of nobody by name", ping("Node", "")},
+			{"ping without a source", message(msgPing, fields{"SeqNo": 7, "Node": "s1"})},
+			{"ping of a name with a slash", ping("Node", "a/b")},
+			{"ping from an IPv6 address", ping("SourceAddr", make([]byte, 16))},
+			{"ping, truncated", ping("SeqNo", 8)[:20]},
+			{"indirect ping", indirect("SeqNo", 8)},
+			{"indirect ping to nowhere", indirect("Target", []byte{1})},
+			{"indirect ping from a name to log", indirect("SourceNode", "s\n2")},
+			{"ack", ack},
+			{"ack with a payload", message(msgAck, fields{"SeqNo": 7, "Payload": []byte("x")})},
+			{"nack", message(msgNack, fields{"SeqNo": 7})},
+			{"suspect", message(msgSuspect, fields{"Incarnation": 4, "Node": "s1", "From": "s2"})},
+			{"suspect of nobody", message(msgSuspect, fields{"Node": "", "From": "s2"})},
+			{"suspect from nobody", message(msgSuspect, fields{"Node": "s1"})},
+			{"dead", message(msgDead, fields{"Incarnation": 4, "Node": "s1", "From": "s2"})},
+			{"dead, told by itself", dead},
+			{"dead of a name too long", message(msgDead, fields{"Node": string(bytes.Repeat([]byte("n"), NameMost+1)), "From": "s2"})},
+			{"alive", message(msgAlive, state("", nil))},
+			{"alive of the longest name", message(msgAlive, state("Node", string(bytes.Repeat([]byte("n"), NameMost))))},
+			{"alive of a later meta", message(msgAlive, state("Meta", append(bytes.Clone(goodMeta), 7)))},
+			{"alive without a name", message(msgAlive, state("Node", ""))},
+			{"alive with a name to log", message(msgAlive, state("Node", "s1\nfake"))},
+			{"alive at no address", message(msgAlive, state("Addr", []byte{}))},
+			{"alive at an IPv6 address", message(msgAlive, state("Addr", make([]byte, 16)))},
+			{"alive at port 0", message(msgAlive, state("Port", 0))},
+			{"alive with fewer versions", message(msgAlive, state("Vsn", []byte{1, 5}))},
+			{"alive of another protocol", message(msgAlive, state("Vsn", []byte{4, 5, 5, 0, 0, 0}))},
+			{"alive of another delegate", message(msgAlive, state("Vsn", []byte{1, 5, 2, 1, 1, 1}))},
+			{"alive with torn meta", message(msgAlive, state("Meta", goodMeta[:4]))},
+			{"alive with meta of another version", message(msgAlive, state("Meta", append([]byte{2}, goodMeta[1:]...)))},
+			{"alive with meta too long", message(msgAlive, state("Meta", append(bytes.Clone(goodMeta), make([]byte, metaMost)...)))},
+			{"compound", compound(ack, dead)},
+			{"compound of nothing", compound()},
+			{"compound in compound", compound(compound(dead))},
+			{"compound with one that is not good", compound(ack, []byte{8, 1, 2})},
+			{"compound, truncated", compound(dead)[:20]},
+			{"compound of nothing said", []byte{msgCompound, 9, 0}},
+			{"checksum that is wrong", append([]byte{msgHasCRC, 0, 0, 0, 0}, dead...)},
+			{"push/pull as a packet", message(msgPushPull, fields{"Nodes": 1})},
+			{"user message", []byte{8, 1, 2}},
+			{"compressed", message(9, fields{"Algo": 0})},
+			{"encrypted", []byte{10, 1, 2}},
+			{"error as a packet", message(msgErr, fields{"Error": "e"})},
+			{"of no kind", []byte{200, 0x80}},
+			{"empty", nil},
+		} {
+			list = append(list, judge(c.name, c.data, false))
+		}
+		compareGolden(t, "packets.json", list)
+	}
+	judgeAgain(t, "packets.json", false)
+}
+
+// Streams' messages are judged, at most goldenMost members each, as the golden file has them.
+func TestGoldenStreams(t *testing.T) {
+	if *updateGolden {
+		var list []verdict
+		for _, c := range []struct {
+			name string
+			data []byte
+		}{
+			{"push/pull", pushPull(2, state("", nil), state("Name", "s2"))},
+			{"push/pull with one that left", pushPull(2, state("State", 3), state("Name", "s2"))},
+			{"push/pull with one suspected, one dead", pushPull(2, state("State", 1), state("State", 2))},
+			{"push/pull of nobody", pushPull(0)},
+			{"more than the bound", pushPull(goldenMost+1, slices.Repeat([]fields{state("", nil)}, goldenMost+1)...)},
+			{"a count below nothing", pushPull(-1)},
+			{"fewer than it says", pushPull(2, state("", nil))},
+			{"a state that is none", pushPull(1, state("State", 9))},
+			{"a state below nothing", pushPull(1, state("State", -1))},
+			{"a member without a name", pushPull(1, state("Name", ""))},
+			{"user state", message(msgPushPull, fields{"Nodes": 0, "UserStateLen": 1 << 30})},
+			{"error", message(msgErr, fields{"Error": "why"})},
+			{"error, truncated", message(msgErr, fields{"Error": "why"})[:4]},
+			{"a user message", []byte{8, 1}},
+			{"a ping", message(msgPing, fields{"SeqNo": 1})},
+			{"nothing", nil},
+		} {
+			list = append(list, judge(c.name, c.data, true))
+		}
+		compareGolden(t, "streams.json", list)
+	}
+	judgeAgain(t, "streams.json", true)
+}
+
+// recordFleet gives what members of a fleet really send: of each packet's kinds the first few, and a push/pull.
+func recordFleet(t *testing.T) (packets, streams []verdict) {
+	t.Helper()
+	seen := map[string]int{}
+	inSim(t, 33, 5, func(s *sim) {
+		s.spy = func(data []byte) []byte { // called under the sim's lock
+			kind := fmt.Sprint(data[0])
+			if data[0] == byte(link.Packets) {
+				parts := data[1:]
+				if parts[0] == msgHasCRC {
+					parts = parts[crcHead:]
+				}
+				kind = fmt.Sprintf("packet of type %d", parts[0])
+				if parts[0] == msgCompound {
+					for n, rest := 0, parts[2+2*int(parts[1]):]; n < int(parts[1]); n++ {
+						kind += fmt.Sprint(" ", rest[0])
+						rest = rest[int(parts[2+2*n])<<8|int(parts[3+2*n]):]
+					}
+				}
+				if seen[kind]++; seen[kind] <= 2 {
+					packets = append(packets, judge(kind, data[1:], false))
+				}
+			}
+			return []byte{0}
+		}
+		s.startAll()
+		s.settles("start", s.running(nil), settleMost)
+		s.nodes[3].end(false)
+		s.nodes[4].end(true)
+		s.settles("one crashed, one left", s.running(nil), settleMost)
+		s.set(func(a, b int) bool { return a == 0 && b == 1 || b == 0 && a == 1 }, s.bad)
+		time.Sleep(10 * time.Second)
+		s.set(nil, s.bad)
+
+		stranger := &simNode{sim: s, number: -1, addr: netip.MustParseAddrPort("10.7.7.7:7")}
+		stranger.link = link.New(func(data []byte, to netip.AddrPort) error { return s.carry(stranger, data, to) }, link.Options{})
+		accepts := link.NewStreams(stranger.link)
+		s.mu.Lock()
+		s.links[stranger.addr] = stranger.link
+		s.mu.Unlock()
+		go s.nodes[0].view.list.Join([]string{stranger.addr.String()})
+		conn := <-accepts.Accepted()
+		conn.SetDeadline(time.Now().Add(time.Second))
+		whole, _ := io.ReadAll(conn)
+		conn.Close()
+		streams = append(streams, judge("push/pull of a member's", whole, true))
+		time.Sleep(10 * time.Second)
+		accepts.Close()
+	})
+	return packets, streams
+}
+
+// What members of a fleet really sent, as recorded, is accepted, and says the same of members.
+func TestGoldenFleet(t *testing.T) {
+	if *updateGolden {
+		packets, streams := recordFleet(t)
+		compareGolden(t, "fleet_packets.json", packets)
+		compareGolden(t, "fleet_streams.json", streams)
+	}
+	for _, g := range slices.Concat(judgeAgain(t, "fleet_packets.json", false), judgeAgain(t, "fleet_streams.json", true)) {
+		if !g.Accepted {
+			t.Errorf("%s: a member's message is refused", g.Name)
+		}
+	}
+}
+
+// What is kept for a next process is written and read as the golden file has it, and begun with.
+func TestGoldenKept(t *testing.T) {
+	kept := Kept{Epoch: 1 << 40, Members: []KeptMember{{"s0", netip.MustParseAddrPort("10.0.0.1:7946")}, {"s1", netip.AddrPort{}},
+		{"Zürich", netip.MustParseAddrPort("10.0.0.3:1")}}}
+	compareGolden(t, "kept.json", kept)
+	var got Kept
+	if err := json.Unmarshal(readGolden(t, "kept.json"), &got); err != nil || got.Epoch != kept.Epoch || !slices.Equal(got.Members, kept.Members) {
+		t.Errorf("read as %+v, %v, want %+v", got, err, kept)
+	}
+	inSim(t, 1, 1, func(s *sim) {
+		s.nodes[0].start(Options{Kept: got})
+		compareGolden(t, "kept_again.json", s.nodes[0].view.Keep())
+	})
+}
