--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"peatpost/balancer"
+	"bramblestand/balancer"
 )
 
 // host prints what a balancer asks for. A sidecar does these things.
--- a/cmd/bramblelab/chain.go
+++ b/cmd/faultlab/chain.go
@@ -15,8 +15,8 @@
 	"syscall"
 	"time"
 
-	"peatpost/internal/lab"
-	"peatpost/internal/lab/scale"
+	"bramblestand/internal/lab"
+	"bramblestand/internal/lab/scale"
 )
 
 // chainFile is what chain writes.
@@ -172,7 +172,7 @@
 			err = lab.WriteJSON(into, r)
 		}
 		if err != nil {
-			fmt.Fprintln(os.Stderr, "bramblelab:", err)
+			fmt.Fprintln(os.Stderr, "faultlab:", err)
 			os.Exit(1)
 		}
 	})
--- a/cmd/bramblelab/control.go
+++ b/cmd/faultlab/control.go
@@ -13,14 +13,14 @@
 	"syscall"
 	"time"
 
-	"peatpost/internal/lab"
+	"bramblestand/internal/lab"
 )
 
 // control measures what control costs by servers listed and calls a second.
 func control(args []string) error {
 	flags := flag.NewFlagSet("control", flag.ContinueOnError)
 	out := flags.String("out", "lab-out", "folder for control.json and the logs")
-	program := flags.String("sidecar", "bin/pinedale", "the sidecar's program")
+	program := flags.String("sidecar", "bin/sidecar", "the sidecar's program")
 	sidecars := flags.Int("sidecars", 1, "of each run, 1 to 300")
 	servers := flags.String("servers", "6,60,240,960", "listed, by commas, each 1 to 1000")
 	rates := flags.String("rates", "0,0.1,1,47", "calls a second of a sidecar, by commas")
--- a/cmd/bramblelab/latency.go
+++ b/cmd/faultlab/latency.go
@@ -10,14 +10,14 @@
 	"syscall"
 	"time"
 
-	"peatpost/internal/lab"
+	"bramblestand/internal/lab"
 )
 
 // latency measures what one sidecar adds to a call.
 func latency(args []string) error {
 	flags := flag.NewFlagSet("latency", flag.ContinueOnError)
 	out := flags.String("out", "lab-out", "folder for latency.json and the logs")
-	program := flags.String("sidecar", "bin/pinedale", "the sidecar's program")
+	program := flags.String("sidecar", "bin/sidecar", "the sidecar's program")
 	rates := flags.String("rates", "47,200", "calls a second of each way, by commas")
 	var o lab.LatencyOptions
 	flags.IntVar(&o.Servers, "servers", 6, "pin servers, 1 to 1000")
--- a/cmd/bramblelab/main.go
+++ b/cmd/faultlab/main.go
@@ -1,15 +1,15 @@
-// Command bramblelab runs experiments on many real sidecars with stand-in pin
+// Command faultlab runs experiments on many real sidecars with stand-in pin
 // servers, stand-in discovery and faults between them.
 //
-//	bramblelab run [-out DIR] [-sidecar PATH] [-repeat N] EXPERIMENT.toml   writes DIR/result.json, DIR/plot.png, DIR/logs/
-//	bramblelab search [-seeds N] [-for D] EXPERIMENT.toml                     draws faults, keeps and shrinks what breaks a rule
-//	bramblelab report [-plot FILE] RESULT.json                                prints a result, and plots it again
-//	bramblelab compare A.json B.json                                          two results, or repeats, side by side
-//	bramblelab chain [-levels N] [-fails S,S]                                 attempts over services in a row, DIR/chain.json
-//	bramblelab latency [-rates R,R] [-plays N]                                what a sidecar adds to a call, DIR/latency.json
-//	bramblelab control [-servers N,N] [-rates R,R]                            what control costs, DIR/control.json
-//	bramblelab scale [-out DIR] [-rungs N,N]                                  fleets of hollow sidecars up to 1,920, see docs/design-scale.md
-//	bramblelab scale -agree [-out DIR]                                        hollow sidecars held against real processes
+//	faultlab run [-out DIR] [-sidecar PATH] [-repeat N] EXPERIMENT.toml   writes DIR/result.json, DIR/plot.png, DIR/logs/
+//	faultlab search [-seeds N] [-for D] EXPERIMENT.toml                     draws faults, keeps and shrinks what breaks a rule
+//	faultlab report [-plot FILE] RESULT.json                                prints a result, and plots it again
+//	faultlab compare A.json B.json                                          two results, or repeats, side by side
+//	faultlab chain [-levels N] [-fails S,S]                                 attempts over services in a row, DIR/chain.json
+//	faultlab latency [-rates R,R] [-plays N]                                what a sidecar adds to a call, DIR/latency.json
+//	faultlab control [-servers N,N] [-rates R,R]                            what control costs, DIR/control.json
+//	faultlab scale [-out DIR] [-rungs N,N]                                  fleets of hollow sidecars up to 1,920, see docs/design-scale.md
+//	faultlab scale -agree [-out DIR]                                        hollow sidecars held against real processes
 //
 // run and search exit 1 on a bad experiment or a failed start, and 3 when a
 // rule was broken (lost, forged, run twice, sent after a drain or a ban, a
@@ -30,19 +30,19 @@
 	"sync"
 	"syscall"
 
-	"peatpost/internal/lab"
+	"bramblestand/internal/lab"
 )
 
 const usage = `usage:
-  bramblelab run [-out DIR] [-sidecar PATH] [-state on|off] [-view on|off] [-repeat N] [-parallel P] EXPERIMENT.toml
-  bramblelab search [-out DIR] [-sidecar PATH] [-seeds N] [-first SEED] [-for D] [-parallel P] [-tries K] [-stop N] [-kinds K,K] EXPERIMENT.toml
-  bramblelab report [-plot FILE] RESULT.json
-  bramblelab compare A.json B.json
-  bramblelab chain [-out DIR] [-levels N] [-size N] [-rate R] [-fails S,S] [-deadline D] [-for D] [-plain N,N] [-plain-rate R] [-parallel P] [-seed N]
-  bramblelab latency [-out DIR] [-sidecar PATH] [-servers N] [-rates R,R] [-plays N] [-warm D] [-duration D] [-price P] [-seed N]
-  bramblelab control [-out DIR] [-sidecar PATH] [-sidecars N] [-servers N,N] [-rates R,R] [-prices P,P] [-duration D] [-parallel P]
-  bramblelab scale [-out DIR] [-rungs N,N] [-only KIND,KIND] [-parallel P]
-  bramblelab scale -agree [-out DIR] [-seeds N,N] [-sidecar PATH]`
+  faultlab run [-out DIR] [-sidecar PATH] [-state on|off] [-view on|off] [-repeat N] [-parallel P] EXPERIMENT.toml
+  faultlab search [-out DIR] [-sidecar PATH] [-seeds N] [-first SEED] [-for D] [-parallel P] [-tries K] [-stop N] [-kinds K,K] EXPERIMENT.toml
+  faultlab report [-plot FILE] RESULT.json
+  faultlab compare A.json B.json
+  faultlab chain [-out DIR] [-levels N] [-size N] [-rate R] [-fails S,S] [-deadline D] [-for D] [-plain N,N] [-plain-rate R] [-parallel P] [-seed N]
+  faultlab latency [-out DIR] [-sidecar PATH] [-servers N] [-rates R,R] [-plays N] [-warm D] [-duration D] [-price P] [-seed N]
+  faultlab control [-out DIR] [-sidecar PATH] [-sidecars N] [-servers N,N] [-rates R,R] [-prices P,P] [-duration D] [-parallel P]
+  faultlab scale [-out DIR] [-rungs N,N] [-only KIND,KIND] [-parallel P]
+  faultlab scale -agree [-out DIR] [-seeds N,N] [-sidecar PATH]`
 
 func main() {
 	if len(os.Args) < 2 {
@@ -78,7 +78,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(3)
 	case err != nil:
-		fmt.Fprintln(os.Stderr, "bramblelab:", err)
+		fmt.Fprintln(os.Stderr, "faultlab:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/bramblelab/main_test.go
+++ b/cmd/faultlab/main_test.go
@@ -11,8 +11,8 @@
 )
 
 func TestMain(m *testing.M) {
-	if os.Getenv("BRAMBLELAB_TEST_RUN") != "" {
-		os.Args = append([]string{"bramblelab"}, strings.Fields(os.Getenv("BRAMBLELAB_TEST_RUN"))...)
+	if os.Getenv("FAULTLAB_TEST_RUN") != "" {
+		os.Args = append([]string{"faultlab"}, strings.Fields(os.Getenv("FAULTLAB_TEST_RUN"))...)
 		main()
 		os.Exit(0)
 	}
@@ -23,7 +23,7 @@
 func invoke(t *testing.T, args ...string) (int, string) {
 	t.Helper()
 	c := exec.Command(os.Args[0])
-	c.Env = append(os.Environ(), "BRAMBLELAB_TEST_RUN="+strings.Join(args, " "))
+	c.Env = append(os.Environ(), "FAULTLAB_TEST_RUN="+strings.Join(args, " "))
 	out, err := c.CombinedOutput()
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
--- a/cmd/bramblelab/scale.go
+++ b/cmd/faultlab/scale.go
@@ -15,8 +15,8 @@
 	"strings"
 	"syscall"
 
-	"peatpost/internal/lab"
-	"peatpost/internal/lab/scale"
+	"bramblestand/internal/lab"
+	"bramblestand/internal/lab/scale"
 )
 
 // scaleFlags are what scale takes.
@@ -36,7 +36,7 @@
 	flags.IntVar(&o.places, "parallel", runtime.NumCPU(), "rungs at a time")
 	flags.BoolVar(&o.agree, "agree", false, "hold hollow sidecars against real processes in place of the ladder")
 	flags.BoolVar(&o.kept, "kept", false, "of -agree, play nothing real: take what the folder holds of earlier goes")
-	flags.StringVar(&o.sidecar, "sidecar", "bin/pinedale", "the real sidecar's program, for -agree")
+	flags.StringVar(&o.sidecar, "sidecar", "bin/sidecar", "the real sidecar's program, for -agree")
 	flags.Func("rungs", "sizes of the ladder's rungs, by commas (default 60,120,240,480,960,1920)", func(text string) error {
 		o.rungs = nil
 		for _, word := range strings.Split(text, ",") {
@@ -102,7 +102,7 @@
 		specs = slices.DeleteFunc(specs, func(s scale.Spec) bool { return !slices.Contains(kinds, kindOf(s)) })
 	}
 	l, failed := scale.Climb(ctx, program, specs, scale.Measured, o.places, filepath.Join(o.out, "rungs"), say)
-	l.Command = fmt.Sprintf("bramblelab scale -rungs %s -only %q -parallel %d", strings.Trim(fmt.Sprint(o.rungs), "[]"), o.only, o.places)
+	l.Command = fmt.Sprintf("faultlab scale -rungs %s -only %q -parallel %d", strings.Trim(fmt.Sprint(o.rungs), "[]"), o.only, o.places)
 	fmt.Print(l.Table())
 	return errors.Join(failed, lab.WriteJSON(filepath.Join(o.out, "scale.json"), l), l.Plot(filepath.Join(o.out, "scale.png")))
 }
@@ -125,7 +125,7 @@
 			err = lab.WriteJSON(args[0], r)
 		}
 		if err != nil {
-			fmt.Fprintln(os.Stderr, "bramblelab:", order.Spec.Name+":", err)
+			fmt.Fprintln(os.Stderr, "faultlab:", order.Spec.Name+":", err)
 			os.Exit(1)
 		}
 	})
--- a/cmd/pinedale/main.go
+++ b/cmd/sidecar/main.go
@@ -1,4 +1,4 @@
-// Command pinedale is one sidecar: it takes the requests of the application
+// Command sidecar is one sidecar: it takes the requests of the application
 // beside it and passes them on to endpoints that discovery names. The file at
 // $BALANCER_CONFIG tells it all it has to know.
 package main
@@ -11,12 +11,12 @@
 	"os/signal"
 	"syscall"
 
-	"peatpost/internal/sidecar"
+	"bramblestand/internal/sidecar"
 )
 
 func main() {
 	if err := run(); err != nil {
-		fmt.Fprintln(os.Stderr, "pinedale:", err)
+		fmt.Fprintln(os.Stderr, "sidecar:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/pinedale/state_test.go
+++ b/cmd/sidecar/state_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"peatpost/internal/state"
+	"bramblestand/internal/state"
 )
 
 // A machine that loses power loses the sidecar and its TMPDIR, with the file that two processes of an upgrade share.
--- a/cmd/simhost/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command simhost hosts balancers behind the simulator's wire: batches of events
+// Command simadapter hosts balancers behind the simulator's wire: batches of events
 // on standard input, one reply each on standard output.
 package main
 
@@ -9,15 +9,15 @@
 	"os"
 	"runtime/debug"
 
-	"peatpost/balancer"
-	"peatpost/internal/wire"
+	"bramblestand/balancer"
+	"bramblestand/internal/wire"
 )
 
 func main() {
 	// Nothing is allocated in the steady state: collect rarely.
 	debug.SetGCPercent(400)
 	if err := run(bufio.NewReaderSize(os.Stdin, 1<<18), os.Stdout, os.Stderr); err != nil {
-		fmt.Fprintln(os.Stderr, "simhost:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
@@ -87,7 +87,7 @@
 		if e.Code < wire.Begin || e.Code > wire.Instance {
 			if !h.strange[e.Code] {
 				h.strange[e.Code] = true
-				fmt.Fprintf(h.stderr, "simhost: %v at byte %d: unknown code, skipped\n", e.Code, e.Offset)
+				fmt.Fprintf(h.stderr, "simadapter: %v at byte %d: unknown code, skipped\n", e.Code, e.Offset)
 			}
 			continue
 		}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -16,8 +16,8 @@
 	"syscall"
 	"time"
 
-	"peatpost/internal/fleet/link"
-	"peatpost/internal/fleet/view"
+	"bramblestand/internal/fleet/link"
+	"bramblestand/internal/fleet/view"
 )
 
 // Version is the program's, as members tell it to each other.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"peatpost/internal/fleet/link"
+	"bramblestand/internal/fleet/link"
 )
 
 func udp(t *testing.T) *net.UDPConn {
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"peatpost/internal/fleet/link"
-	"peatpost/internal/fleet/view"
+	"bramblestand/internal/fleet/link"
+	"bramblestand/internal/fleet/view"
 )
 
 var updateGolden = flag.Bool("update-golden", false, "write the golden files anew; only for a form that is new to operators or on the disk")
--- a/internal/fleet/view/golden_test.go
+++ b/internal/fleet/view/golden_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"peatpost/internal/fleet/link"
+	"bramblestand/internal/fleet/link"
 )
 
 var updateGolden = flag.Bool("update-golden", false, "write the golden files anew; only for a form that is new on the wire or on the disk")
--- a/internal/fleet/view/sim_test.go
+++ b/internal/fleet/view/sim_test.go
@@ -12,7 +12,7 @@
 	"testing/synctest"
 	"time"
 
-	"peatpost/internal/fleet/link"
+	"bramblestand/internal/fleet/link"
 )
 
 // sim is a fleet of views in one process on a seeded network of its own, under
--- a/internal/fleet/view/transport.go
+++ b/internal/fleet/view/transport.go
@@ -12,7 +12,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"peatpost/internal/fleet/link"
+	"bramblestand/internal/fleet/link"
 )
 
 const packetsMost = 256 // received and not yet looked at
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -23,7 +23,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"peatpost/internal/fleet/link"
+	"bramblestand/internal/fleet/link"
 )
 
 // Timing and bounds of the failure detector. A crash is known to all after
--- a/internal/lab/compare_test.go
+++ b/internal/lab/compare_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"peatpost/internal/lab/history"
+	"bramblestand/internal/lab/history"
 )
 
 // Two repeats side by side: a figure whose ranges meet is marked as within the spread, another is not; one run has none.
--- a/internal/lab/control.go
+++ b/internal/lab/control.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"peatpost/internal/sidecar"
+	"bramblestand/internal/sidecar"
 )
 
 // When control is looked at, on the lab's clock. Sidecars start before the load, and probe all that is new at their
--- a/internal/lab/control_table.go
+++ b/internal/lab/control_table.go
@@ -12,7 +12,7 @@
 	"text/tabwriter"
 	"time"
 
-	"peatpost/internal/sidecar"
+	"bramblestand/internal/sidecar"
 )
 
 // ControlTable is what control costs by servers listed and calls a second.
--- a/internal/lab/control_test.go
+++ b/internal/lab/control_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"peatpost/internal/sidecar"
+	"bramblestand/internal/sidecar"
 )
 
 // status is a sidecar's count so many seconds after its start, of so many probes at 300 bytes both ways.
--- a/internal/lab/descriptors_test.go
+++ b/internal/lab/descriptors_test.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	result, err := Run(context.Background(), exp, filepath.Join(programs, "pinedale"), t.TempDir(), slog.New(slog.DiscardHandler))
+	result, err := Run(context.Background(), exp, filepath.Join(programs, "sidecar"), t.TempDir(), slog.New(slog.DiscardHandler))
 	if err == nil || result != nil || !strings.Contains(err.Error(), fmt.Sprintf("can need %d", exp.Descriptors())) || !strings.Contains(err.Error(), "its limit is 200") {
 		t.Errorf("%v, want a refusal with %d and 200", err, exp.Descriptors())
 	}
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -199,7 +199,7 @@
 // Parse reads an experiment from TOML text; name is the file's, for errors.
 // Errors name the file and the field at fault. Unknown fields are errors.
 func Parse(name string, text []byte) (*Experiment, error) {
-	e := &Experiment{Sidecar: "bin/pinedale", Fleet: Fleet{Zones: []string{"a"}},
+	e := &Experiment{Sidecar: "bin/sidecar", Fleet: Fleet{Zones: []string{"a"}},
 		Server: Server{Capacity: 16, Queue: 32, Latency: Duration{5 * time.Millisecond}},
 		Load:   Load{Shape: "poisson", Deadline: Duration{time.Second}},
 		Ops:    Ops{Calls: opsCalls, Servers: 3, Observe: []string{"/pin-servers"}, ObserveEvery: Duration{200 * time.Millisecond}}}
--- a/internal/lab/faults_test.go
+++ b/internal/lab/faults_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"peatpost/internal/lab/history"
+	"bramblestand/internal/lab/history"
 )
 
 const patience = 20 * time.Second
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, err := newWorld(exp, filepath.Join(programs, "pinedale"), t.TempDir(), slog.New(slog.DiscardHandler))
+	w, err := newWorld(exp, filepath.Join(programs, "sidecar"), t.TempDir(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	"peatpost/internal/lab/history"
+	"bramblestand/internal/lab/history"
 )
 
 // Run carries out an experiment: stand-ins and sidecars up, the load
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -16,14 +16,14 @@
 	"time"
 )
 
-var programs string // the folder with pinedale and bramblelab, built once
+var programs string // the folder with sidecar and faultlab, built once
 
 func TestMain(m *testing.M) {
 	folder, err := os.MkdirTemp("", "lab")
 	if err == nil {
-		for _, build := range [][]string{{"-o", folder, "peatpost/cmd/pinedale", "peatpost/cmd/bramblelab"},
+		for _, build := range [][]string{{"-o", folder, "bramblestand/cmd/sidecar", "bramblestand/cmd/faultlab"},
 			{"-o", folder, "./testdata/twoholders"},
-			{"-tags", "wrong_forgets_bans", "-o", filepath.Join(folder, "forgetsbans"), "peatpost/cmd/pinedale"}} {
+			{"-tags", "wrong_forgets_bans", "-o", filepath.Join(folder, "forgetsbans"), "bramblestand/cmd/sidecar"}} {
 			if out, buildErr := exec.Command("go", append([]string{"build"}, build...)...).CombinedOutput(); buildErr != nil {
 				os.Stderr.Write(out)
 				err = buildErr
@@ -56,7 +56,7 @@
 // runLab runs an experiment with the built sidecar, and fails the test on any breach of the rules.
 func runLab(t *testing.T, exp *Experiment, folder string) *Result {
 	t.Helper()
-	result, err := Run(context.Background(), exp, filepath.Join(programs, "pinedale"), folder, slog.New(slog.DiscardHandler))
+	result, err := Run(context.Background(), exp, filepath.Join(programs, "sidecar"), folder, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,7 +104,7 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	lab := exec.Command(filepath.Join(programs, "bramblelab"), "run", "-out", folder, "-sidecar", filepath.Join(programs, "pinedale"), path)
+	lab := exec.Command(filepath.Join(programs, "faultlab"), "run", "-out", folder, "-sidecar", filepath.Join(programs, "sidecar"), path)
 	if err := lab.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -289,7 +289,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := newSidecars(filepath.Join(programs, "pinedale"), t.TempDir(), exp, newSubnet(), disco, nil, []*disk{d}, NewLedger(), slog.New(slog.DiscardHandler))
+	s := newSidecars(filepath.Join(programs, "sidecar"), t.TempDir(), exp, newSubnet(), disco, nil, []*disk{d}, NewLedger(), slog.New(slog.DiscardHandler))
 	defer s.Stop()
 	s.procs[0].listen = taken.Addr().String()
 	if err := s.Start(0); err != nil {
--- a/internal/lab/latency_test.go
+++ b/internal/lab/latency_test.go
@@ -12,7 +12,7 @@
 func TestLatencyServesBothWays(t *testing.T) {
 	t.Parallel()
 	o := LatencyOptions{Servers: 3, Rate: 60, Plays: 1, Warm: 500 * time.Millisecond, Duration: 1500 * time.Millisecond, Seed: 4}
-	l, err := MeasureLatency(context.Background(), filepath.Join(programs, "pinedale"), t.TempDir(), o, func(line string) { t.Log(line) })
+	l, err := MeasureLatency(context.Background(), filepath.Join(programs, "sidecar"), t.TempDir(), o, func(line string) { t.Log(line) })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/ops.go
+++ b/internal/lab/ops.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"peatpost/internal/lab/history"
+	"bramblestand/internal/lab/history"
 )
 
 // opsPatience is how long the lab waits for an answer of an operators' address, whose own bound is 2 s.
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -18,7 +18,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgimg"
 
-	"peatpost/internal/lab/history"
+	"bramblestand/internal/lab/history"
 )
 
 // Result is what an experiment measured; it is written as JSON. Latencies are
--- a/internal/lab/scale/agree.go
+++ b/internal/lab/scale/agree.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"peatpost/internal/lab"
+	"bramblestand/internal/lab"
 )
 
 // Agreement is hollow sidecars held against real processes under the same settings.
--- a/internal/lab/scale/chain.go
+++ b/internal/lab/scale/chain.go
@@ -16,8 +16,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"peatpost/internal/lab"
-	"peatpost/internal/sidecar"
+	"bramblestand/internal/lab"
+	"bramblestand/internal/sidecar"
 )
 
 // Chain is a chain of services: callers at the edge call level 1, each server of a level calls the next one through the
--- a/internal/lab/scale/chain_test.go
+++ b/internal/lab/scale/chain_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"peatpost/internal/lab"
+	"bramblestand/internal/lab"
 )
 
 // shallow is a chain of three levels, played in seconds.
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -14,9 +14,9 @@
 	"syscall"
 	"time"
 
-	"peatpost/internal/fleet/link"
-	"peatpost/internal/lab"
-	"peatpost/internal/sidecar"
+	"bramblestand/internal/fleet/link"
+	"bramblestand/internal/lab"
+	"bramblestand/internal/sidecar"
 )
 
 // fleet is a rung as it is played.
--- a/internal/lab/scale/network.go
+++ b/internal/lab/scale/network.go
@@ -12,9 +12,9 @@
 	"sync/atomic"
 	"time"
 
-	"peatpost/internal/fleet/link"
-	"peatpost/internal/lab"
-	"peatpost/internal/sidecar"
+	"bramblestand/internal/fleet/link"
+	"bramblestand/internal/lab"
+	"bramblestand/internal/sidecar"
 )
 
 // kind is what a tally counts.
--- a/internal/lab/scale/play.go
+++ b/internal/lab/scale/play.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"peatpost/internal/sidecar"
+	"bramblestand/internal/sidecar"
 )
 
 // Events' own figures.
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -10,7 +10,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"peatpost/internal/sidecar"
+	"bramblestand/internal/sidecar"
 )
 
 // BudgetBytes is what a sidecar may spend on control, in bytes a second.
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -12,7 +12,7 @@
 	"testing/synctest"
 	"time"
 
-	"peatpost/internal/lab"
+	"bramblestand/internal/lab"
 )
 
 // quick is a small rung: ten seconds of start, ten of rest.
--- a/internal/lab/scale/spec.go
+++ b/internal/lab/scale/spec.go
@@ -10,7 +10,7 @@
 	"fmt"
 	"time"
 
-	"peatpost/internal/lab"
+	"bramblestand/internal/lab"
 )
 
 // ServiceSize is the servers of a service.
--- a/internal/lab/views.go
+++ b/internal/lab/views.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"peatpost/internal/lab/history"
+	"bramblestand/internal/lab/history"
 )
 
 // viewPath is asked of every sidecar of an experiment with fleet.view.
--- a/internal/lab/views_test.go
+++ b/internal/lab/views_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"peatpost/internal/fleet"
-	"peatpost/internal/lab/history"
+	"bramblestand/internal/fleet"
+	"bramblestand/internal/lab/history"
 )
 
 // view is what sidecar i tells of the fleet; nothing where it does not answer.
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -16,9 +16,9 @@
 	"strings"
 	"time"
 
-	"peatpost/balancer"
-	"peatpost/internal/fleet"
-	"peatpost/internal/wire"
+	"bramblestand/balancer"
+	"bramblestand/internal/fleet"
+	"bramblestand/internal/wire"
 )
 
 // Config is what a sidecar is told at its start. Make one with LoadConfig.
--- a/internal/sidecar/config_golden_test.go
+++ b/internal/sidecar/config_golden_test.go
@@ -11,7 +11,7 @@
 	"strings"
 	"testing"
 
-	"peatpost/balancer"
+	"bramblestand/balancer"
 )
 
 // The golden files of a configuration say what each key of the file comes to. Their left side is the file's own names,
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"peatpost/balancer"
+	"bramblestand/balancer"
 )
 
 // A configuration that makes no sense stops the program with the key at fault.
--- a/internal/sidecar/control.go
+++ b/internal/sidecar/control.go
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"time"
 
-	"peatpost/internal/fleet"
-	"peatpost/internal/fleet/link"
+	"bramblestand/internal/fleet"
+	"bramblestand/internal/fleet/link"
 )
 
 // What headers below the payload come to on the wire, in bytes. The frame of Ethernet (14, with check, preamble and gap
--- a/internal/sidecar/control_test.go
+++ b/internal/sidecar/control_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
-	"peatpost/internal/fleet"
-	"peatpost/internal/fleet/link"
+	"bramblestand/internal/fleet"
+	"bramblestand/internal/fleet/link"
 )
 
 // counted is what a stand-in saw of one kind of control, by its own count of a connection's bytes.
--- a/internal/sidecar/departure_test.go
+++ b/internal/sidecar/departure_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"peatpost/balancer"
+	"bramblestand/balancer"
 )
 
 // departures is a log handler that keeps when the sidecar noticed that a client had left.
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -11,8 +11,8 @@
 	"slices"
 	"time"
 
-	"peatpost/balancer"
-	"peatpost/internal/state"
+	"bramblestand/balancer"
+	"bramblestand/internal/state"
 )
 
 const (
--- a/internal/sidecar/durable.go
+++ b/internal/sidecar/durable.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
-	"peatpost/balancer"
-	"peatpost/internal/state"
+	"bramblestand/balancer"
+	"bramblestand/internal/state"
 )
 
 const (
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -10,9 +10,9 @@
 	"sync/atomic"
 	"time"
 
-	"peatpost/balancer"
-	"peatpost/internal/fleet"
-	"peatpost/internal/state"
+	"bramblestand/balancer"
+	"bramblestand/internal/fleet"
+	"bramblestand/internal/state"
 )
 
 const (
--- a/internal/sidecar/loop_test.go
+++ b/internal/sidecar/loop_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"peatpost/balancer"
+	"bramblestand/balancer"
 )
 
 // postponer holds every request back and refuses it on a timer, as the balancer
--- a/internal/sidecar/ops.go
+++ b/internal/sidecar/ops.go
@@ -14,7 +14,7 @@
 	"strings"
 	"time"
 
-	"peatpost/balancer"
+	"bramblestand/balancer"
 )
 
 const (
--- a/internal/sidecar/ops_golden_test.go
+++ b/internal/sidecar/ops_golden_test.go
@@ -15,8 +15,8 @@
 	"strings"
 	"testing"
 
-	"peatpost/balancer"
-	"peatpost/internal/fleet"
+	"bramblestand/balancer"
+	"bramblestand/internal/fleet"
 )
 
 // transcript collects operators' calls and their answers as release 21.0 wrote them into testdata/operators.txt.
--- a/internal/sidecar/ops_test.go
+++ b/internal/sidecar/ops_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"peatpost/balancer"
+	"bramblestand/balancer"
 )
 
 // operate opens an operators' address for a running sidecar and returns what calls it.
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -7,8 +7,8 @@
 	"syscall"
 	"time"
 
-	"peatpost/balancer"
-	"peatpost/internal/fleet"
+	"bramblestand/balancer"
+	"bramblestand/internal/fleet"
 )
 
 // fleetOptions is this sidecar's part in the fleet, by its configuration.
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -19,7 +19,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"peatpost/balancer"
+	"bramblestand/balancer"
 )
 
 const (
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"peatpost/balancer"
+	"bramblestand/balancer"
 )
 
 func TestServesAndReusesConnections(t *testing.T) {
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"peatpost/balancer"
+	"bramblestand/balancer"
 )
 
 // pattern is a body of so many bytes that no other place of it looks like.
--- a/internal/sidecar/told_test.go
+++ b/internal/sidecar/told_test.go
@@ -18,7 +18,7 @@
 	"testing/synctest"
 	"time"
 
-	"peatpost/balancer"
+	"bramblestand/balancer"
 )
 
 // outage is how discovery is out of reach.
--- a/internal/sidecar/world_test.go
+++ b/internal/sidecar/world_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"peatpost/balancer"
+	"bramblestand/balancer"
 )
 
 // patience is how long a test waits for what must come.
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"peatpost/balancer"
+	"bramblestand/balancer"
 )
 
 // settingsText holds the pairs of a config text and the first error met.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -9,7 +9,7 @@
 	"io"
 	"math"
 
-	"peatpost/balancer"
+	"bramblestand/balancer"
 )
 
 // Code numbers an event or an action; the two have separate code spaces.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"peatpost/balancer"
+	"bramblestand/balancer"
 )
 
 func unhex(t testing.TB, parts ...string) []byte {
