--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -110,8 +110,8 @@
 	c, first := b.class(r), r.bound()
 	return first == nil || c.RetrySafety == Idempotent ||
 		c.RetrySafety == IdempotentWithKey && now < first.at+c.DedupWindow &&
-		(c.DedupScope == DedupScopeFleet || c.DedupScope == DedupScopeZone && e.Zone == first.zone ||
-			c.DedupScope == DedupScopePod && e.Pod == first.cell)
+			(c.DedupScope == DedupScopeFleet || c.DedupScope == DedupScopeZone && e.Zone == first.zone ||
+				c.DedupScope == DedupScopePod && e.Pod == first.cell)
 }
 
 func (b *Balancer) mayRefuse(r *request) bool {
