--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -10,7 +10,7 @@
 	"runtime/debug"
 
 	"bramblestand/balancer"
-	"bramblestand/internal/wire"
+	"bramblestand/internal/simwire"
 )
 
 func main() {
@@ -24,8 +24,8 @@
 
 // host runs the instances of one process. They share nothing but its buffers.
 type host struct {
-	decoder wire.Decoder
-	reply   wire.Reply
+	decoder simwire.Decoder
+	reply   simwire.Reply
 	balance map[uint32]*instance
 	strange [256]bool // unknown codes already reported
 	stderr  io.Writer
@@ -42,7 +42,7 @@
 	h := &host{balance: map[uint32]*instance{}, stderr: stderr}
 	var frame []byte
 	for {
-		next, err := wire.ReadFrame(in, frame)
+		next, err := simwire.ReadFrame(in, frame)
 		if err == io.EOF {
 			return nil
 		}
@@ -65,7 +65,7 @@
 		return err
 	}
 	h.reply.Reset(number)
-	var e wire.Event
+	var e simwire.Event
 	var current uint32
 	named := false
 	for {
@@ -77,14 +77,14 @@
 			return err
 		}
 		switch e.Code {
-		case wire.Manifest:
+		case simwire.Manifest:
 			continue
-		case wire.Instance:
+		case simwire.Instance:
 			current, named = e.Instance, true
 			h.reply.As(current)
 			continue
 		}
-		if e.Code < wire.Begin || e.Code > wire.Instance {
+		if e.Code < simwire.Begin || e.Code > simwire.Instance {
 			if !h.strange[e.Code] {
 				h.strange[e.Code] = true
 				fmt.Fprintf(h.stderr, "simadapter: %v at byte %d: unknown code, skipped\n", e.Code, e.Offset)
@@ -92,12 +92,12 @@
 			continue
 		}
 		if !named {
-			return &wire.FrameError{Record: e.Code.String(), Offset: e.Offset, Reason: "comes before any instance"}
+			return &simwire.FrameError{Record: e.Code.String(), Offset: e.Offset, Reason: "comes before any instance"}
 		}
 		i := h.balance[current]
 		if i == nil {
-			if e.Code != wire.Begin {
-				return &wire.FrameError{Record: e.Code.String(), Offset: e.Offset,
+			if e.Code != simwire.Begin {
+				return &simwire.FrameError{Record: e.Code.String(), Offset: e.Offset,
 					Reason: fmt.Sprintf("instance %d has not begun", current)}
 			}
 			i = &instance{host: h, number: current}
@@ -107,8 +107,8 @@
 	}
 }
 
-// handle passes an event on. A panic becomes an exception on the wire.
-func (i *instance) handle(now balancer.Micros, e *wire.Event) {
+// handle passes an event on. A panic becomes an exception on the simwire.
+func (i *instance) handle(now balancer.Micros, e *simwire.Event) {
 	defer func() {
 		if p := recover(); p != nil {
 			i.balancer = nil
@@ -116,10 +116,10 @@
 		}
 	}()
 	switch e.Code {
-	case wire.Begin:
+	case simwire.Begin:
 		i.begin(now, e)
 		return
-	case wire.Stop:
+	case simwire.Stop:
 		i.balancer = nil
 	}
 	b := i.balancer
@@ -127,28 +127,28 @@
 		return
 	}
 	switch e.Code {
-	case wire.Membership:
+	case simwire.Membership:
 		b.UpdateEndpoints(now, e.Kind, e.Entries)
-	case wire.Request:
+	case simwire.Request:
 		b.RequestArrived(now, e.Request)
-	case wire.Headers:
+	case simwire.Headers:
 		b.ResponseStarted(now, e.Outcome.ID, e.Outcome.Attempt, e.Outcome.Latency)
-	case wire.Answer:
+	case simwire.Answer:
 		b.AttemptFinished(now, e.Outcome)
-	case wire.CancelledByClient:
+	case simwire.CancelledByClient:
 		b.ClientDisconnected(now, e.Outcome.ID)
-	case wire.TimeoutFired:
+	case simwire.TimeoutFired:
 		b.TimerFired(now, e.Token)
-	case wire.HealthResult:
+	case simwire.HealthResult:
 		b.LoadProbeResult(now, e.Endpoint, e.Status, e.Latency, e.Load)
-	case wire.Whisper:
+	case simwire.Whisper:
 		b.ReceiveGossip(now, e.Data)
 	}
 }
 
-func (i *instance) begin(now balancer.Micros, e *wire.Event) {
+func (i *instance) begin(now balancer.Micros, e *simwire.Event) {
 	i.balancer = nil
-	s, err := wire.ParseSettings(e.Config)
+	s, err := simwire.ParseSettings(e.Config)
 	if err == nil {
 		i.balancer, err = balancer.New(s, e.Seed, i)
 	}
@@ -180,7 +180,7 @@
 func (i *instance) SendLoadProbe(endpoint uint32) { i.reply.SoundOut(endpoint) }
 
 // SendGossip writes a write_peer record to all peers.
-func (i *instance) SendGossip(data []byte) { i.reply.WritePeer(wire.AllPeers, data) }
+func (i *instance) SendGossip(data []byte) { i.reply.WritePeer(simwire.AllPeers, data) }
 
 // WatchEndpoints writes a track record.
 func (i *instance) WatchEndpoints(on bool) { i.reply.Track(on) }
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -18,7 +18,7 @@
 
 	"bramblestand/balancer"
 	"bramblestand/internal/fleet"
-	"bramblestand/internal/wire"
+	"bramblestand/internal/simwire"
 )
 
 // Config is what a sidecar is told at its start. Make one with LoadConfig.
@@ -172,7 +172,7 @@
 	var text strings.Builder
 	flatten(&text, "", tree)
 	var err error
-	if c.Settings, err = wire.ParseSettings(text.String()); err != nil {
+	if c.Settings, err = simwire.ParseSettings(text.String()); err != nil {
 		return err
 	}
 	if err := c.Settings.Validate(); err != nil {
--- a/internal/wire/settings.go
+++ b/internal/simwire/settings.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"fmt"
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,6 +1,6 @@
-// Package wire reads and writes the simulator's binary frames and settings
+// Package simwire reads and writes the simulator's binary frames and settings
 // text. It takes no decisions.
-package wire
+package simwire
 
 import (
 	"encoding/binary"
