--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -23,7 +23,7 @@
 	if err == nil {
 		for _, build := range [][]string{{"-o", folder, "bramblestand/cmd/sidecar", "bramblestand/cmd/faultlab"},
 			{"-o", folder, "./testdata/twoholders"},
-			{"-tags", "wrong_forgets_bans", "-o", filepath.Join(folder, "forgetsbans"), "bramblestand/cmd/sidecar"}} {
+			{"-tags", "mutant_forgets_bans", "-o", filepath.Join(folder, "forgetsbans"), "bramblestand/cmd/sidecar"}} {
 			if out, buildErr := exec.Command("go", append([]string{"build"}, build...)...).CombinedOutput(); buildErr != nil {
 				os.Stderr.Write(out)
 				err = buildErr
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -20,6 +20,7 @@
 	"golang.org/x/sys/unix"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/mutant"
 )
 
 const (
@@ -99,7 +100,7 @@
 				log.Error("state: the kept bans and drain are not shared with a next process", "error", err)
 			}
 		}
-		if forgetsBans {
+		if mutant.ForgetsBans {
 			s.store.update(func(st *shared) { st.Banned = nil }, func(shared) error { return nil })
 		}
 		l.orders = s.store.known.Load
