--- /dev/null
+++ b/internal/simwire/settings_test.go
@@ -0,0 +1,87 @@
+package simwire
+
+import (
+	"errors"
+	"strings"
+	"testing"
+
+	"bramblestand/balancer"
+)
+
+const goodSettings = `areas=a,b
+classes.count=2
+classes.0.name=x
+classes.0.give-up=500000
+classes.0.repeat=pure
+classes.0.target=250000
+classes.1.give-up=600000
+classes.1.group=zone
+classes.1.repeat=token
+classes.1.target=300000
+classes.1.window=400000
+contract.cold-from=0.14
+contract.ramp-time=23000000
+discovery=subscribe
+future.key=whatever
+goal.whole=0.6
+limits.most-tries=3
+limits.probes=true
+prices.probe=0.002
+reporting.fields=busy_reqs,served_ps,brand_new
+reporting.how=probe
+tenants.count=1
+tenants.0.allowance-per-s=137.0
+tenants.0.name=t
+value-by=work
+`
+
+func TestSettings(t *testing.T) {
+	s, err := ParseSettings(goodSettings)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(s.Classes) != 2 || s.Classes[1].RetrySafety != balancer.IdempotentWithKey || s.Classes[1].DedupScope != balancer.DedupScopeZone ||
+		s.Classes[1].DedupWindow != 400000 || !s.MustSubscribe || !s.PriorityPerWork || s.Zones != 2 || s.Limits.MaxAttempts != 3 ||
+		s.Objective.Overall != 0.6 || s.Tenants[0].Quota != 137 || s.Costs.LoadProbe != 0.002 {
+		t.Errorf("%+v", s)
+	}
+	if len(s.LoadReportFields) != 3 || s.LoadReportFields[0] != balancer.LoadFieldInFlight || s.LoadReportFields[2] != balancer.LoadFieldUnknown {
+		t.Errorf("fields %v", s.LoadReportFields)
+	}
+	if _, err := balancer.New(s, 1, nil); err != nil {
+		t.Errorf("the constructor refuses them: %v", err)
+	}
+	if s, err = ParseSettings(strings.Replace(goodSettings, "how=probe", "how=none", 1)); err != nil || s.LoadReportFields != nil {
+		t.Errorf("no reports: %v %v", s.LoadReportFields, err)
+	}
+}
+
+func TestBadSettings(t *testing.T) {
+	for _, c := range []struct{ old, new, key string }{
+		{"classes.count=2", "classes.count=3", "classes.count"},
+		{"classes.count=2\n", "", "classes.count"},
+		{"classes.count=2", "classes.count=-1", "classes.count"},
+		{"repeat=pure", "repeat=sometimes", "classes.0.repeat"},
+		{"classes.0.target=250000\n", "", "classes.0.target"},
+		{"window=400000", "window=soon", "classes.1.window"},
+		{"cold-from=0.14", "cold-from=NaN", "contract.cold-from"},
+		{"probes=true", "probes=maybe", "limits.probes"},
+		{"discovery=subscribe", "discovery=magic", "discovery"},
+		{"value-by=work", "no pair", "line 25"},
+	} {
+		text := strings.Replace(goodSettings, c.old, c.new, 1)
+		_, err := ParseSettings(text)
+		var bad *balancer.SettingError
+		if !errors.As(err, &bad) || bad.Key != c.key {
+			t.Errorf("%s -> %s: %v", c.old, c.new, err)
+		}
+	}
+	// Values that parse but make no sense are the constructor's to refuse.
+	s, err := ParseSettings(strings.Replace(goodSettings, "window=400000", "window=-1", 1))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err = balancer.New(s, 1, nil); err == nil || !strings.Contains(err.Error(), "Window=-1") {
+		t.Errorf("negative window: %v", err)
+	}
+}
