--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -24,11 +24,11 @@
 
 // host runs the instances of one process. They share nothing but its buffers.
 type host struct {
-	decoder simwire.Decoder
-	reply   simwire.Reply
-	balance map[uint32]*instance
-	strange [256]bool // unknown codes already reported
-	stderr  io.Writer
+	decoder             simwire.Decoder
+	reply               simwire.Reply
+	instances           map[uint32]*instance
+	reportedUnknownCode [256]bool // unknown codes already reported
+	stderr              io.Writer
 }
 
 // instance is one balancer with its number, and the Actions given to it.
@@ -39,7 +39,7 @@
 }
 
 func run(in io.Reader, out, stderr io.Writer) error {
-	h := &host{balance: map[uint32]*instance{}, stderr: stderr}
+	h := &host{instances: map[uint32]*instance{}, stderr: stderr}
 	var frame []byte
 	for {
 		next, err := simwire.ReadFrame(in, frame)
@@ -50,7 +50,7 @@
 			return err
 		}
 		frame = next
-		if err := h.batch(frame); err != nil {
+		if err := h.answerBatch(frame); err != nil {
 			return err
 		}
 		if _, err := out.Write(h.reply.Bytes()); err != nil {
@@ -59,7 +59,7 @@
 	}
 }
 
-func (h *host) batch(frame []byte) error {
+func (h *host) answerBatch(frame []byte) error {
 	number, now, err := h.decoder.Reset(frame)
 	if err != nil {
 		return err
@@ -77,31 +77,31 @@
 			return err
 		}
 		switch e.Code {
-		case simwire.Manifest:
+		case simwire.EventEndpointList:
 			continue
-		case simwire.Instance:
+		case simwire.EventInstance:
 			current, named = e.Instance, true
-			h.reply.As(current)
+			h.reply.SelectInstance(current)
 			continue
 		}
-		if e.Code < simwire.Begin || e.Code > simwire.Instance {
-			if !h.strange[e.Code] {
-				h.strange[e.Code] = true
+		if e.Code < simwire.EventStart || e.Code > simwire.EventInstance {
+			if !h.reportedUnknownCode[e.Code] {
+				h.reportedUnknownCode[e.Code] = true
 				fmt.Fprintf(h.stderr, "simadapter: %v at byte %d: unknown code, skipped\n", e.Code, e.Offset)
 			}
 			continue
 		}
 		if !named {
-			return &simwire.FrameError{Record: e.Code.String(), Offset: e.Offset, Reason: "comes before any instance"}
+			return &simwire.DecodeError{Record: e.Code.String(), Offset: e.Offset, Reason: "comes before any instance"}
 		}
-		i := h.balance[current]
+		i := h.instances[current]
 		if i == nil {
-			if e.Code != simwire.Begin {
-				return &simwire.FrameError{Record: e.Code.String(), Offset: e.Offset,
+			if e.Code != simwire.EventStart {
+				return &simwire.DecodeError{Record: e.Code.String(), Offset: e.Offset,
 					Reason: fmt.Sprintf("instance %d has not begun", current)}
 			}
 			i = &instance{host: h, number: current}
-			h.balance[current] = i
+			h.instances[current] = i
 		}
 		i.handle(now, &e)
 	}
@@ -112,14 +112,14 @@
 	defer func() {
 		if p := recover(); p != nil {
 			i.balancer = nil
-			i.reply.Exception(fmt.Sprintf("panic in %v: %v", e.Code, p))
+			i.reply.ReportFault(fmt.Sprintf("panic in %v: %v", e.Code, p))
 		}
 	}()
 	switch e.Code {
-	case simwire.Begin:
-		i.begin(now, e)
+	case simwire.EventStart:
+		i.start(now, e)
 		return
-	case simwire.Stop:
+	case simwire.EventStop:
 		i.balancer = nil
 	}
 	b := i.balancer
@@ -127,33 +127,33 @@
 		return
 	}
 	switch e.Code {
-	case simwire.Membership:
-		b.UpdateEndpoints(now, e.Kind, e.Entries)
-	case simwire.Request:
+	case simwire.EventEndpointUpdate:
+		b.UpdateEndpoints(now, e.UpdateKind, e.Endpoints)
+	case simwire.EventRequest:
 		b.RequestArrived(now, e.Request)
-	case simwire.Headers:
+	case simwire.EventResponseStarted:
 		b.ResponseStarted(now, e.Outcome.ID, e.Outcome.Attempt, e.Outcome.Latency)
-	case simwire.Answer:
+	case simwire.EventAttemptFinished:
 		b.AttemptFinished(now, e.Outcome)
-	case simwire.CancelledByClient:
+	case simwire.EventClientDisconnected:
 		b.ClientDisconnected(now, e.Outcome.ID)
-	case simwire.TimeoutFired:
-		b.TimerFired(now, e.Token)
-	case simwire.HealthResult:
-		b.LoadProbeResult(now, e.Endpoint, e.Status, e.Latency, e.Load)
-	case simwire.Whisper:
-		b.ReceiveGossip(now, e.Data)
+	case simwire.EventTimerFired:
+		b.TimerFired(now, e.TimerToken)
+	case simwire.EventLoadProbeResult:
+		b.LoadProbeResult(now, e.Endpoint, e.Status, e.Latency, e.LoadReport)
+	case simwire.EventGossip:
+		b.ReceiveGossip(now, e.Message)
 	}
 }
 
-func (i *instance) begin(now balancer.Micros, e *simwire.Event) {
+func (i *instance) start(now balancer.Micros, e *simwire.Event) {
 	i.balancer = nil
-	s, err := simwire.ParseSettings(e.Config)
+	s, err := simwire.ParseSettings(e.SettingsText)
 	if err == nil {
 		i.balancer, err = balancer.New(s, e.Seed, i)
 	}
 	if err != nil {
-		i.reply.Exception(err.Error())
+		i.reply.ReportFault(err.Error())
 		return
 	}
 	i.balancer.Start(now)
@@ -161,29 +161,29 @@
 
 // StartAttempt writes a deliver record.
 func (i *instance) StartAttempt(id uint64, endpoint uint32, timeout balancer.Micros) {
-	i.reply.Deliver(id, endpoint, timeout)
+	i.reply.StartAttempt(id, endpoint, timeout)
 }
 
 // Reject writes a decline record.
-func (i *instance) Reject(id uint64, retryAfter balancer.Micros) { i.reply.Decline(id, retryAfter) }
+func (i *instance) Reject(id uint64, retryAfter balancer.Micros) { i.reply.Reject(id, retryAfter) }
 
 // Fail writes a fail record.
 func (i *instance) Fail(id uint64) { i.reply.Fail(id) }
 
 // CancelAttempt writes a revoke record.
-func (i *instance) CancelAttempt(id uint64, attempt int) { i.reply.Revoke(id, attempt) }
+func (i *instance) CancelAttempt(id uint64, attempt int) { i.reply.CancelAttempt(id, attempt) }
 
 // SetTimer writes an arm record.
-func (i *instance) SetTimer(delay balancer.Micros, token uint32) { i.reply.Arm(delay, token) }
+func (i *instance) SetTimer(delay balancer.Micros, token uint32) { i.reply.SetTimer(delay, token) }
 
 // SendLoadProbe writes a sound_out record.
-func (i *instance) SendLoadProbe(endpoint uint32) { i.reply.SoundOut(endpoint) }
+func (i *instance) SendLoadProbe(endpoint uint32) { i.reply.SendLoadProbe(endpoint) }
 
 // SendGossip writes a write_peer record to all peers.
-func (i *instance) SendGossip(data []byte) { i.reply.WritePeer(simwire.AllPeers, data) }
+func (i *instance) SendGossip(data []byte) { i.reply.SendGossip(simwire.AllPeers, data) }
 
 // WatchEndpoints writes a track record.
-func (i *instance) WatchEndpoints(on bool) { i.reply.Track(on) }
+func (i *instance) WatchEndpoints(on bool) { i.reply.WatchEndpoints(on) }
 
 // Log writes a trace record.
-func (i *instance) Log(line string) { i.reply.Trace(line) }
+func (i *instance) Log(line string) { i.reply.Log(line) }
--- a/internal/simwire/endpoint_lists.go
+++ b/internal/simwire/endpoint_lists.go
@@ -9,9 +9,9 @@
 
 func (d *Decoder) listNumber() int {
 	n := int(d.u8())
-	if n >= lists && d.err == nil {
+	if n >= maxEndpointLists && d.err == nil {
 		d.off--
-		d.fail(fmt.Sprintf("list number %d is over %d", n, lists-1))
+		d.fail(fmt.Sprintf("list number %d is over %d", n, maxEndpointLists-1))
 		return 0
 	}
 	return n
@@ -20,7 +20,7 @@
 func (d *Decoder) manifest() {
 	id := d.listNumber()
 	n := int(d.u32())
-	if d.err == nil && n*entrySize > len(d.rec)-d.off {
+	if d.err == nil && n*endpointEntrySize > len(d.rec)-d.off {
 		d.off -= 4
 		d.fail(fmt.Sprintf("%d entries overrun the record", n))
 	}
@@ -51,16 +51,16 @@
 
 func (d *Decoder) membership(e *Event) {
 	id := d.u8()
-	e.Entries = nil
+	e.Endpoints = nil
 	switch kind := d.u8(); kind {
 	case 0:
-		e.Kind = balancer.UpdateDelta
+		e.UpdateKind = balancer.UpdateDelta
 	case 4:
-		e.Kind = balancer.UpdateFull
+		e.UpdateKind = balancer.UpdateFull
 	case 3:
-		e.Kind = balancer.UpdateCached
+		e.UpdateKind = balancer.UpdateCached
 	case 2:
-		e.Kind = balancer.UpdateFailed
+		e.UpdateKind = balancer.UpdateFailed
 		return
 	default:
 		d.off--
@@ -69,10 +69,10 @@
 	if d.err != nil {
 		return
 	}
-	if id >= lists || !d.known[id] {
+	if id >= maxEndpointLists || !d.known[id] {
 		d.off -= 2
 		d.fail(fmt.Sprintf("list number %d has not been conveyed", id))
 		return
 	}
-	e.Entries = d.lists[id]
+	e.Endpoints = d.lists[id]
 }
--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -4,14 +4,14 @@
 	"fmt"
 )
 
-// FrameError says which record is malformed and at which byte of its frame.
-type FrameError struct {
+// DecodeError says which record is malformed and at which byte of its frame.
+type DecodeError struct {
 	Record string
 	Offset int
 	Reason string
 }
 
 // Error names the record, the byte offset and the reason.
-func (e *FrameError) Error() string {
+func (e *DecodeError) Error() string {
 	return fmt.Sprintf("%s at byte %d: %s", e.Record, e.Offset, e.Reason)
 }
--- a/internal/simwire/frames_test.go
+++ b/internal/simwire/frames_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-func unhex(t testing.TB, parts ...string) []byte {
+func fromHex(t testing.TB, parts ...string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.ReplaceAll(strings.Join(parts, ""), " ", ""))
 	if err != nil {
@@ -19,11 +19,11 @@
 	return b
 }
 
-// frame puts records behind a batch header.
-func frame(records ...[]byte) []byte {
+// newFrame puts records behind a batch header.
+func newFrame(records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	f := binary.BigEndian.AppendUint32(nil, 12)
-	f = binary.BigEndian.AppendUint32(f, uint32(batchHeader+len(body)))
+	f = binary.BigEndian.AppendUint32(f, uint32(batchHeaderSize+len(body)))
 	f = binary.BigEndian.AppendUint64(f, 0x805c5a)
 	return append(f, body...)
 }
@@ -35,8 +35,8 @@
 		"frame cut":             "0000000c 00000020 0000000000805c5a 00",
 		"size of gigabytes":     "0000000c ffffffff 0000000000805c5a 00",
 	} {
-		_, err := ReadFrame(bytes.NewReader(unhex(t, text)), nil)
-		var bad *FrameError
+		_, err := ReadFrame(bytes.NewReader(fromHex(t, text)), nil)
+		var bad *DecodeError
 		if !errors.As(err, &bad) {
 			t.Errorf("%s: %v", name, err)
 		}
--- a/internal/simwire/names.go
+++ b/internal/simwire/names.go
@@ -9,42 +9,42 @@
 
 // Codes of events.
 const (
-	Begin             Code = 16
-	Membership        Code = 17
-	Request           Code = 18
-	Headers           Code = 19
-	Answer            Code = 20
-	CancelledByClient Code = 21
-	TimeoutFired      Code = 22
-	HealthResult      Code = 23
-	Whisper           Code = 24
-	Stop              Code = 25
-	Manifest          Code = 26
-	Instance          Code = 27
+	EventStart              Code = 16
+	EventEndpointUpdate     Code = 17
+	EventRequest            Code = 18
+	EventResponseStarted    Code = 19
+	EventAttemptFinished    Code = 20
+	EventClientDisconnected Code = 21
+	EventTimerFired         Code = 22
+	EventLoadProbeResult    Code = 23
+	EventGossip             Code = 24
+	EventStop               Code = 25
+	EventEndpointList       Code = 26
+	EventInstance           Code = 27
 )
 
 // Codes of actions.
 const (
-	Deliver   Code = 80
-	Decline   Code = 81
-	Fail      Code = 82
-	Revoke    Code = 83
-	Arm       Code = 84
-	SoundOut  Code = 85
-	LetGo     Code = 86
-	WritePeer Code = 87
-	Trace     Code = 88
-	Exception Code = 89
-	Track     Code = 90
-	ListAll   Code = 91
-	As        Code = 92
+	ActionStartAttempt         Code = 80
+	ActionReject               Code = 81
+	ActionFail                 Code = 82
+	ActionCancelAttempt        Code = 83
+	ActionSetTimer             Code = 84
+	ActionSendLoadProbe        Code = 85
+	ActionCloseIdleConnections Code = 86
+	ActionSendGossip           Code = 87
+	ActionLog                  Code = 88
+	ActionReportFault          Code = 89
+	ActionWatchEndpoints       Code = 90
+	ActionListEndpoints        Code = 91
+	ActionSelectInstance       Code = 92
 )
 
 var eventNames = map[Code]string{
-	Begin: "begin", Membership: "membership", Request: "request", Headers: "headers",
-	Answer: "answer", CancelledByClient: "cancelled_by_client", TimeoutFired: "timeout_fired",
-	HealthResult: "health_result", Whisper: "whisper", Stop: "stop", Manifest: "manifest",
-	Instance: "instance",
+	EventStart: "begin", EventEndpointUpdate: "membership", EventRequest: "request", EventResponseStarted: "headers",
+	EventAttemptFinished: "answer", EventClientDisconnected: "cancelled_by_client", EventTimerFired: "timeout_fired",
+	EventLoadProbeResult: "health_result", EventGossip: "whisper", EventStop: "stop", EventEndpointList: "manifest",
+	EventInstance: "instance",
 }
 
 // String returns the event's name on the wire.
--- a/internal/simwire/record_reader.go
+++ b/internal/simwire/record_reader.go
@@ -10,7 +10,7 @@
 
 func (d *Decoder) fail(reason string) {
 	if d.err == nil {
-		d.err = &FrameError{d.recName, d.recAt + d.off, reason}
+		d.err = &DecodeError{d.recName, d.recAt + d.off, reason}
 	}
 }
 
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -27,7 +27,7 @@
 	return w.buf
 }
 
-func (w *Reply) rec(c Code, size int) {
+func (w *Reply) begin(c Code, size int) {
 	w.count++
 	w.buf = append(w.buf, byte(c))
 	w.u32(uint32(size))
@@ -39,54 +39,57 @@
 
 func (w *Reply) micros(v balancer.Micros) { w.u32(uint32(min(max(v, 0), math.MaxUint32))) }
 
-// As names the instance that issues the following actions.
-func (w *Reply) As(instance uint32) { w.rec(As, 4); w.u32(instance) }
+// SelectInstance names the instance that issues the following actions.
+func (w *Reply) SelectInstance(instance uint32) { w.begin(ActionSelectInstance, 4); w.u32(instance) }
 
-// Deliver writes a deliver record.
-func (w *Reply) Deliver(id uint64, endpoint uint32, timeout balancer.Micros) {
-	w.rec(Deliver, 16)
+// StartAttempt writes a deliver record.
+func (w *Reply) StartAttempt(id uint64, endpoint uint32, timeout balancer.Micros) {
+	w.begin(ActionStartAttempt, 16)
 	w.u64(id)
 	w.u32(endpoint)
 	w.micros(timeout)
 }
 
-// Decline writes a decline record.
-func (w *Reply) Decline(id uint64, retryIn balancer.Micros) {
-	w.rec(Decline, 12)
+// Reject writes a decline record.
+func (w *Reply) Reject(id uint64, retryIn balancer.Micros) {
+	w.begin(ActionReject, 12)
 	w.u64(id)
 	w.micros(retryIn)
 }
 
 // Fail writes a fail record.
-func (w *Reply) Fail(id uint64) { w.rec(Fail, 8); w.u64(id) }
+func (w *Reply) Fail(id uint64) { w.begin(ActionFail, 8); w.u64(id) }
 
-// Revoke writes a revoke record.
-func (w *Reply) Revoke(id uint64, attempt int) {
-	w.rec(Revoke, 10)
+// CancelAttempt writes a revoke record.
+func (w *Reply) CancelAttempt(id uint64, attempt int) {
+	w.begin(ActionCancelAttempt, 10)
 	w.u64(id)
 	w.u16(uint16(attempt))
 }
 
-// Arm writes an arm record.
-func (w *Reply) Arm(delay balancer.Micros, token uint32) {
-	w.rec(Arm, 8)
+// SetTimer writes an arm record.
+func (w *Reply) SetTimer(delay balancer.Micros, token uint32) {
+	w.begin(ActionSetTimer, 8)
 	w.micros(delay)
 	w.u32(token)
 }
 
-// SoundOut writes a sound_out record.
-func (w *Reply) SoundOut(endpoint uint32) { w.rec(SoundOut, 4); w.u32(endpoint) }
+// SendLoadProbe writes a sound_out record.
+func (w *Reply) SendLoadProbe(endpoint uint32) { w.begin(ActionSendLoadProbe, 4); w.u32(endpoint) }
 
-// LetGo writes a let_go record.
-func (w *Reply) LetGo(endpoint uint32) { w.rec(LetGo, 4); w.u32(endpoint) }
+// CloseIdleConnections writes a let_go record.
+func (w *Reply) CloseIdleConnections(endpoint uint32) {
+	w.begin(ActionCloseIdleConnections, 4)
+	w.u32(endpoint)
+}
 
 // AllPeers addresses WritePeer to every peer.
 const AllPeers uint32 = math.MaxUint32
 
-// WritePeer writes a write_peer record; data beyond 256 bytes is cut off.
-func (w *Reply) WritePeer(peer uint32, data []byte) {
+// SendGossip writes a write_peer record; data beyond 256 bytes is cut off.
+func (w *Reply) SendGossip(peer uint32, data []byte) {
 	data = data[:min(len(data), 256)]
-	w.rec(WritePeer, 6+len(data))
+	w.begin(ActionSendGossip, 6+len(data))
 	w.u32(peer)
 	w.u16(uint16(len(data)))
 	w.buf = append(w.buf, data...)
@@ -94,20 +97,20 @@
 
 func (w *Reply) text(c Code, line string) {
 	line = line[:min(len(line), math.MaxUint16)]
-	w.rec(c, 2+len(line))
+	w.begin(c, 2+len(line))
 	w.u16(uint16(len(line)))
 	w.buf = append(w.buf, line...)
 }
 
-// Trace writes a trace record.
-func (w *Reply) Trace(line string) { w.text(Trace, line) }
+// Log writes a trace record.
+func (w *Reply) Log(line string) { w.text(ActionLog, line) }
 
-// Exception writes an exception record.
-func (w *Reply) Exception(line string) { w.text(Exception, line) }
+// ReportFault writes an exception record.
+func (w *Reply) ReportFault(line string) { w.text(ActionReportFault, line) }
 
-// Track writes a track record.
-func (w *Reply) Track(on bool) {
-	w.rec(Track, 1)
+// WatchEndpoints writes a track record.
+func (w *Reply) WatchEndpoints(on bool) {
+	w.begin(ActionWatchEndpoints, 1)
 	if on {
 		w.buf = append(w.buf, 1)
 	} else {
@@ -115,5 +118,5 @@
 	}
 }
 
-// ListAll writes a list_all record.
-func (w *Reply) ListAll() { w.rec(ListAll, 0) }
+// ListEndpoints writes a list_all record.
+func (w *Reply) ListEndpoints() { w.begin(ActionListEndpoints, 0) }
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -8,7 +8,7 @@
 	"bramblestand/balancer"
 )
 
-const goodSettings = `areas=a,b
+const validSettings = `areas=a,b
 classes.count=2
 classes.0.name=x
 classes.0.give-up=500000
@@ -35,8 +35,8 @@
 value-by=work
 `
 
-func TestSettings(t *testing.T) {
-	s, err := ParseSettings(goodSettings)
+func TestParseSettings(t *testing.T) {
+	s, err := ParseSettings(validSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,12 +51,12 @@
 	if _, err := balancer.New(s, 1, nil); err != nil {
 		t.Errorf("the constructor refuses them: %v", err)
 	}
-	if s, err = ParseSettings(strings.Replace(goodSettings, "how=probe", "how=none", 1)); err != nil || s.LoadReportFields != nil {
+	if s, err = ParseSettings(strings.Replace(validSettings, "how=probe", "how=none", 1)); err != nil || s.LoadReportFields != nil {
 		t.Errorf("no reports: %v %v", s.LoadReportFields, err)
 	}
 }
 
-func TestBadSettings(t *testing.T) {
+func TestParseSettingsNamesTheKeyAtFault(t *testing.T) {
 	for _, c := range []struct{ old, new, key string }{
 		{"classes.count=2", "classes.count=3", "classes.count"},
 		{"classes.count=2\n", "", "classes.count"},
@@ -69,7 +69,7 @@
 		{"discovery=subscribe", "discovery=magic", "discovery"},
 		{"value-by=work", "no pair", "line 25"},
 	} {
-		text := strings.Replace(goodSettings, c.old, c.new, 1)
+		text := strings.Replace(validSettings, c.old, c.new, 1)
 		_, err := ParseSettings(text)
 		var bad *balancer.SettingError
 		if !errors.As(err, &bad) || bad.Key != c.key {
@@ -77,7 +77,7 @@
 		}
 	}
 	// Values that parse but make no sense are the constructor's to refuse.
-	s, err := ParseSettings(strings.Replace(goodSettings, "window=400000", "window=-1", 1))
+	s, err := ParseSettings(strings.Replace(validSettings, "window=400000", "window=-1", 1))
 	if err != nil {
 		t.Fatal(err)
 	}
