--- /dev/null
+++ b/cmd/simadapter/instance.go
@@ -0,0 +1,102 @@
+package main
+
+import (
+	"fmt"
+
+	"bramblestand/balancer"
+	"bramblestand/internal/simwire"
+)
+
+// instance is one sidecar of the simulated fleet: a balancer, and the balancer.Actions that write what it asks for to the
+// batch's reply.
+type instance struct {
+	reply    *simwire.Reply     // the host's; it names this instance while its events are handled
+	balancer *balancer.Balancer // nil before a start, after a stop and after a fault
+}
+
+var _ balancer.Actions = (*instance)(nil)
+
+// handle gives an event to the balancer. A panic there is reported on the wire.
+func (i *instance) handle(now balancer.Micros, event *simwire.Event) {
+	defer func() {
+		if cause := recover(); cause != nil {
+			i.balancer = nil
+			i.reply.ReportFault(fmt.Sprintf("panic in %v: %v", event.Code, cause))
+		}
+	}()
+	switch {
+	case event.Code == simwire.EventStart:
+		i.start(now, &event.Start)
+	case event.Code == simwire.EventStop:
+		i.balancer = nil
+	case i.balancer != nil:
+		dispatch(i.balancer, now, event)
+	}
+}
+
+// start replaces the balancer by a new one, which knows nothing.
+func (i *instance) start(now balancer.Micros, start *simwire.Start) {
+	i.balancer = nil
+	settings, err := simwire.ParseSettings(start.SettingsText)
+	if err == nil {
+		i.balancer, err = balancer.New(settings, start.Seed, i)
+	}
+	if err != nil {
+		i.reply.ReportFault(err.Error())
+		return
+	}
+	i.balancer.Start(now)
+}
+
+// dispatch calls the balancer's method for an event.
+func dispatch(b *balancer.Balancer, now balancer.Micros, event *simwire.Event) {
+	switch event.Code {
+	case simwire.EventEndpointUpdate:
+		b.UpdateEndpoints(now, event.EndpointUpdate.Kind, event.EndpointUpdate.Endpoints)
+	case simwire.EventRequest:
+		b.RequestArrived(now, event.Request)
+	case simwire.EventResponseStarted:
+		started := &event.ResponseStarted
+		b.ResponseStarted(now, started.RequestID, started.Attempt, started.Latency)
+	case simwire.EventAttemptFinished:
+		b.AttemptFinished(now, event.Outcome)
+	case simwire.EventClientDisconnected:
+		b.ClientDisconnected(now, event.RequestID)
+	case simwire.EventTimerFired:
+		b.TimerFired(now, event.TimerToken)
+	case simwire.EventLoadProbeResult:
+		result := &event.LoadProbeResult
+		b.LoadProbeResult(now, result.Endpoint, result.Status, result.Latency, result.LoadReport)
+	case simwire.EventGossip:
+		b.ReceiveGossip(now, event.Gossip.Message)
+	}
+}
+
+// StartAttempt sends a request to an endpoint.
+func (i *instance) StartAttempt(id uint64, endpoint uint32, timeout balancer.Micros) {
+	i.reply.StartAttempt(id, endpoint, timeout)
+}
+
+// Reject answers a request with the promise that a retry is harmless.
+func (i *instance) Reject(id uint64, retryAfter balancer.Micros) { i.reply.Reject(id, retryAfter) }
+
+// Fail answers a request without any promise.
+func (i *instance) Fail(id uint64) { i.reply.Fail(id) }
+
+// CancelAttempt stops waiting for an attempt.
+func (i *instance) CancelAttempt(id uint64, attempt int) { i.reply.CancelAttempt(id, attempt) }
+
+// SetTimer asks for an event after delay.
+func (i *instance) SetTimer(delay balancer.Micros, token uint32) { i.reply.SetTimer(delay, token) }
+
+// SendLoadProbe asks an endpoint for its load.
+func (i *instance) SendLoadProbe(endpoint uint32) { i.reply.SendLoadProbe(endpoint) }
+
+// SendGossip sends data to all other instances.
+func (i *instance) SendGossip(data []byte) { i.reply.SendGossip(simwire.AllPeers, data) }
+
+// WatchEndpoints subscribes to discovery's changes, or ends that.
+func (i *instance) WatchEndpoints(on bool) { i.reply.WatchEndpoints(on) }
+
+// Log adds a line to the run's report.
+func (i *instance) Log(line string) { i.reply.Log(line) }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -3,8 +3,22 @@
 import (
 	"bytes"
 	"encoding/binary"
+	"log/slog"
 	"strings"
 	"testing"
+
+	"bramblestand/internal/simwire"
+)
+
+const (
+	batchHeaderSize  = 16
+	replyHeaderSize  = 12
+	recordHeaderSize = 5
+
+	updateCached = 3 // the kind of an endpoint update with the list as last held
+
+	statusOK    = 200
+	statusError = 500
 )
 
 const settings = `classes.count=1
@@ -20,66 +34,96 @@
 reporting.how=probe
 `
 
-func rec(code byte, fields ...any) []byte {
-	var b bytes.Buffer
-	for _, f := range fields {
-		if s, ok := f.(string); ok {
-			f = []byte(s)
+// newRecord encodes a record. A string field stands without its length.
+func newRecord(code simwire.EventCode, fields ...any) []byte {
+	var body bytes.Buffer
+	for _, field := range fields {
+		if text, ok := field.(string); ok {
+			field = []byte(text)
 		}
-		if err := binary.Write(&b, binary.BigEndian, f); err != nil {
+		if err := binary.Write(&body, binary.BigEndian, field); err != nil {
 			panic(err)
 		}
 	}
-	out := binary.BigEndian.AppendUint32([]byte{code}, uint32(b.Len()))
-	return append(out, b.Bytes()...)
+	header := binary.BigEndian.AppendUint32([]byte{byte(code)}, uint32(body.Len()))
+	return append(header, body.Bytes()...)
 }
 
-func batch(number uint32, now uint64, records ...[]byte) []byte {
+// newBatch encodes a batch.
+func newBatch(number uint32, now uint64, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
-	b := binary.BigEndian.AppendUint32(nil, number)
-	b = binary.BigEndian.AppendUint32(b, uint32(16+len(body)))
-	b = binary.BigEndian.AppendUint64(b, now)
-	return append(b, body...)
+	frame := binary.BigEndian.AppendUint32(nil, number)
+	frame = binary.BigEndian.AppendUint32(frame, uint32(batchHeaderSize+len(body)))
+	frame = binary.BigEndian.AppendUint64(frame, now)
+	return append(frame, body...)
 }
 
-func at(i uint32) []byte { return rec(27, i) }
+func instanceRecord(number uint32) []byte { return newRecord(simwire.EventInstance, number) }
 
-func begin(text string) []byte { return rec(16, uint64(5), uint32(len(text)), text) }
+func startRecord(settingsText string) []byte {
+	return newRecord(simwire.EventStart, uint64(5), uint32(len(settingsText)), settingsText)
+}
 
-func manifest(list uint8, ids ...uint32) []byte {
+func endpointListRecord(list uint8, ids ...uint32) []byte {
 	fields := []any{list, uint32(len(ids))}
 	for _, id := range ids {
 		fields = append(fields, id, uint8(0), uint8(0), uint16(0), uint8(0), float32(1), uint64(0))
 	}
-	return rec(26, fields...)
+	return newRecord(simwire.EventEndpointList, fields...)
 }
 
-func members(list, kind uint8) []byte { return rec(17, uint32(1), list, kind) }
+func updateRecord(list, kind uint8) []byte {
+	return newRecord(simwire.EventEndpointUpdate, uint32(1), list, kind)
+}
 
-func request(id uint64, deadline uint64) []byte {
-	return rec(18, id, uint64(0), deadline, uint32(0), uint8(0), uint16(0), uint8(0))
+func requestRecord(id uint64, deadline uint64) []byte {
+	return newRecord(simwire.EventRequest, id, uint64(0), deadline, uint32(0), uint8(0), uint16(0), uint8(0))
 }
 
-func answer(id uint64, endpoint uint32, status uint16, settled uint8) []byte {
-	return rec(20, id, uint16(0), endpoint, status, uint32(3000), settled, uint8(0))
+func outcomeRecord(id uint64, endpoint uint32, status uint16, requestDone uint8) []byte {
+	return newRecord(simwire.EventAttemptFinished, id, uint16(0), endpoint, status, uint32(3000), requestDone, uint8(0))
 }
 
-func drive(t *testing.T, batches ...[]byte) (out, stderr string, err error) {
+func timerRecord(token uint32) []byte { return newRecord(simwire.EventTimerFired, token) }
+
+// runBatches runs the adapter over the batches and returns what it wrote.
+func runBatches(t *testing.T, batches ...[]byte) (output, logged string, err error) {
 	t.Helper()
-	var o, e bytes.Buffer
-	err = run(bytes.NewReader(bytes.Join(batches, nil)), &o, &e)
-	return o.String(), e.String(), err
+	var out, log bytes.Buffer
+	err = run(bytes.NewReader(bytes.Join(batches, nil)), &out, slog.New(slog.NewTextHandler(&log, nil)))
+	return out.String(), log.String(), err
+}
+
+// splitReplies returns the replies one by one.
+func splitReplies(output string) [][]byte {
+	var replies [][]byte
+	for rest := []byte(output); len(rest) > 0; {
+		size := binary.BigEndian.Uint32(rest[4:])
+		replies = append(replies, rest[:size])
+		rest = rest[size:]
+	}
+	return replies
+}
+
+// splitRecords returns the records of a reply one by one.
+func splitRecords(reply []byte) [][]byte {
+	var records [][]byte
+	for rest := reply[replyHeaderSize:]; len(rest) > 0; {
+		size := recordHeaderSize + int(binary.BigEndian.Uint32(rest[1:]))
+		records = append(records, rest[:size])
+		rest = rest[size:]
+	}
+	return records
 }
 
-// actions lists the codes of the records of one reply and its number.
-func actions(t *testing.T, reply []byte) (number uint32, codes []byte) {
+// decodeReply returns the number of a reply's batch and the codes of its records, and checks its header.
+func decodeReply(t *testing.T, reply []byte) (batch uint32, codes []simwire.ActionCode) {
 	t.Helper()
 	if int(binary.BigEndian.Uint32(reply[4:])) != len(reply) {
 		t.Fatalf("reply of %d bytes says %d", len(reply), binary.BigEndian.Uint32(reply[4:]))
 	}
-	for at := 12; at < len(reply); {
-		codes = append(codes, reply[at])
-		at += 5 + int(binary.BigEndian.Uint32(reply[at+1:]))
+	for _, record := range splitRecords(reply) {
+		codes = append(codes, simwire.ActionCode(record[0]))
 	}
 	if int(binary.BigEndian.Uint32(reply[8:])) != len(codes) {
 		t.Fatalf("%d records, header says %d", len(codes), binary.BigEndian.Uint32(reply[8:]))
@@ -87,158 +131,167 @@
 	return binary.BigEndian.Uint32(reply), codes
 }
 
-func TestEmptyBatchAndEnd(t *testing.T) {
-	out, _, err := drive(t, batch(1, 100))
-	if err != nil || out != "\x00\x00\x00\x01\x00\x00\x00\x0c\x00\x00\x00\x00" {
-		t.Errorf("%x %v", out, err)
+// count returns how many of the codes are the one asked for.
+func count(codes []simwire.ActionCode, code simwire.ActionCode) int {
+	n := 0
+	for _, c := range codes {
+		if c == code {
+			n++
+		}
+	}
+	return n
+}
+
+func TestEmptyBatchGetsAnEmptyReply(t *testing.T) {
+	output, _, err := runBatches(t, newBatch(1, 100))
+	if err != nil || output != "\x00\x00\x00\x01\x00\x00\x00\x0c\x00\x00\x00\x00" {
+		t.Errorf("%x %v", output, err)
 	}
 }
 
-func TestRequestIsDelivered(t *testing.T) {
-	out, stderr, err := drive(t, batch(7, 1000, at(3), begin(settings), manifest(0, 11, 12), members(0, 3),
-		request(5, 500_000)))
-	if err != nil || stderr != "" {
-		t.Fatal(stderr, err)
+func TestRequestStartsAnAttempt(t *testing.T) {
+	output, logged, err := runBatches(t, newBatch(7, 1000, instanceRecord(3), startRecord(settings),
+		endpointListRecord(0, 11, 12), updateRecord(0, updateCached), requestRecord(5, 500_000)))
+	if err != nil || logged != "" {
+		t.Fatal(logged, err)
 	}
-	number, codes := actions(t, []byte(out))
-	if number != 7 || codes[0] != 92 || bytes.Count(codes, []byte{80}) != 1 {
-		t.Errorf("number %d, codes %v", number, codes)
+	batch, codes := decodeReply(t, []byte(output))
+	if batch != 7 || codes[0] != simwire.ActionSelectInstance || count(codes, simwire.ActionStartAttempt) != 1 {
+		t.Errorf("batch %d, codes %v", batch, codes)
 	}
 }
 
-func TestStopAndBeginInOneBatch(t *testing.T) {
-	out, _, err := drive(t,
-		batch(1, 1000, at(3), begin(settings), manifest(0, 11), members(0, 3), request(5, 500_000)),
-		batch(2, 2000, at(3), rec(25), begin(settings), manifest(0, 12), members(0, 3), answer(5, 11, 500, 0),
-			request(6, 500_000)))
+func TestStopAndStartInOneBatch(t *testing.T) {
+	output, _, err := runBatches(t,
+		newBatch(1, 1000, instanceRecord(3), startRecord(settings), endpointListRecord(0, 11), updateRecord(0, updateCached),
+			requestRecord(5, 500_000)),
+		newBatch(2, 2000, instanceRecord(3), newRecord(simwire.EventStop), startRecord(settings), endpointListRecord(0, 12),
+			updateRecord(0, updateCached), outcomeRecord(5, 11, statusError, 0), requestRecord(6, 500_000)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := int(binary.BigEndian.Uint32([]byte(out)[4:]))
-	_, codes := actions(t, []byte(out)[first:])
-	if bytes.Count(codes, []byte{80}) != 1 || bytes.IndexByte(codes, 81) >= 0 || bytes.IndexByte(codes, 82) >= 0 {
-		t.Errorf("the new life knows the old one's request: %v", codes)
+	_, codes := decodeReply(t, splitReplies(output)[1])
+	if count(codes, simwire.ActionStartAttempt) != 1 || count(codes, simwire.ActionReject) != 0 || count(codes, simwire.ActionFail) != 0 {
+		t.Errorf("the instance knows a request of before its stop: %v", codes)
 	}
 }
 
-func TestInstancesActAlikeTogetherAndAlone(t *testing.T) {
-	script := func(instances ...uint32) [][]byte {
-		var all [][]byte
-		var records [][]byte
-		records = append(records, manifest(0, 11, 12, 13))
+// requestScript is a run in which every instance gets 30 requests.
+func requestScript(instances ...uint32) [][]byte {
+	records := [][]byte{endpointListRecord(0, 11, 12, 13)}
+	for _, i := range instances {
+		records = append(records, instanceRecord(i), startRecord(settings), updateRecord(0, updateCached))
+	}
+	batches := [][]byte{newBatch(1, 1000, records...)}
+	for n := range uint64(30) {
+		records = nil
 		for _, i := range instances {
-			records = append(records, at(i), begin(settings), members(0, 3))
+			records = append(records, instanceRecord(i), requestRecord(100*uint64(i)+n, 1000*n+500_000))
 		}
-		all = append(all, batch(1, 1000, records...))
-		for n := range uint64(30) {
-			records = nil
-			for _, i := range instances {
-				records = append(records, at(i), request(100*uint64(i)+n, 1000*n+500_000))
-			}
-			all = append(all, batch(uint32(n+2), 1000*n+2000, records...))
+		batches = append(batches, newBatch(uint32(n+2), 1000*n+2000, records...))
+	}
+	return batches
+}
+
+// countRecords returns how often each record stands in the output.
+func countRecords(output string) map[string]int {
+	counts := map[string]int{}
+	for _, reply := range splitReplies(output) {
+		for _, record := range splitRecords(reply) {
+			counts[string(record)]++
 		}
-		return all
 	}
-	together, _, _ := drive(t, script(1, 2)...)
-	again, _, _ := drive(t, script(1, 2)...)
+	return counts
+}
+
+func TestInstancesActAlikeTogetherAndAlone(t *testing.T) {
+	together, _, _ := runBatches(t, requestScript(1, 2)...)
+	again, _, _ := runBatches(t, requestScript(1, 2)...)
 	if together != again {
 		t.Fatal("two runs differ")
 	}
 	alone := ""
 	for _, i := range []uint32{1, 2} {
-		out, _, _ := drive(t, script(i)...)
-		alone += out
-	}
-	count := func(s string) map[string]int {
-		seen := map[string]int{}
-		for rest := []byte(s); len(rest) > 0; {
-			n := int(binary.BigEndian.Uint32(rest[4:]))
-			for at := 12; at < n; {
-				size := 5 + int(binary.BigEndian.Uint32(rest[at+1:]))
-				seen[string(rest[at:at+size])]++
-				at += size
-			}
-			rest = rest[n:]
-		}
-		return seen
+		output, _, _ := runBatches(t, requestScript(i)...)
+		alone += output
 	}
-	a, b := count(together), count(alone)
-	if len(a) != len(b) {
-		t.Fatalf("%d kinds of record together, %d alone", len(a), len(b))
+	inOneProcess, inTwo := countRecords(together), countRecords(alone)
+	if len(inOneProcess) != len(inTwo) {
+		t.Fatalf("%d kinds of record together, %d alone", len(inOneProcess), len(inTwo))
 	}
-	for k, n := range a {
-		if b[k] != n {
-			t.Errorf("record %x: %d together, %d alone", k, n, b[k])
+	for record, n := range inOneProcess {
+		if inTwo[record] != n {
+			t.Errorf("record %x: %d together, %d alone", record, n, inTwo[record])
 		}
 	}
 }
 
-func TestBadInputEndsTheProcess(t *testing.T) {
-	good := batch(1, 1000, at(3), begin(settings))
+func TestMalformedInputEndsTheRun(t *testing.T) {
+	valid := newBatch(1, 1000, instanceRecord(3), startRecord(settings))
 	for _, c := range []struct {
 		name  string
 		input []byte
 		says  string
 	}{
-		{"event before instance", batch(2, 1000, rec(22, uint32(1))), "timeout_fired at byte 16"},
-		{"event before begin", batch(2, 1000, at(4), rec(22, uint32(1))), "instance 4 has not begun"},
-		{"truncated", batch(2, 1000, at(3))[:20], "batch at byte 20"},
-		{"overrun", batch(2, 1000, []byte{18, 0, 0, 1, 0}), "request at byte 17"},
+		{"event before instance", newBatch(2, 1000, timerRecord(1)), "timeout_fired at byte 16"},
+		{"event before start", newBatch(2, 1000, instanceRecord(4), timerRecord(1)), "instance 4 has not begun"},
+		{"truncated", newBatch(2, 1000, instanceRecord(3))[:20], "batch at byte 20"},
+		{"overrun", newBatch(2, 1000, []byte{byte(simwire.EventRequest), 0, 0, 1, 0}), "request at byte 17"},
 	} {
-		out, _, err := drive(t, good, c.input)
+		output, _, err := runBatches(t, valid, c.input)
 		if err == nil || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", c.name, err)
 		}
-		if number, _ := actions(t, []byte(out)); number != 1 {
-			t.Errorf("%s: something was written for the bad batch", c.name)
+		if batch, _ := decodeReply(t, []byte(output)); batch != 1 {
+			t.Errorf("%s: something was written for the malformed batch", c.name)
 		}
 	}
 }
 
-func TestUnknownEventIsReportedOnce(t *testing.T) {
-	_, stderr, err := drive(t, batch(1, 1000, rec(99, uint32(1)), rec(99), at(3), begin(settings)))
-	if err != nil || strings.Count(stderr, "\n") != 1 || !strings.Contains(stderr, "event 99") {
-		t.Errorf("%q %v", stderr, err)
+func TestUnknownEventIsLoggedOnce(t *testing.T) {
+	_, logged, err := runBatches(t, newBatch(1, 1000, newRecord(99, uint32(1)), newRecord(99), instanceRecord(3), startRecord(settings)))
+	if err != nil || strings.Count(logged, "\n") != 1 || !strings.Contains(logged, "event 99") {
+		t.Errorf("%q %v", logged, err)
 	}
 }
 
-func TestBadSettingsAreAnException(t *testing.T) {
+func TestBadSettingsAreAFault(t *testing.T) {
 	for _, text := range []string{
 		strings.Replace(settings, "repeat=pure", "repeat=never", 1),
 		strings.Replace(settings, "target=250000", "target=-1", 1),
 	} {
-		out, _, err := drive(t, batch(1, 1000, at(3), begin(text)))
+		output, _, err := runBatches(t, newBatch(1, 1000, instanceRecord(3), startRecord(text)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, codes := actions(t, []byte(out)); codes[len(codes)-1] != 89 {
+		if _, codes := decodeReply(t, []byte(output)); codes[len(codes)-1] != simwire.ActionReportFault {
 			t.Errorf("codes %v", codes)
 		}
 	}
 }
 
-// A peer's message reaches the balancer, and a balancer's goes to all peers.
-func TestPeersOnTheWire(t *testing.T) {
+// A message of another instance reaches the balancer, and a balancer's goes to all others.
+func TestGossipOnTheWire(t *testing.T) {
 	fleet := settings + "peers-total=80\nlimits.may-tell=true\nprices.probe=0.08\nprices.peer=0.014\n"
 	ids := make([]uint32, 60)
 	for i := range ids {
 		ids[i] = uint32(i + 1)
 	}
-	odd := rec(24, uint16(2), uint16(2), "hi")
-	out, _, err := drive(t,
-		batch(1, 0, at(1), begin(fleet), manifest(0, ids...), members(0, 3)),
-		batch(2, 1_000_000, at(1), rec(22, uint32(0))), // time to probe
-		batch(3, 1_000_500, at(1), rec(23, uint32(1), uint16(200), uint32(500), uint8(1), float32(3)), odd))
+	malformed := newRecord(simwire.EventGossip, uint16(2), uint16(2), "hi")
+	const probeTimer = 0
+	probed := newRecord(simwire.EventLoadProbeResult, uint32(1), uint16(statusOK), uint32(500), uint8(1), float32(3))
+	output, _, err := runBatches(t,
+		newBatch(1, 0, instanceRecord(1), startRecord(fleet), endpointListRecord(0, ids...), updateRecord(0, updateCached)),
+		newBatch(2, 1_000_000, instanceRecord(1), timerRecord(probeTimer)),
+		newBatch(3, 1_000_500, instanceRecord(1), probed, malformed))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var codes []byte
-	for reply := []byte(out); len(reply) > 0; {
-		size := binary.BigEndian.Uint32(reply[4:])
-		_, codes = actions(t, reply[:size])
-		reply = reply[size:]
+	var codes []simwire.ActionCode // of the last reply
+	for _, reply := range splitReplies(output) {
+		_, codes = decodeReply(t, reply)
 	}
-	if !bytes.Contains(codes, []byte{87}) || !bytes.Contains(codes, []byte{88}) {
-		t.Errorf("actions %v, want a message to peers (87) and a line on the odd one (88)", codes)
+	if count(codes, simwire.ActionSendGossip) == 0 || count(codes, simwire.ActionLog) == 0 {
+		t.Errorf("actions %v, want a message to all others and a line on the malformed one", codes)
 	}
 }
--- a/internal/simwire/endpoint_lists.go
+++ b/internal/simwire/endpoint_lists.go
@@ -2,77 +2,117 @@
 
 import (
 	"fmt"
-	"math"
 
 	"bramblestand/balancer"
 )
 
-func (d *Decoder) listNumber() int {
-	n := int(d.u8())
-	if n >= maxEndpointLists && d.err == nil {
-		d.off--
-		d.fail(fmt.Sprintf("list number %d is over %d", n, maxEndpointLists-1))
-		return 0
-	}
-	return n
+const (
+	maxEndpointLists  = 16
+	endpointEntrySize = 21
+)
+
+// Endpoint states as the wire numbers them.
+const (
+	stateReady    = 0
+	stateDraining = 1
+	stateRemoved  = 3
+)
+
+// Kinds of endpoint update as the wire numbers them.
+const (
+	updateDelta  = 0
+	updateFailed = 2
+	updateCached = 3
+	updateFull   = 4
+)
+
+// endpointLists holds the numbered lists of a process. An endpoint update names the list that was defined last under its
+// number, in the order of events.
+type endpointLists struct {
+	lists     [maxEndpointLists][]balancer.Endpoint
+	isDefined [maxEndpointLists]bool
 }
 
-func (d *Decoder) manifest() {
-	id := d.listNumber()
-	n := int(d.u32())
-	if d.err == nil && n*endpointEntrySize > len(d.rec)-d.off {
-		d.off -= 4
-		d.fail(fmt.Sprintf("%d entries overrun the record", n))
+// define reads a list under its number, in place of the one before.
+func (l *endpointLists) define(r *recordReader) {
+	numberOffset := r.offset
+	number := int(r.uint8(fieldListNumber))
+	if number >= maxEndpointLists {
+		r.failAt(numberOffset, fieldListNumber, fmt.Sprintf("list number %d is over %d", number, maxEndpointLists-1))
 	}
-	if d.err != nil {
+	countOffset := r.offset
+	count := int(r.uint32(fieldEntries))
+	if count*endpointEntrySize > r.remaining() {
+		r.failAt(countOffset, fieldEntries, fmt.Sprintf("%d entries overrun the record", count))
+	}
+	if r.err != nil {
 		return
 	}
-	list := d.lists[id][:0]
-	for i := 0; i < n && d.err == nil; i++ {
-		var e balancer.Endpoint
-		e.ID, e.Zone, e.MachineType, e.Pod = d.u32(), d.u8(), d.u8(), d.u16()
-		switch state := d.u8(); state {
-		case 0:
-			e.State = balancer.Ready
-		case 1:
-			e.State = balancer.Draining
-		case 3:
-			e.State = balancer.Removed
-		default:
-			d.off--
-			d.fail(fmt.Sprintf("unknown endpoint status %d", state))
-		}
-		e.Weight = math.Float32frombits(d.u32())
-		e.StartTime = balancer.Micros(d.u64())
-		list = append(list, e)
+	list := l.lists[number][:0]
+	for range count {
+		list = append(list, decodeEndpoint(r))
 	}
-	d.lists[id], d.known[id] = list, true
+	l.lists[number], l.isDefined[number] = list, true
 }
 
-func (d *Decoder) membership(e *Event) {
-	id := d.u8()
-	e.Endpoints = nil
-	switch kind := d.u8(); kind {
-	case 0:
-		e.UpdateKind = balancer.UpdateDelta
-	case 4:
-		e.UpdateKind = balancer.UpdateFull
-	case 3:
-		e.UpdateKind = balancer.UpdateCached
-	case 2:
-		e.UpdateKind = balancer.UpdateFailed
-		return
-	default:
-		d.off--
-		d.fail(fmt.Sprintf("unknown kind %d", kind))
+// decodeEndpoint reads one entry of a list.
+func decodeEndpoint(r *recordReader) balancer.Endpoint {
+	return balancer.Endpoint{
+		ID:          r.uint32(fieldEndpoint),
+		Zone:        r.uint8(fieldZone),
+		MachineType: r.uint8(fieldMachineType),
+		Pod:         r.uint16(fieldPod),
+		State:       decodeState(r),
+		Weight:      r.float32(fieldWeight),
+		StartTime:   r.instant(fieldStartTime),
 	}
-	if d.err != nil {
+}
+
+func decodeState(r *recordReader) balancer.EndpointState {
+	offset := r.offset
+	code := r.uint8(fieldState)
+	switch code {
+	case stateReady:
+		return balancer.Ready
+	case stateDraining:
+		return balancer.Draining
+	case stateRemoved:
+		return balancer.Removed
+	}
+	r.failAt(offset, fieldState, fmt.Sprintf("unknown endpoint status %d", code))
+	return balancer.Ready
+}
+
+// decodeUpdate reads an endpoint update and resolves its list.
+func (l *endpointLists) decodeUpdate(r *recordReader, update *EndpointUpdate) {
+	r.uint32(fieldListVersion) // updates come in order, with none left out
+	numberOffset := r.offset
+	number := r.uint8(fieldListNumber)
+	update.Kind = decodeUpdateKind(r)
+	update.Endpoints = nil
+	if r.err != nil || update.Kind == balancer.UpdateFailed { // a failed call comes without a list
 		return
 	}
-	if id >= maxEndpointLists || !d.known[id] {
-		d.off -= 2
-		d.fail(fmt.Sprintf("list number %d has not been conveyed", id))
+	if number >= maxEndpointLists || !l.isDefined[number] {
+		r.failAt(numberOffset, fieldListNumber, fmt.Sprintf("list number %d has not been defined", number))
 		return
 	}
-	e.Endpoints = d.lists[id]
+	update.Endpoints = l.lists[number]
+}
+
+func decodeUpdateKind(r *recordReader) balancer.UpdateKind {
+	offset := r.offset
+	code := r.uint8(fieldUpdateKind)
+	switch code {
+	case updateDelta:
+		return balancer.UpdateDelta
+	case updateFull:
+		return balancer.UpdateFull
+	case updateCached:
+		return balancer.UpdateCached
+	case updateFailed:
+		return balancer.UpdateFailed
+	}
+	r.failAt(offset, fieldUpdateKind, fmt.Sprintf("unknown kind %d", code))
+	return balancer.UpdateFailed
 }
--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -1,17 +1,19 @@
 package simwire
 
-import (
-	"fmt"
-)
+import "fmt"
 
-// DecodeError says which record is malformed and at which byte of its frame.
+// DecodeError says which record of a frame is malformed. The input cannot be read on after one.
 type DecodeError struct {
-	Record string
-	Offset int
+	Record string // its name on the wire, or "batch", "batch header", "record"
+	Field  string // its name on the wire; empty if no single field is at fault
+	Offset int    // of the byte at fault, from the start of the frame
 	Reason string
 }
 
-// Error names the record, the byte offset and the reason.
+// Error names the record, the byte, the field if there is one, and the reason.
 func (e *DecodeError) Error() string {
-	return fmt.Sprintf("%s at byte %d: %s", e.Record, e.Offset, e.Reason)
+	if e.Field == "" {
+		return fmt.Sprintf("%s at byte %d: %s", e.Record, e.Offset, e.Reason)
+	}
+	return fmt.Sprintf("%s at byte %d: field %s: %s", e.Record, e.Offset, e.Field, e.Reason)
 }
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -8,119 +8,187 @@
 	"bramblestand/balancer"
 )
 
-// Event is one decoded record. Only the fields of its code are set; slices are
-// valid until the next call of Next.
+// recordName stands for a record whose code has not been read, in errors.
+const recordName = "record"
+
+// Event is one decoded record. Only the fields of its code are set; slices are valid until the next call of
+// [Decoder.Next].
 type Event struct {
-	Code         Code
-	Offset       int    // of the record in its frame
-	Instance     uint32 // Instance
-	Seed         uint64 // Begin
-	SettingsText string // Begin
-	UpdateKind   balancer.UpdateKind
-	Endpoints    []balancer.Endpoint // Membership
-	Request      balancer.Request
-	Outcome      balancer.Outcome // Answer; Headers and CancelledByClient set parts of it
-	TimerToken   uint32           // TimeoutFired
-	Endpoint     uint32           // HealthResult
-	Status       balancer.Status
-	Latency      balancer.Micros
-	LoadReport   []float32
-	Sender       uint16 // Whisper
-	Message      []byte
+	Code   EventCode
+	Offset int // of the record, from the start of its frame
+
+	Instance        uint32           // EventInstance
+	Start           Start            // EventStart
+	EndpointUpdate  EndpointUpdate   // EventEndpointUpdate
+	Request         balancer.Request // EventRequest
+	ResponseStarted ResponseStarted  // EventResponseStarted
+	Outcome         balancer.Outcome // EventAttemptFinished
+	RequestID       uint64           // EventClientDisconnected
+	TimerToken      uint32           // EventTimerFired: as it was given to [Reply.SetTimer]
+	LoadProbeResult LoadProbeResult  // EventLoadProbeResult
+	Gossip          Gossip           // EventGossip
+}
+
+// Start is what an instance is told at its start.
+type Start struct {
+	Seed         uint64 // of the instance's random numbers
+	SettingsText string // for [ParseSettings]
+}
+
+// EndpointUpdate is what discovery says of the endpoint list.
+type EndpointUpdate struct {
+	Kind      balancer.UpdateKind
+	Endpoints []balancer.Endpoint // nil for balancer.UpdateFailed
+}
+
+// ResponseStarted says that an attempt's streamed response began.
+type ResponseStarted struct {
+	RequestID uint64
+	Attempt   int // counted from 0 in the order of their start
+	Endpoint  uint32
+	Latency   balancer.Micros // since the attempt's start
 }
 
-// Decoder reads the records of batches. It keeps the numbered lists, which
-// outlive a batch.
+// LoadProbeResult is how a load probe ended.
+type LoadProbeResult struct {
+	Endpoint   uint32
+	Status     balancer.Status
+	Latency    balancer.Micros // since the probe was sent
+	LoadReport []float32       // in the order of the setting's fields; empty without a report
+}
+
+// Gossip is a message of another instance.
+type Gossip struct {
+	Sender  uint16 // its index in the tier
+	Message []byte
+}
+
+// Decoder reads the records of batches. It keeps the numbered endpoint lists, which outlive a batch. The zero value is
+// ready for Reset.
 type Decoder struct {
-	frame   []byte
-	at      int
-	rec     []byte
-	recAt   int
-	recName string
-	off     int
-	err     error
-
-	lists [maxEndpointLists][]balancer.Endpoint
-	known [maxEndpointLists]bool
-	load  []float32
+	frame  []byte
+	next   int // start of the next record in the frame
+	record recordReader
+	lists  endpointLists
 }
 
-// Reset starts on a frame from ReadFrame and returns its number and clock.
+// Reset starts on a frame from [ReadFrame] and returns the batch's number and clock, or a *DecodeError.
 func (d *Decoder) Reset(frame []byte) (batch uint32, now balancer.Micros, err error) {
-	if len(frame) < batchHeaderSize {
-		return 0, 0, &DecodeError{"batch header", len(frame), "shorter than a header"}
+	batch, now, err = decodeBatchHeader(frame)
+	if err != nil {
+		return 0, 0, err
 	}
-	if size := int(binary.BigEndian.Uint32(frame[4:])); size != len(frame) {
-		return 0, 0, &DecodeError{"batch header", 4, fmt.Sprintf("size %d but %d bytes", size, len(frame))}
-	}
-	d.frame, d.at = frame, batchHeaderSize
-	return binary.BigEndian.Uint32(frame), balancer.Micros(binary.BigEndian.Uint64(frame[8:])), nil
+	d.frame, d.next = frame, batchHeaderSize
+	return batch, now, nil
 }
 
-// Next decodes one record into e. It returns io.EOF after the last one. A
-// record of an unknown code is returned with its code alone.
+// Next decodes one record into e. It returns io.EOF after the last one and a *DecodeError for a malformed one. A record of
+// an unknown code is returned with its code and offset alone.
 func (d *Decoder) Next(e *Event) error {
-	left := len(d.frame) - d.at
-	if left == 0 {
+	if d.next == len(d.frame) {
 		return io.EOF
 	}
-	d.recAt, d.recName, d.off, d.err = d.at, "record", 0, nil
-	if left < recordHeaderSize {
-		d.fail(fmt.Sprintf("a record header needs %d bytes, has %d", recordHeaderSize, left))
-		return d.err
+	code, err := d.openRecord()
+	if err != nil {
+		return err
+	}
+	e.Code, e.Offset = code, d.next
+	d.decodeFields(e)
+	if r := &d.record; code.Known() && r.remaining() > 0 {
+		r.failAt(r.offset, "", fmt.Sprintf("%d bytes too many", r.remaining()))
 	}
-	code := Code(d.frame[d.at])
-	d.recName = code.String()
-	size := int(binary.BigEndian.Uint32(d.frame[d.at+1:]))
-	if size > left-recordHeaderSize {
-		d.off = 1
-		d.fail(fmt.Sprintf("fields of %d bytes overrun the frame, which has %d left", size, left-recordHeaderSize))
-		return d.err
+	d.next += len(d.record.data)
+	if d.record.err != nil {
+		return d.record.err
 	}
-	d.rec, d.off = d.frame[d.at:d.at+recordHeaderSize+size], recordHeaderSize
-	e.Code, e.Offset = code, d.at
-	switch code {
+	return nil
+}
+
+// openRecord checks the header of the next record and makes d.record read its fields.
+func (d *Decoder) openRecord() (EventCode, error) {
+	rest := d.frame[d.next:]
+	r := &d.record
+	r.name, r.start, r.offset, r.err = recordName, d.next, recordHeaderSize, nil
+	if len(rest) < recordHeaderSize {
+		r.failAt(0, "", fmt.Sprintf("a record header needs %d bytes, has %d", recordHeaderSize, len(rest)))
+		return 0, r.err
+	}
+	code := EventCode(rest[0])
+	r.name = code.String()
+	size := int(binary.BigEndian.Uint32(rest[recordSizeOffset:]))
+	if available := len(rest) - recordHeaderSize; size > available {
+		r.failAt(recordSizeOffset, "", fmt.Sprintf("fields of %d bytes overrun the frame, which has %d left", size, available))
+		return 0, r.err
+	}
+	r.data = rest[:recordHeaderSize+size]
+	return code, nil
+}
+
+// decodeFields reads the fields of d.record, in the order of the wire, into the part of e for its code.
+func (d *Decoder) decodeFields(e *Event) {
+	r := &d.record
+	switch e.Code {
+	case EventInstance:
+		e.Instance = r.uint32(fieldInstance)
 	case EventStart:
-		e.Seed = d.u64()
-		e.SettingsText = string(d.take(int(d.u32())))
+		e.Start.Seed = r.uint64(fieldSeed)
+		e.Start.SettingsText = string(r.take(int(r.uint32(fieldSettings)), fieldSettings))
+	case EventStop: // without fields
 	case EventEndpointList:
-		d.manifest()
+		d.lists.define(r)
 	case EventEndpointUpdate:
-		d.u32()
-		d.membership(e)
+		d.lists.decodeUpdate(r, &e.EndpointUpdate)
 	case EventRequest:
-		r := &e.Request
-		r.ID, r.Key, r.Deadline, r.CostHint = d.u64(), d.u64(), balancer.Micros(d.u64()), balancer.Micros(d.u32())
-		opts := d.u8()
-		r.HasCostHint, r.IsRetry, r.IsWrite = opts&1 != 0, opts&2 != 0, opts&4 != 0
-		r.Tenant, r.Class = d.u16(), d.u8()
+		decodeRequest(r, &e.Request)
 	case EventResponseStarted:
-		o := &e.Outcome
-		o.ID, o.Attempt, o.Endpoint, o.Latency = d.u64(), int(d.u16()), d.u32(), balancer.Micros(d.u32())
+		decodeResponseStarted(r, &e.ResponseStarted)
 	case EventAttemptFinished:
-		o := &e.Outcome
-		o.ID, o.Attempt, o.Endpoint = d.u64(), int(d.u16()), d.u32()
-		o.Status, o.Latency, o.RequestDone = d.status(), balancer.Micros(d.u32()), d.u8() != 0
-		o.LoadReport = d.loads()
+		decodeOutcome(r, &e.Outcome)
 	case EventClientDisconnected:
-		e.Outcome.ID = d.u64()
+		e.RequestID = r.uint64(fieldRequestID)
 	case EventTimerFired:
-		e.TimerToken = d.u32()
+		e.TimerToken = r.uint32(fieldTimerToken)
 	case EventLoadProbeResult:
-		e.Endpoint, e.Status, e.Latency = d.u32(), d.status(), balancer.Micros(d.u32())
-		e.LoadReport = d.loads()
+		decodeLoadProbeResult(r, &e.LoadProbeResult)
 	case EventGossip:
-		e.Sender = d.u16()
-		e.Message = d.take(int(d.u16()))
-	case EventStop:
-	case EventInstance:
-		e.Instance = d.u32()
-	default:
-		d.off = len(d.rec)
+		e.Gossip.Sender = r.uint16(fieldGossipSender)
+		e.Gossip.Message = r.take(int(r.uint16(fieldGossipMessage)), fieldGossipMessage)
 	}
-	if d.err == nil && d.off < len(d.rec) {
-		d.fail(fmt.Sprintf("%d bytes too many", len(d.rec)-d.off))
-	}
-	d.at += len(d.rec)
-	return d.err
+}
+
+func decodeRequest(r *recordReader, request *balancer.Request) {
+	request.ID = r.uint64(fieldRequestID)
+	request.Key = r.uint64(fieldKey)
+	request.Deadline = r.instant(fieldDeadline)
+	request.CostHint = r.duration(fieldCostHint)
+	flags := r.uint8(fieldRequestFlags)
+	request.HasCostHint = flags&flagHasCostHint != 0
+	request.IsRetry = flags&flagIsRetry != 0
+	request.IsWrite = flags&flagIsWrite != 0
+	request.Tenant = r.uint16(fieldTenant)
+	request.Class = r.uint8(fieldClass)
+}
+
+func decodeResponseStarted(r *recordReader, started *ResponseStarted) {
+	started.RequestID = r.uint64(fieldRequestID)
+	started.Attempt = int(r.uint16(fieldAttempt))
+	started.Endpoint = r.uint32(fieldEndpoint)
+	started.Latency = r.duration(fieldLatency)
+}
+
+func decodeOutcome(r *recordReader, outcome *balancer.Outcome) {
+	outcome.ID = r.uint64(fieldRequestID)
+	outcome.Attempt = int(r.uint16(fieldAttempt))
+	outcome.Endpoint = r.uint32(fieldEndpoint)
+	outcome.Status = r.status()
+	outcome.Latency = r.duration(fieldLatency)
+	outcome.RequestDone = r.uint8(fieldRequestDone) != 0
+	outcome.LoadReport = r.loads()
+}
+
+func decodeLoadProbeResult(r *recordReader, result *LoadProbeResult) {
+	result.Endpoint = r.uint32(fieldEndpoint)
+	result.Status = r.status()
+	result.Latency = r.duration(fieldLatency)
+	result.LoadReport = r.loads()
 }
--- a/internal/simwire/events_test.go
+++ b/internal/simwire/events_test.go
@@ -1,16 +1,16 @@
 package simwire
 
 import (
-	"bytes"
 	"errors"
 	"io"
+	"slices"
 	"strings"
 	"testing"
 
 	"bramblestand/balancer"
 )
 
-// The examples of the page.
+// The examples of the wire's description.
 const (
 	exampleInstance     = "1b 00000004 00000003"
 	exampleRequest      = "12 00000020 0005bf975d3a91c4 91f03b7c55d20a64 00000000008405da 00002ee0 01 0000 00"
@@ -25,126 +25,148 @@
 	exampleUpdate = "11 00000006 00000029 00 03"
 )
 
-func decodeAll(t *testing.T, d *Decoder, f []byte) []Event {
+// decodeAll returns the events of a frame, with copies of what the next event would overwrite.
+func decodeAll(t *testing.T, decoder *Decoder, frame []byte) []Event {
 	t.Helper()
-	if _, now, err := d.Reset(f); err != nil || now != 0x805c5a {
-		t.Fatalf("clock %d, error %v", now, err)
+	if batch, now, err := decoder.Reset(frame); err != nil || batch != exampleBatch || now != exampleClock {
+		t.Fatalf("batch %d, clock %d, error %v", batch, now, err)
 	}
-	var all []Event
+	var events []Event
 	for {
-		var e Event
-		err := d.Next(&e)
+		var event Event
+		err := decoder.Next(&event)
 		if err == io.EOF {
-			return all
+			return events
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		e.LoadReport = append([]float32(nil), e.LoadReport...)
-		e.Endpoints = append([]balancer.Endpoint(nil), e.Endpoints...)
-		all = append(all, e)
+		event.Outcome.LoadReport = slices.Clone(event.Outcome.LoadReport)
+		event.LoadProbeResult.LoadReport = slices.Clone(event.LoadProbeResult.LoadReport)
+		event.EndpointUpdate.Endpoints = slices.Clone(event.EndpointUpdate.Endpoints)
+		events = append(events, event)
 	}
 }
 
 func TestDecodeExamples(t *testing.T) {
-	f := fromHex(t, "0000000c 0000005d 0000000000805c5a", exampleInstance, exampleRequest, exampleTimer, "1b 00000004 00000005", exampleDisconnect)
-	got, err := ReadFrame(bytes.NewReader(f), nil)
-	if err != nil || !bytes.Equal(got, f) {
-		t.Fatalf("frame changed: %v", err)
+	frame := fromHex(t, "0000000c 0000005d 0000000000805c5a",
+		exampleInstance, exampleRequest, exampleTimer, "1b 00000004 00000005", exampleDisconnect)
+	events := decodeAll(t, new(Decoder), frame)
+	request := balancer.Request{ID: 0x5bf975d3a91c4, Key: 0x91f03b7c55d20a64, Deadline: 0x8405da, CostHint: 12000, HasCostHint: true}
+	if len(events) != 5 || events[0].Instance != 3 || events[1].Request != request || events[2].TimerToken != 77 ||
+		events[3].Instance != 5 || events[4].RequestID != 0xbf5a10e6f2b19 {
+		t.Errorf("decoded %+v", events)
 	}
-	e := decodeAll(t, new(Decoder), f)
-	want := balancer.Request{ID: 0x5bf975d3a91c4, Key: 0x91f03b7c55d20a64, Deadline: 0x8405da, CostHint: 12000, HasCostHint: true}
-	if len(e) != 5 || e[0].Instance != 3 || e[1].Request != want || e[2].TimerToken != 77 || e[3].Instance != 5 ||
-		e[4].Outcome.ID != 0xbf5a10e6f2b19 {
-		t.Errorf("decoded %+v", e)
+	events = decodeAll(t, new(Decoder), newFrame(fromHex(t, exampleHeaders, exampleOutcome, exampleProbeResult,
+		exampleGossip, exampleEndpointList, exampleUpdate)))
+	started := ResponseStarted{RequestID: 0x5bf975d3a91c4, Attempt: 0, Endpoint: 0x3124a07, Latency: 0x2422}
+	if got := events[0].ResponseStarted; got != started {
+		t.Errorf("response started %+v, want %+v", got, started)
 	}
-	e = decodeAll(t, new(Decoder), newFrame(fromHex(t, exampleHeaders, exampleOutcome, exampleProbeResult, exampleGossip, exampleEndpointList, exampleUpdate)))
-	if o := e[0].Outcome; o.ID != 0x5bf975d3a91c4 || o.Endpoint != 0x3124a07 || o.Latency != 0x2422 {
-		t.Errorf("headers %+v", o)
+	if got := events[1].Outcome; got.ID != 0x5bf975d3a91c4 || got.Endpoint != 0x3124a07 || got.Status != balancer.OK ||
+		got.Latency != 0x4844 || !got.RequestDone || len(got.LoadReport) != 0 {
+		t.Errorf("outcome %+v", got)
 	}
-	if o := e[1].Outcome; o.Status != balancer.OK || o.Latency != 0x4844 || !o.RequestDone || len(o.LoadReport) != 0 {
-		t.Errorf("answer %+v", o)
+	if got := events[2].LoadProbeResult; got.Endpoint != 0x2c9011f2 || got.Status != balancer.OK || got.Latency != 1400 ||
+		!slices.Equal(got.LoadReport, []float32{7, 140, 0.62}) {
+		t.Errorf("load probe result %+v", got)
 	}
-	if h := e[2]; h.Endpoint != 0x2c9011f2 || h.Latency != 1400 || len(h.LoadReport) != 3 || h.LoadReport[0] != 7 || h.LoadReport[1] != 140 {
-		t.Errorf("health_result %+v", h)
+	if got := events[3].Gossip; got.Sender != 2 || string(got.Message) != "hi 7" {
+		t.Errorf("gossip %+v", got)
 	}
-	if w := e[3]; w.Sender != 2 || string(w.Message) != "hi 7" {
-		t.Errorf("whisper %+v", w)
+	update := events[5].EndpointUpdate
+	if update.Kind != balancer.UpdateCached || len(update.Endpoints) != 2 || update.Endpoints[1].Weight != 1.5 ||
+		update.Endpoints[1].Zone != 1 || update.Endpoints[1].StartTime != 0x5d1420 {
+		t.Errorf("endpoint update %+v", update)
 	}
-	if m := e[5]; m.UpdateKind != balancer.UpdateCached || len(m.Endpoints) != 2 || m.Endpoints[1].Weight != 1.5 ||
-		m.Endpoints[1].Zone != 1 || m.Endpoints[1].StartTime != 0x5d1420 {
-		t.Errorf("membership %+v", m)
+}
+
+func TestDecodeStartAndStop(t *testing.T) {
+	events := decodeAll(t, new(Decoder), newFrame(fromHex(t, "10 0000000f 0000000000000005 00000003 613d62", "19 00000000")))
+	if len(events) != 2 || events[0].Code != EventStart || events[0].Start != (Start{Seed: 5, SettingsText: "a=b"}) {
+		t.Errorf("decoded %+v, want a start", events)
+	}
+	if events[1].Code != EventStop || events[1].Offset != batchHeaderSize+20 {
+		t.Errorf("decoded %+v, want a stop", events[1])
 	}
 }
 
-// A list number stands for the list last conveyed before, in event order.
+// A list number stands for the list that was defined last before the update, in event order.
 func TestEndpointListsAreResolvedInOrder(t *testing.T) {
 	one := "1a 0000001a 00 00000001 00000001 00 00 0000 00 3f800000 0000000000000000"
 	two := "1a 0000001a 00 00000001 00000002 00 00 0000 01 3f800000 0000000000000000"
-	d := new(Decoder)
-	e := decodeAll(t, d, newFrame(fromHex(t, one, exampleUpdate, two, exampleUpdate)))
-	if e[1].Endpoints[0].ID != 1 || e[3].Endpoints[0].ID != 2 || e[3].Endpoints[0].State != balancer.Draining {
-		t.Errorf("%+v", e)
+	decoder := new(Decoder)
+	events := decodeAll(t, decoder, newFrame(fromHex(t, one, exampleUpdate, two, exampleUpdate)))
+	first, second := events[1].EndpointUpdate.Endpoints[0], events[3].EndpointUpdate.Endpoints[0]
+	if first.ID != 1 || second.ID != 2 || second.State != balancer.Draining {
+		t.Errorf("%+v", events)
 	}
-	e = decodeAll(t, d, newFrame(fromHex(t, "11 00000006 00000029 00 04", "11 00000006 00000029 09 02")))
-	if e[0].UpdateKind != balancer.UpdateFull || e[0].Endpoints[0].ID != 2 {
+	events = decodeAll(t, decoder, newFrame(fromHex(t, "11 00000006 00000029 00 04", "11 00000006 00000029 09 02")))
+	if full := events[0].EndpointUpdate; full.Kind != balancer.UpdateFull || full.Endpoints[0].ID != 2 {
 		t.Error("the list does not outlive its batch")
 	}
-	if e[1].UpdateKind != balancer.UpdateFailed || e[1].Endpoints != nil {
+	if failed := events[1].EndpointUpdate; failed.Kind != balancer.UpdateFailed || failed.Endpoints != nil {
 		t.Error("a failed call must not need a list")
 	}
 }
 
+// A malformed record is reported with its name, the field and the byte at fault.
 func TestMalformedRecords(t *testing.T) {
-	for _, c := range []struct{ name, records, record, reason string }{
-		{"header cut", "12 0000", "record", "needs 5 bytes"},
-		{"fields overrun", "12 00000021 00", "request", "overrun"},
-		{"fields short", "15 00000004 00000000", "cancelled_by_client", "needs 8"},
-		{"fields long", "16 00000005 0000004d 00", "timeout_fired", "too many"},
-		{"load count overruns", "14 00000016 0005bf975d3a91c4 0000 03124a07 00c8 00004844 01 02", "answer", "needs 8"},
-		{"config overruns", "10 0000000c 0000000000000000 00000009", "begin", "needs 9"},
-		{"entries overrun", "1a 00000005 00 00000002", "manifest", "2 entries"},
-		{"bad list number", "1a 00000005 10 00000000", "manifest", "list number 16"},
-		{"list not conveyed", "11 00000006 00000029 04 03", "membership", "not been conveyed"},
-		{"bad list kind", "11 00000006 00000029 00 07", "membership", "unknown kind 7"},
-		{"bad status", "14 00000016 0005bf975d3a91c4 0000 03124a07 00c9 00004844 01 00", "answer", "status 201"},
-		{"bad state", "1a 0000001a 00 00000001 00000001 00 00 0000 02 3f800000 0000000000000000", "manifest", "status 2"},
-		{"whisper overruns", "18 00000008 0002 0005 68692037", "whisper", "needs 5"},
+	for _, c := range []struct {
+		name, records, record, field string
+		offset                       int // in the record
+		reason                       string
+	}{
+		{"header cut", "12 0000", "record", "", 0, "needs 5 bytes"},
+		{"fields overrun", "12 00000021 00", "request", "", 1, "overrun"},
+		{"fields short", "15 00000004 00000000", "cancelled_by_client", "handle", 5, "needs 8"},
+		{"fields long", "16 00000005 0000004d 00", "timeout_fired", "", 9, "too many"},
+		{"load count overruns", "14 00000016 0005bf975d3a91c4 0000 03124a07 00c8 00004844 01 02", "answer", "stats", 27, "needs 8"},
+		{"config overruns", "10 0000000c 0000000000000000 00000009", "begin", "config", 17, "needs 9"},
+		{"entries overrun", "1a 00000005 00 00000002", "manifest", "nodes-list", 6, "2 entries"},
+		{"bad list number", "1a 00000005 10 00000000", "manifest", "roster-id", 5, "list number 16"},
+		{"list not defined", "11 00000006 00000029 04 03", "membership", "roster-id", 9, "not been defined"},
+		{"bad update kind", "11 00000006 00000029 00 07", "membership", "kind", 10, "unknown kind 7"},
+		{"bad status", "14 00000016 0005bf975d3a91c4 0000 03124a07 00c9 00004844 01 00", "answer", "status", 19, "status 201"},
+		{"bad state", "1a 0000001a 00 00000001 00000001 00 00 0000 02 3f800000 0000000000000000", "manifest", "status", 18, "status 2"},
+		{"gossip overruns", "18 00000008 0002 0005 68692037", "whisper", "payload", 9, "needs 5"},
 	} {
-		d := new(Decoder)
-		if _, _, err := d.Reset(newFrame(fromHex(t, c.records))); err != nil {
+		decoder := new(Decoder)
+		if _, _, err := decoder.Reset(newFrame(fromHex(t, c.records))); err != nil {
 			t.Fatal(err)
 		}
-		var e Event
-		err := d.Next(&e)
-		var bad *DecodeError
-		if !errors.As(err, &bad) || bad.Record != c.record || !strings.Contains(bad.Reason, c.reason) || bad.Offset < batchHeaderSize {
-			t.Errorf("%s: %v", c.name, err)
+		var event Event
+		err := decoder.Next(&event)
+		var malformed *DecodeError
+		if !errors.As(err, &malformed) || malformed.Record != c.record || malformed.Field != c.field ||
+			malformed.Offset != batchHeaderSize+c.offset || !strings.Contains(malformed.Reason, c.reason) {
+			t.Errorf("%s: %+v", c.name, err)
 		}
 	}
 }
 
 func FuzzDecoder(f *testing.F) {
-	for _, s := range []string{exampleInstance, exampleRequest, exampleTimer, exampleDisconnect, exampleHeaders, exampleOutcome, exampleProbeResult, exampleGossip,
-		exampleEndpointList + exampleUpdate, "ff 00000002 0102", "1a 00000005 00 ffffffff"} {
-		f.Add(fromHex(f, s))
+	for _, records := range []string{exampleInstance, exampleRequest, exampleTimer, exampleDisconnect, exampleHeaders,
+		exampleOutcome, exampleProbeResult, exampleGossip, exampleEndpointList + exampleUpdate, "ff 00000002 0102",
+		"1a 00000005 00 ffffffff"} {
+		f.Add(fromHex(f, records))
 	}
 	f.Fuzz(func(t *testing.T, records []byte) {
-		d := new(Decoder)
-		if _, _, err := d.Reset(newFrame(records)); err != nil {
+		decoder := new(Decoder)
+		if _, _, err := decoder.Reset(newFrame(records)); err != nil {
 			t.Fatal(err)
 		}
-		for n := 0; ; n++ {
-			var e Event
-			err := d.Next(&e)
+		for count := 0; ; count++ {
+			var event Event
+			err := decoder.Next(&event)
 			if err != nil {
-				var bad *DecodeError
-				if err != io.EOF && !errors.As(err, &bad) {
+				var malformed *DecodeError
+				if err != io.EOF && !errors.As(err, &malformed) {
 					t.Fatalf("error of another kind: %v", err)
 				}
 				return
 			}
-			if n > len(records) {
+			if count > len(records) {
 				t.Fatal("more records than bytes")
 			}
 		}
--- a/internal/simwire/frames.go
+++ b/internal/simwire/frames.go
@@ -5,48 +5,79 @@
 	"errors"
 	"fmt"
 	"io"
+
+	"bramblestand/balancer"
+)
+
+// A batch's header: its number, the size of the frame with the header, and the clock.
+const (
+	batchSizeOffset  = 4
+	batchClockOffset = 8
+	batchHeaderSize  = 16
+)
+
+const (
+	maxFrameSize       = 1 << 30
+	initialFrameBuffer = 1 << 16
+	maxFrameGrowth     = 1 << 20 // bytes of memory that are taken ahead of the input
 )
 
+// Names of what is not a record of its own, in errors.
 const (
-	batchHeaderSize   = 16
-	replyHeaderSize   = 12
-	recordHeaderSize  = 5
-	endpointEntrySize = 21
-	maxEndpointLists  = 16
-	maxFrameSize      = 1 << 30
+	batchHeaderName = "batch header"
+	batchName       = "batch"
 )
 
-// ReadFrame reads one batch into buf, growing it as needed. It returns io.EOF
-// only at a clean end of input.
-func ReadFrame(r io.Reader, buf []byte) ([]byte, error) {
-	if cap(buf) < batchHeaderSize {
-		buf = make([]byte, 1<<16)
+// ReadFrame reads one batch into buffer, growing it as needed, and returns the frame. It returns io.EOF only if the input
+// ends before the first byte of a frame, and a *DecodeError if it ends later or if the frame's size is out of range.
+func ReadFrame(r io.Reader, buffer []byte) ([]byte, error) {
+	if cap(buffer) < batchHeaderSize {
+		buffer = make([]byte, initialFrameBuffer)
 	}
-	buf = buf[:batchHeaderSize]
-	if n, err := io.ReadFull(r, buf); err != nil {
+	buffer = buffer[:batchHeaderSize]
+	if n, err := io.ReadFull(r, buffer); err != nil {
 		if errors.Is(err, io.EOF) {
 			return nil, io.EOF
 		}
-		return nil, &DecodeError{"batch header", n, "input ends inside it"}
+		return nil, &DecodeError{Record: batchHeaderName, Offset: n, Reason: "input ends inside it"}
 	}
-	size := int(binary.BigEndian.Uint32(buf[4:]))
+	size := int(binary.BigEndian.Uint32(buffer[batchSizeOffset:]))
 	if size < batchHeaderSize || size > maxFrameSize {
-		return nil, &DecodeError{"batch header", 4, fmt.Sprintf("frame size %d is out of range", size)}
+		return nil, &DecodeError{Record: batchHeaderName, Offset: batchSizeOffset,
+			Reason: fmt.Sprintf("frame size %d is out of range", size)}
 	}
-	for have := batchHeaderSize; have < size; {
-		// Grow as bytes arrive: a size alone must not take memory.
-		step := min(size-have, 1<<20)
-		if cap(buf) < have+step {
-			grown := make([]byte, have, max(have+step, 2*cap(buf)))
-			copy(grown, buf)
-			buf = grown
+	return readRecords(r, buffer, size)
+}
+
+// readRecords reads the rest of a frame of size bytes, whose header stands in buffer.
+func readRecords(r io.Reader, buffer []byte, size int) ([]byte, error) {
+	for received := len(buffer); received < size; {
+		// The buffer grows as bytes arrive: a size alone must not take memory.
+		step := min(size-received, maxFrameGrowth)
+		if cap(buffer) < received+step {
+			grown := make([]byte, received, max(received+step, 2*cap(buffer)))
+			copy(grown, buffer)
+			buffer = grown
 		}
-		buf = buf[:have+step]
-		n, err := io.ReadFull(r, buf[have:])
+		buffer = buffer[:received+step]
+		n, err := io.ReadFull(r, buffer[received:])
 		if err != nil {
-			return nil, &DecodeError{"batch", have + n, fmt.Sprintf("input ends inside a frame of %d bytes", size)}
+			return nil, &DecodeError{Record: batchName, Offset: received + n,
+				Reason: fmt.Sprintf("input ends inside a frame of %d bytes", size)}
 		}
-		have += step
+		received += step
+	}
+	return buffer, nil
+}
+
+// decodeBatchHeader returns the number and the clock of a frame.
+func decodeBatchHeader(frame []byte) (batch uint32, now balancer.Micros, err error) {
+	if len(frame) < batchHeaderSize {
+		return 0, 0, &DecodeError{Record: batchHeaderName, Offset: len(frame), Reason: "shorter than a header"}
+	}
+	if size := int(binary.BigEndian.Uint32(frame[batchSizeOffset:])); size != len(frame) {
+		return 0, 0, &DecodeError{Record: batchHeaderName, Offset: batchSizeOffset,
+			Reason: fmt.Sprintf("size %d but %d bytes", size, len(frame))}
 	}
-	return buf, nil
+	return binary.BigEndian.Uint32(frame), balancer.Micros(binary.BigEndian.Uint64(frame[batchClockOffset:])), nil
 }
--- a/internal/simwire/frames_test.go
+++ b/internal/simwire/frames_test.go
@@ -8,24 +8,40 @@
 	"io"
 	"strings"
 	"testing"
+
+	"bramblestand/balancer"
+)
+
+const (
+	exampleBatch = 12
+	exampleClock = balancer.Micros(0x805c5a)
 )
 
+// fromHex decodes hexadecimal text, in which spaces may stand.
 func fromHex(t testing.TB, parts ...string) []byte {
 	t.Helper()
-	b, err := hex.DecodeString(strings.ReplaceAll(strings.Join(parts, ""), " ", ""))
+	data, err := hex.DecodeString(strings.ReplaceAll(strings.Join(parts, ""), " ", ""))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b
+	return data
 }
 
 // newFrame puts records behind a batch header.
 func newFrame(records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
-	f := binary.BigEndian.AppendUint32(nil, 12)
-	f = binary.BigEndian.AppendUint32(f, uint32(batchHeaderSize+len(body)))
-	f = binary.BigEndian.AppendUint64(f, 0x805c5a)
-	return append(f, body...)
+	frame := binary.BigEndian.AppendUint32(nil, exampleBatch)
+	frame = binary.BigEndian.AppendUint32(frame, uint32(batchHeaderSize+len(body)))
+	frame = binary.BigEndian.AppendUint64(frame, uint64(exampleClock))
+	return append(frame, body...)
+}
+
+func TestReadFrameReturnsTheFrame(t *testing.T) {
+	frame := newFrame(fromHex(t, exampleInstance, exampleRequest, exampleTimer))
+	got, err := ReadFrame(bytes.NewReader(frame), nil)
+	if err != nil || !bytes.Equal(got, frame) {
+		t.Errorf("read %x, %v; want %x", got, err, frame)
+	}
 }
 
 func TestMalformedFrames(t *testing.T) {
@@ -36,8 +52,8 @@
 		"size of gigabytes":     "0000000c ffffffff 0000000000805c5a 00",
 	} {
 		_, err := ReadFrame(bytes.NewReader(fromHex(t, text)), nil)
-		var bad *DecodeError
-		if !errors.As(err, &bad) {
+		var malformed *DecodeError
+		if !errors.As(err, &malformed) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/simwire/names.go
+++ b/internal/simwire/names.go
@@ -1,56 +1,115 @@
 package simwire
 
-import (
-	"fmt"
-)
+import "fmt"
 
-// Code numbers an event or an action; the two have separate code spaces.
-type Code uint8
+// EventCode numbers a kind of event, a record of a batch. Events and actions have separate code spaces.
+type EventCode uint8
 
-// Codes of events.
+// The kinds of event.
 const (
-	EventStart              Code = 16
-	EventEndpointUpdate     Code = 17
-	EventRequest            Code = 18
-	EventResponseStarted    Code = 19
-	EventAttemptFinished    Code = 20
-	EventClientDisconnected Code = 21
-	EventTimerFired         Code = 22
-	EventLoadProbeResult    Code = 23
-	EventGossip             Code = 24
-	EventStop               Code = 25
-	EventEndpointList       Code = 26
-	EventInstance           Code = 27
+	EventStart              EventCode = 16 // an instance starts
+	EventEndpointUpdate     EventCode = 17 // discovery's list changed, or a call to discovery failed
+	EventRequest            EventCode = 18 // a client's request arrived
+	EventResponseStarted    EventCode = 19 // a streamed response began
+	EventAttemptFinished    EventCode = 20 // an attempt ended
+	EventClientDisconnected EventCode = 21 // the client gave its request up
+	EventTimerFired         EventCode = 22 // a timer is due
+	EventLoadProbeResult    EventCode = 23 // a load probe ended
+	EventGossip             EventCode = 24 // a message of another instance arrived
+	EventStop               EventCode = 25 // the instance was killed
+	EventEndpointList       EventCode = 26 // defines a numbered endpoint list for the whole process
+	EventInstance           EventCode = 27 // names the instance of the events that follow
 )
 
-// Codes of actions.
+// ActionCode numbers a kind of action, a record of a reply.
+type ActionCode uint8
+
+// The kinds of action.
 const (
-	ActionStartAttempt         Code = 80
-	ActionReject               Code = 81
-	ActionFail                 Code = 82
-	ActionCancelAttempt        Code = 83
-	ActionSetTimer             Code = 84
-	ActionSendLoadProbe        Code = 85
-	ActionCloseIdleConnections Code = 86
-	ActionSendGossip           Code = 87
-	ActionLog                  Code = 88
-	ActionReportFault          Code = 89
-	ActionWatchEndpoints       Code = 90
-	ActionListEndpoints        Code = 91
-	ActionSelectInstance       Code = 92
+	ActionStartAttempt         ActionCode = 80 // deliver
+	ActionReject               ActionCode = 81 // decline
+	ActionFail                 ActionCode = 82 // fail
+	ActionCancelAttempt        ActionCode = 83 // revoke
+	ActionSetTimer             ActionCode = 84 // arm
+	ActionSendLoadProbe        ActionCode = 85 // sound_out
+	ActionCloseIdleConnections ActionCode = 86 // let_go
+	ActionSendGossip           ActionCode = 87 // write_peer
+	ActionLog                  ActionCode = 88 // trace
+	ActionReportFault          ActionCode = 89 // exception
+	ActionWatchEndpoints       ActionCode = 90 // track
+	ActionListEndpoints        ActionCode = 91 // list_all
+	ActionSelectInstance       ActionCode = 92 // as
 )
 
-var eventNames = map[Code]string{
-	EventStart: "begin", EventEndpointUpdate: "membership", EventRequest: "request", EventResponseStarted: "headers",
-	EventAttemptFinished: "answer", EventClientDisconnected: "cancelled_by_client", EventTimerFired: "timeout_fired",
-	EventLoadProbeResult: "health_result", EventGossip: "whisper", EventStop: "stop", EventEndpointList: "manifest",
-	EventInstance: "instance",
+// eventNames holds the names of events on the wire.
+var eventNames = [...]string{
+	EventStart:              "begin",
+	EventEndpointUpdate:     "membership",
+	EventRequest:            "request",
+	EventResponseStarted:    "headers",
+	EventAttemptFinished:    "answer",
+	EventClientDisconnected: "cancelled_by_client",
+	EventTimerFired:         "timeout_fired",
+	EventLoadProbeResult:    "health_result",
+	EventGossip:             "whisper",
+	EventStop:               "stop",
+	EventEndpointList:       "manifest",
+	EventInstance:           "instance",
+}
+
+// Known reports whether this version decodes events of the code.
+func (c EventCode) Known() bool {
+	return int(c) < len(eventNames) && eventNames[c] != ""
 }
 
-// String returns the event's name on the wire.
-func (c Code) String() string {
-	if name, ok := eventNames[c]; ok {
-		return name
+// String returns the event's name on the wire, or its number if the code is unknown.
+func (c EventCode) String() string {
+	if c.Known() {
+		return eventNames[c]
 	}
 	return fmt.Sprintf("event %d", uint8(c))
 }
+
+// Names of an event's fields on the wire.
+const (
+	fieldInstance      = "i"
+	fieldSeed          = "salt"
+	fieldSettings      = "config"
+	fieldListVersion   = "gen"
+	fieldListNumber    = "roster-id"
+	fieldUpdateKind    = "kind"
+	fieldRequestID     = "handle"
+	fieldKey           = "affinity"
+	fieldDeadline      = "deadline"
+	fieldCostHint      = "cost-guess"
+	fieldRequestFlags  = "opts"
+	fieldTenant        = "account"
+	fieldClass         = "grade"
+	fieldAttempt       = "send-no"
+	fieldEndpoint      = "endpoint"
+	fieldStatus        = "status"
+	fieldLatency       = "latency"
+	fieldRequestDone   = "settled"
+	fieldLoadReport    = "stats"
+	fieldTimerToken    = "tag"
+	fieldGossipSender  = "src"
+	fieldGossipMessage = "payload"
+)
+
+// Names of the fields of an entry in an endpoint list.
+const (
+	fieldEntries     = "nodes-list"
+	fieldZone        = "failure-domain"
+	fieldMachineType = "sku"
+	fieldPod         = "cluster"
+	fieldState       = "status"
+	fieldWeight      = "share"
+	fieldStartTime   = "start-time"
+)
+
+// Bits of fieldRequestFlags.
+const (
+	flagHasCostHint = 1 << iota
+	flagIsRetry
+	flagIsWrite
+)
--- a/internal/simwire/record_reader.go
+++ b/internal/simwire/record_reader.go
@@ -8,56 +8,92 @@
 	"bramblestand/balancer"
 )
 
-func (d *Decoder) fail(reason string) {
-	if d.err == nil {
-		d.err = &DecodeError{d.recName, d.recAt + d.off, reason}
+// A record's header: its code and the length of its fields.
+const (
+	recordSizeOffset = 1
+	recordHeaderSize = 5
+)
+
+// loadFigureSize is the length of one figure of a load report.
+const loadFigureSize = 4
+
+// recordReader reads the fields of one record in their order. After an error all reads return zero values, so that a
+// record's fields can be read without a check after each.
+type recordReader struct {
+	name       string // of the record on the wire
+	start      int    // of the record, from the start of its frame
+	data       []byte // the record with its header
+	offset     int    // of the next field, from the start of the record
+	err        *DecodeError
+	loadReport []float32 // the latest one, reused
+}
+
+// remaining returns how many bytes of the record have not been read.
+func (r *recordReader) remaining() int { return len(r.data) - r.offset }
+
+// failAt keeps the first error, of a field that starts at offset in the record.
+func (r *recordReader) failAt(offset int, field, reason string) {
+	if r.err == nil {
+		r.err = &DecodeError{Record: r.name, Field: field, Offset: r.start + offset, Reason: reason}
 	}
 }
 
 // take returns the next n bytes of the record, or nil after an error.
-func (d *Decoder) take(n int) []byte {
-	if d.err != nil {
+func (r *recordReader) take(n int, field string) []byte {
+	if r.err != nil {
 		return nil
 	}
-	if n < 0 || len(d.rec)-d.off < n {
-		d.fail(fmt.Sprintf("needs %d more bytes, has %d", n, len(d.rec)-d.off))
+	if n < 0 || r.remaining() < n {
+		r.failAt(r.offset, field, fmt.Sprintf("needs %d more bytes, has %d", n, r.remaining()))
 		return nil
 	}
-	p := d.rec[d.off : d.off+n]
-	d.off += n
-	return p
+	taken := r.data[r.offset : r.offset+n]
+	r.offset += n
+	return taken
 }
 
-func (d *Decoder) u8() uint8 {
-	if p := d.take(1); p != nil {
+func (r *recordReader) uint8(field string) uint8 {
+	if p := r.take(1, field); p != nil {
 		return p[0]
 	}
 	return 0
 }
 
-func (d *Decoder) u16() uint16 {
-	if p := d.take(2); p != nil {
+func (r *recordReader) uint16(field string) uint16 {
+	if p := r.take(2, field); p != nil {
 		return binary.BigEndian.Uint16(p)
 	}
 	return 0
 }
 
-func (d *Decoder) u32() uint32 {
-	if p := d.take(4); p != nil {
+func (r *recordReader) uint32(field string) uint32 {
+	if p := r.take(4, field); p != nil {
 		return binary.BigEndian.Uint32(p)
 	}
 	return 0
 }
 
-func (d *Decoder) u64() uint64 {
-	if p := d.take(8); p != nil {
+func (r *recordReader) uint64(field string) uint64 {
+	if p := r.take(8, field); p != nil {
 		return binary.BigEndian.Uint64(p)
 	}
 	return 0
 }
 
-func (d *Decoder) status() balancer.Status {
-	code := d.u16()
+func (r *recordReader) float32(field string) float32 { return math.Float32frombits(r.uint32(field)) }
+
+// duration reads a duration of four bytes.
+func (r *recordReader) duration(field string) balancer.Micros {
+	return balancer.Micros(r.uint32(field))
+}
+
+// instant reads a time of the batch's clock.
+func (r *recordReader) instant(field string) balancer.Micros { return balancer.Micros(r.uint64(field)) }
+
+// status reads how an attempt or a load probe ended.
+func (r *recordReader) status() balancer.Status {
+	start := r.offset
+	code := r.uint16(fieldStatus)
 	switch code {
 	case 200:
 		return balancer.OK
@@ -76,19 +112,17 @@
 	case 410:
 		return balancer.NotSent
 	}
-	if d.err == nil {
-		d.off -= 2
-		d.fail(fmt.Sprintf("unknown status %d", code))
-	}
+	r.failAt(start, fieldStatus, fmt.Sprintf("unknown status %d", code))
 	return balancer.Error
 }
 
-func (d *Decoder) loads() []float32 {
-	n := int(d.u8())
-	p := d.take(4 * n)
-	d.load = d.load[:0]
-	for i := 0; i+4 <= len(p); i += 4 {
-		d.load = append(d.load, math.Float32frombits(binary.BigEndian.Uint32(p[i:])))
+// loads reads a load report. It is valid until the next one is read.
+func (r *recordReader) loads() []float32 {
+	count := int(r.uint8(fieldLoadReport))
+	figures := r.take(loadFigureSize*count, fieldLoadReport)
+	r.loadReport = r.loadReport[:0]
+	for ; len(figures) >= loadFigureSize; figures = figures[loadFigureSize:] {
+		r.loadReport = append(r.loadReport, math.Float32frombits(binary.BigEndian.Uint32(figures)))
 	}
-	return d.load
+	return r.loadReport
 }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -3,200 +3,164 @@
 import (
 	"fmt"
 	"math"
-	"strconv"
 	"strings"
 
 	"bramblestand/balancer"
 )
 
-// settingsText holds the pairs of a config text and the first error met.
-type settingsText struct {
-	values map[string]string
-	err    error
-}
+// defaultMaxPollInterval applies where the settings do not say how often a balancer without a subscription must poll.
+const defaultMaxPollInterval balancer.Micros = 10_000_000
 
-// parseValue returns the value of a key, parsed; a key that is absent gives def.
-func parseValue[T any](t *settingsText, key string, def T, what string, parse func(string) (T, error)) T {
-	text, ok := t.values[key]
-	if !ok {
-		return def
-	}
-	v, err := parse(text)
+// ParseSettings reads a settings text: lines of path=value, where a list of objects gives its length under .count and its
+// items under .0, .1 and so on, and a list of plain values is separated by commas. The functions below it map the keys to
+// the balancer's terms. Keys that they do not name are skipped.
+//
+// Its errors are *balancer.SettingError and name the key in the text. Whether values make sense together is for
+// [balancer.Settings.Validate] to say. No decision reads position, areas, skus, limits.dial-timeout, contract.drain-grace,
+// contract.answer-slack, prices.waste, prices.late-fail and goal.worst-tenant.
+func ParseSettings(text string) (balancer.Settings, error) {
+	t, err := splitSettings(text)
 	if err != nil {
-		if t.err == nil {
-			t.err = &balancer.SettingError{Key: key, Value: text, Reason: "not " + what}
-		}
-		return def
+		return balancer.Settings{}, err
 	}
-	return v
+	settings := balancer.Settings{
+		Balancers:        int(t.integer("peers-total", 1)),
+		Index:            int(t.integer("position", 0)),
+		Zone:             int(t.integer("zone", 0)),
+		Zones:            itemCount(t.values["areas"]),
+		MachineTypes:     itemCount(t.values["skus"]),
+		MustSubscribe:    enum(t, "discovery", false, map[string]bool{"automatic": false, "subscribe": true}),
+		Tick:             t.integer("tick", 0),
+		Limits:           parseLimits(t),
+		Rules:            parseRules(t),
+		Costs:            parseCosts(t),
+		Objective:        parseObjective(t),
+		OverQuotaWeight:  t.number("over-share-worth", 1),
+		PriorityPerWork:  enum(t, "value-by", false, map[string]bool{"request": false, "work": true}),
+		LoadReportFields: parseLoadReportFields(t),
+		Classes:          parseClasses(t),
+		Tenants:          parseTenants(t),
+	}
+	return settings, t.err
 }
 
-func (t *settingsText) number(key string, def float64) float64 {
-	return parseValue(t, key, def, "a finite number", func(s string) (float64, error) {
-		v, err := strconv.ParseFloat(s, 64)
-		if err == nil && (math.IsNaN(v) || math.IsInf(v, 0)) {
-			err = strconv.ErrRange
-		}
-		return v, err
-	})
+func parseLimits(t *settingsText) balancer.Limits {
+	return balancer.Limits{
+		AllowCancel:     t.bool("limits.cancel", false),
+		AllowLoadProbes: t.bool("limits.probes", false),
+		AllowHedging:    t.bool("limits.second-copies", false),
+		AllowRetryAfter: t.bool("limits.retry-after", false),
+		AllowGossip:     t.bool("limits.may-tell", false),
+		MaxAttempts:     int(t.integer("limits.most-tries", 1)),
+		MaxUnanswered:   int(t.integer("limits.most-held", math.MaxInt32)),
+		MaxRetryAfter:   t.integer("limits.max-retry-after", 0),
+		DialTimeout:     t.integer("limits.dial-timeout", 0),
+	}
 }
 
-func (t *settingsText) integer(key string, def int64) int64 {
-	return parseValue(t, key, def, "a whole number", func(s string) (int64, error) {
-		return strconv.ParseInt(s, 10, 64)
-	})
+func parseRules(t *settingsText) balancer.Rules {
+	return balancer.Rules{
+		DrainGrace:           t.integer("contract.drain-grace", 0),
+		SlowStartMinCapacity: t.number("contract.cold-from", 1),
+		SlowStartDuration:    t.integer("contract.ramp-time", 0),
+		OverloadMultiple:     t.number("contract.fall-multiple", 1),
+		OverloadDuration:     t.integer("contract.overload-for", 0),
+		MaxPollInterval:      t.integer("contract.ask-within", defaultMaxPollInterval),
+		ResponseSlack:        t.integer("contract.answer-slack", 0),
+	}
 }
 
-func (t *settingsText) bool(key string, def bool) bool {
-	return parseValue(t, key, def, "true or false", strconv.ParseBool)
+func parseCosts(t *settingsText) balancer.Costs {
+	return balancer.Costs{
+		CrossZone:     t.number("prices.cross-zone", 0),
+		LoadProbe:     t.number("prices.probe", 0),
+		GossipMessage: t.number("prices.peer", 0),
+		WastedWork:    t.number("prices.waste", 0),
+		LateFailure:   t.number("prices.late-fail", 0),
+	}
 }
 
-// enum returns the meaning of a word; what an unlisted word means is an error.
-func enum[T any](t *settingsText, key string, def T, words map[string]T) T {
-	return parseValue(t, key, def, "a known word", func(s string) (T, error) {
-		if v, ok := words[s]; ok {
-			return v, nil
-		}
-		return def, strconv.ErrSyntax
-	})
+func parseObjective(t *settingsText) balancer.Objective {
+	return balancer.Objective{
+		Overall:     t.number("goal.whole", 1),
+		WorstWindow: t.number("goal.worst-window", 0),
+		WorstClass:  t.number("goal.worst-class", 0),
+		WorstTenant: t.number("goal.worst-tenant", 0),
+	}
 }
 
-// listLength returns the length of a list of objects, each of which must be there.
-func (t *settingsText) listLength(key string, required bool) int {
-	if _, ok := t.values[key+".count"]; !ok && required && t.err == nil {
-		t.err = &balancer.SettingError{Key: key + ".count", Value: "", Reason: "is missing"}
-	}
-	n := t.integer(key+".count", 0)
-	if n < 0 || n > 256 {
-		if t.err == nil {
-			t.err = &balancer.SettingError{Key: key + ".count", Value: strconv.FormatInt(n, 10), Reason: "out of range"}
-		}
-		return 0
+// loadFields maps the names of a load report's figures. Others are balancer.LoadFieldUnknown.
+var loadFields = map[string]balancer.LoadField{
+	"busy_reqs": balancer.LoadFieldInFlight,
+	"pending":   balancer.LoadFieldQueueLength,
+	"cpu_share": balancer.LoadFieldUtilization,
+	"svc_ms":    balancer.LoadFieldServiceTime,
+	"served_ps": balancer.LoadFieldThroughput,
+	"failed_ps": balancer.LoadFieldErrorRate,
+}
+
+// parseLoadReportFields returns the figures of a load report in their order, nil where endpoints send no reports.
+func parseLoadReportFields(t *settingsText) []balancer.LoadField {
+	sendsReports := enum(t, "reporting.how", false, map[string]bool{"answers": true, "probe": true, "none": false})
+	names := t.values["reporting.fields"]
+	if !sendsReports || names == "" {
+		return nil
 	}
-	for i := range int(n) {
-		found := false
-		for k := range t.values {
-			if strings.HasPrefix(k, fmt.Sprintf("%s.%d.", key, i)) {
-				found = true
-				break
-			}
-		}
-		if !found && t.err == nil {
-			t.err = &balancer.SettingError{Key: key + ".count", Value: strconv.FormatInt(n, 10),
-				Reason: fmt.Sprintf("%s.%d is missing", key, i)}
-		}
+	var fields []balancer.LoadField
+	for _, name := range strings.Split(names, ",") {
+		fields = append(fields, loadFields[name])
 	}
-	return int(n)
+	return fields
 }
 
-// itemCount counts the comma-separated items of a list of plain values.
-func itemCount(text string) int {
-	if text == "" {
-		return 0
-	}
-	return strings.Count(text, ",") + 1
+// retrySafeties maps what a repeated request of a class does.
+var retrySafeties = map[string]balancer.RetrySafety{
+	"pure":        balancer.Idempotent,
+	"token":       balancer.IdempotentWithKey,
+	"side_effect": balancer.NonIdempotent,
 }
 
-var loadFields = map[string]balancer.LoadField{
-	"busy_reqs": balancer.LoadFieldInFlight, "pending": balancer.LoadFieldQueueLength, "cpu_share": balancer.LoadFieldUtilization,
-	"svc_ms": balancer.LoadFieldServiceTime, "served_ps": balancer.LoadFieldThroughput, "failed_ps": balancer.LoadFieldErrorRate,
+// dedupScopes maps which endpoints drop the repeats of a request.
+var dedupScopes = map[string]balancer.DedupScope{
+	"all":  balancer.DedupScopeFleet,
+	"zone": balancer.DedupScopeZone,
+	"cell": balancer.DedupScopePod,
 }
 
-// ParseSettings reads the config text of a begin record. Keys that it does not
-// know are skipped. Errors are *balancer.SettingError and name the key on the wire.
-func ParseSettings(text string) (balancer.Settings, error) {
-	t := &settingsText{values: map[string]string{}}
-	for i, line := range strings.Split(text, "\n") {
-		line = strings.TrimSuffix(line, "\r")
-		if line == "" {
-			continue
-		}
-		key, value, ok := strings.Cut(line, "=")
-		if !ok {
-			return balancer.Settings{}, &balancer.SettingError{Key: fmt.Sprintf("line %d", i+1), Value: line,
-				Reason: "not of the form path=value"}
-		}
-		t.values[key] = value
-	}
-	s := balancer.Settings{
-		Balancers:     int(t.integer("peers-total", 1)),
-		Index:         int(t.integer("position", 0)),
-		Zone:          int(t.integer("zone", 0)),
-		Zones:         itemCount(t.values["areas"]),
-		MachineTypes:  itemCount(t.values["skus"]),
-		MustSubscribe: enum(t, "discovery", false, map[string]bool{"automatic": false, "subscribe": true}),
-		Tick:          t.integer("tick", 0),
-		Limits: balancer.Limits{
-			AllowCancel:     t.bool("limits.cancel", false),
-			AllowLoadProbes: t.bool("limits.probes", false),
-			AllowHedging:    t.bool("limits.second-copies", false),
-			AllowRetryAfter: t.bool("limits.retry-after", false),
-			AllowGossip:     t.bool("limits.may-tell", false),
-			MaxAttempts:     int(t.integer("limits.most-tries", 1)),
-			MaxUnanswered:   int(t.integer("limits.most-held", math.MaxInt32)),
-			MaxRetryAfter:   t.integer("limits.max-retry-after", 0),
-			DialTimeout:     t.integer("limits.dial-timeout", 0),
-		},
-		Rules: balancer.Rules{
-			DrainGrace:           t.integer("contract.drain-grace", 0),
-			SlowStartMinCapacity: t.number("contract.cold-from", 1),
-			SlowStartDuration:    t.integer("contract.ramp-time", 0),
-			OverloadMultiple:     t.number("contract.fall-multiple", 1),
-			OverloadDuration:     t.integer("contract.overload-for", 0),
-			MaxPollInterval:      t.integer("contract.ask-within", 10_000_000),
-			ResponseSlack:        t.integer("contract.answer-slack", 0),
-		},
-		Costs: balancer.Costs{
-			CrossZone:     t.number("prices.cross-zone", 0),
-			LoadProbe:     t.number("prices.probe", 0),
-			GossipMessage: t.number("prices.peer", 0),
-			WastedWork:    t.number("prices.waste", 0),
-			LateFailure:   t.number("prices.late-fail", 0),
-		},
-		Objective: balancer.Objective{
-			Overall:     t.number("goal.whole", 1),
-			WorstWindow: t.number("goal.worst-window", 0),
-			WorstClass:  t.number("goal.worst-class", 0),
-			WorstTenant: t.number("goal.worst-tenant", 0),
-		},
-		OverQuotaWeight: t.number("over-share-worth", 1),
-		PriorityPerWork: enum(t, "value-by", false,
-			map[string]bool{"request": false, "work": true}),
-	}
-	how := enum(t, "reporting.how", "none", map[string]string{"answers": "answers", "probe": "probe", "none": "none"})
-	if fields := t.values["reporting.fields"]; how != "none" && fields != "" {
-		for _, f := range strings.Split(fields, ",") {
-			s.LoadReportFields = append(s.LoadReportFields, loadFields[f])
-		}
-	}
-	for i := range t.listLength("classes", true) {
-		at := fmt.Sprintf("classes.%d.", i)
-		for _, key := range [...]string{"target", "give-up", "repeat"} {
-			if _, ok := t.values[at+key]; !ok && t.err == nil {
-				t.err = &balancer.SettingError{Key: at + key, Value: "", Reason: "is missing"}
-			}
-		}
-		s.Classes = append(s.Classes, balancer.Class{
-			Name: t.values[at+"name"],
-			RetrySafety: enum(t, at+"repeat", balancer.NonIdempotent, map[string]balancer.RetrySafety{
-				"pure": balancer.Idempotent, "token": balancer.IdempotentWithKey, "side_effect": balancer.NonIdempotent}),
-			DedupScope: enum(t, at+"group", balancer.DedupScopePod, map[string]balancer.DedupScope{
-				"all": balancer.DedupScopeFleet, "zone": balancer.DedupScopeZone, "cell": balancer.DedupScopePod}),
-			DedupWindow:      t.integer(at+"window", 0),
-			LatencyObjective: t.integer(at+"target", 0),
-			ClientTimeout:    t.integer(at+"give-up", 0),
-			PriorityWeight:   t.number(at+"credit", 1),
-			LateWeight:       t.number(at+"late-value", 0),
-			Streaming:        t.bool(at+"stream", false),
+// parseClasses reads the request classes, which must be there.
+func parseClasses(t *settingsText) []balancer.Class {
+	t.require("classes.count")
+	var classes []balancer.Class
+	for i := range t.listLength("classes") {
+		prefix := fmt.Sprintf("classes.%d.", i)
+		t.require(prefix + "target")
+		t.require(prefix + "give-up")
+		t.require(prefix + "repeat")
+		classes = append(classes, balancer.Class{
+			Name:             t.values[prefix+"name"],
+			RetrySafety:      enum(t, prefix+"repeat", balancer.NonIdempotent, retrySafeties),
+			DedupScope:       enum(t, prefix+"group", balancer.DedupScopePod, dedupScopes),
+			DedupWindow:      t.integer(prefix+"window", 0),
+			LatencyObjective: t.integer(prefix+"target", 0),
+			ClientTimeout:    t.integer(prefix+"give-up", 0),
+			PriorityWeight:   t.number(prefix+"credit", 1),
+			LateWeight:       t.number(prefix+"late-value", 0),
+			Streaming:        t.bool(prefix+"stream", false),
 		})
 	}
-	for i := range t.listLength("tenants", false) {
-		at := fmt.Sprintf("tenants.%d.", i)
-		s.Tenants = append(s.Tenants, balancer.Tenant{
-			Name:     t.values[at+"name"],
-			Quota:    t.number(at+"allowance-per-s", 0),
-			Fraction: t.number(at+"share", 0),
+	return classes
+}
+
+// parseTenants reads the tenants, of which there may be none.
+func parseTenants(t *settingsText) []balancer.Tenant {
+	var tenants []balancer.Tenant
+	for i := range t.listLength("tenants") {
+		prefix := fmt.Sprintf("tenants.%d.", i)
+		tenants = append(tenants, balancer.Tenant{
+			Name:     t.values[prefix+"name"],
+			Quota:    t.number(prefix+"allowance-per-s", 0),
+			Fraction: t.number(prefix+"share", 0),
 		})
 	}
-	return s, t.err
+	return tenants
 }
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -40,16 +40,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(s.Classes) != 2 || s.Classes[1].RetrySafety != balancer.IdempotentWithKey || s.Classes[1].DedupScope != balancer.DedupScopeZone ||
-		s.Classes[1].DedupWindow != 400000 || !s.MustSubscribe || !s.PriorityPerWork || s.Zones != 2 || s.Limits.MaxAttempts != 3 ||
-		s.Objective.Overall != 0.6 || s.Tenants[0].Quota != 137 || s.Costs.LoadProbe != 0.002 {
+	if len(s.Classes) != 2 || s.Classes[1].RetrySafety != balancer.IdempotentWithKey ||
+		s.Classes[1].DedupScope != balancer.DedupScopeZone || s.Classes[1].DedupWindow != 400000 || !s.MustSubscribe ||
+		!s.PriorityPerWork || s.Zones != 2 || s.Limits.MaxAttempts != 3 || s.Objective.Overall != 0.6 ||
+		s.Tenants[0].Quota != 137 || s.Costs.LoadProbe != 0.002 {
 		t.Errorf("%+v", s)
 	}
-	if len(s.LoadReportFields) != 3 || s.LoadReportFields[0] != balancer.LoadFieldInFlight || s.LoadReportFields[2] != balancer.LoadFieldUnknown {
+	if len(s.LoadReportFields) != 3 || s.LoadReportFields[0] != balancer.LoadFieldInFlight ||
+		s.LoadReportFields[2] != balancer.LoadFieldUnknown {
 		t.Errorf("fields %v", s.LoadReportFields)
 	}
 	if _, err := balancer.New(s, 1, nil); err != nil {
-		t.Errorf("the constructor refuses them: %v", err)
+		t.Errorf("the constructor rejects them: %v", err)
 	}
 	if s, err = ParseSettings(strings.Replace(validSettings, "how=probe", "how=none", 1)); err != nil || s.LoadReportFields != nil {
 		t.Errorf("no reports: %v %v", s.LoadReportFields, err)
@@ -71,12 +73,12 @@
 	} {
 		text := strings.Replace(validSettings, c.old, c.new, 1)
 		_, err := ParseSettings(text)
-		var bad *balancer.SettingError
-		if !errors.As(err, &bad) || bad.Key != c.key {
+		var invalid *balancer.SettingError
+		if !errors.As(err, &invalid) || invalid.Key != c.key {
 			t.Errorf("%s -> %s: %v", c.old, c.new, err)
 		}
 	}
-	// Values that parse but make no sense are the constructor's to refuse.
+	// Values that can be parsed but make no sense are the constructor's to reject.
 	s, err := ParseSettings(strings.Replace(validSettings, "window=400000", "window=-1", 1))
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/simwire/settings_text.go
@@ -0,0 +1,133 @@
+package simwire
+
+import (
+	"fmt"
+	"math"
+	"strconv"
+	"strings"
+
+	"bramblestand/balancer"
+)
+
+// maxListItems is the most objects that a list in a settings text may have.
+const maxListItems = 256
+
+// settingsText holds the key=value pairs of a settings text and the first error met while values are read.
+type settingsText struct {
+	values map[string]string
+	err    error
+}
+
+// splitSettings splits a settings text into its pairs, one a line. Of a key that stands twice the last value counts.
+func splitSettings(text string) (*settingsText, error) {
+	t := &settingsText{values: map[string]string{}}
+	for i, line := range strings.Split(text, "\n") {
+		line = strings.TrimSuffix(line, "\r")
+		if line == "" {
+			continue
+		}
+		key, value, ok := strings.Cut(line, "=")
+		if !ok {
+			return nil, &balancer.SettingError{Key: fmt.Sprintf("line %d", i+1), Value: line,
+				Reason: "not of the form path=value"}
+		}
+		t.values[key] = value
+	}
+	return t, nil
+}
+
+// fail keeps the first error.
+func (t *settingsText) fail(key, value, reason string) {
+	if t.err == nil {
+		t.err = &balancer.SettingError{Key: key, Value: value, Reason: reason}
+	}
+}
+
+// parseValue returns the value of a key, or fallback if the key is absent or its value is not what is expected.
+func parseValue[T any](t *settingsText, key string, fallback T, expected string, parse func(string) (T, error)) T {
+	text, ok := t.values[key]
+	if !ok {
+		return fallback
+	}
+	value, err := parse(text)
+	if err != nil {
+		t.fail(key, text, "not "+expected)
+		return fallback
+	}
+	return value
+}
+
+// number returns a finite number.
+func (t *settingsText) number(key string, fallback float64) float64 {
+	return parseValue(t, key, fallback, "a finite number", func(text string) (float64, error) {
+		value, err := strconv.ParseFloat(text, 64)
+		if err == nil && (math.IsNaN(value) || math.IsInf(value, 0)) {
+			err = strconv.ErrRange
+		}
+		return value, err
+	})
+}
+
+// integer returns a whole number; durations are whole numbers of microseconds.
+func (t *settingsText) integer(key string, fallback int64) int64 {
+	return parseValue(t, key, fallback, "a whole number", func(text string) (int64, error) {
+		return strconv.ParseInt(text, 10, 64)
+	})
+}
+
+// bool returns a truth value.
+func (t *settingsText) bool(key string, fallback bool) bool {
+	return parseValue(t, key, fallback, "true or false", strconv.ParseBool)
+}
+
+// enum returns the meaning of a word. A word that is not among words is an error.
+func enum[T any](t *settingsText, key string, fallback T, words map[string]T) T {
+	return parseValue(t, key, fallback, "a known word", func(text string) (T, error) {
+		if meaning, ok := words[text]; ok {
+			return meaning, nil
+		}
+		return fallback, strconv.ErrSyntax
+	})
+}
+
+// require fails if a key is absent.
+func (t *settingsText) require(key string) {
+	if _, ok := t.values[key]; !ok {
+		t.fail(key, "", "is missing")
+	}
+}
+
+// listLength returns the length of a list of objects, each of which must have a key.
+func (t *settingsText) listLength(key string) int {
+	countKey := key + ".count"
+	length := t.integer(countKey, 0)
+	lengthText := strconv.FormatInt(length, 10)
+	if length < 0 || length > maxListItems {
+		t.fail(countKey, lengthText, "out of range")
+		return 0
+	}
+	for i := range int(length) {
+		item := fmt.Sprintf("%s.%d", key, i)
+		if !t.hasKeyUnder(item + ".") {
+			t.fail(countKey, lengthText, item+" is missing")
+		}
+	}
+	return int(length)
+}
+
+func (t *settingsText) hasKeyUnder(prefix string) bool {
+	for key := range t.values {
+		if strings.HasPrefix(key, prefix) {
+			return true
+		}
+	}
+	return false
+}
+
+// itemCount returns the length of a list of plain values, which are separated by commas.
+func itemCount(list string) int {
+	if list == "" {
+		return 0
+	}
+	return strings.Count(list, ",") + 1
+}
