--- a/internal/sidecar/durable.go
+++ b/internal/sidecar/durable.go
@@ -18,9 +18,9 @@
 	keepBudget = 20               // or this many times as long as the last one took: it costs at most 5% of a core
 )
 
-// recallState reads what an earlier process of this sidecar kept. It returns nil where there is nothing to
+// loadSnapshot reads what an earlier process of this sidecar kept. It returns nil where there is nothing to
 // recall; a file that cannot be read is logged by name and record, and set aside by the state package.
-func recallState(cfg *Config, log *slog.Logger) *state.Snapshot {
+func loadSnapshot(cfg *Config, log *slog.Logger) *state.Snapshot {
 	if cfg.StateDir == "" {
 		return nil
 	}
@@ -30,35 +30,35 @@
 	began := time.Now()
 	kept, err := state.Load(cfg.StateDir, cfg.Name)
 	switch {
-	case errors.Is(err, state.ErrNone):
+	case errors.Is(err, state.ErrNotFound):
 		log.Info("state: nothing kept; starting cold", "dir", cfg.StateDir)
 		return nil
 	case err != nil:
 		log.Error("state: not used; starting cold", "error", err)
 		return nil
 	}
-	log.Info("state: recalled", "file", state.Path(cfg.StateDir, cfg.Name), "seq", kept.Seq, "hosts", len(kept.Hosts),
-		"banned", len(kept.Banned), "drained", kept.Drained, "written", kept.Written, "took", time.Since(began))
+	log.Info("state: recalled", "file", state.Path(cfg.StateDir, cfg.Name), "seq", kept.ListVersion, "hosts", len(kept.Endpoints),
+		"banned", len(kept.Banned), "drained", kept.Drained, "written", kept.ListedAt, "took", time.Since(began))
 	return kept
 }
 
-// recall gives the balancer what was kept: bans whatever their age, a list no older than the stated age and newer
+// restore gives the balancer what was kept: bans whatever their age, a list no older than the stated age and newer
 // than the one the platform gave, as a cached list that is probed before it is trusted, and the baselines of the
 // servers on it. It returns the list to begin with.
-func (l *loop) recall(now balancer.Micros, kept *state.Snapshot) registry {
+func (l *loop) restore(now balancer.Micros, kept *state.Snapshot) registry {
 	list := l.cfg.known
 	if kept == nil {
 		return list
 	}
 	l.setBans(now, kept.Banned)
-	fresh := state.Fresh(kept.Written, time.Now(), l.cfg.StateAge)
-	if !fresh || (len(list.Hosts) > 0 && kept.Seq < list.Seq) {
-		l.log.Info("state: the kept list is not used", "written", kept.Written, "seq", kept.Seq, "known_seq", list.Seq,
+	fresh := state.IsFresh(kept.ListedAt, time.Now(), l.cfg.StateAge)
+	if !fresh || (len(list.Hosts) > 0 && kept.ListVersion < list.Seq) {
+		l.log.Info("state: the kept list is not used", "written", kept.ListedAt, "seq", kept.ListVersion, "known_seq", list.Seq,
 			"max_age", l.cfg.StateAge)
 		return list
 	}
-	l.listedAt = kept.Written
-	list = registry{Seq: kept.Seq, Whole: kept.Whole, Hosts: kept.Hosts}
+	l.listedAt = kept.ListedAt
+	list = registry{Seq: kept.ListVersion, Whole: kept.IsFullList, Hosts: kept.Endpoints}
 	if err := list.validate(); err != nil {
 		l.log.Error("state: the kept list is not valid; not used", "error", err)
 		return l.cfg.known
@@ -66,36 +66,36 @@
 	return list
 }
 
-// recallBaselines hands the balancer the kept figures of servers it now lists.
-func (l *loop) recallBaselines(now balancer.Micros, kept *state.Snapshot) {
+// restoreEndpointStates hands the balancer the kept figures of servers it now lists.
+func (l *loop) restoreEndpointStates(now balancer.Micros, kept *state.Snapshot) {
 	if kept == nil {
 		return
 	}
-	figures := make([]balancer.EndpointSnapshot, 0, len(kept.Servers))
-	for _, s := range kept.Servers {
-		if id, ok := l.ids[s.Host]; ok {
-			figures = append(figures, balancer.EndpointSnapshot{ID: id, LatencyBaseline: s.Base, LatencyCurrent: s.Current, ServiceTime: s.Pace, FailureRate: s.Errs})
+	figures := make([]balancer.EndpointSnapshot, 0, len(kept.EndpointStates))
+	for _, s := range kept.EndpointStates {
+		if id, ok := l.ids[s.Name]; ok {
+			figures = append(figures, balancer.EndpointSnapshot{ID: id, LatencyBaseline: s.LatencyBaseline, LatencyCurrent: s.LatencyCurrent, ServiceTime: s.ServiceTime, FailureRate: s.FailureRate})
 		}
 	}
 	l.balancer.Restore(now, figures)
 }
 
-// keeper writes snapshots away from the loop, the latest only where it falls behind.
-type keeper struct {
+// snapshotWriter writes snapshots away from the loop, the latest only where it falls behind.
+type snapshotWriter struct {
 	dir  string
 	log  *slog.Logger
 	next chan *state.Snapshot
 	took atomic.Int64 // nanoseconds the last save took, for the loop's cadence
 }
 
-func newKeeper(dir string, log *slog.Logger) *keeper {
-	k := &keeper{dir: dir, log: log, next: make(chan *state.Snapshot, 1)}
+func newSnapshotWriter(dir string, log *slog.Logger) *snapshotWriter {
+	k := &snapshotWriter{dir: dir, log: log, next: make(chan *state.Snapshot, 1)}
 	go k.run()
 	return k
 }
 
 // offer hands a snapshot over without waiting; one not yet written gives way to it. The loop alone calls it.
-func (k *keeper) offer(s *state.Snapshot) {
+func (k *snapshotWriter) offer(s *state.Snapshot) {
 	select {
 	case k.next <- s:
 	default:
@@ -107,7 +107,7 @@
 	}
 }
 
-func (k *keeper) run() {
+func (k *snapshotWriter) run() {
 	failing := false
 	for s := range k.next {
 		began := time.Now()
@@ -127,7 +127,7 @@
 
 // keepOrders has what operators ordered on disk, with all else that is kept, when it returns nil.
 func (l *loop) keepOrders(orders shared) error {
-	if l.keeper == nil {
+	if l.snapshots == nil {
 		return nil
 	}
 	var s *state.Snapshot
@@ -141,21 +141,21 @@
 
 // order puts what operators ordered into a snapshot.
 func order(s *state.Snapshot, orders shared) {
-	s.OpsSeq, s.Banned, s.Drained = orders.Seq, orders.Banned, orders.Drained
+	s.AdminRevision, s.Banned, s.Drained = orders.Seq, orders.Banned, orders.Drained
 }
 
 // snapshot is what the loop knows now that is worth keeping.
 func (l *loop) snapshot(now balancer.Micros) *state.Snapshot {
-	s := &state.Snapshot{Name: l.cfg.Name, Written: l.listedAt, Whole: true}
+	s := &state.Snapshot{SidecarName: l.cfg.Name, ListedAt: l.listedAt, IsFullList: true}
 	if l.seq != nil {
-		s.Seq = *l.seq
+		s.ListVersion = *l.seq
 	}
 	for _, to := range l.listings {
 		if to.state != balancer.Removed {
-			s.Hosts = append(s.Hosts, to.host)
+			s.Endpoints = append(s.Endpoints, to.host)
 		}
 	}
-	sort.Slice(s.Hosts, func(i, j int) bool { return s.Hosts[i].Name < s.Hosts[j].Name })
+	sort.Slice(s.Endpoints, func(i, j int) bool { return s.Endpoints[i].Name < s.Endpoints[j].Name })
 	if l.orders != nil {
 		order(s, *l.orders())
 	} else { // no operators here; those of an earlier process hold
@@ -164,9 +164,9 @@
 		}
 		sort.Strings(s.Banned)
 	}
-	s.View = l.keepView()
+	s.Membership = l.keepView()
 	for _, k := range l.balancer.Snapshot(now) {
-		s.Servers = append(s.Servers, state.Server{Host: l.names[k.ID], Base: k.LatencyBaseline, Current: k.LatencyCurrent, Pace: k.ServiceTime, Errs: k.FailureRate})
+		s.EndpointStates = append(s.EndpointStates, state.EndpointState{Name: l.names[k.ID], LatencyBaseline: k.LatencyBaseline, LatencyCurrent: k.LatencyCurrent, ServiceTime: k.ServiceTime, FailureRate: k.FailureRate})
 	}
 	return s
 }
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -58,23 +58,23 @@
 // its Actions. It never waits for the network; what it starts reports back
 // through events.
 type loop struct {
-	cfg      *Config
-	log      *slog.Logger
-	clock    clock
-	up       *upstream
-	disc     *discovery
-	events   chan func(now balancer.Micros)
-	urgent   chan func(now balancer.Micros) // operators' calls, ahead of events
-	ctx      context.Context                // ends with the loop
-	listed   atomic.Bool                    // endpoints are known
-	told     chan struct{}                  // closed once discovery has answered
-	fleet    atomic.Pointer[fleet.Fleet]    // nil where there is none to talk to, or not yet
-	keptView json.RawMessage                // of the fleet, by an earlier process
-	keeper   *keeper                        // nil where no state is kept
-	kept     *state.Snapshot                // what an earlier process kept, until the start
-	orders   func() *shared                 // what operators ordered; nil without operators
-	listedAt time.Time                      // wall clock when discovery last told the list
-	control  *control                       // counts what control costs; nil without operators
+	cfg       *Config
+	log       *slog.Logger
+	clock     clock
+	up        *upstream
+	disc      *discovery
+	events    chan func(now balancer.Micros)
+	urgent    chan func(now balancer.Micros) // operators' calls, ahead of events
+	ctx       context.Context                // ends with the loop
+	listed    atomic.Bool                    // endpoints are known
+	told      chan struct{}                  // closed once discovery has answered
+	fleet     atomic.Pointer[fleet.Fleet]    // nil where there is none to talk to, or not yet
+	keptView  json.RawMessage                // of the fleet, by an earlier process
+	snapshots *snapshotWriter                // nil where no state is kept
+	restored  *state.Snapshot                // what an earlier process kept, until the start
+	orders    func() *shared                 // what operators ordered; nil without operators
+	listedAt  time.Time                      // wall clock when discovery last told the list
+	control   *control                       // counts what control costs; nil without operators
 
 	// Below: the loop's goroutine alone.
 	balancer  decider
@@ -145,18 +145,18 @@
 func (l *loop) run() {
 	now := l.clock.now()
 	l.balancer.Start(now)
-	if list := l.recall(now, l.kept); len(list.Hosts) > 0 {
+	if list := l.restore(now, l.restored); len(list.Hosts) > 0 {
 		l.members(now, balancer.UpdateCached, list)
 	}
-	l.recallBaselines(now, l.kept)
-	l.kept = nil
+	l.restoreEndpointStates(now, l.restored)
+	l.restored = nil
 	if !l.cfg.Settings.MustSubscribe {
 		l.WatchEndpoints(true)
 	}
 	prune := time.NewTicker(pruneEvery)
 	defer prune.Stop()
 	var keepAt <-chan time.Time // never where no state is kept
-	if l.keeper != nil {
+	if l.snapshots != nil {
 		keepAt = time.After(keepEvery)
 	}
 	for {
@@ -174,8 +174,8 @@
 		case <-prune.C:
 			l.up.prune()
 		case <-keepAt:
-			l.keeper.offer(l.snapshot(l.clock.now()))
-			keepAt = time.After(keepCadence(time.Duration(l.keeper.took.Load())))
+			l.snapshots.offer(l.snapshot(l.clock.now()))
+			keepAt = time.After(keepCadence(time.Duration(l.snapshots.took.Load())))
 		case <-l.ctx.Done():
 			return
 		}
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -80,11 +80,11 @@
 		return err
 	}
 	s := newServer(l)
-	if l.kept = recallState(cfg, log); l.kept != nil {
-		l.keptView = l.kept.View
+	if l.restored = loadSnapshot(cfg, log); l.restored != nil {
+		l.keptView = l.restored.Membership
 	}
 	if cfg.StateDir != "" {
-		l.keeper = newKeeper(cfg.StateDir, log)
+		l.snapshots = newSnapshotWriter(cfg.StateDir, log)
 	}
 	paired := false
 	if cfg.Ops != "" {
@@ -95,8 +95,8 @@
 		s.store = openStore(os.TempDir(), cfg.Name, log)
 		defer s.store.close()
 		paired = s.store.paired()
-		if kept := l.kept; kept != nil {
-			if err := s.store.recall(shared{Seq: kept.OpsSeq, Banned: kept.Banned, Drained: kept.Drained}); err != nil {
+		if kept := l.restored; kept != nil {
+			if err := s.store.recall(shared{Seq: kept.AdminRevision, Banned: kept.Banned, Drained: kept.Drained}); err != nil {
 				log.Error("state: the kept bans and drain are not shared with a next process", "error", err)
 			}
 		}
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -17,24 +17,24 @@
 // golden is what release 21.0 was given to write: every field of every record is set.
 func golden() *Snapshot {
 	return &Snapshot{
-		Name: goldenName, Written: time.Date(2026, 11, 30, 8, 15, 30, 250_000_000, time.UTC), Seq: 4711, Whole: true,
-		Hosts: []Host{
+		SidecarName: goldenName, ListedAt: time.Date(2026, 11, 30, 8, 15, 30, 250_000_000, time.UTC), ListVersion: 4711, IsFullList: true,
+		Endpoints: []Host{
 			{Name: "v001", Dial: "10.0.0.1:8080", Site: "a", Class: "m1", Block: 7, Health: "Ready", Share: 0.25, BornMS: 1_800_000_000_123},
 			{Name: "v/2 <é>", Dial: "10.0.0.2:8080", Site: "b", Class: "m2", Block: 65535, Health: "Terminating", Share: 1.5},
 		},
-		OpsSeq: 12, Banned: []string{"v001", "v/2 <é>"}, Drained: true,
-		Servers: []Server{
-			{Host: "v/2 <é>", Base: 0, Current: 1e21, Pace: 0.1, Errs: 1},
-			{Host: "v001", Base: 1250.5, Current: 1300.25, Pace: 87.125, Errs: 0.0625},
+		AdminRevision: 12, Banned: []string{"v001", "v/2 <é>"}, Drained: true,
+		EndpointStates: []EndpointState{
+			{Name: "v/2 <é>", LatencyBaseline: 0, LatencyCurrent: 1e21, ServiceTime: 0.1, FailureRate: 1},
+			{Name: "v001", LatencyBaseline: 1250.5, LatencyCurrent: 1300.25, ServiceTime: 87.125, FailureRate: 0.0625},
 		},
-		Epoch: 3, Stage: "canary", View: json.RawMessage(`{"epoch":9,"members":[{"name":"n0","addr":"10.0.0.9:7000"}]}`),
+		LeaseEpoch: 3, ReleaseStage: "canary", Membership: json.RawMessage(`{"epoch":9,"members":[{"name":"n0","addr":"10.0.0.9:7000"}]}`),
 	}
 }
 
 // records gives every record of a state file as it lies on disk, by bucket and key.
 func records(t *testing.T, path string) map[string]string {
 	t.Helper()
-	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: LockWait, ReadOnly: true})
+	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: LockTimeout, ReadOnly: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -20,42 +20,42 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// Version is the format of the records this package writes and reads.
-const Version = 1
+// FormatVersion is the format of the records this package writes and reads.
+const FormatVersion = 1
 
-// LockWait is how long Save and Load wait for the other process of an upgrade
+// LockTimeout is how long Save and Load wait for the other process of an upgrade
 // to finish its snapshot.
-const LockWait = 500 * time.Millisecond
+const LockTimeout = 500 * time.Millisecond
 
 const (
-	magic      = "BS"
-	headerSize = 2 + 1 + 1 + 4 + 8 // magic, version, kind, body length, xxhash64 of the body
-	bodyMost   = 64 << 20
+	magic        = "BS"
+	headerBytes  = 2 + 1 + 1 + 4 + 8 // magic, version, kind, body length, xxhash64 of the body
+	maxBodyBytes = 64 << 20
 )
 
 // The kinds of record.
 const (
 	kindMeta byte = iota + 1
-	kindList
-	kindOps
-	kindServer
+	kindEndpointList
+	kindAdminSettings
+	kindEndpointState
 	kindFleet
 )
 
 var (
-	topBucket     = []byte("sidecar")
-	serversBucket = []byte("servers")
-	keyMeta       = []byte("meta")
-	keyList       = []byte("list")
-	keyOps        = []byte("ops")
-	keyFleet      = []byte("fleet")
+	sidecarBucket        = []byte("sidecar")
+	endpointStatesBucket = []byte("servers")
+	metaKey              = []byte("meta")
+	endpointListKey      = []byte("list")
+	adminSettingsKey     = []byte("ops")
+	fleetKey             = []byte("fleet")
 
 	// singles are the records of which a snapshot has one, in the order Save writes them: meta, list, ops, fleet.
 	// Each one's body holds some of a Snapshot's fields, under the same JSON names.
 	singles = [...]struct {
 		key  []byte
 		kind byte
-	}{{keyMeta, kindMeta}, {keyList, kindList}, {keyOps, kindOps}, {keyFleet, kindFleet}}
+	}{{metaKey, kindMeta}, {endpointListKey, kindEndpointList}, {adminSettingsKey, kindAdminSettings}, {fleetKey, kindFleet}}
 )
 
 // Host is one server of the list as discovery last told it.
@@ -70,34 +70,34 @@
 	BornMS int64   `json:"born_ms"`
 }
 
-// Server is what the module learned of one server: breaker latency baselines
+// EndpointState is what the module learned of one server: breaker latency baselines
 // (microseconds), pace (microseconds a unit of work) and the recent share of
 // failures (0..1).
-type Server struct {
-	Host    string  `json:"host"`
-	Base    float64 `json:"base"`
-	Current float64 `json:"current"`
-	Pace    float64 `json:"pace"`
-	Errs    float64 `json:"errs"`
+type EndpointState struct {
+	Name            string  `json:"host"`
+	LatencyBaseline float64 `json:"base"`
+	LatencyCurrent  float64 `json:"current"`
+	ServiceTime     float64 `json:"pace"`
+	FailureRate     float64 `json:"errs"`
 }
 
 // Snapshot is all that is kept. Written is the wall-clock time at which
 // discovery last told the list, from which its age runs; nothing else in it is
 // a time.
 type Snapshot struct {
-	Name    string    `json:"name"` // of the sidecar; a file of another is foreign
-	Written time.Time `json:"written"`
-	Seq     uint64    `json:"seq"` // of the list
-	Whole   bool      `json:"whole"`
-	Hosts   []Host    `json:"hosts"`
-	OpsSeq  uint64    `json:"ops_seq"` // of what operators ordered: of two records the one with the larger stands
-	Banned  []string  `json:"banned"`  // host names, out of use by hand
-	Drained bool      `json:"drained"`
-	Servers []Server  `json:"servers"`
-	Epoch   uint64    `json:"epoch"` // of the lease last held; issue 13
-	Stage   string    `json:"stage"` // of the release; issue 15
+	SidecarName    string          `json:"name"` // of the sidecar; a file of another is foreign
+	ListedAt       time.Time       `json:"written"`
+	ListVersion    uint64          `json:"seq"` // of the list
+	IsFullList     bool            `json:"whole"`
+	Endpoints      []Host          `json:"hosts"`
+	AdminRevision  uint64          `json:"ops_seq"` // of what operators ordered: of two records the one with the larger stands
+	Banned         []string        `json:"banned"`  // host names, out of use by hand
+	Drained        bool            `json:"drained"`
+	EndpointStates []EndpointState `json:"servers"`
+	LeaseEpoch     uint64          `json:"epoch"` // of the lease last held; issue 13
+	ReleaseStage   string          `json:"stage"` // of the release; issue 15
 
-	View json.RawMessage `json:"view,omitempty"` // the fleet's last settled view, as internal/fleet keeps it
+	Membership json.RawMessage `json:"view,omitempty"` // the fleet's last settled view, as internal/fleet keeps it
 }
 
 // opsRecord is the body of the record of operators' orders.
@@ -107,26 +107,26 @@
 	Drained bool     `json:"drained"`
 }
 
-// Written is what one Save cost.
-type Written struct {
+// SaveStats is what one Save cost.
+type SaveStats struct {
 	Records int
 	Bytes   int
 }
 
-// Error names the file and record that could not be read, and why.
-type Error struct {
+// FileError names the file and record that could not be read, and why.
+type FileError struct {
 	File, Record, Reason string
 }
 
-func (e *Error) Error() string {
+func (e *FileError) Error() string {
 	if e.Record == "" {
 		return fmt.Sprintf("state file %s: %s", e.File, e.Reason)
 	}
 	return fmt.Sprintf("state file %s, record %s: %s", e.File, e.Record, e.Reason)
 }
 
-// ErrNone says that there is no state file yet.
-var ErrNone = errors.New("no state file")
+// ErrNotFound says that there is no state file yet.
+var ErrNotFound = errors.New("no state file")
 
 // Path is where the state of the sidecar called name is kept in dir.
 func Path(dir, name string) string { return filepath.Join(dir, url.PathEscape(name)+".db") }
@@ -135,24 +135,24 @@
 // snapshot stays whole where it fails: disk full, a read-only folder, a lock
 // that the other process holds past LockWait. Orders of operators never go
 // back: where the file has some of a larger OpsSeq, they stay.
-func Save(dir string, s *Snapshot) (Written, error) {
-	var w Written
-	_, missing := os.Stat(Path(dir, s.Name))
-	db, err := bolt.Open(Path(dir, s.Name), 0o600, &bolt.Options{Timeout: LockWait, NoFreelistSync: true})
+func Save(dir string, s *Snapshot) (SaveStats, error) {
+	var w SaveStats
+	_, missing := os.Stat(Path(dir, s.SidecarName))
+	db, err := bolt.Open(Path(dir, s.SidecarName), 0o600, &bolt.Options{Timeout: LockTimeout, NoFreelistSync: true})
 	if err != nil {
-		return w, fmt.Errorf("state file %s: %w", Path(dir, s.Name), err)
+		return w, fmt.Errorf("state file %s: %w", Path(dir, s.SidecarName), err)
 	}
 	defer db.Close()
 	err = db.Update(func(tx *bolt.Tx) error {
-		ops := opsRecord{s.OpsSeq, s.Banned, s.Drained}
-		if old := tx.Bucket(topBucket); old != nil {
+		ops := opsRecord{s.AdminRevision, s.Banned, s.Drained}
+		if old := tx.Bucket(sidecarBucket); old != nil {
 			var had opsRecord
-			if Decode(old.Get(keyOps), kindOps, &had) == nil && had.OpsSeq > ops.OpsSeq {
+			if decodeRecord(old.Get(adminSettingsKey), kindAdminSettings, &had) == nil && had.OpsSeq > ops.OpsSeq {
 				ops = had
 			}
 		}
-		tx.DeleteBucket(topBucket)
-		top, err := tx.CreateBucket(topBucket)
+		tx.DeleteBucket(sidecarBucket)
+		top, err := tx.CreateBucket(sidecarBucket)
 		if err != nil {
 			return err
 		}
@@ -161,7 +161,7 @@
 			if err != nil {
 				return err
 			}
-			record := Frame(kind, body)
+			record := encodeRecord(kind, body)
 			w.Records++
 			w.Bytes += len(record)
 			return b.Put(key, record)
@@ -169,29 +169,29 @@
 		meta := struct {
 			Name    string    `json:"name"`
 			Written time.Time `json:"written"`
-		}{s.Name, s.Written}
+		}{s.SidecarName, s.ListedAt}
 		list := struct {
 			Seq   uint64 `json:"seq"`
 			Whole bool   `json:"whole"`
 			Hosts []Host `json:"hosts"`
-		}{s.Seq, s.Whole, s.Hosts}
+		}{s.ListVersion, s.IsFullList, s.Endpoints}
 		fleet := struct {
 			Epoch uint64 `json:"epoch"`
 			Stage string `json:"stage"`
 
 			View json.RawMessage `json:"view,omitempty"`
-		}{s.Epoch, s.Stage, s.View}
+		}{s.LeaseEpoch, s.ReleaseStage, s.Membership}
 		for i, v := range [len(singles)]any{meta, list, ops, fleet} {
 			if err := put(top, singles[i].key, singles[i].kind, v); err != nil {
 				return err
 			}
 		}
-		servers, err := top.CreateBucket(serversBucket)
+		servers, err := top.CreateBucket(endpointStatesBucket)
 		if err != nil {
 			return err
 		}
-		for _, v := range s.Servers {
-			if err := put(servers, []byte(v.Host), kindServer, v); err != nil {
+		for _, v := range s.EndpointStates {
+			if err := put(servers, []byte(v.Name), kindEndpointState, v); err != nil {
 				return err
 			}
 		}
@@ -201,7 +201,7 @@
 		err = syncDir(dir)
 	}
 	if err != nil {
-		return Written{}, fmt.Errorf("state file %s: %w", Path(dir, s.Name), err)
+		return SaveStats{}, fmt.Errorf("state file %s: %w", Path(dir, s.SidecarName), err)
 	}
 	return w, nil
 }
@@ -221,10 +221,10 @@
 func Load(dir, name string) (s *Snapshot, err error) {
 	path := Path(dir, name)
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
-		return nil, ErrNone
+		return nil, ErrNotFound
 	}
 	s, err = read(path, name)
-	var bad *Error
+	var bad *FileError
 	if errors.As(err, &bad) {
 		aside := fmt.Sprintf("%s.bad-%d", path, time.Now().Unix())
 		if moved := os.Rename(path, aside); moved != nil {
@@ -239,29 +239,29 @@
 func read(path, name string) (s *Snapshot, err error) {
 	defer func() { // bbolt panics on some damaged pages
 		if p := recover(); p != nil {
-			s, err = nil, &Error{File: path, Reason: fmt.Sprintf("damaged: %v", p)}
+			s, err = nil, &FileError{File: path, Reason: fmt.Sprintf("damaged: %v", p)}
 		}
 	}()
-	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: LockWait, ReadOnly: true})
+	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: LockTimeout, ReadOnly: true})
 	if errors.Is(err, bolterrors.ErrTimeout) {
 		return nil, fmt.Errorf("state file %s: %w", path, err)
 	} else if err != nil {
-		return nil, &Error{File: path, Reason: err.Error()}
+		return nil, &FileError{File: path, Reason: err.Error()}
 	}
 	defer db.Close()
 	s = &Snapshot{}
 	err = db.View(func(tx *bolt.Tx) error {
-		top := tx.Bucket(topBucket)
+		top := tx.Bucket(sidecarBucket)
 		if top == nil {
-			return &Error{File: path, Record: string(topBucket), Reason: "missing"}
+			return &FileError{File: path, Record: string(sidecarBucket), Reason: "missing"}
 		}
 		get := func(b *bolt.Bucket, key []byte, kind byte, into any) error {
 			value := b.Get(key)
 			if value == nil {
-				return &Error{File: path, Record: string(key), Reason: "missing"}
+				return &FileError{File: path, Record: string(key), Reason: "missing"}
 			}
-			if err := Decode(value, kind, into); err != nil {
-				return &Error{File: path, Record: string(key), Reason: err.Error()}
+			if err := decodeRecord(value, kind, into); err != nil {
+				return &FileError{File: path, Record: string(key), Reason: err.Error()}
 			}
 			return nil
 		}
@@ -270,56 +270,56 @@
 				return err
 			}
 		}
-		if s.Name != name {
-			return &Error{File: path, Record: string(keyMeta), Reason: fmt.Sprintf("of sidecar %q, not %q", s.Name, name)}
+		if s.SidecarName != name {
+			return &FileError{File: path, Record: string(metaKey), Reason: fmt.Sprintf("of sidecar %q, not %q", s.SidecarName, name)}
 		}
-		servers := top.Bucket(serversBucket)
+		servers := top.Bucket(endpointStatesBucket)
 		if servers == nil {
-			return &Error{File: path, Record: string(serversBucket), Reason: "missing"}
+			return &FileError{File: path, Record: string(endpointStatesBucket), Reason: "missing"}
 		}
 		return servers.ForEach(func(k, _ []byte) error {
-			var v Server
-			if err := get(servers, k, kindServer, &v); err != nil {
+			var v EndpointState
+			if err := get(servers, k, kindEndpointState, &v); err != nil {
 				return err
 			}
-			s.Servers = append(s.Servers, v)
+			s.EndpointStates = append(s.EndpointStates, v)
 			return nil
 		})
 	})
 	if err != nil {
 		return nil, err
 	}
-	sort.Slice(s.Servers, func(i, j int) bool { return s.Servers[i].Host < s.Servers[j].Host })
+	sort.Slice(s.EndpointStates, func(i, j int) bool { return s.EndpointStates[i].Name < s.EndpointStates[j].Name })
 	return s, nil
 }
 
-// Frame wraps a record's body in its header.
-func Frame(kind byte, body []byte) []byte {
-	record := make([]byte, headerSize, headerSize+len(body))
+// encodeRecord wraps a record's body in its header.
+func encodeRecord(kind byte, body []byte) []byte {
+	record := make([]byte, headerBytes, headerBytes+len(body))
 	copy(record, magic)
-	record[2], record[3] = Version, kind
+	record[2], record[3] = FormatVersion, kind
 	binary.BigEndian.PutUint32(record[4:], uint32(len(body)))
 	binary.BigEndian.PutUint64(record[8:], xxhash.Sum64(body))
 	return append(record, body...)
 }
 
-// Decode checks a framed record of the given kind and reads its JSON body
+// decodeRecord checks a framed record of the given kind and reads its JSON body
 // into v. Its errors say what is wrong: not a record, another version or kind,
 // truncated, a checksum that does not match, a body that is not JSON.
-func Decode(record []byte, kind byte, v any) error {
+func decodeRecord(record []byte, kind byte, v any) error {
 	switch {
-	case len(record) < headerSize || string(record[:2]) != magic:
+	case len(record) < headerBytes || string(record[:2]) != magic:
 		return errors.New("not a record of this program")
-	case record[2] != Version:
-		return fmt.Errorf("format version %d; this program reads %d", record[2], Version)
+	case record[2] != FormatVersion:
+		return fmt.Errorf("format version %d; this program reads %d", record[2], FormatVersion)
 	case record[3] != kind:
 		return fmt.Errorf("kind %d where %d belongs", record[3], kind)
 	}
 	size := binary.BigEndian.Uint32(record[4:])
-	body := record[headerSize:]
+	body := record[headerBytes:]
 	switch {
-	case size > bodyMost:
-		return fmt.Errorf("body of %d bytes, more than %d", size, bodyMost)
+	case size > maxBodyBytes:
+		return fmt.Errorf("body of %d bytes, more than %d", size, maxBodyBytes)
 	case int(size) != len(body):
 		return fmt.Errorf("truncated or overlong: %d bytes of %d", len(body), size)
 	case xxhash.Sum64(body) != binary.BigEndian.Uint64(record[8:]):
@@ -331,10 +331,10 @@
 	return nil
 }
 
-// Fresh says whether a list written at written may still be served at now: it
+// IsFresh says whether a list written at written may still be served at now: it
 // is younger than maxAge, and not from the future by more than a minute (the
 // clock jumped, or it was written elsewhere).
-func Fresh(written, now time.Time, maxAge time.Duration) bool {
+func IsFresh(written, now time.Time, maxAge time.Duration) bool {
 	age := now.Sub(written)
 	return age < maxAge && age > -time.Minute
 }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -44,12 +44,12 @@
 }
 
 func snapshot(name string, seq uint64, servers int) *Snapshot {
-	s := &Snapshot{Name: name, Written: time.Unix(1_800_000_000, 0).UTC(), Seq: seq, Whole: true,
-		Banned: []string{"h3"}, Drained: seq%2 == 0, Epoch: seq, Stage: "s", View: []byte(`{"epoch":3}`)}
+	s := &Snapshot{SidecarName: name, ListedAt: time.Unix(1_800_000_000, 0).UTC(), ListVersion: seq, IsFullList: true,
+		Banned: []string{"h3"}, Drained: seq%2 == 0, LeaseEpoch: seq, ReleaseStage: "s", Membership: []byte(`{"epoch":3}`)}
 	for i := range servers {
 		h := fmt.Sprintf("h%05d", i)
-		s.Hosts = append(s.Hosts, Host{Name: h, Dial: "127.0.0.1:1", Site: "a", Class: "m", Health: "ready", Share: 1})
-		s.Servers = append(s.Servers, Server{Host: h, Base: float64(seq), Current: 2, Pace: 3, Errs: 0.1})
+		s.Endpoints = append(s.Endpoints, Host{Name: h, Dial: "127.0.0.1:1", Site: "a", Class: "m", Health: "ready", Share: 1})
+		s.EndpointStates = append(s.EndpointStates, EndpointState{Name: h, LatencyBaseline: float64(seq), LatencyCurrent: 2, ServiceTime: 3, FailureRate: 0.1})
 	}
 	return s
 }
@@ -64,7 +64,7 @@
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Fatalf("loaded %+v, %v", got, err)
 	}
-	if _, err := Load(dir, "n2"); err != ErrNone {
+	if _, err := Load(dir, "n2"); err != ErrNotFound {
 		t.Fatalf("another sidecar's state: %v", err)
 	}
 }
@@ -88,14 +88,14 @@
 			Save(dir, snapshot("n1", 1, 200))
 			c.spoil(Path(dir, "n1"))
 			_, err := Load(dir, "n1")
-			var bad *Error
+			var bad *FileError
 			if !errors.As(err, &bad) || !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), "set aside as n1.db.bad-") {
 				t.Fatalf("error %v", err)
 			}
 			if aside, _ := filepath.Glob(Path(dir, "n1") + ".bad-*"); len(aside) != 1 {
 				t.Fatalf("set aside: %v", aside)
 			}
-			if _, err := Load(dir, "n1"); err != ErrNone {
+			if _, err := Load(dir, "n1"); err != ErrNotFound {
 				t.Fatalf("after setting aside: %v", err)
 			}
 		})
@@ -103,29 +103,29 @@
 }
 
 func TestDecodeNamesWhatIsWrong(t *testing.T) {
-	good := Frame(kindList, []byte(`{"seq":1}`))
+	good := encodeRecord(kindEndpointList, []byte(`{"seq":1}`))
 	newer := append([]byte(nil), good...)
-	newer[2] = Version + 1
+	newer[2] = FormatVersion + 1
 	flipped := append([]byte(nil), good...)
 	flipped[len(flipped)-2] ^= 1
 	for record, want := range map[string]string{
 		string(good[:len(good)-1]): "truncated", string(newer): "format version 2", string(flipped): "checksum",
-		"junk": "not a record", string(Frame(kindOps, []byte("{}"))): "kind 3 where 2",
+		"junk": "not a record", string(encodeRecord(kindAdminSettings, []byte("{}"))): "kind 3 where 2",
 	} {
 		var v Snapshot
-		if err := Decode([]byte(record), kindList, &v); err == nil || !strings.Contains(err.Error(), want) {
+		if err := decodeRecord([]byte(record), kindEndpointList, &v); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("want %q, got %v", want, err)
 		}
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(Frame(kindList, []byte(`{"seq":1,"hosts":[{"host":"a"}]}`)))
-	f.Add(Frame(kindServer, []byte(`{"host":"a","base":1}`)))
+	f.Add(encodeRecord(kindEndpointList, []byte(`{"seq":1,"hosts":[{"host":"a"}]}`)))
+	f.Add(encodeRecord(kindEndpointState, []byte(`{"host":"a","base":1}`)))
 	f.Add([]byte("BS\x01\x02\x00\x00\x00\x00"))
 	f.Fuzz(func(t *testing.T, record []byte) {
 		var v Snapshot
-		if err := Decode(record, kindList, &v); err != nil && err.Error() == "" {
+		if err := decodeRecord(record, kindEndpointList, &v); err != nil && err.Error() == "" {
 			t.Fatal("an error that says nothing")
 		}
 	})
@@ -163,10 +163,10 @@
 		}
 		os.WriteFile(path, image, 0o600)
 		got, err := Load(dir, "n1")
-		if err != nil || (got.Seq != 1 && got.Seq != 2) || len(got.Servers) != 300+100*int(got.Seq-1) {
+		if err != nil || (got.ListVersion != 1 && got.ListVersion != 2) || len(got.EndpointStates) != 300+100*int(got.ListVersion-1) {
 			t.Fatalf("trial %d: %v", trial, err)
 		}
-		seen[got.Seq]++
+		seen[got.ListVersion]++
 	}
 	if seen[1] == 0 || seen[2] == 0 {
 		t.Fatalf("images read as %v: the test did not cover both ends", seen)
@@ -216,7 +216,7 @@
 		cmd.Wait()
 	}
 	got, err := Load(dir, "w")
-	if err != nil || got.Seq < saved || len(got.Servers) != 50+int(got.Seq) || got.Servers[0].Base != float64(got.Seq) {
+	if err != nil || got.ListVersion < saved || len(got.EndpointStates) != 50+int(got.ListVersion) || got.EndpointStates[0].LatencyBaseline != float64(got.ListVersion) {
 		t.Fatalf("after kill -9: want a whole snapshot of seq %d or later: %v", saved, err)
 	}
 }
@@ -233,7 +233,7 @@
 	if !strings.HasPrefix(last, "error") {
 		t.Fatalf("the writer ended with %q", last)
 	}
-	if got, err := Load(dir, "w"); err != nil || got.Seq == 0 {
+	if got, err := Load(dir, "w"); err != nil || got.ListVersion == 0 {
 		t.Fatalf("after a full disk: %v", err)
 	}
 }
@@ -250,7 +250,7 @@
 	if _, err := Save(dir, snapshot("n1", 2, 5)); err == nil || !strings.Contains(err.Error(), Path(dir, "n1")) {
 		t.Fatalf("save into a read-only folder: %v", err)
 	}
-	if got, err := Load(dir, "n1"); err != nil || got.Seq != 1 {
+	if got, err := Load(dir, "n1"); err != nil || got.ListVersion != 1 {
 		t.Fatalf("load from a read-only folder: %v", err)
 	}
 }
@@ -260,7 +260,7 @@
 	for now, want := range map[time.Time]bool{
 		at.Add(time.Minute): true, at.Add(time.Hour): false, at.Add(-30 * time.Second): true, at.Add(-time.Hour): false,
 	} {
-		if Fresh(at, now, 10*time.Minute) != want {
+		if IsFresh(at, now, 10*time.Minute) != want {
 			t.Errorf("written %v, now %v: want %v", at, now, want)
 		}
 	}
@@ -271,7 +271,7 @@
 	for _, n := range []int{200, 2000, 20000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			dir, s := b.TempDir(), snapshot("n1", 1, n)
-			var w Written
+			var w SaveStats
 			for b.Loop() {
 				w, _ = Save(dir, s)
 			}
@@ -301,12 +301,12 @@
 // Of two processes the one that knows an older order of the operators' does not undo the newer.
 func TestOrdersNeverGoBack(t *testing.T) {
 	dir := t.TempDir()
-	for _, s := range []*Snapshot{{Name: "n0", OpsSeq: 2, Banned: []string{"v1"}, Drained: true}, {Name: "n0", OpsSeq: 1, Seq: 9}} {
+	for _, s := range []*Snapshot{{SidecarName: "n0", AdminRevision: 2, Banned: []string{"v1"}, Drained: true}, {SidecarName: "n0", AdminRevision: 1, ListVersion: 9}} {
 		if _, err := Save(dir, s); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if s, err := Load(dir, "n0"); err != nil || s.Seq != 9 || s.OpsSeq != 2 || !s.Drained || len(s.Banned) != 1 {
+	if s, err := Load(dir, "n0"); err != nil || s.ListVersion != 9 || s.AdminRevision != 2 || !s.Drained || len(s.Banned) != 1 {
 		t.Errorf("%+v, %v", s, err)
 	}
 }
