--- a/internal/sidecar/config_golden_test.go
+++ b/internal/sidecar/config_golden_test.go
@@ -65,13 +65,13 @@
 	for i, h := range r.Hosts {
 		at := fmt.Sprintf("hosts.%d.", i)
 		line(at+"host", h.Name)
-		line(at+"dial", h.Dial)
-		line(at+"site", h.Site)
-		line(at+"class", h.Class)
-		line(at+"block", h.Block)
+		line(at+"dial", h.Address)
+		line(at+"site", h.Zone)
+		line(at+"class", h.MachineType)
+		line(at+"block", h.Pod)
 		line(at+"health", h.Health)
-		line(at+"share", h.Share)
-		line(at+"born_ms", h.BornMS)
+		line(at+"share", h.Weight)
+		line(at+"born_ms", h.StartedAtMillis)
 	}
 	return out.String()
 }
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -38,7 +38,7 @@
 }
 
 // host is one entry of discovery's list; the state file keeps it as it is.
-type host = state.Host
+type host = state.Endpoint
 
 var states = map[string]balancer.EndpointState{
 	"Ready": balancer.Ready, "Terminating": balancer.Draining, "Gone": balancer.Removed,
@@ -54,8 +54,8 @@
 		case !ok:
 			return fmt.Errorf("hosts[%d].health: %q is not a known state", i, h.Health)
 		case state == balancer.Ready:
-			if _, _, err := net.SplitHostPort(h.Dial); err != nil {
-				return fmt.Errorf("hosts[%d].dial: %q is not host:port", i, h.Dial)
+			if _, _, err := net.SplitHostPort(h.Address); err != nil {
+				return fmt.Errorf("hosts[%d].dial: %q is not host:port", i, h.Address)
 			}
 		}
 	}
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -324,10 +324,10 @@
 	for _, h := range list.Hosts {
 		id := l.number(h.Name)
 		named[id] = true
-		e := balancer.Endpoint{ID: id, Zone: number(l.cfg.zones, h.Site), MachineType: number(l.cfg.kinds, h.Class),
-			Pod: h.Block, State: states[h.Health], Weight: h.Share}
-		if h.BornMS > 0 {
-			e.StartTime = h.BornMS * 1000
+		e := balancer.Endpoint{ID: id, Zone: number(l.cfg.zones, h.Zone), MachineType: number(l.cfg.kinds, h.MachineType),
+			Pod: h.Pod, State: states[h.Health], Weight: h.Weight}
+		if h.StartedAtMillis > 0 {
+			e.StartTime = h.StartedAtMillis * 1000
 		}
 		entries = append(entries, e)
 		l.aim(id, listing{h, e.State})
@@ -370,7 +370,7 @@
 	l.listings[id] = to
 	wanted := to.state == balancer.Ready && !l.banned[id]
 	t := l.targets[id]
-	if t != nil && wanted && t.address == to.Dial && t.born == to.BornMS {
+	if t != nil && wanted && t.address == to.Address && t.born == to.StartedAtMillis {
 		return
 	}
 	if t != nil {
@@ -378,7 +378,7 @@
 		delete(l.targets, id)
 	}
 	if wanted {
-		l.targets[id] = &target{address: to.Dial, born: to.BornMS}
+		l.targets[id] = &target{address: to.Address, born: to.StartedAtMillis}
 	}
 }
 
--- a/internal/sidecar/ops_test.go
+++ b/internal/sidecar/ops_test.go
@@ -207,7 +207,7 @@
 	lists := w.listed()
 	w.dir.change(func() {
 		w.dir.list.Seq++
-		hosts[0].BornMS = time.Now().UnixMilli()
+		hosts[0].StartedAtMillis = time.Now().UnixMilli()
 		w.dir.list.Hosts = hosts
 	})
 	w.until("the list with its restart", func() bool { return w.listed() > lists })
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -45,7 +45,7 @@
 		}
 	}
 	other := func(h host) host {
-		h.Block = 2
+		h.Pod = 2
 		return h
 	}
 	for _, c := range []struct {
--- a/internal/sidecar/world_test.go
+++ b/internal/sidecar/world_test.go
@@ -202,7 +202,7 @@
 
 // ready is discovery's entry for an endpoint.
 func ready(name, address string) host {
-	return host{Name: name, Dial: address, Site: "a", Class: "m1", Health: "Ready", Share: 1}
+	return host{Name: name, Address: address, Zone: "a", MachineType: "m1", Health: "Ready", Weight: 1}
 }
 
 // spy passes everything on to the balancer and keeps what it was told.
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -18,9 +18,9 @@
 func golden() *Snapshot {
 	return &Snapshot{
 		SidecarName: goldenName, ListedAt: time.Date(2026, 11, 30, 8, 15, 30, 250_000_000, time.UTC), ListVersion: 4711, IsFullList: true,
-		Endpoints: []Host{
-			{Name: "v001", Dial: "10.0.0.1:8080", Site: "a", Class: "m1", Block: 7, Health: "Ready", Share: 0.25, BornMS: 1_800_000_000_123},
-			{Name: "v/2 <é>", Dial: "10.0.0.2:8080", Site: "b", Class: "m2", Block: 65535, Health: "Terminating", Share: 1.5},
+		Endpoints: []Endpoint{
+			{Name: "v001", Address: "10.0.0.1:8080", Zone: "a", MachineType: "m1", Pod: 7, Health: "Ready", Weight: 0.25, StartedAtMillis: 1_800_000_000_123},
+			{Name: "v/2 <é>", Address: "10.0.0.2:8080", Zone: "b", MachineType: "m2", Pod: 65535, Health: "Terminating", Weight: 1.5},
 		},
 		AdminRevision: 12, Banned: []string{"v001", "v/2 <é>"}, Drained: true,
 		EndpointStates: []EndpointState{
--- a/internal/state/save.go
+++ b/internal/state/save.go
@@ -65,9 +65,9 @@
 			Written time.Time `json:"written"`
 		}{s.SidecarName, s.ListedAt}
 		list := struct {
-			Seq   uint64 `json:"seq"`
-			Whole bool   `json:"whole"`
-			Hosts []Host `json:"hosts"`
+			Seq   uint64     `json:"seq"`
+			Whole bool       `json:"whole"`
+			Hosts []Endpoint `json:"hosts"`
 		}{s.ListVersion, s.IsFullList, s.Endpoints}
 		fleet := struct {
 			Epoch uint64 `json:"epoch"`
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// Host is one server of the list as discovery last told it.
-type Host struct {
-	Name   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  uint16  `json:"block"`
-	Health string  `json:"health"`
-	Share  float32 `json:"share"`
-	BornMS int64   `json:"born_ms"`
+// Endpoint is one server of the list as discovery last told it.
+type Endpoint struct {
+	Name            string  `json:"host"`
+	Address         string  `json:"dial"`
+	Zone            string  `json:"site"`
+	MachineType     string  `json:"class"`
+	Pod             uint16  `json:"block"`
+	Health          string  `json:"health"`
+	Weight          float32 `json:"share"`
+	StartedAtMillis int64   `json:"born_ms"`
 }
 
 // EndpointState is what the module learned of one server: breaker latency baselines
@@ -39,7 +39,7 @@
 	ListedAt       time.Time       `json:"written"`
 	ListVersion    uint64          `json:"seq"` // of the list
 	IsFullList     bool            `json:"whole"`
-	Endpoints      []Host          `json:"hosts"`
+	Endpoints      []Endpoint      `json:"hosts"`
 	AdminRevision  uint64          `json:"ops_seq"` // of what operators ordered: of two records the one with the larger stands
 	Banned         []string        `json:"banned"`  // host names, out of use by hand
 	Drained        bool            `json:"drained"`
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -48,7 +48,7 @@
 		Banned: []string{"h3"}, Drained: seq%2 == 0, LeaseEpoch: seq, ReleaseStage: "s", Membership: []byte(`{"epoch":3}`)}
 	for i := range servers {
 		h := fmt.Sprintf("h%05d", i)
-		s.Endpoints = append(s.Endpoints, Host{Name: h, Dial: "127.0.0.1:1", Site: "a", Class: "m", Health: "ready", Share: 1})
+		s.Endpoints = append(s.Endpoints, Endpoint{Name: h, Address: "127.0.0.1:1", Zone: "a", MachineType: "m", Health: "ready", Weight: 1})
 		s.EndpointStates = append(s.EndpointStates, EndpointState{Name: h, LatencyBaseline: float64(seq), LatencyCurrent: 2, ServiceTime: 3, FailureRate: 0.1})
 	}
 	return s
