--- a/cmd/sidecar/state_test.go
+++ b/cmd/sidecar/state_test.go
@@ -24,7 +24,7 @@
 	}
 	await(t, "the ban and the drain kept", func() bool {
 		s, err := state.Load(kept, "n0")
-		return err == nil && s.Drained && len(s.Banned) == 1 && s.Banned[0] == "s-1"
+		return err == nil && s.Admin.Drained && len(s.Admin.Banned) == 1 && s.Admin.Banned[0] == "s-1"
 	})
 	first.Process.Kill()
 	first.Wait()
@@ -38,7 +38,7 @@
 	}
 	second.Process.Signal(os.Interrupt)
 	second.Wait()
-	if !strings.Contains(log.String(), `msg=banned sidecar=n0 host=s-1`) || !strings.Contains(log.String(), "state: recalled") {
-		t.Errorf("the ban was not recalled:\n%s", log.String())
+	if !strings.Contains(log.String(), `msg=banned sidecar=n0 host=s-1`) || !strings.Contains(log.String(), "state snapshot restored") {
+		t.Errorf("the ban was not restored:\n%s", log.String())
 	}
 }
--- a/internal/lab/faults_test.go
+++ b/internal/lab/faults_test.go
@@ -418,7 +418,7 @@
 	heal := r.fault(Fault{Kind: "disk", Mode: "slow", Delay: Duration{time.Hour}, Machines: []int{0}})
 	r.await("a save to give up waiting", func() bool {
 		log, _ := os.ReadFile(filepath.Join(r.sidecars.folder, "s00.log"))
-		return strings.Contains(string(log[max(0, len(log)-20_000):]), "state: not saved")
+		return strings.Contains(string(log[max(0, len(log)-20_000):]), "state snapshot not saved")
 	})
 	last := saved()
 	if status := ban("v000"); status != http.StatusServiceUnavailable {
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -70,8 +70,8 @@
 	told      chan struct{}                  // closed once discovery has answered
 	fleet     atomic.Pointer[fleet.Fleet]    // nil where there is none to talk to, or not yet
 	keptView  json.RawMessage                // of the fleet, by an earlier process
-	snapshots *snapshotWriter                // nil where no state is kept
-	restored  *state.Snapshot                // what an earlier process kept, until the start
+	snapshots *state.Writer                  // nil where no state is persisted
+	restored  *state.Snapshot                // what an earlier process persisted, until the start
 	orders    func() *shared                 // what operators ordered; nil without operators
 	listedAt  time.Time                      // wall clock when discovery last told the list
 	control   *control                       // counts what control costs; nil without operators
@@ -155,9 +155,9 @@
 	}
 	prune := time.NewTicker(pruneEvery)
 	defer prune.Stop()
-	var keepAt <-chan time.Time // never where no state is kept
+	var saveAt <-chan time.Time // never where no state is persisted
 	if l.snapshots != nil {
-		keepAt = time.After(keepEvery)
+		saveAt = time.After(l.snapshots.NextSave())
 	}
 	for {
 		select {
@@ -173,9 +173,9 @@
 			event(l.clock.now())
 		case <-prune.C:
 			l.up.prune()
-		case <-keepAt:
-			l.snapshots.offer(l.snapshot(l.clock.now()))
-			keepAt = time.After(keepCadence(time.Duration(l.snapshots.took.Load())))
+		case <-saveAt:
+			l.snapshots.Offer(l.snapshot(l.clock.now()))
+			saveAt = time.After(l.snapshots.NextSave())
 		case <-l.ctx.Done():
 			return
 		}
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -21,6 +21,7 @@
 
 	"bramblestand/balancer"
 	"bramblestand/internal/mutant"
+	"bramblestand/internal/state"
 )
 
 const (
@@ -84,7 +85,7 @@
 		l.keptView = l.restored.Membership
 	}
 	if cfg.StateDir != "" {
-		l.snapshots = newSnapshotWriter(cfg.StateDir, log)
+		l.snapshots = state.NewWriter(loopCtx, cfg.StateDir, log)
 	}
 	paired := false
 	if cfg.Ops != "" {
@@ -95,9 +96,10 @@
 		s.store = openStore(os.TempDir(), cfg.Name, log)
 		defer s.store.close()
 		paired = s.store.paired()
-		if kept := l.restored; kept != nil {
-			if err := s.store.recall(shared{Seq: kept.AdminRevision, Banned: kept.Banned, Drained: kept.Drained}); err != nil {
-				log.Error("state: the kept bans and drain are not shared with a next process", "error", err)
+		if l.restored != nil {
+			settings := l.restored.Admin
+			if err := s.store.recall(shared{Seq: settings.Revision, Banned: settings.Banned, Drained: settings.Drained}); err != nil {
+				log.Error("restored admin settings not shared with the next process", "error", err)
 			}
 		}
 		if mutant.ForgetsBans {
@@ -265,7 +267,7 @@
 // change alters what is shared, for this process and the other. Where state is kept, the change is on disk before it
 // holds anywhere: a yes must outlive the machine's power.
 func (s *server) change(alter func(*shared)) error {
-	state, err := s.store.update(alter, s.loop.keepOrders)
+	state, err := s.store.update(alter, s.loop.persistAdminSettings)
 	if err != nil {
 		return fmt.Errorf("state file: %w", err)
 	}
--- /dev/null
+++ b/internal/sidecar/snapshot.go
@@ -0,0 +1,135 @@
+package sidecar
+
+import (
+	"errors"
+	"log/slog"
+	"os"
+	"slices"
+	"sort"
+	"time"
+
+	"bramblestand/balancer"
+	"bramblestand/internal/state"
+)
+
+// stateAge is the age beyond which a persisted list is not served from, unless state_max_age_s gives another.
+const stateAge = 10 * time.Minute
+
+// loadSnapshot reads what an earlier process of this sidecar persisted. It returns nil where there is nothing, or
+// nothing usable: then it logs why.
+func loadSnapshot(cfg *Config, log *slog.Logger) *state.Snapshot {
+	if cfg.StateDir == "" {
+		return nil
+	}
+	if err := os.MkdirAll(cfg.StateDir, 0o700); err != nil {
+		log.Error("state folder not created; nothing will be persisted", "error", err)
+	}
+	began := time.Now()
+	s, err := state.Load(cfg.StateDir, cfg.Name)
+	switch {
+	case errors.Is(err, state.ErrNotFound):
+		log.Info("no state snapshot found; starting empty", "folder", cfg.StateDir)
+		return nil
+	case err != nil:
+		log.Error("state snapshot not usable; starting empty", "error", err)
+		return nil
+	}
+	log.Info("state snapshot restored", "file", state.Path(cfg.StateDir, cfg.Name), "list_version", s.ListVersion,
+		"endpoints", len(s.Endpoints), "banned", len(s.Admin.Banned), "drained", s.Admin.Drained, "listed_at", s.ListedAt,
+		"duration", time.Since(began))
+	return s
+}
+
+// restore gives the balancer what an earlier process persisted, before its first event: the bans whatever their age,
+// and, as a cached list that is probed before it is trusted, the persisted list. It returns the list to begin with:
+// the persisted one, or the configuration's where that is newer or the persisted one is too old or not valid.
+func (l *loop) restore(now balancer.Micros, persisted *state.Snapshot) registry {
+	known := l.cfg.known
+	if persisted == nil {
+		return known
+	}
+	l.setBans(now, persisted.Admin.Banned)
+	isFresh := state.IsFresh(persisted.ListedAt, time.Now(), l.cfg.StateAge)
+	isOutdated := len(known.Hosts) > 0 && persisted.ListVersion < known.Seq
+	if !isFresh || isOutdated {
+		l.log.Info("persisted endpoint list not used", "listed_at", persisted.ListedAt, "list_version", persisted.ListVersion,
+			"known_version", known.Seq, "max_age", l.cfg.StateAge)
+		return known
+	}
+	l.listedAt = persisted.ListedAt
+	list := registry{Seq: persisted.ListVersion, Whole: persisted.IsFullList, Hosts: persisted.Endpoints}
+	if err := list.validate(); err != nil {
+		l.log.Error("persisted endpoint list not valid; not used", "error", err)
+		return known
+	}
+	return list
+}
+
+// restoreEndpointStates gives the balancer what was learned of the endpoints that it now lists.
+func (l *loop) restoreEndpointStates(now balancer.Micros, persisted *state.Snapshot) {
+	if persisted == nil {
+		return
+	}
+	endpoints := make([]balancer.EndpointSnapshot, 0, len(persisted.EndpointStates))
+	for _, e := range persisted.EndpointStates {
+		if id, ok := l.ids[e.Name]; ok {
+			endpoints = append(endpoints, balancer.EndpointSnapshot{ID: id, LatencyBaseline: e.LatencyBaseline,
+				LatencyCurrent: e.LatencyCurrent, ServiceTime: e.ServiceTime, FailureRate: e.FailureRate})
+		}
+	}
+	l.balancer.Restore(now, endpoints)
+}
+
+// persistAdminSettings saves the operators' settings, with the rest of a snapshot, and returns nil once they are on
+// disk, or where no state is persisted. An operator's call waits for it.
+func (l *loop) persistAdminSettings(settings shared) error {
+	if l.snapshots == nil {
+		return nil
+	}
+	var s *state.Snapshot
+	if err := l.urge(func(now balancer.Micros) { s = l.snapshot(now) }); err != nil {
+		return err
+	}
+	s.Admin = adminSettings(settings)
+	_, err := state.Save(l.cfg.StateDir, s)
+	return err
+}
+
+// adminSettings are the settings of the handover file in the form in which they are persisted.
+func adminSettings(settings shared) state.AdminSettings {
+	return state.AdminSettings{Revision: settings.Seq, Banned: settings.Banned, Drained: settings.Drained}
+}
+
+// snapshot returns what is to be persisted. The loop's goroutine calls it.
+func (l *loop) snapshot(now balancer.Micros) *state.Snapshot {
+	s := &state.Snapshot{SidecarName: l.cfg.Name, ListedAt: l.listedAt, IsFullList: true, Membership: l.keepView()}
+	if l.seq != nil {
+		s.ListVersion = *l.seq
+	}
+	for _, listed := range l.listings {
+		if listed.state != balancer.Removed {
+			s.Endpoints = append(s.Endpoints, listed.host)
+		}
+	}
+	sort.Slice(s.Endpoints, func(i, j int) bool { return s.Endpoints[i].Name < s.Endpoints[j].Name })
+	if l.orders != nil {
+		s.Admin = adminSettings(*l.orders())
+	} else {
+		s.Admin.Banned = l.bannedNames() // without operators the bans of an earlier process stay in force
+	}
+	for _, e := range l.balancer.Snapshot(now) {
+		s.EndpointStates = append(s.EndpointStates, state.EndpointState{Name: l.names[e.ID], LatencyBaseline: e.LatencyBaseline,
+			LatencyCurrent: e.LatencyCurrent, ServiceTime: e.ServiceTime, FailureRate: e.FailureRate})
+	}
+	return s
+}
+
+// bannedNames lists the endpoints out of use by hand, sorted; nil for none.
+func (l *loop) bannedNames() []string {
+	var names []string
+	for id := range l.banned {
+		names = append(names, l.names[id])
+	}
+	slices.Sort(names)
+	return names
+}
--- a/internal/state/codec.go
+++ b/internal/state/codec.go
@@ -1,24 +1,114 @@
 package state
 
+import (
+	"encoding/json"
+	"time"
+
+	bolt "go.etcd.io/bbolt"
+)
+
+// A state file has one bucket with a record of each kind but the endpoints' states, which have a bucket of their own
+// inside it, with a record for each endpoint under its name. The names of buckets, keys and JSON fields are the stored
+// format: here they are mapped to the names of a Snapshot, and nowhere else.
 var (
 	sidecarBucket        = []byte("sidecar")
 	endpointStatesBucket = []byte("servers")
-	metaKey              = []byte("meta")
-	endpointListKey      = []byte("list")
-	adminSettingsKey     = []byte("ops")
-	fleetKey             = []byte("fleet")
-
-	// singles are the records of which a snapshot has one, in the order Save writes them: meta, list, ops, fleet.
-	// Each one's body holds some of a Snapshot's fields, under the same JSON names.
-	singles = [...]struct {
-		key  []byte
-		kind byte
-	}{{metaKey, kindMeta}, {endpointListKey, kindEndpointList}, {adminSettingsKey, kindAdminSettings}, {fleetKey, kindFleet}}
+
+	metaKey          = []byte("meta")
+	endpointListKey  = []byte("list")
+	adminSettingsKey = []byte("ops")
+	fleetKey         = []byte("fleet")
 )
 
-// opsRecord is the body of the record of operators' orders.
-type opsRecord struct {
-	OpsSeq  uint64   `json:"ops_seq"`
-	Banned  []string `json:"banned"`
-	Drained bool     `json:"drained"`
+// metaRecord tells whose file it is and how old its list is.
+type metaRecord struct {
+	SidecarName string    `json:"name"`
+	ListedAt    time.Time `json:"written"`
+}
+
+// endpointListRecord is discovery's list.
+type endpointListRecord struct {
+	Version   uint64     `json:"seq"`
+	IsFull    bool       `json:"whole"`
+	Endpoints []Endpoint `json:"hosts"`
+}
+
+// adminSettingsRecord is what operators ordered.
+type adminSettingsRecord struct {
+	Revision uint64   `json:"ops_seq"`
+	Banned   []string `json:"banned"`
+	Drained  bool     `json:"drained"`
+}
+
+// fleetRecord is what the sidecar knew of the fleet.
+type fleetRecord struct {
+	LeaseEpoch   uint64          `json:"epoch"`
+	ReleaseStage string          `json:"stage"`
+	Membership   json.RawMessage `json:"view,omitempty"`
+}
+
+// endpointStateRecord is what the balancer learned of one endpoint.
+type endpointStateRecord struct {
+	Name            string  `json:"host"`
+	LatencyBaseline float64 `json:"base"`
+	LatencyCurrent  float64 `json:"current"`
+	ServiceTime     float64 `json:"pace"`
+	FailureRate     float64 `json:"errs"`
+}
+
+// singleRecord is a record of which a file has exactly one.
+type singleRecord struct {
+	key  []byte
+	kind recordKind
+	body any // what is marshalled, or a pointer to it
+}
+
+// singleRecords are the records of which a file has one, in the order in which they are written.
+type singleRecords struct {
+	meta  metaRecord
+	list  endpointListRecord
+	admin adminSettingsRecord
+	fleet fleetRecord
+}
+
+func newSingleRecords(s *Snapshot) *singleRecords {
+	return &singleRecords{
+		meta:  metaRecord{s.SidecarName, s.ListedAt},
+		list:  endpointListRecord{s.ListVersion, s.IsFullList, s.Endpoints},
+		admin: adminSettingsRecord(s.Admin),
+		fleet: fleetRecord{s.LeaseEpoch, s.ReleaseStage, s.Membership},
+	}
+}
+
+// all lists the records with their keys; each body points into r.
+func (r *singleRecords) all() []singleRecord {
+	return []singleRecord{
+		{metaKey, kindMeta, &r.meta},
+		{endpointListKey, kindEndpointList, &r.list},
+		{adminSettingsKey, kindAdminSettings, &r.admin},
+		{fleetKey, kindFleet, &r.fleet},
+	}
+}
+
+// snapshot returns the content of the records. The endpoints' states are not among them.
+func (r *singleRecords) snapshot() *Snapshot {
+	return &Snapshot{
+		SidecarName: r.meta.SidecarName,
+		ListedAt:    r.meta.ListedAt,
+		ListVersion: r.list.Version, IsFullList: r.list.IsFull, Endpoints: r.list.Endpoints,
+		Admin:      AdminSettings(r.admin),
+		LeaseEpoch: r.fleet.LeaseEpoch, ReleaseStage: r.fleet.ReleaseStage, Membership: r.fleet.Membership,
+	}
+}
+
+// putRecord writes one record and adds what it took to stats.
+func putRecord(bucket *bolt.Bucket, key []byte, kind recordKind, body any, stats *SaveStats) error {
+	data, err := json.Marshal(body)
+	if err != nil {
+		return err
+	}
+	record := encodeRecord(kind, data)
+	stats.Records++
+	stats.Bytes += len(record)
+	return bucket.Put(key, record)
 }
--- a/internal/state/errors.go
+++ b/internal/state/errors.go
@@ -5,17 +5,53 @@
 	"fmt"
 )
 
-// FileError names the file and record that could not be read, and why.
+// ErrNotFound is returned by Load where there is no state file yet.
+var ErrNotFound = errors.New("no state file")
+
+// The reasons for which a record is rejected, wrapped in a *FileError.
+var (
+	// ErrMissing reports that the file lacks a record or bucket.
+	ErrMissing = errors.New("missing")
+	// ErrNotRecord reports that a value does not begin as a record of this program does.
+	ErrNotRecord = errors.New("not a record of this program")
+	// ErrFormatVersion reports that a record was written in another format version.
+	ErrFormatVersion = errors.New("format version")
+	// ErrRecordKind reports that a record of another kind stands in a record's place.
+	ErrRecordKind = errors.New("kind")
+	// ErrLength reports that a body's length is not the one in its header, or more than is allowed.
+	ErrLength = errors.New("truncated or overlong")
+	// ErrChecksum reports that a body was changed after it was written.
+	ErrChecksum = errors.New("checksum does not match")
+	// ErrOtherSidecar reports that the file belongs to another sidecar.
+	ErrOtherSidecar = errors.New("of sidecar")
+)
+
+// FileError names the state file, and the record of it, that could not be used, and why. Load returns it after it has
+// renamed the file.
 type FileError struct {
-	File, Record, Reason string
+	Path   string
+	Record string // key of the record; empty where the file as a whole is at fault
+	Err    error
+
+	RenamedTo string // the file's new base name; empty where it could not be renamed
+	RenameErr error  // why it could not be renamed
 }
 
+// Error names file and record, the reason, and what became of the file.
 func (e *FileError) Error() string {
-	if e.Record == "" {
-		return fmt.Sprintf("state file %s: %s", e.File, e.Reason)
+	text := "state file " + e.Path
+	if e.Record != "" {
+		text += ", record " + e.Record
+	}
+	text += ": " + e.Err.Error()
+	switch {
+	case e.RenameErr != nil:
+		text += fmt.Sprintf("; could not be set aside: %v", e.RenameErr)
+	case e.RenamedTo != "":
+		text += "; set aside as " + e.RenamedTo
 	}
-	return fmt.Sprintf("state file %s, record %s: %s", e.File, e.Record, e.Reason)
+	return text
 }
 
-// ErrNotFound says that there is no state file yet.
-var ErrNotFound = errors.New("no state file")
+// Unwrap returns the reason.
+func (e *FileError) Unwrap() error { return e.Err }
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -22,7 +22,7 @@
 			{Name: "v001", Address: "10.0.0.1:8080", Zone: "a", MachineType: "m1", Pod: 7, Health: "Ready", Weight: 0.25, StartedAtMillis: 1_800_000_000_123},
 			{Name: "v/2 <é>", Address: "10.0.0.2:8080", Zone: "b", MachineType: "m2", Pod: 65535, Health: "Terminating", Weight: 1.5},
 		},
-		AdminRevision: 12, Banned: []string{"v001", "v/2 <é>"}, Drained: true,
+		Admin: AdminSettings{Revision: 12, Banned: []string{"v001", "v/2 <é>"}, Drained: true},
 		EndpointStates: []EndpointState{
 			{Name: "v/2 <é>", LatencyBaseline: 0, LatencyCurrent: 1e21, ServiceTime: 0.1, FailureRate: 1},
 			{Name: "v001", LatencyBaseline: 1250.5, LatencyCurrent: 1300.25, ServiceTime: 87.125, FailureRate: 0.0625},
--- a/internal/state/load.go
+++ b/internal/state/load.go
@@ -13,81 +13,103 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// Load reads the snapshot of the sidecar called name. It returns ErrNone where
-// there is none, and an *Error naming file and record for one that is corrupt,
-// truncated, of another version or of another sidecar; that file is then set
-// aside as <file>.bad-<unix seconds> and its new name is in the Error's Reason.
-func Load(dir, name string) (s *Snapshot, err error) {
+// Load reads the snapshot of the sidecar called name in the folder dir. It returns ErrNotFound where there is none,
+// an error that wraps bolterrors.ErrTimeout where the other process of an upgrade keeps the file's lock for longer than
+// LockTimeout, and a *FileError for a file that is corrupt, truncated, of another format version or of another
+// sidecar. Such a file is renamed to <file>.bad-<Unix seconds>, so that the next Save starts a new one.
+func Load(dir, name string) (*Snapshot, error) {
 	path := Path(dir, name)
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
 		return nil, ErrNotFound
 	}
-	s, err = read(path, name)
-	var bad *FileError
-	if errors.As(err, &bad) {
-		aside := fmt.Sprintf("%s.bad-%d", path, time.Now().Unix())
-		if moved := os.Rename(path, aside); moved != nil {
-			bad.Reason += fmt.Sprintf("; could not be set aside: %v", moved)
-		} else {
-			bad.Reason += "; set aside as " + filepath.Base(aside)
-		}
+	s, err := readFile(path, name)
+	var invalid *FileError
+	if errors.As(err, &invalid) {
+		renameInvalid(invalid)
 	}
 	return s, err
 }
 
-func read(path, name string) (s *Snapshot, err error) {
+// renameInvalid moves a file that cannot be used out of the way, and notes in the error where it is.
+func renameInvalid(invalid *FileError) {
+	renamed := fmt.Sprintf("%s.bad-%d", invalid.Path, time.Now().Unix())
+	if err := os.Rename(invalid.Path, renamed); err != nil {
+		invalid.RenameErr = err
+		return
+	}
+	invalid.RenamedTo = filepath.Base(renamed)
+}
+
+func readFile(path, name string) (s *Snapshot, err error) {
 	defer func() { // bbolt panics on some damaged pages
-		if p := recover(); p != nil {
-			s, err = nil, &FileError{File: path, Reason: fmt.Sprintf("damaged: %v", p)}
+		if damage := recover(); damage != nil {
+			s, err = nil, &FileError{Path: path, Err: fmt.Errorf("damaged: %v", damage)}
 		}
 	}()
-	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: LockTimeout, ReadOnly: true})
+	db, err := bolt.Open(path, fileMode, &bolt.Options{Timeout: LockTimeout, ReadOnly: true})
 	if errors.Is(err, bolterrors.ErrTimeout) {
 		return nil, fmt.Errorf("state file %s: %w", path, err)
 	} else if err != nil {
-		return nil, &FileError{File: path, Reason: err.Error()}
+		return nil, &FileError{Path: path, Err: err}
 	}
 	defer db.Close()
-	s = &Snapshot{}
+	r := fileReader{path}
 	err = db.View(func(tx *bolt.Tx) error {
-		top := tx.Bucket(sidecarBucket)
-		if top == nil {
-			return &FileError{File: path, Record: string(sidecarBucket), Reason: "missing"}
-		}
-		get := func(b *bolt.Bucket, key []byte, kind byte, into any) error {
-			value := b.Get(key)
-			if value == nil {
-				return &FileError{File: path, Record: string(key), Reason: "missing"}
-			}
-			if err := decodeRecord(value, kind, into); err != nil {
-				return &FileError{File: path, Record: string(key), Reason: err.Error()}
-			}
-			return nil
-		}
-		for _, r := range singles {
-			if err := get(top, r.key, r.kind, s); err != nil {
-				return err
-			}
-		}
-		if s.SidecarName != name {
-			return &FileError{File: path, Record: string(metaKey), Reason: fmt.Sprintf("of sidecar %q, not %q", s.SidecarName, name)}
-		}
-		servers := top.Bucket(endpointStatesBucket)
-		if servers == nil {
-			return &FileError{File: path, Record: string(endpointStatesBucket), Reason: "missing"}
-		}
-		return servers.ForEach(func(k, _ []byte) error {
-			var v EndpointState
-			if err := get(servers, k, kindEndpointState, &v); err != nil {
-				return err
-			}
-			s.EndpointStates = append(s.EndpointStates, v)
-			return nil
-		})
+		s, err = r.readSnapshot(tx, name)
+		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	sort.Slice(s.EndpointStates, func(i, j int) bool { return s.EndpointStates[i].Name < s.EndpointStates[j].Name })
 	return s, nil
 }
+
+// fileReader reads records of one file; its errors are *FileErrors that name the file and the record.
+type fileReader struct{ path string }
+
+func (r fileReader) readSnapshot(tx *bolt.Tx, name string) (*Snapshot, error) {
+	bucket := tx.Bucket(sidecarBucket)
+	if bucket == nil {
+		return nil, r.invalid(sidecarBucket, ErrMissing)
+	}
+	var records singleRecords
+	for _, record := range records.all() {
+		if err := r.read(bucket, record.key, record.kind, record.body); err != nil {
+			return nil, err
+		}
+	}
+	if owner := records.meta.SidecarName; owner != name {
+		return nil, r.invalid(metaKey, fmt.Errorf("%w %q, not %q", ErrOtherSidecar, owner, name))
+	}
+	endpointStates := bucket.Bucket(endpointStatesBucket)
+	if endpointStates == nil {
+		return nil, r.invalid(endpointStatesBucket, ErrMissing)
+	}
+	s := records.snapshot()
+	err := endpointStates.ForEach(func(key, _ []byte) error {
+		var record endpointStateRecord
+		if err := r.read(endpointStates, key, kindEndpointState, &record); err != nil {
+			return err
+		}
+		s.EndpointStates = append(s.EndpointStates, EndpointState(record))
+		return nil
+	})
+	sort.Slice(s.EndpointStates, func(i, j int) bool { return s.EndpointStates[i].Name < s.EndpointStates[j].Name })
+	return s, err
+}
+
+// read decodes the record under key into what into points to.
+func (r fileReader) read(bucket *bolt.Bucket, key []byte, kind recordKind, into any) error {
+	record := bucket.Get(key)
+	if record == nil {
+		return r.invalid(key, ErrMissing)
+	}
+	if err := decodeRecord(record, kind, into); err != nil {
+		return r.invalid(key, err)
+	}
+	return nil
+}
+
+func (r fileReader) invalid(key []byte, err error) error {
+	return &FileError{Path: r.path, Record: string(key), Err: err}
+}
--- a/internal/state/record.go
+++ b/internal/state/record.go
@@ -3,64 +3,81 @@
 import (
 	"encoding/binary"
 	"encoding/json"
-	"errors"
 	"fmt"
 
 	"github.com/cespare/xxhash/v2"
 )
 
-// FormatVersion is the format of the records this package writes and reads.
+// FormatVersion is the format of the records that this package writes, and the only one that it reads.
 const FormatVersion = 1
 
+// A record is a header and a JSON body. All numbers are big-endian.
+//
+//	offset  bytes
+//	0       2      magic "BS"
+//	2       1      format version
+//	3       1      kind
+//	4       4      length of the body
+//	8       8      xxhash64 of the body
+//	16             body
 const (
-	magic        = "BS"
-	headerBytes  = 2 + 1 + 1 + 4 + 8 // magic, version, kind, body length, xxhash64 of the body
+	recordMagic    = "BS"
+	versionOffset  = 2
+	kindOffset     = 3
+	lengthOffset   = 4
+	checksumOffset = 8
+	headerBytes    = 16
+
 	maxBodyBytes = 64 << 20
 )
 
+// recordKind tells what is in a record's body. The numbers are part of the format.
+type recordKind byte
+
 // The kinds of record.
 const (
-	kindMeta byte = iota + 1
+	kindMeta recordKind = iota + 1
 	kindEndpointList
 	kindAdminSettings
 	kindEndpointState
 	kindFleet
 )
 
-// encodeRecord wraps a record's body in its header.
-func encodeRecord(kind byte, body []byte) []byte {
+// encodeRecord puts a body behind a header of its own.
+func encodeRecord(kind recordKind, body []byte) []byte {
 	record := make([]byte, headerBytes, headerBytes+len(body))
-	copy(record, magic)
-	record[2], record[3] = FormatVersion, kind
-	binary.BigEndian.PutUint32(record[4:], uint32(len(body)))
-	binary.BigEndian.PutUint64(record[8:], xxhash.Sum64(body))
+	copy(record, recordMagic)
+	record[versionOffset], record[kindOffset] = FormatVersion, byte(kind)
+	binary.BigEndian.PutUint32(record[lengthOffset:], uint32(len(body)))
+	binary.BigEndian.PutUint64(record[checksumOffset:], xxhash.Sum64(body))
 	return append(record, body...)
 }
 
-// decodeRecord checks a framed record of the given kind and reads its JSON body
-// into v. Its errors say what is wrong: not a record, another version or kind,
-// truncated, a checksum that does not match, a body that is not JSON.
-func decodeRecord(record []byte, kind byte, v any) error {
-	switch {
-	case len(record) < headerBytes || string(record[:2]) != magic:
-		return errors.New("not a record of this program")
-	case record[2] != FormatVersion:
-		return fmt.Errorf("format version %d; this program reads %d", record[2], FormatVersion)
-	case record[3] != kind:
-		return fmt.Errorf("kind %d where %d belongs", record[3], kind)
+// decodeRecord checks a record's header and reads its JSON body into the value that into points to. Its errors wrap
+// ErrNotRecord, ErrFormatVersion, ErrRecordKind, ErrLength or ErrChecksum, or are those of encoding/json.
+func decodeRecord(record []byte, kind recordKind, into any) error {
+	if len(record) < headerBytes || string(record[:len(recordMagic)]) != recordMagic {
+		return ErrNotRecord
+	}
+	if version := record[versionOffset]; version != FormatVersion {
+		return fmt.Errorf("%w %d; this program reads %d", ErrFormatVersion, version, FormatVersion)
 	}
-	size := binary.BigEndian.Uint32(record[4:])
+	if got := recordKind(record[kindOffset]); got != kind {
+		return fmt.Errorf("%w %d where %d belongs", ErrRecordKind, got, kind)
+	}
+	length := binary.BigEndian.Uint32(record[lengthOffset:])
 	body := record[headerBytes:]
-	switch {
-	case size > maxBodyBytes:
-		return fmt.Errorf("body of %d bytes, more than %d", size, maxBodyBytes)
-	case int(size) != len(body):
-		return fmt.Errorf("truncated or overlong: %d bytes of %d", len(body), size)
-	case xxhash.Sum64(body) != binary.BigEndian.Uint64(record[8:]):
-		return errors.New("checksum does not match")
+	if length > maxBodyBytes {
+		return fmt.Errorf("%w: body of %d bytes, more than %d", ErrLength, length, maxBodyBytes)
+	}
+	if int(length) != len(body) {
+		return fmt.Errorf("%w: %d bytes of %d", ErrLength, len(body), length)
+	}
+	if xxhash.Sum64(body) != binary.BigEndian.Uint64(record[checksumOffset:]) {
+		return ErrChecksum
 	}
-	if err := json.Unmarshal(body, v); err != nil {
-		return fmt.Errorf("body: %v", err)
+	if err := json.Unmarshal(body, into); err != nil {
+		return fmt.Errorf("body: %w", err)
 	}
 	return nil
 }
--- a/internal/state/save.go
+++ b/internal/state/save.go
@@ -1,7 +1,6 @@
 package state
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"net/url"
@@ -12,98 +11,85 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// LockTimeout is how long Save and Load wait for the other process of an upgrade
-// to finish its snapshot.
+// LockTimeout is how long Save and Load wait for the other process of an upgrade to finish with the file.
 const LockTimeout = 500 * time.Millisecond
 
-// SaveStats is what one Save cost.
+const fileMode = 0o600
+
+// SaveStats is what one Save wrote.
 type SaveStats struct {
 	Records int
-	Bytes   int
+	Bytes   int // of the records, headers included
 }
 
-// Path is where the state of the sidecar called name is kept in dir.
+// Path returns the path of the state file of the sidecar called name in the folder dir.
 func Path(dir, name string) string { return filepath.Join(dir, url.PathEscape(name)+".db") }
 
-// Save writes s as one transaction, fsynced before it returns. The earlier
-// snapshot stays whole where it fails: disk full, a read-only folder, a lock
-// that the other process holds past LockWait. Orders of operators never go
-// back: where the file has some of a larger OpsSeq, they stay.
+// Save writes s into its sidecar's file in dir as one transaction, and returns once it is on disk (fsync). Where it
+// fails the earlier snapshot stays whole: a full disk, a read-only folder, a lock that the other process keeps for
+// longer than LockTimeout (bolterrors.ErrTimeout). Admin settings never go back: where the file has some of a larger
+// revision, those stay.
 func Save(dir string, s *Snapshot) (SaveStats, error) {
-	var w SaveStats
-	_, missing := os.Stat(Path(dir, s.SidecarName))
-	db, err := bolt.Open(Path(dir, s.SidecarName), 0o600, &bolt.Options{Timeout: LockTimeout, NoFreelistSync: true})
+	path := Path(dir, s.SidecarName)
+	stats, err := save(path, s)
+	if err != nil {
+		return SaveStats{}, fmt.Errorf("state file %s: %w", path, err)
+	}
+	return stats, nil
+}
+
+func save(path string, s *Snapshot) (SaveStats, error) {
+	var stats SaveStats
+	_, statErr := os.Stat(path)
+	isNew := statErr != nil
+	db, err := bolt.Open(path, fileMode, &bolt.Options{Timeout: LockTimeout, NoFreelistSync: true})
 	if err != nil {
-		return w, fmt.Errorf("state file %s: %w", Path(dir, s.SidecarName), err)
+		return stats, err
 	}
 	defer db.Close()
-	err = db.Update(func(tx *bolt.Tx) error {
-		ops := opsRecord{s.AdminRevision, s.Banned, s.Drained}
-		if old := tx.Bucket(sidecarBucket); old != nil {
-			var had opsRecord
-			if decodeRecord(old.Get(adminSettingsKey), kindAdminSettings, &had) == nil && had.OpsSeq > ops.OpsSeq {
-				ops = had
-			}
-		}
-		tx.DeleteBucket(sidecarBucket)
-		top, err := tx.CreateBucket(sidecarBucket)
-		if err != nil {
-			return err
-		}
-		put := func(b *bolt.Bucket, key []byte, kind byte, v any) error {
-			body, err := json.Marshal(v)
-			if err != nil {
-				return err
-			}
-			record := encodeRecord(kind, body)
-			w.Records++
-			w.Bytes += len(record)
-			return b.Put(key, record)
-		}
-		meta := struct {
-			Name    string    `json:"name"`
-			Written time.Time `json:"written"`
-		}{s.SidecarName, s.ListedAt}
-		list := struct {
-			Seq   uint64     `json:"seq"`
-			Whole bool       `json:"whole"`
-			Hosts []Endpoint `json:"hosts"`
-		}{s.ListVersion, s.IsFullList, s.Endpoints}
-		fleet := struct {
-			Epoch uint64 `json:"epoch"`
-			Stage string `json:"stage"`
+	err = db.Update(func(tx *bolt.Tx) error { return writeSnapshot(tx, s, &stats) })
+	if err == nil && isNew {
+		err = syncDir(filepath.Dir(path)) // the file's name has to be on disk, too
+	}
+	return stats, err
+}
 
-			View json.RawMessage `json:"view,omitempty"`
-		}{s.LeaseEpoch, s.ReleaseStage, s.Membership}
-		for i, v := range [len(singles)]any{meta, list, ops, fleet} {
-			if err := put(top, singles[i].key, singles[i].kind, v); err != nil {
-				return err
-			}
+// writeSnapshot replaces the content of the file.
+func writeSnapshot(tx *bolt.Tx, s *Snapshot, stats *SaveStats) error {
+	records := newSingleRecords(s)
+	if old := tx.Bucket(sidecarBucket); old != nil {
+		var saved adminSettingsRecord
+		err := decodeRecord(old.Get(adminSettingsKey), kindAdminSettings, &saved)
+		if err == nil && saved.Revision > records.admin.Revision {
+			records.admin = saved
 		}
-		servers, err := top.CreateBucket(endpointStatesBucket)
-		if err != nil {
+	}
+	tx.DeleteBucket(sidecarBucket) // it fails where there is none
+	bucket, err := tx.CreateBucket(sidecarBucket)
+	if err != nil {
+		return err
+	}
+	for _, r := range records.all() {
+		if err := putRecord(bucket, r.key, r.kind, r.body, stats); err != nil {
 			return err
 		}
-		for _, v := range s.EndpointStates {
-			if err := put(servers, []byte(v.Name), kindEndpointState, v); err != nil {
-				return err
-			}
-		}
-		return nil
-	})
-	if err == nil && missing != nil { // the file is new: its name must be on disk, too
-		err = syncDir(dir)
 	}
+	endpointStates, err := bucket.CreateBucket(endpointStatesBucket)
 	if err != nil {
-		return SaveStats{}, fmt.Errorf("state file %s: %w", Path(dir, s.SidecarName), err)
+		return err
+	}
+	for _, e := range s.EndpointStates {
+		if err := putRecord(endpointStates, []byte(e.Name), kindEndpointState, endpointStateRecord(e), stats); err != nil {
+			return err
+		}
 	}
-	return w, nil
+	return nil
 }
 
-func syncDir(dir string) error {
-	d, err := os.Open(dir)
+func syncDir(path string) error {
+	dir, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	return errors.Join(d.Sync(), d.Close())
+	return errors.Join(dir.Sync(), dir.Close())
 }
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -1,6 +1,9 @@
-// Package state keeps what a sidecar learned over a crash or power loss: one
-// bbolt file per sidecar, written as whole snapshots, every record framed with
-// its format version, kind, length and xxhash64. See docs/design-state.md.
+// Package state persists what a sidecar has learned, so that it outlives a crash or a power loss: one bbolt file per
+// sidecar, written as complete snapshots.
+//
+// The event loop of internal/sidecar takes a Snapshot and hands it to a Writer, which saves it in a goroutine of its
+// own; an operator's call saves one synchronously with Save before it is answered. At a start the sidecar reads the
+// file with Load. The format of the records is in codec.go, their framing in record.go. See docs/design-state.md.
 package state
 
 import (
@@ -8,52 +11,57 @@
 	"time"
 )
 
-// Endpoint is one server of the list as discovery last told it.
+// maxClockSkew is how far in the future a list may be dated and still count as fresh.
+const maxClockSkew = time.Minute
+
+// Endpoint is one endpoint of the list as discovery last reported it. Its JSON form is discovery's own.
 type Endpoint struct {
 	Name            string  `json:"host"`
-	Address         string  `json:"dial"`
+	Address         string  `json:"dial"` // host:port
 	Zone            string  `json:"site"`
 	MachineType     string  `json:"class"`
 	Pod             uint16  `json:"block"`
-	Health          string  `json:"health"`
-	Weight          float32 `json:"share"`
-	StartedAtMillis int64   `json:"born_ms"`
+	Health          string  `json:"health"`  // a state in discovery's words
+	Weight          float32 `json:"share"`   // capacity, relative to the other endpoints
+	StartedAtMillis int64   `json:"born_ms"` // Unix time of the latest start in milliseconds; 0 for unknown
 }
 
-// EndpointState is what the module learned of one server: breaker latency baselines
-// (microseconds), pace (microseconds a unit of work) and the recent share of
-// failures (0..1).
+// EndpointState is what the balancer learned of one endpoint.
 type EndpointState struct {
-	Name            string  `json:"host"`
-	LatencyBaseline float64 `json:"base"`
-	LatencyCurrent  float64 `json:"current"`
-	ServiceTime     float64 `json:"pace"`
-	FailureRate     float64 `json:"errs"`
+	Name            string
+	LatencyBaseline float64 // microseconds: the breaker's long-term average
+	LatencyCurrent  float64 // microseconds: the breaker's short-term average
+	ServiceTime     float64 // microseconds per unit of work
+	FailureRate     float64 // recent, 0..1
+}
+
+// AdminSettings is what operators ordered of the sidecar.
+type AdminSettings struct {
+	Revision uint64   // grows with every change: of two records the one with the larger revision is in force
+	Banned   []string // names of endpoints taken out of use by hand
+	Drained  bool     // clients are sent to other sidecars
 }
 
-// Snapshot is all that is kept. Written is the wall-clock time at which
-// discovery last told the list, from which its age runs; nothing else in it is
-// a time.
+// Snapshot is everything that is persisted.
 type Snapshot struct {
-	SidecarName    string          `json:"name"` // of the sidecar; a file of another is foreign
-	ListedAt       time.Time       `json:"written"`
-	ListVersion    uint64          `json:"seq"` // of the list
-	IsFullList     bool            `json:"whole"`
-	Endpoints      []Endpoint      `json:"hosts"`
-	AdminRevision  uint64          `json:"ops_seq"` // of what operators ordered: of two records the one with the larger stands
-	Banned         []string        `json:"banned"`  // host names, out of use by hand
-	Drained        bool            `json:"drained"`
-	EndpointStates []EndpointState `json:"servers"`
-	LeaseEpoch     uint64          `json:"epoch"` // of the lease last held; issue 13
-	ReleaseStage   string          `json:"stage"` // of the release; issue 15
-
-	Membership json.RawMessage `json:"view,omitempty"` // the fleet's last settled view, as internal/fleet keeps it
+	SidecarName string // the file of another sidecar is rejected
+
+	ListedAt    time.Time // wall clock when discovery last confirmed the list; the list's age counts from it
+	ListVersion uint64    // discovery's sequence number
+	IsFullList  bool      // Endpoints is the complete list, not changes only
+	Endpoints   []Endpoint
+
+	Admin          AdminSettings
+	EndpointStates []EndpointState
+
+	LeaseEpoch   uint64          // of the lease last held; reserved, always 0 today
+	ReleaseStage string          // of the release; reserved, always empty today
+	Membership   json.RawMessage // last stable membership, in the form that internal/fleet gave it; nil for none
 }
 
-// IsFresh says whether a list written at written may still be served at now: it
-// is younger than maxAge, and not from the future by more than a minute (the
-// clock jumped, or it was written elsewhere).
-func IsFresh(written, now time.Time, maxAge time.Duration) bool {
-	age := now.Sub(written)
-	return age < maxAge && age > -time.Minute
+// IsFresh reports whether a list that was confirmed at listedAt may still be served from at now: it is younger than
+// maxAge, and not dated in the future by more than a minute (the clock was set back, or the file is another machine's).
+func IsFresh(listedAt, now time.Time, maxAge time.Duration) bool {
+	age := now.Sub(listedAt)
+	return age < maxAge && age > -maxClockSkew
 }
