--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -72,7 +72,7 @@
 	keptView  json.RawMessage                // of the fleet, by an earlier process
 	snapshots *state.Writer                  // nil where no state is persisted
 	restored  *state.Snapshot                // what an earlier process persisted, until the start
-	orders    func() *shared                 // what operators ordered; nil without operators
+	admin     func() *handoverState          // what operators ordered; nil without operators
 	listedAt  time.Time                      // wall clock when discovery last told the list
 	control   *control                       // counts what control costs; nil without operators
 
--- a/internal/sidecar/ops.go
+++ b/internal/sidecar/ops.go
@@ -96,7 +96,7 @@
 // tell answers with what operators ordered of this sidecar, as JSON: the ids of pin servers out by hand, sorted, and
 // whether it is drained. Both processes of an upgrade tell the same.
 func (o *operators) tell(w http.ResponseWriter, in *http.Request) {
-	state := o.server.store.look()
+	state := o.server.handover.Load()
 	banned := append([]string{}, state.Banned...)
 	slices.Sort(banned)
 	w.Header().Set("Content-Type", "application/json")
@@ -160,7 +160,7 @@
 			http.Error(w, "no such pin server was ever listed", http.StatusNotFound)
 			return
 		}
-		o.answer(w, in, o.server.change(func(state *shared) {
+		o.answer(w, in, o.server.updateSettings(func(state *handoverState) {
 			state.Banned = slices.DeleteFunc(state.Banned, func(name string) bool { return name == id })
 			if on {
 				state.Banned = append(state.Banned, id)
@@ -182,6 +182,6 @@
 // drain answers a call that sends clients away or takes them again.
 func (o *operators) drain(on bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, in *http.Request) {
-		o.answer(w, in, o.server.change(func(state *shared) { state.Drained = on }))
+		o.answer(w, in, o.server.updateSettings(func(state *handoverState) { state.Drained = on }))
 	}
 }
--- a/internal/sidecar/ops_golden_test.go
+++ b/internal/sidecar/ops_golden_test.go
@@ -109,7 +109,7 @@
 	w.launch(cfg)
 	w.until("serving", func() bool { return w.server.serves() })
 	call := w.operate()
-	folder := filepath.Dir(w.server.store.path)
+	folder := filepath.Dir(w.server.handover.path)
 	tr := &transcript{t: t, w: w, norm: func(text string) string {
 		text = strings.ReplaceAll(text, folder, "DIR")
 		text = strings.ReplaceAll(text, fmt.Sprintf("%-21s", cfg.peerListen), "ADDRESS")
@@ -188,14 +188,14 @@
 	<-blocked
 	tr.call("POST", "/pin-servers/disable", "s-1")
 	close(free)
-	if err := os.Mkdir(w.server.store.path+".new", 0o700); err != nil {
+	if err := os.Mkdir(w.server.handover.path+".new", 0o700); err != nil {
 		t.Fatal(err)
 	}
 	tr.call("POST", "/drain", "")
-	if err := os.Remove(w.server.store.path + ".new"); err != nil {
+	if err := os.Remove(w.server.handover.path + ".new"); err != nil {
 		t.Fatal(err)
 	}
-	w.server.store.close()
+	w.server.handover.Close()
 	tr.call("POST", "/pin-servers/disable", "s-1")
 	tr.call("POST", "/undrain", "")
 	if code := call("GET", "/ready", ""); code != 200 {
--- a/internal/sidecar/ops_test.go
+++ b/internal/sidecar/ops_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.server.store = openStore(w.t.TempDir(), "n0", slog.New(slog.DiscardHandler))
+	w.server.handover = openHandover(w.t.TempDir(), "n0", slog.New(slog.DiscardHandler))
 	ctx, stop := context.WithCancel(context.Background())
 	w.t.Cleanup(stop)
 	go newOperators(w.server).serve(ctx, listener)
@@ -63,7 +63,7 @@
 		if code := call(c.method, c.path, c.body); code != c.code {
 			t.Errorf("%s %s: %d, want %d", c.method, c.path, code, c.code)
 		}
-		if now := w.server.store.look(); now.Seq != 0 {
+		if now := w.server.handover.Load(); now.Revision != 0 {
 			t.Fatalf("%s %s changed something: %+v", c.method, c.path, now)
 		}
 	}
@@ -241,7 +241,7 @@
 func TestCallThatCannotBeKept(t *testing.T) {
 	w := start(t, nil, ready("s-1", newEndpoint(t, always(served)).address))
 	call := w.operate()
-	w.server.store.close()
+	w.server.handover.Close()
 	for path, body := range map[string]string{"/drain": "", "/pin-servers/disable": "s-1"} {
 		if code := call("POST", path, body); code != 503 {
 			t.Errorf("%s: %d, want 503", path, code)
@@ -283,7 +283,7 @@
 	w.server.clients.mu.Lock()
 	w.server.clients.rest = 0 // what is at rest may be closed at once where room is short
 	w.server.clients.mu.Unlock()
-	w.server.divide(true)
+	w.server.splitLimits(true)
 	var clients []*kept
 	for range w.loop.cfg.Limits.Sockets / clientsPart {
 		clients = append(clients, w.keep())
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -84,13 +84,13 @@
 			return false
 		}
 	}
-	for s.store != nil && !s.store.takeFleet() {
-		if !wait(followEvery) {
+	for s.handover != nil && !s.handover.AcquireFleetMembership() {
+		if !wait(handoverPollInterval) {
 			return
 		}
 	}
 	o := l.fleetOptions()
-	if s.store != nil { // a process of an earlier release may still have a socket of this address
+	if s.handover != nil { // a process of an earlier release may still have a socket of this address
 		o.Opened = func(socket syscall.Conn) {
 			if err := steer(socket); err != nil {
 				l.log.Warn("datagrams are not steered to this process", "error", err)
@@ -106,9 +106,9 @@
 	}
 	l.fleet.Store(f)
 	<-ctx.Done()
-	f.Close(s.store == nil || !s.store.paired())
-	if s.store != nil {
-		s.store.dropFleet()
+	f.Close(s.handover == nil || !s.handover.HasOtherProcess())
+	if s.handover != nil {
+		s.handover.ReleaseFleetMembership()
 	}
 }
 
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -59,11 +59,11 @@
 
 	acceptFor time.Duration // after SIGTERM, or a call to drain
 
-	store    *store     // nil without operators
-	applying sync.Mutex // of what is shared
-	applied  uint64     // sequence number of the latest
-	paired   bool       // another process of this sidecar runs
-	divided  bool       // the limits were divided once
+	handover        *handoverStore // nil without operators
+	handoverMutex   sync.Mutex     // of what is shared
+	appliedRevision uint64         // sequence number of the latest
+	hasOtherProcess bool           // another process of this sidecar runs
+	limitsSplit     bool           // the limits were divided once
 }
 
 // Run serves until ctx ends, then answers what it has taken and returns. Each
@@ -93,27 +93,27 @@
 		if err != nil {
 			return err
 		}
-		s.store = openStore(os.TempDir(), cfg.Name, log)
-		defer s.store.close()
-		paired = s.store.paired()
+		s.handover = openHandover(os.TempDir(), cfg.Name, log)
+		defer s.handover.Close()
+		paired = s.handover.HasOtherProcess()
 		if l.restored != nil {
 			settings := l.restored.Admin
-			if err := s.store.recall(shared{Seq: settings.Revision, Banned: settings.Banned, Drained: settings.Drained}); err != nil {
+			if err := s.handover.Restore(handoverState{Revision: settings.Revision, Banned: settings.Banned, Drained: settings.Drained}); err != nil {
 				log.Error("restored admin settings not shared with the next process", "error", err)
 			}
 		}
 		if mutant.ForgetsBans {
-			s.store.update(func(st *shared) { st.Banned = nil }, func(shared) error { return nil })
+			s.handover.Update(func(st *handoverState) { st.Banned = nil }, func(handoverState) error { return nil })
 		}
-		l.orders = s.store.known.Load
+		l.admin = s.handover.cached.Load
 		go l.run()
-		if err := s.apply(s.store.look(), paired); err != nil {
+		if err := s.applySettings(s.handover.Load(), paired); err != nil {
 			return err
 		}
 		go newOperators(s).serve(loopCtx, calls)
-		go s.followStore(loopCtx)
+		go s.pollHandover(loopCtx)
 	} else {
-		s.divide(false)
+		s.splitLimits(false)
 		go l.run()
 	}
 	go l.follow(reloads)
@@ -193,35 +193,35 @@
 	}
 }
 
-// apply takes in what both processes of an upgrade share, and whether there are two. Old news does nothing.
-func (s *server) apply(state shared, paired bool) error {
-	s.applying.Lock()
-	defer s.applying.Unlock()
-	if paired != s.paired || !s.divided {
-		if err := s.loop.urge(func(balancer.Micros) { s.loop.balancer.SetProcessCount(processes(paired)) }); err != nil {
+// applySettings takes in what both processes of an upgrade share, and whether there are two. Old news does nothing.
+func (s *server) applySettings(state handoverState, paired bool) error {
+	s.handoverMutex.Lock()
+	defer s.handoverMutex.Unlock()
+	if paired != s.hasOtherProcess || !s.limitsSplit {
+		if err := s.loop.urge(func(balancer.Micros) { s.loop.balancer.SetProcessCount(processCount(paired)) }); err != nil {
 			return err
 		}
-		s.divide(paired)
+		s.splitLimits(paired)
 	}
-	if state.Seq <= s.applied {
+	if state.Revision <= s.appliedRevision {
 		return nil
 	}
 	if err := s.loop.urge(func(now balancer.Micros) { s.loop.setBans(now, state.Banned) }); err != nil {
 		return err // the next look at the file tries again
 	}
-	s.applied = state.Seq
+	s.appliedRevision = state.Revision
 	s.setDrained(state.Drained)
 	return nil
 }
 
-// followStore takes in what the other process changes, until ctx ends.
-func (s *server) followStore(ctx context.Context) {
-	tick := time.NewTicker(followEvery)
+// pollHandover takes in what the other process changes, until ctx ends.
+func (s *server) pollHandover(ctx context.Context) {
+	tick := time.NewTicker(handoverPollInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			if err := s.apply(s.store.look(), s.store.paired()); err != nil && ctx.Err() == nil {
+			if err := s.applySettings(s.handover.Load(), s.handover.HasOtherProcess()); err != nil && ctx.Err() == nil {
 				s.loop.log.Warn("state file: not taken in yet", "error", err)
 			}
 		case <-ctx.Done():
@@ -230,18 +230,18 @@
 	}
 }
 
-func processes(paired bool) int {
+func processCount(paired bool) int {
 	if paired {
 		return 2
 	}
 	return 1
 }
 
-// divide keeps this process to its part of the platform's limits: all of them, or half while another runs. But
+// splitLimits keeps this process to its part of the platform's limits: all of them, or half while another runs. But
 // clients hold a third of the descriptors at most, in whichever process, and each has one attempt out: a process that
 // was alone cannot give theirs back at once, and soon all of them come to the newcomer, which must not turn them
 // back. What is divided then is what may lie idle.
-func (s *server) divide(paired bool) {
+func (s *server) splitLimits(paired bool) {
 	cfg := s.loop.cfg
 	most := connections(cfg)
 	if paired {
@@ -249,29 +249,29 @@
 		third := min(most, cfg.Limits.Sockets/clientsPart)
 		idle := (cfg.Limits.Sockets - 2*third - 2*socketSpare) / 2
 		s.loop.up.bound(third, max(idle, 0))
-		if !s.divided {
+		if !s.limitsSplit {
 			s.clients.bound(third)
 		}
 	} else {
 		s.loop.up.bound(most, most)
 		s.clients.bound(most)
 	}
-	s.paired, s.divided = paired, true
+	s.hasOtherProcess, s.limitsSplit = paired, true
 	// The heap stays under the limit at which the platform kills the process, with room for what the runtime does
 	// not count.
-	heap := int64(cfg.Limits.MemoryMB) << 20 / 10 * 8 / int64(processes(paired))
+	heap := int64(cfg.Limits.MemoryMB) << 20 / 10 * 8 / int64(processCount(paired))
 	debug.SetMemoryLimit(heap)
 	s.incoming.bound(heap / bodiesPart)
 }
 
-// change alters what is shared, for this process and the other. Where state is kept, the change is on disk before it
+// updateSettings alters what is shared, for this process and the other. Where state is kept, the change is on disk before it
 // holds anywhere: a yes must outlive the machine's power.
-func (s *server) change(alter func(*shared)) error {
-	state, err := s.store.update(alter, s.loop.persistAdminSettings)
+func (s *server) updateSettings(alter func(*handoverState)) error {
+	state, err := s.handover.Update(alter, s.loop.persistAdminSettings)
 	if err != nil {
 		return fmt.Errorf("state file: %w", err)
 	}
-	return s.apply(state, s.store.paired())
+	return s.applySettings(state, s.handover.HasOtherProcess())
 }
 
 // connections is the most that clients may hold, and the most to endpoints: every client's request has one attempt at
@@ -378,7 +378,7 @@
 func (s *server) end(listener net.Listener) error {
 	s.ending.Store(true)
 	s.loop.log.Info("ending", "clients", s.clients.open())
-	if l, ok := listener.(*net.TCPListener); ok && s.store != nil && s.store.paired() {
+	if l, ok := listener.(*net.TCPListener); ok && s.handover != nil && s.handover.HasOtherProcess() {
 		l.SetDeadline(time.Now().Add(acceptOut)) // new clients go to the other process from here on
 	}
 	time.Sleep(s.acceptFor)
--- a/internal/sidecar/snapshot.go
+++ b/internal/sidecar/snapshot.go
@@ -82,7 +82,7 @@
 
 // persistAdminSettings saves the operators' settings, with the rest of a snapshot, and returns nil once they are on
 // disk, or where no state is persisted. An operator's call waits for it.
-func (l *loop) persistAdminSettings(settings shared) error {
+func (l *loop) persistAdminSettings(settings handoverState) error {
 	if l.snapshots == nil {
 		return nil
 	}
@@ -96,8 +96,8 @@
 }
 
 // adminSettings are the settings of the handover file in the form in which they are persisted.
-func adminSettings(settings shared) state.AdminSettings {
-	return state.AdminSettings{Revision: settings.Seq, Banned: settings.Banned, Drained: settings.Drained}
+func adminSettings(settings handoverState) state.AdminSettings {
+	return state.AdminSettings{Revision: settings.Revision, Banned: settings.Banned, Drained: settings.Drained}
 }
 
 // snapshot returns what is to be persisted. The loop's goroutine calls it.
@@ -112,8 +112,8 @@
 		}
 	}
 	sort.Slice(s.Endpoints, func(i, j int) bool { return s.Endpoints[i].Name < s.Endpoints[j].Name })
-	if l.orders != nil {
-		s.Admin = adminSettings(*l.orders())
+	if l.admin != nil {
+		s.Admin = adminSettings(*l.admin())
 	} else {
 		s.Admin.Banned = l.bannedNames() // without operators the bans of an earlier process stay in force
 	}
--- a/internal/sidecar/store.go
+++ b/internal/sidecar/store.go
@@ -18,55 +18,55 @@
 )
 
 const (
-	sharedVersion = 1
-	sharedMost    = 1 << 20                // bytes of the file
-	followEvery   = 100 * time.Millisecond // between looks at the file and at the other's seat
-	lockPatience  = 500 * time.Millisecond // the lock is held for the writing of a small file
-	lockPause     = 5 * time.Millisecond
+	handoverVersion      = 1
+	maxHandoverBytes     = 1 << 20                // bytes of the file
+	handoverPollInterval = 100 * time.Millisecond // between looks at the file and at the other's seat
+	writeLockTimeout     = 500 * time.Millisecond // the lock is held for the writing of a small file
+	writeLockRetry       = 5 * time.Millisecond
 
 	// Bytes of the lock file: one to write under, a seat for each of two processes, and one for the process that is
 	// this sidecar's member of the fleet.
-	writeByte = 0
-	seatByte  = 1
-	seats     = 2
-	fleetByte = seatByte + seats
+	writeByte     = 0
+	firstSeatByte = 1
+	seatCount     = 2
+	fleetByte     = firstSeatByte + seatCount
 )
 
-// shared is what the two processes of an upgrade agree on.
-type shared struct {
-	Version int      `json:"version"`
-	Seq     uint64   `json:"seq"` // grows with every change
-	Drained bool     `json:"drained"`
-	Banned  []string `json:"banned"` // host names
+// handoverState is what the two processes of an upgrade agree on.
+type handoverState struct {
+	Version  int      `json:"version"`
+	Revision uint64   `json:"seq"` // grows with every change
+	Drained  bool     `json:"drained"`
+	Banned   []string `json:"banned"` // host names
 }
 
-// store keeps the shared state in a file, and tells whether another process of this sidecar runs.
-type store struct {
+// handoverStore keeps the shared state in a file, and tells whether another process of this sidecar runs.
+type handoverStore struct {
 	path string
 	log  *slog.Logger
 
-	mu   sync.Mutex
-	lock *os.File    // nil where it could not be opened
-	last shared      // last good state
-	file os.FileInfo // as last read; nil before
+	mu       sync.Mutex
+	lock     *os.File      // nil where it could not be opened
+	state    handoverState // last good state
+	fileInfo os.FileInfo   // as last read; nil before
 
-	known atomic.Pointer[shared] // last, for who must not wait for mu
+	cached atomic.Pointer[handoverState] // last, for who must not wait for mu
 }
 
-var errNoStore = errors.New("the state file's folder cannot be used")
+var errHandoverUnavailable = errors.New("the state file's folder cannot be used")
 
-// openStore takes a seat and reads what an earlier process left. A folder that cannot be used costs the operators'
+// openHandover takes a seat and reads what an earlier process left. A folder that cannot be used costs the operators'
 // calls that change something, not the service.
-func openStore(dir, name string, log *slog.Logger) *store {
-	s := &store{path: filepath.Join(dir, "pinedale-"+url.PathEscape(name)+".json"), log: log}
-	s.known.Store(&shared{})
+func openHandover(dir, name string, log *slog.Logger) *handoverStore {
+	s := &handoverStore{path: filepath.Join(dir, "pinedale-"+url.PathEscape(name)+".json"), log: log}
+	s.cached.Store(&handoverState{})
 	var err error
 	if s.lock, err = os.OpenFile(s.path+".lock", os.O_RDWR|os.O_CREATE, 0o600); err != nil {
 		log.Error("state file: no lock; calls that change something are answered no", "error", err)
 		return s
 	}
 	seated := false
-	for seat := int64(seatByte); seat < seatByte+seats && !seated; seat++ {
+	for seat := int64(firstSeatByte); seat < firstSeatByte+seatCount && !seated; seat++ {
 		seated = s.flock(unix.F_WRLCK, seat) == nil
 	}
 	if !seated {
@@ -75,8 +75,8 @@
 	return s
 }
 
-// close gives the seat up.
-func (s *store) close() {
+// Close gives the seat up.
+func (s *handoverStore) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lock != nil {
@@ -86,32 +86,32 @@
 }
 
 // flock locks or unlocks a byte of the lock file, for as long as the file is open.
-func (s *store) flock(kind int16, at int64) error {
+func (s *handoverStore) flock(kind int16, at int64) error {
 	return unix.FcntlFlock(s.lock.Fd(), unix.F_OFD_SETLK, &unix.Flock_t{Type: kind, Start: at, Len: 1})
 }
 
-// paired says whether another process of this sidecar runs.
-func (s *store) paired() bool {
+// HasOtherProcess says whether another process of this sidecar runs.
+func (s *handoverStore) HasOtherProcess() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lock == nil {
 		return false
 	}
-	other := unix.Flock_t{Type: unix.F_WRLCK, Start: seatByte, Len: seats}
+	other := unix.Flock_t{Type: unix.F_WRLCK, Start: firstSeatByte, Len: seatCount}
 	err := unix.FcntlFlock(s.lock.Fd(), unix.F_OFD_GETLK, &other)
 	return err == nil && other.Type != unix.F_UNLCK
 }
 
-// takeFleet makes this process the sidecar's member of the fleet, unless the other is; where there is no lock file, no
+// AcquireFleetMembership makes this process the sidecar's member of the fleet, unless the other is; where there is no lock file, no
 // other process can be told of.
-func (s *store) takeFleet() bool {
+func (s *handoverStore) AcquireFleetMembership() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lock == nil || s.flock(unix.F_WRLCK, fleetByte) == nil
 }
 
-// dropFleet lets the other process be the member.
-func (s *store) dropFleet() {
+// ReleaseFleetMembership lets the other process be the member.
+func (s *handoverStore) ReleaseFleetMembership() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lock != nil {
@@ -119,62 +119,62 @@
 	}
 }
 
-// look returns the state by the file as it is now.
-func (s *store) look() shared {
+// Load returns the state by the file as it is now.
+func (s *handoverStore) Load() handoverState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.read()
-	return s.last
+	s.refresh()
+	return s.state
 }
 
-// read takes in the file if it has changed. It holds s.mu.
-func (s *store) read() {
+// refresh takes in the file if it has changed. It holds s.mu.
+func (s *handoverStore) refresh() {
 	info, err := os.Stat(s.path)
-	if errors.Is(err, fs.ErrNotExist) && s.file == nil {
+	if errors.Is(err, fs.ErrNotExist) && s.fileInfo == nil {
 		return // nothing was ever changed
 	}
-	if err == nil && s.file != nil && os.SameFile(info, s.file) && info.ModTime().Equal(s.file.ModTime()) &&
-		info.Size() == s.file.Size() {
+	if err == nil && s.fileInfo != nil && os.SameFile(info, s.fileInfo) && info.ModTime().Equal(s.fileInfo.ModTime()) &&
+		info.Size() == s.fileInfo.Size() {
 		return
 	}
 	if err != nil {
 		s.log.Error("state file: keeping the last good state", "error", err)
-		s.file = nil
+		s.fileInfo = nil
 		return
 	}
-	s.file = info
-	next, err := readShared(s.path, info.Size())
+	s.fileInfo = info
+	next, err := readHandoverFile(s.path, info.Size())
 	if err != nil {
 		s.log.Error("state file: keeping the last good state", "error", err)
 		return
 	}
-	if next.Seq >= s.last.Seq {
+	if next.Revision >= s.state.Revision {
 		s.set(next)
 	}
 }
 
 // set takes a state for the last good one. It holds s.mu.
-func (s *store) set(state shared) {
-	s.last = state
-	s.known.Store(&state)
+func (s *handoverStore) set(state handoverState) {
+	s.state = state
+	s.cached.Store(&state)
 }
 
-// recall takes in what was kept on disk, where it is newer than the file: the file lives in memory and may have died
+// Restore takes in what was kept on disk, where it is newer than the file: the file lives in memory and may have died
 // with the machine. What was kept holds for this process also where the file cannot be written.
-func (s *store) recall(kept shared) error {
+func (s *handoverStore) Restore(kept handoverState) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.read()
-	if kept.Seq < s.last.Seq || kept.Seq == s.last.Seq && (kept.Seq > 0 || len(kept.Banned) == 0 && !kept.Drained) {
+	s.refresh()
+	if kept.Revision < s.state.Revision || kept.Revision == s.state.Revision && (kept.Revision > 0 || len(kept.Banned) == 0 && !kept.Drained) {
 		return nil
 	}
-	kept.Version, kept.Seq = sharedVersion, max(kept.Seq, 1) // a snapshot of an earlier release has no number
+	kept.Version, kept.Revision = handoverVersion, max(kept.Revision, 1) // a snapshot of an earlier release has no number
 	s.set(kept)
 	return s.write(kept)
 }
 
 // write puts a state into the file. It holds s.mu.
-func (s *store) write(state shared) error {
+func (s *handoverStore) write(state handoverState) error {
 	data, err := json.Marshal(state)
 	if err != nil {
 		return err
@@ -185,13 +185,13 @@
 	if err := os.Rename(s.path+".new", s.path); err != nil {
 		return err
 	}
-	s.file, _ = os.Stat(s.path) // it is looked at again if that failed
+	s.fileInfo, _ = os.Stat(s.path) // it is looked at again if that failed
 	return nil
 }
 
-func readShared(path string, size int64) (shared, error) {
-	var state shared
-	if size > sharedMost {
+func readHandoverFile(path string, size int64) (handoverState, error) {
+	var state handoverState
+	if size > maxHandoverBytes {
 		return state, fmt.Errorf("%s: %d bytes are too many", path, size)
 	}
 	data, err := os.ReadFile(path)
@@ -201,42 +201,42 @@
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&state); err != nil {
-		return shared{}, fmt.Errorf("%s: %w", path, err)
+		return handoverState{}, fmt.Errorf("%s: %w", path, err)
 	}
-	if state.Version != sharedVersion {
-		return shared{}, fmt.Errorf("%s: version %d is not %d", path, state.Version, sharedVersion)
+	if state.Version != handoverVersion {
+		return handoverState{}, fmt.Errorf("%s: version %d is not %d", path, state.Version, handoverVersion)
 	}
 	return state, nil
 }
 
-// update changes the state for both processes, and returns the new one. Before anybody learns of it, keep must have
+// Update changes the state for both processes, and returns the new one. Before anybody learns of it, keep must have
 // put it where it outlives this machine's power, if that is to be.
-func (s *store) update(alter func(*shared), keep func(shared) error) (shared, error) {
+func (s *handoverStore) Update(alter func(*handoverState), keep func(handoverState) error) (handoverState, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lock == nil {
-		return s.last, errNoStore
+		return s.state, errHandoverUnavailable
 	}
-	for until := time.Now().Add(lockPatience); ; time.Sleep(lockPause) {
+	for until := time.Now().Add(writeLockTimeout); ; time.Sleep(writeLockRetry) {
 		err := s.flock(unix.F_WRLCK, writeByte)
 		if err == nil {
 			break
 		}
 		if time.Now().After(until) {
-			return s.last, fmt.Errorf("lock: %w", err)
+			return s.state, fmt.Errorf("lock: %w", err)
 		}
 	}
 	defer s.flock(unix.F_UNLCK, writeByte)
-	s.read()
-	next := s.last
-	next.Banned = append([]string(nil), s.last.Banned...)
+	s.refresh()
+	next := s.state
+	next.Banned = append([]string(nil), s.state.Banned...)
 	alter(&next)
-	next.Version, next.Seq = sharedVersion, s.last.Seq+1
+	next.Version, next.Revision = handoverVersion, s.state.Revision+1
 	if err := keep(next); err != nil {
-		return s.last, err
+		return s.state, err
 	}
 	if err := s.write(next); err != nil {
-		return s.last, err
+		return s.state, err
 	}
 	s.set(next)
 	return next, nil
--- a/internal/sidecar/store_test.go
+++ b/internal/sidecar/store_test.go
@@ -10,33 +10,33 @@
 
 func TestStoreIsSharedByTwo(t *testing.T) {
 	dir := t.TempDir()
-	a := openStore(dir, "n/0", slog.New(slog.DiscardHandler))
-	if a.paired() {
+	a := openHandover(dir, "n/0", slog.New(slog.DiscardHandler))
+	if a.HasOtherProcess() {
 		t.Error("a process alone sees another")
 	}
-	b := openStore(dir, "n/0", slog.New(slog.DiscardHandler))
-	if !a.paired() || !b.paired() {
+	b := openHandover(dir, "n/0", slog.New(slog.DiscardHandler))
+	if !a.HasOtherProcess() || !b.HasOtherProcess() {
 		t.Error("two processes do not see each other")
 	}
-	if openStore(dir, "n1", slog.New(slog.DiscardHandler)).paired() {
+	if openHandover(dir, "n1", slog.New(slog.DiscardHandler)).HasOtherProcess() {
 		t.Error("another sidecar's processes are taken for its own")
 	}
-	if _, err := a.update(func(s *shared) { s.Drained = true }, unkept); err != nil {
+	if _, err := a.Update(func(s *handoverState) { s.Drained = true }, unkept); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := b.update(func(s *shared) { s.Banned = []string{"s-1"} }, unkept); err != nil {
+	if _, err := b.Update(func(s *handoverState) { s.Banned = []string{"s-1"} }, unkept); err != nil {
 		t.Fatal(err)
 	}
-	want := shared{Version: sharedVersion, Seq: 2, Drained: true, Banned: []string{"s-1"}}
-	if got := a.look(); !reflect.DeepEqual(got, want) {
+	want := handoverState{Version: handoverVersion, Revision: 2, Drained: true, Banned: []string{"s-1"}}
+	if got := a.Load(); !reflect.DeepEqual(got, want) {
 		t.Errorf("the first sees %+v, want %+v", got, want)
 	}
-	b.close()
-	if a.paired() {
+	b.Close()
+	if a.HasOtherProcess() {
 		t.Error("an ended process is still seen")
 	}
-	a.close()
-	if got := openStore(dir, "n/0", slog.New(slog.DiscardHandler)).look(); !reflect.DeepEqual(got, want) {
+	a.Close()
+	if got := openHandover(dir, "n/0", slog.New(slog.DiscardHandler)).Load(); !reflect.DeepEqual(got, want) {
 		t.Errorf("the next process sees %+v, want %+v", got, want)
 	}
 }
@@ -49,8 +49,8 @@
 		"missing": os.Remove,
 	} {
 		var log strings.Builder
-		s := openStore(t.TempDir(), "n0", slog.New(slog.NewTextHandler(&log, nil)))
-		before, err := s.update(func(s *shared) { s.Banned = []string{"s-1"} }, unkept)
+		s := openHandover(t.TempDir(), "n0", slog.New(slog.NewTextHandler(&log, nil)))
+		before, err := s.Update(func(s *handoverState) { s.Banned = []string{"s-1"} }, unkept)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -58,15 +58,15 @@
 			t.Fatal(err)
 		}
 		for range 2 {
-			s.look()
+			s.Load()
 		}
-		if got := s.look(); !reflect.DeepEqual(got, before) {
+		if got := s.Load(); !reflect.DeepEqual(got, before) {
 			t.Errorf("%s: the state is %+v, want %+v", name, got, before)
 		}
 		if n := strings.Count(log.String(), "state file"); n != 1 {
 			t.Errorf("%s: logged %d times, want once: %s", name, n, log.String())
 		}
-		if got, err := s.update(func(s *shared) { s.Drained = true }, unkept); err != nil || len(got.Banned) != 1 {
+		if got, err := s.Update(func(s *handoverState) { s.Drained = true }, unkept); err != nil || len(got.Banned) != 1 {
 			t.Errorf("%s: a change after it: %+v, %v", name, got, err)
 		}
 	}
@@ -74,19 +74,19 @@
 
 func TestStoreThatCannotBeWritten(t *testing.T) {
 	missing := t.TempDir() + "/none"
-	s := openStore(missing, "n0", slog.New(slog.DiscardHandler))
-	if _, err := s.update(func(s *shared) { s.Drained = true }, unkept); err == nil || s.look().Drained {
-		t.Errorf("a change that was not written: %v, %+v; want an error and no change", err, s.look())
+	s := openHandover(missing, "n0", slog.New(slog.DiscardHandler))
+	if _, err := s.Update(func(s *handoverState) { s.Drained = true }, unkept); err == nil || s.Load().Drained {
+		t.Errorf("a change that was not written: %v, %+v; want an error and no change", err, s.Load())
 	}
 	dir := t.TempDir()
-	s = openStore(dir, "n0", slog.New(slog.DiscardHandler))
+	s = openHandover(dir, "n0", slog.New(slog.DiscardHandler))
 	if err := os.Mkdir(s.path+".new", 0o700); err != nil { // root may write anywhere, but not over a folder
 		t.Fatal(err)
 	}
-	if _, err := s.update(func(s *shared) { s.Drained = true }, unkept); err == nil || s.look().Drained {
-		t.Errorf("a change that was not written: %v, %+v; want an error and no change", err, s.look())
+	if _, err := s.Update(func(s *handoverState) { s.Drained = true }, unkept); err == nil || s.Load().Drained {
+		t.Errorf("a change that was not written: %v, %+v; want an error and no change", err, s.Load())
 	}
 }
 
 // unkept is for changes of a sidecar that keeps no state.
-func unkept(shared) error { return nil }
+func unkept(handoverState) error { return nil }
