--- a/internal/sidecar/store_golden_test.go
+++ b/internal/handover/golden_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package handover
 
 import (
 	"errors"
@@ -12,7 +12,7 @@
 )
 
 // sharedGolden is what release 21.0 wrote into testdata/shared.json.
-var sharedGolden = handoverState{Version: 1, Revision: 41, Drained: true, Banned: []string{"v001", "v/2 <é>"}}
+var sharedGolden = State{Version: 1, Revision: 41, Drained: true, Banned: []string{"v001", "v/2 <é>"}}
 
 // copySharedGolden puts the file that release 21.0 wrote where the processes of the sidecar "n/0" look for it.
 func copySharedGolden(t *testing.T, dir string) (path, text string) {
@@ -31,7 +31,7 @@
 func TestReadsTheSharedFileOfAnEarlierRelease(t *testing.T) {
 	dir := t.TempDir()
 	copySharedGolden(t, dir)
-	s := openHandover(dir, "n/0", slog.New(slog.DiscardHandler))
+	s := Open(dir, "n/0", slog.New(slog.DiscardHandler))
 	t.Cleanup(s.Close)
 	if got := s.Load(); !reflect.DeepEqual(got, sharedGolden) {
 		t.Errorf("read %+v, want %+v", got, sharedGolden)
@@ -44,16 +44,16 @@
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
-	s := openHandover(dir, "n/0", slog.New(slog.DiscardHandler))
+	s := Open(dir, "n/0", slog.New(slog.DiscardHandler))
 	t.Cleanup(s.Close)
 	// What was kept with number 41 is taken as it is; what an update makes of 40 is the same file.
-	if err := s.Restore(handoverState{Revision: 41, Drained: true, Banned: []string{"v001", "v/2 <é>"}}); err != nil {
+	if err := s.Restore(State{Revision: 41, Drained: true, Banned: []string{"v001", "v/2 <é>"}}); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := os.ReadFile(path); err != nil || string(got) != want {
 		t.Errorf("a state taken over is written as %s, %v; want %s", got, err, want)
 	}
-	if _, err := s.Update(func(st *handoverState) { st.Banned = nil; st.Drained = false }, unkept); err != nil {
+	if _, err := s.Update(func(st *State) { st.Banned = nil; st.Drained = false }, unkept); err != nil {
 		t.Fatal(err)
 	}
 	const empty = `{"version":1,"seq":42,"drained":false,"banned":null}`
@@ -80,7 +80,7 @@
 // A process of another release takes its locks on these very bytes of this very file.
 func TestLocksStandOnTheBytesOfAnEarlierRelease(t *testing.T) {
 	dir := t.TempDir()
-	first := openHandover(dir, "n/0", slog.New(slog.DiscardHandler))
+	first := Open(dir, "n/0", slog.New(slog.DiscardHandler))
 	t.Cleanup(first.Close)
 	file, err := os.OpenFile(filepath.Join(dir, "pinedale-n%2F0.json.lock"), os.O_RDWR, 0)
 	if err != nil {
@@ -94,13 +94,13 @@
 		}
 	}
 	check("one process", 1)
-	second := openHandover(dir, "n/0", slog.New(slog.DiscardHandler))
+	second := Open(dir, "n/0", slog.New(slog.DiscardHandler))
 	check("two processes", 1, 2)
 	if !first.AcquireFleetMembership() {
 		t.Error("a process alone cannot become the fleet's member")
 	}
 	check("one is the fleet's member", 1, 2, 3)
-	if _, err := second.Update(func(*handoverState) {}, func(handoverState) error { check("during an update", 0, 1, 2, 3); return nil }); err != nil {
+	if _, err := second.Update(func(*State) {}, func(State) error { check("during an update", 0, 1, 2, 3); return nil }); err != nil {
 		t.Fatal(err)
 	}
 	check("after the update", 1, 2, 3)
@@ -111,7 +111,7 @@
 
 func TestHeedsTheLocksOfAnEarlierRelease(t *testing.T) {
 	dir := t.TempDir()
-	s := openHandover(dir, "n/0", slog.New(slog.DiscardHandler))
+	s := Open(dir, "n/0", slog.New(slog.DiscardHandler))
 	t.Cleanup(s.Close)
 	file, err := os.OpenFile(filepath.Join(dir, "pinedale-n%2F0.json.lock"), os.O_RDWR, 0)
 	if err != nil {
@@ -135,7 +135,7 @@
 	}
 	lock(unix.F_UNLCK, 3)
 	lock(unix.F_WRLCK, 0)
-	if _, err := s.Update(func(*handoverState) {}, unkept); !errors.Is(err, unix.EAGAIN) {
+	if _, err := s.Update(func(*State) {}, unkept); !errors.Is(err, unix.EAGAIN) {
 		t.Errorf("an update while the other writes: %v, want that the lock is held", err)
 	}
 }
--- a/internal/sidecar/store_test.go
+++ b/internal/handover/store_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package handover
 
 import (
 	"log/slog"
@@ -10,24 +10,24 @@
 
 func TestStoreIsSharedByTwo(t *testing.T) {
 	dir := t.TempDir()
-	a := openHandover(dir, "n/0", slog.New(slog.DiscardHandler))
+	a := Open(dir, "n/0", slog.New(slog.DiscardHandler))
 	if a.HasOtherProcess() {
 		t.Error("a process alone sees another")
 	}
-	b := openHandover(dir, "n/0", slog.New(slog.DiscardHandler))
+	b := Open(dir, "n/0", slog.New(slog.DiscardHandler))
 	if !a.HasOtherProcess() || !b.HasOtherProcess() {
 		t.Error("two processes do not see each other")
 	}
-	if openHandover(dir, "n1", slog.New(slog.DiscardHandler)).HasOtherProcess() {
+	if Open(dir, "n1", slog.New(slog.DiscardHandler)).HasOtherProcess() {
 		t.Error("another sidecar's processes are taken for its own")
 	}
-	if _, err := a.Update(func(s *handoverState) { s.Drained = true }, unkept); err != nil {
+	if _, err := a.Update(func(s *State) { s.Drained = true }, unkept); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := b.Update(func(s *handoverState) { s.Banned = []string{"s-1"} }, unkept); err != nil {
+	if _, err := b.Update(func(s *State) { s.Banned = []string{"s-1"} }, unkept); err != nil {
 		t.Fatal(err)
 	}
-	want := handoverState{Version: handoverVersion, Revision: 2, Drained: true, Banned: []string{"s-1"}}
+	want := State{Version: formatVersion, Revision: 2, Drained: true, Banned: []string{"s-1"}}
 	if got := a.Load(); !reflect.DeepEqual(got, want) {
 		t.Errorf("the first sees %+v, want %+v", got, want)
 	}
@@ -36,7 +36,7 @@
 		t.Error("an ended process is still seen")
 	}
 	a.Close()
-	if got := openHandover(dir, "n/0", slog.New(slog.DiscardHandler)).Load(); !reflect.DeepEqual(got, want) {
+	if got := Open(dir, "n/0", slog.New(slog.DiscardHandler)).Load(); !reflect.DeepEqual(got, want) {
 		t.Errorf("the next process sees %+v, want %+v", got, want)
 	}
 }
@@ -49,8 +49,8 @@
 		"missing": os.Remove,
 	} {
 		var log strings.Builder
-		s := openHandover(t.TempDir(), "n0", slog.New(slog.NewTextHandler(&log, nil)))
-		before, err := s.Update(func(s *handoverState) { s.Banned = []string{"s-1"} }, unkept)
+		s := Open(t.TempDir(), "n0", slog.New(slog.NewTextHandler(&log, nil)))
+		before, err := s.Update(func(s *State) { s.Banned = []string{"s-1"} }, unkept)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -66,7 +66,7 @@
 		if n := strings.Count(log.String(), "state file"); n != 1 {
 			t.Errorf("%s: logged %d times, want once: %s", name, n, log.String())
 		}
-		if got, err := s.Update(func(s *handoverState) { s.Drained = true }, unkept); err != nil || len(got.Banned) != 1 {
+		if got, err := s.Update(func(s *State) { s.Drained = true }, unkept); err != nil || len(got.Banned) != 1 {
 			t.Errorf("%s: a change after it: %+v, %v", name, got, err)
 		}
 	}
@@ -74,19 +74,19 @@
 
 func TestStoreThatCannotBeWritten(t *testing.T) {
 	missing := t.TempDir() + "/none"
-	s := openHandover(missing, "n0", slog.New(slog.DiscardHandler))
-	if _, err := s.Update(func(s *handoverState) { s.Drained = true }, unkept); err == nil || s.Load().Drained {
+	s := Open(missing, "n0", slog.New(slog.DiscardHandler))
+	if _, err := s.Update(func(s *State) { s.Drained = true }, unkept); err == nil || s.Load().Drained {
 		t.Errorf("a change that was not written: %v, %+v; want an error and no change", err, s.Load())
 	}
 	dir := t.TempDir()
-	s = openHandover(dir, "n0", slog.New(slog.DiscardHandler))
+	s = Open(dir, "n0", slog.New(slog.DiscardHandler))
 	if err := os.Mkdir(s.path+".new", 0o700); err != nil { // root may write anywhere, but not over a folder
 		t.Fatal(err)
 	}
-	if _, err := s.Update(func(s *handoverState) { s.Drained = true }, unkept); err == nil || s.Load().Drained {
+	if _, err := s.Update(func(s *State) { s.Drained = true }, unkept); err == nil || s.Load().Drained {
 		t.Errorf("a change that was not written: %v, %+v; want an error and no change", err, s.Load())
 	}
 }
 
 // unkept is for changes of a sidecar that keeps no state.
-func unkept(handoverState) error { return nil }
+func unkept(State) error { return nil }
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -12,6 +12,7 @@
 
 	"bramblestand/balancer"
 	"bramblestand/internal/fleet"
+	"bramblestand/internal/handover"
 	"bramblestand/internal/state"
 )
 
@@ -72,7 +73,7 @@
 	keptView  json.RawMessage                // of the fleet, by an earlier process
 	snapshots *state.Writer                  // nil where no state is persisted
 	restored  *state.Snapshot                // what an earlier process persisted, until the start
-	admin     func() *handoverState          // what operators ordered; nil without operators
+	admin     func() *handover.State         // what operators ordered; nil without operators
 	listedAt  time.Time                      // wall clock when discovery last told the list
 	control   *control                       // counts what control costs; nil without operators
 
--- a/internal/sidecar/ops.go
+++ b/internal/sidecar/ops.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/handover"
 )
 
 const (
@@ -160,7 +161,7 @@
 			http.Error(w, "no such pin server was ever listed", http.StatusNotFound)
 			return
 		}
-		o.answer(w, in, o.server.updateSettings(func(state *handoverState) {
+		o.answer(w, in, o.server.updateSettings(func(state *handover.State) {
 			state.Banned = slices.DeleteFunc(state.Banned, func(name string) bool { return name == id })
 			if on {
 				state.Banned = append(state.Banned, id)
@@ -182,6 +183,6 @@
 // drain answers a call that sends clients away or takes them again.
 func (o *operators) drain(on bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, in *http.Request) {
-		o.answer(w, in, o.server.updateSettings(func(state *handoverState) { state.Drained = on }))
+		o.answer(w, in, o.server.updateSettings(func(state *handover.State) { state.Drained = on }))
 	}
 }
--- a/internal/sidecar/ops_golden_test.go
+++ b/internal/sidecar/ops_golden_test.go
@@ -109,9 +109,9 @@
 	w.launch(cfg)
 	w.until("serving", func() bool { return w.server.serves() })
 	call := w.operate()
-	folder := filepath.Dir(w.server.handover.path)
+	file := filepath.Join(w.folder, "pinedale-n0.json")
 	tr := &transcript{t: t, w: w, norm: func(text string) string {
-		text = strings.ReplaceAll(text, folder, "DIR")
+		text = strings.ReplaceAll(text, w.folder, "DIR")
 		text = strings.ReplaceAll(text, fmt.Sprintf("%-21s", cfg.peerListen), "ADDRESS")
 		text = strings.ReplaceAll(text, cfg.peerListen.String(), "ADDRESS")
 		text = strings.ReplaceAll(text, fmt.Sprintf("%-8s", fleet.Version), "VERSION")
@@ -188,11 +188,11 @@
 	<-blocked
 	tr.call("POST", "/pin-servers/disable", "s-1")
 	close(free)
-	if err := os.Mkdir(w.server.handover.path+".new", 0o700); err != nil {
+	if err := os.Mkdir(file+".new", 0o700); err != nil {
 		t.Fatal(err)
 	}
 	tr.call("POST", "/drain", "")
-	if err := os.Remove(w.server.handover.path + ".new"); err != nil {
+	if err := os.Remove(file + ".new"); err != nil {
 		t.Fatal(err)
 	}
 	w.server.handover.Close()
--- a/internal/sidecar/ops_test.go
+++ b/internal/sidecar/ops_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/handover"
 )
 
 // operate opens an operators' address for a running sidecar and returns what calls it.
@@ -21,7 +22,8 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.server.handover = openHandover(w.t.TempDir(), "n0", slog.New(slog.DiscardHandler))
+	w.folder = w.t.TempDir()
+	w.server.handover = handover.Open(w.folder, "n0", slog.New(slog.DiscardHandler))
 	ctx, stop := context.WithCancel(context.Background())
 	w.t.Cleanup(stop)
 	go newOperators(w.server).serve(ctx, listener)
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -9,6 +9,7 @@
 
 	"bramblestand/balancer"
 	"bramblestand/internal/fleet"
+	"bramblestand/internal/handover"
 )
 
 // fleetOptions is this sidecar's part in the fleet, by its configuration.
@@ -85,7 +86,7 @@
 		}
 	}
 	for s.handover != nil && !s.handover.AcquireFleetMembership() {
-		if !wait(handoverPollInterval) {
+		if !wait(handover.PollInterval) {
 			return
 		}
 	}
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -20,6 +20,7 @@
 	"golang.org/x/sys/unix"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/handover"
 	"bramblestand/internal/mutant"
 	"bramblestand/internal/state"
 )
@@ -59,11 +60,11 @@
 
 	acceptFor time.Duration // after SIGTERM, or a call to drain
 
-	handover        *handoverStore // nil without operators
-	handoverMutex   sync.Mutex     // of what is shared
-	appliedRevision uint64         // sequence number of the latest
-	hasOtherProcess bool           // another process of this sidecar runs
-	limitsSplit     bool           // the limits were divided once
+	handover        *handover.Store // nil without operators
+	handoverMutex   sync.Mutex      // of what is shared
+	appliedRevision uint64          // sequence number of the latest
+	hasOtherProcess bool            // another process of this sidecar runs
+	limitsSplit     bool            // the limits were divided once
 }
 
 // Run serves until ctx ends, then answers what it has taken and returns. Each
@@ -93,19 +94,19 @@
 		if err != nil {
 			return err
 		}
-		s.handover = openHandover(os.TempDir(), cfg.Name, log)
+		s.handover = handover.Open(os.TempDir(), cfg.Name, log)
 		defer s.handover.Close()
 		paired = s.handover.HasOtherProcess()
 		if l.restored != nil {
 			settings := l.restored.Admin
-			if err := s.handover.Restore(handoverState{Revision: settings.Revision, Banned: settings.Banned, Drained: settings.Drained}); err != nil {
+			if err := s.handover.Restore(handover.State{Revision: settings.Revision, Banned: settings.Banned, Drained: settings.Drained}); err != nil {
 				log.Error("restored admin settings not shared with the next process", "error", err)
 			}
 		}
 		if mutant.ForgetsBans {
-			s.handover.Update(func(st *handoverState) { st.Banned = nil }, func(handoverState) error { return nil })
+			s.handover.Update(func(st *handover.State) { st.Banned = nil }, func(handover.State) error { return nil })
 		}
-		l.admin = s.handover.cached.Load
+		l.admin = s.handover.Cached
 		go l.run()
 		if err := s.applySettings(s.handover.Load(), paired); err != nil {
 			return err
@@ -194,7 +195,7 @@
 }
 
 // applySettings takes in what both processes of an upgrade share, and whether there are two. Old news does nothing.
-func (s *server) applySettings(state handoverState, paired bool) error {
+func (s *server) applySettings(state handover.State, paired bool) error {
 	s.handoverMutex.Lock()
 	defer s.handoverMutex.Unlock()
 	if paired != s.hasOtherProcess || !s.limitsSplit {
@@ -216,7 +217,7 @@
 
 // pollHandover takes in what the other process changes, until ctx ends.
 func (s *server) pollHandover(ctx context.Context) {
-	tick := time.NewTicker(handoverPollInterval)
+	tick := time.NewTicker(handover.PollInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -266,7 +267,7 @@
 
 // updateSettings alters what is shared, for this process and the other. Where state is kept, the change is on disk before it
 // holds anywhere: a yes must outlive the machine's power.
-func (s *server) updateSettings(alter func(*handoverState)) error {
+func (s *server) updateSettings(alter func(*handover.State)) error {
 	state, err := s.handover.Update(alter, s.loop.persistAdminSettings)
 	if err != nil {
 		return fmt.Errorf("state file: %w", err)
--- a/internal/sidecar/snapshot.go
+++ b/internal/sidecar/snapshot.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/handover"
 	"bramblestand/internal/state"
 )
 
@@ -82,7 +83,7 @@
 
 // persistAdminSettings saves the operators' settings, with the rest of a snapshot, and returns nil once they are on
 // disk, or where no state is persisted. An operator's call waits for it.
-func (l *loop) persistAdminSettings(settings handoverState) error {
+func (l *loop) persistAdminSettings(settings handover.State) error {
 	if l.snapshots == nil {
 		return nil
 	}
@@ -96,7 +97,7 @@
 }
 
 // adminSettings are the settings of the handover file in the form in which they are persisted.
-func adminSettings(settings handoverState) state.AdminSettings {
+func adminSettings(settings handover.State) state.AdminSettings {
 	return state.AdminSettings{Revision: settings.Revision, Banned: settings.Banned, Drained: settings.Drained}
 }
 
--- a/internal/sidecar/world_test.go
+++ b/internal/sidecar/world_test.go
@@ -271,6 +271,7 @@
 	spy    *spy
 	dir    *directory
 	ops    string             // address, once operate has opened it
+	folder string             // of the handover file, once operate has made it
 	stop   context.CancelFunc // as SIGTERM does
 	ended  chan error
 	log    slog.Handler // the sidecar's; nil to discard it
