--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"log/slog"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -11,11 +10,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// sharedGolden is what release 21.0 wrote into testdata/shared.json.
-var sharedGolden = State{Version: 1, Revision: 41, Drained: true, Banned: []string{"v001", "v/2 <é>"}}
+// goldenState is what release 21.0 wrote into testdata/shared.json.
+var goldenState = State{Revision: 41, Drained: true, Banned: []string{"v001", "v/2 <é>"}}
 
-// copySharedGolden puts the file that release 21.0 wrote where the processes of the sidecar "n/0" look for it.
-func copySharedGolden(t *testing.T, dir string) (path, text string) {
+// copyGolden puts the file that release 21.0 wrote where the processes of the sidecar "n/0" look for it.
+func copyGolden(t *testing.T, dir string) (path, text string) {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", "shared.json"))
 	if err != nil {
@@ -30,30 +29,28 @@
 
 func TestReadsTheSharedFileOfAnEarlierRelease(t *testing.T) {
 	dir := t.TempDir()
-	copySharedGolden(t, dir)
-	s := Open(dir, "n/0", slog.New(slog.DiscardHandler))
-	t.Cleanup(s.Close)
-	if got := s.Load(); !reflect.DeepEqual(got, sharedGolden) {
-		t.Errorf("read %+v, want %+v", got, sharedGolden)
+	copyGolden(t, dir)
+	s := openTestStore(t, dir, "n/0")
+	if got := s.Load(); !reflect.DeepEqual(got, goldenState) {
+		t.Errorf("read %+v, want %+v", got, goldenState)
 	}
 }
 
 func TestWritesTheSharedFileOfAnEarlierRelease(t *testing.T) {
 	dir := t.TempDir()
-	path, want := copySharedGolden(t, dir)
+	path, want := copyGolden(t, dir)
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
-	s := Open(dir, "n/0", slog.New(slog.DiscardHandler))
-	t.Cleanup(s.Close)
-	// What was kept with number 41 is taken as it is; what an update makes of 40 is the same file.
+	s := openTestStore(t, dir, "n/0")
+	// A persisted state of revision 41 is adopted and written as it is.
 	if err := s.Restore(State{Revision: 41, Drained: true, Banned: []string{"v001", "v/2 <é>"}}); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := os.ReadFile(path); err != nil || string(got) != want {
 		t.Errorf("a state taken over is written as %s, %v; want %s", got, err, want)
 	}
-	if _, err := s.Update(func(st *State) { st.Banned = nil; st.Drained = false }, unkept); err != nil {
+	if _, err := s.Update(func(s *State) { s.Banned = nil; s.Drained = false }, notPersisted); err != nil {
 		t.Fatal(err)
 	}
 	const empty = `{"version":1,"seq":42,"drained":false,"banned":null}`
@@ -62,7 +59,7 @@
 	}
 }
 
-// lockedBytes says which of the first bytes of the lock file others than file hold.
+// lockedBytes lists the first bytes of the lock file that are locked through another open file.
 func lockedBytes(t *testing.T, file *os.File) (locked []int64) {
 	t.Helper()
 	for at := range int64(6) {
@@ -78,10 +75,9 @@
 }
 
 // A process of another release takes its locks on these very bytes of this very file.
-func TestLocksStandOnTheBytesOfAnEarlierRelease(t *testing.T) {
+func TestLocksTheBytesOfAnEarlierRelease(t *testing.T) {
 	dir := t.TempDir()
-	first := Open(dir, "n/0", slog.New(slog.DiscardHandler))
-	t.Cleanup(first.Close)
+	first := openTestStore(t, dir, "n/0")
 	file, err := os.OpenFile(filepath.Join(dir, "pinedale-n%2F0.json.lock"), os.O_RDWR, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -94,7 +90,7 @@
 		}
 	}
 	check("one process", 1)
-	second := Open(dir, "n/0", slog.New(slog.DiscardHandler))
+	second := openTestStore(t, dir, "n/0")
 	check("two processes", 1, 2)
 	if !first.AcquireFleetMembership() {
 		t.Error("a process alone cannot become the fleet's member")
@@ -111,8 +107,7 @@
 
 func TestHeedsTheLocksOfAnEarlierRelease(t *testing.T) {
 	dir := t.TempDir()
-	s := Open(dir, "n/0", slog.New(slog.DiscardHandler))
-	t.Cleanup(s.Close)
+	s := openTestStore(t, dir, "n/0")
 	file, err := os.OpenFile(filepath.Join(dir, "pinedale-n%2F0.json.lock"), os.O_RDWR, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -135,7 +130,7 @@
 	}
 	lock(unix.F_UNLCK, 3)
 	lock(unix.F_WRLCK, 0)
-	if _, err := s.Update(func(*State) {}, unkept); !errors.Is(err, unix.EAGAIN) {
-		t.Errorf("an update while the other writes: %v, want that the lock is held", err)
+	if _, err := s.Update(func(*State) {}, notPersisted); !errors.Is(err, unix.EAGAIN) {
+		t.Errorf("an update while the other writes: %v, want EAGAIN", err)
 	}
 }
--- a/internal/handover/store.go
+++ b/internal/handover/store.go
@@ -1,129 +1,108 @@
-// Package handover is what two processes of one sidecar share while one replaces the other.
+// Package handover is what two processes of one sidecar share while an upgrade replaces one by the other: a file with
+// the operators' settings, and locks that tell each process whether the other runs and which of them is the sidecar's
+// member of the fleet.
+//
+// A process opens a Store at its start and closes it at its end. The operators' calls change the settings with Update;
+// the other process polls Load every PollInterval and applies what is new. The file is in a temporary folder and may be
+// lost with the machine: what has to outlive that is in internal/state, from where Restore brings it back.
 package handover
 
 import (
-	"bytes"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io/fs"
 	"log/slog"
-	"net/url"
 	"os"
-	"path/filepath"
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"golang.org/x/sys/unix"
 )
 
+// PollInterval is the time between two looks at the file and at the other process's locks.
+const PollInterval = 100 * time.Millisecond
+
 const (
-	formatVersion    = 1
-	maxFileBytes     = 1 << 20                // bytes of the file
-	PollInterval     = 100 * time.Millisecond // between looks at the file and at the other's seat
-	writeLockTimeout = 500 * time.Millisecond // the lock is held for the writing of a small file
+	writeLockTimeout = 500 * time.Millisecond // the lock is taken while a small file is written
 	writeLockRetry   = 5 * time.Millisecond
-
-	// Bytes of the lock file: one to write under, a seat for each of two processes, and one for the process that is
-	// this sidecar's member of the fleet.
-	writeByte     = 0
-	firstSeatByte = 1
-	seatCount     = 2
-	fleetByte     = firstSeatByte + seatCount
 )
 
-// State is what the two processes of an upgrade agree on.
+// ErrUnavailable is returned by Update where the folder of the handover file cannot be used.
+var ErrUnavailable = errors.New("the state file's folder cannot be used")
+
+// State is what both processes share: the operators' settings.
 type State struct {
-	Version  int      `json:"version"`
-	Revision uint64   `json:"seq"` // grows with every change
-	Drained  bool     `json:"drained"`
-	Banned   []string `json:"banned"` // host names
+	Revision uint64   // grows with every change; 0 where nothing was ever changed
+	Banned   []string // names of endpoints taken out of use by hand
+	Drained  bool     // clients are sent to other sidecars
 }
 
-// Store keeps the shared state in a file, and tells whether another process of this sidecar runs.
+// Store reads and writes the state that two processes of one sidecar share. All methods may be called from any
+// goroutine.
 type Store struct {
 	path string
 	log  *slog.Logger
 
 	mu       sync.Mutex
-	lock     *os.File    // nil where it could not be opened
-	state    State       // last good state
-	fileInfo os.FileInfo // as last read; nil before
+	locks    *lockFile   // nil where the lock file could not be opened, and after Close
+	state    State       // last valid state
+	fileInfo os.FileInfo // of the file as last read; nil before, and after a failure
 
-	cached atomic.Pointer[State] // last, for who must not wait for mu
+	cached atomic.Pointer[State] // state, for readers that must not block on mu
 }
 
-var ErrUnavailable = errors.New("the state file's folder cannot be used")
-
-// Open takes a seat and reads what an earlier process left. A folder that cannot be used costs the operators'
-// calls that change something, not the service.
+// Open takes a seat for this process of the sidecar called name, whose handover file is in the folder dir. Where the
+// folder cannot be used it logs that; then Update fails, and all else works as for a process alone.
 func Open(dir, name string, log *slog.Logger) *Store {
-	s := &Store{path: filepath.Join(dir, "pinedale-"+url.PathEscape(name)+".json"), log: log}
+	s := &Store{path: filePath(dir, name), log: log}
 	s.cached.Store(&State{})
-	var err error
-	if s.lock, err = os.OpenFile(s.path+".lock", os.O_RDWR|os.O_CREATE, 0o600); err != nil {
-		log.Error("state file: no lock; calls that change something are answered no", "error", err)
+	locks, err := openLockFile(s.path + ".lock")
+	if err != nil {
+		log.Error("handover lock file not opened; calls that change settings will fail", "error", err)
 		return s
 	}
-	seated := false
-	for seat := int64(firstSeatByte); seat < firstSeatByte+seatCount && !seated; seat++ {
-		seated = s.flock(unix.F_WRLCK, seat) == nil
-	}
-	if !seated {
-		log.Error("state file: more than two processes of this sidecar run")
+	s.locks = locks
+	if err := locks.takeSeat(); err != nil {
+		log.Error("handover seat not taken", "error", err)
 	}
 	return s
 }
 
-// Cached returns the last valid state, for who must not wait.
-func (s *Store) Cached() *State { return s.cached.Load() }
-
-// Close gives the seat up.
+// Close releases this process's locks. What is shared stays in the file.
 func (s *Store) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lock != nil {
-		s.lock.Close()
-		s.lock = nil
+	if s.locks != nil {
+		s.locks.close()
+		s.locks = nil
 	}
 }
 
-// flock locks or unlocks a byte of the lock file, for as long as the file is open.
-func (s *Store) flock(kind int16, at int64) error {
-	return unix.FcntlFlock(s.lock.Fd(), unix.F_OFD_SETLK, &unix.Flock_t{Type: kind, Start: at, Len: 1})
-}
-
-// HasOtherProcess says whether another process of this sidecar runs.
+// HasOtherProcess reports whether another process of this sidecar runs.
 func (s *Store) HasOtherProcess() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lock == nil {
-		return false
-	}
-	other := unix.Flock_t{Type: unix.F_WRLCK, Start: firstSeatByte, Len: seatCount}
-	err := unix.FcntlFlock(s.lock.Fd(), unix.F_OFD_GETLK, &other)
-	return err == nil && other.Type != unix.F_UNLCK
+	return s.locks != nil && s.locks.isOtherSeatTaken()
 }
 
-// AcquireFleetMembership makes this process the sidecar's member of the fleet, unless the other is; where there is no lock file, no
-// other process can be told of.
+// AcquireFleetMembership makes this process the sidecar's member of the fleet, and reports false where the other
+// process is. Without a lock file no other process can be seen, and it reports true.
 func (s *Store) AcquireFleetMembership() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lock == nil || s.flock(unix.F_WRLCK, fleetByte) == nil
+	return s.locks == nil || s.locks.lock(fleetByte) == nil
 }
 
-// ReleaseFleetMembership lets the other process be the member.
+// ReleaseFleetMembership lets the other process become the sidecar's member of the fleet.
 func (s *Store) ReleaseFleetMembership() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lock != nil {
-		s.flock(unix.F_UNLCK, fleetByte)
+	if s.locks != nil {
+		s.locks.unlock(fleetByte)
 	}
 }
 
-// Load returns the state by the file as it is now.
+// Load returns the state as the file has it now. Where the file is not valid the last valid state stays, and the
+// fault is logged once.
 func (s *Store) Load() State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,25 +110,25 @@
 	return s.state
 }
 
-// refresh takes in the file if it has changed. It holds s.mu.
+// Cached returns the last valid state without a look at the file, and never blocks.
+func (s *Store) Cached() *State { return s.cached.Load() }
+
+// refresh reads the file if it has changed. It is called with s.mu locked.
 func (s *Store) refresh() {
 	info, err := os.Stat(s.path)
 	if errors.Is(err, fs.ErrNotExist) && s.fileInfo == nil {
 		return // nothing was ever changed
 	}
-	if err == nil && s.fileInfo != nil && os.SameFile(info, s.fileInfo) && info.ModTime().Equal(s.fileInfo.ModTime()) &&
-		info.Size() == s.fileInfo.Size() {
+	if err == nil && s.isUnchanged(info) {
 		return
 	}
-	if err != nil {
-		s.log.Error("state file: keeping the last good state", "error", err)
-		s.fileInfo = nil
-		return
+	s.fileInfo = info // nil after an error
+	var next State
+	if err == nil {
+		next, err = readFile(s.path, info.Size())
 	}
-	s.fileInfo = info
-	next, err := readFile(s.path, info.Size())
 	if err != nil {
-		s.log.Error("state file: keeping the last good state", "error", err)
+		s.log.Error("handover file not valid; the last valid settings stay", "error", err)
 		return
 	}
 	if next.Revision >= s.state.Revision {
@@ -157,86 +136,70 @@
 	}
 }
 
-// set takes a state for the last good one. It holds s.mu.
+// isUnchanged reports whether info is that of the file as last read.
+func (s *Store) isUnchanged(info os.FileInfo) bool {
+	last := s.fileInfo
+	return last != nil && os.SameFile(info, last) && info.ModTime().Equal(last.ModTime()) && info.Size() == last.Size()
+}
+
+// set makes a state the last valid one. It is called with s.mu locked.
 func (s *Store) set(state State) {
 	s.state = state
 	s.cached.Store(&state)
 }
 
-// Restore takes in what was kept on disk, where it is newer than the file: the file lives in memory and may have died
-// with the machine. What was kept holds for this process also where the file cannot be written.
-func (s *Store) Restore(kept State) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.refresh()
-	if kept.Revision < s.state.Revision || kept.Revision == s.state.Revision && (kept.Revision > 0 || len(kept.Banned) == 0 && !kept.Drained) {
-		return nil
-	}
-	kept.Version, kept.Revision = formatVersion, max(kept.Revision, 1) // a snapshot of an earlier release has no number
-	s.set(kept)
-	return s.write(kept)
-}
-
-// write puts a state into the file. It holds s.mu.
+// write puts a state into the file. It is called with s.mu locked.
 func (s *Store) write(state State) error {
-	data, err := json.Marshal(state)
-	if err != nil {
-		return err
-	}
-	if err := os.WriteFile(s.path+".new", data, 0o600); err != nil {
+	if err := writeFile(s.path, state); err != nil {
 		return err
 	}
-	if err := os.Rename(s.path+".new", s.path); err != nil {
-		return err
-	}
-	s.fileInfo, _ = os.Stat(s.path) // it is looked at again if that failed
+	s.fileInfo, _ = os.Stat(s.path) // where that fails the next refresh reads the file
 	return nil
 }
 
-func readFile(path string, size int64) (State, error) {
-	var state State
-	if size > maxFileBytes {
-		return state, fmt.Errorf("%s: %d bytes are too many", path, size)
-	}
-	data, err := os.ReadFile(path)
-	if err != nil {
-		return state, err
-	}
-	decoder := json.NewDecoder(bytes.NewReader(data))
-	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(&state); err != nil {
-		return State{}, fmt.Errorf("%s: %w", path, err)
+// Restore adopts a state that was persisted on disk, where it is newer than the file's: the file may have been lost
+// with the machine. The state is in force for this process even where an error reports that the file was not written.
+func (s *Store) Restore(persisted State) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.refresh()
+	if !isNewer(persisted, s.state) {
+		return nil
 	}
-	if state.Version != formatVersion {
-		return State{}, fmt.Errorf("%s: version %d is not %d", path, state.Version, formatVersion)
+	persisted.Revision = max(persisted.Revision, 1)
+	s.set(persisted)
+	return s.write(persisted)
+}
+
+// isNewer reports whether a persisted state supersedes the current one. One without a revision was written by an
+// earlier release, and counts where it orders anything and nothing else is known.
+func isNewer(persisted, current State) bool {
+	if persisted.Revision != current.Revision {
+		return persisted.Revision > current.Revision
 	}
-	return state, nil
+	return persisted.Revision == 0 && (len(persisted.Banned) > 0 || persisted.Drained)
 }
 
-// Update changes the state for both processes, and returns the new one. Before anybody learns of it, keep must have
-// put it where it outlives this machine's power, if that is to be.
-func (s *Store) Update(alter func(*State), keep func(State) error) (State, error) {
+// Update changes the state for both processes and returns the new one. It calls persist with the new state, under the
+// write lock, before the other process can see it: a nil from persist means that it is where it has to outlive the
+// machine. On any error nothing was changed, and Update returns the state that is in force. Errors are ErrUnavailable,
+// those of persist, and those of the lock and the file.
+func (s *Store) Update(alter func(*State), persist func(State) error) (State, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lock == nil {
+	if s.locks == nil {
 		return s.state, ErrUnavailable
 	}
-	for until := time.Now().Add(writeLockTimeout); ; time.Sleep(writeLockRetry) {
-		err := s.flock(unix.F_WRLCK, writeByte)
-		if err == nil {
-			break
-		}
-		if time.Now().After(until) {
-			return s.state, fmt.Errorf("lock: %w", err)
-		}
+	if err := s.lockForWrite(); err != nil {
+		return s.state, err
 	}
-	defer s.flock(unix.F_UNLCK, writeByte)
+	defer s.locks.unlock(writeByte)
 	s.refresh()
 	next := s.state
-	next.Banned = append([]string(nil), s.state.Banned...)
+	next.Banned = append([]string(nil), s.state.Banned...) // empty is always written as null
 	alter(&next)
-	next.Version, next.Revision = formatVersion, s.state.Revision+1
-	if err := keep(next); err != nil {
+	next.Revision = s.state.Revision + 1
+	if err := persist(next); err != nil {
 		return s.state, err
 	}
 	if err := s.write(next); err != nil {
@@ -245,3 +208,16 @@
 	s.set(next)
 	return next, nil
 }
+
+// lockForWrite takes the write lock, within writeLockTimeout. It is called with s.mu locked.
+func (s *Store) lockForWrite() error {
+	for deadline := time.Now().Add(writeLockTimeout); ; time.Sleep(writeLockRetry) {
+		err := s.locks.lock(writeByte)
+		if err == nil {
+			return nil
+		}
+		if time.Now().After(deadline) {
+			return fmt.Errorf("lock: %w", err)
+		}
+	}
+}
--- a/internal/handover/store_test.go
+++ b/internal/handover/store_test.go
@@ -1,6 +1,7 @@
 package handover
 
 import (
+	"errors"
 	"log/slog"
 	"os"
 	"reflect"
@@ -8,85 +9,142 @@
 	"testing"
 )
 
-func TestStoreIsSharedByTwo(t *testing.T) {
+// openTestStore opens a store that logs nothing, until the test ends.
+func openTestStore(t *testing.T, dir, name string) *Store {
+	t.Helper()
+	s := Open(dir, name, slog.New(slog.DiscardHandler))
+	t.Cleanup(s.Close)
+	return s
+}
+
+// notPersisted is for updates of a sidecar that persists no state.
+func notPersisted(State) error { return nil }
+
+func TestTwoProcessesShareOneState(t *testing.T) {
 	dir := t.TempDir()
-	a := Open(dir, "n/0", slog.New(slog.DiscardHandler))
-	if a.HasOtherProcess() {
+	first := openTestStore(t, dir, "n/0")
+	if first.HasOtherProcess() {
 		t.Error("a process alone sees another")
 	}
-	b := Open(dir, "n/0", slog.New(slog.DiscardHandler))
-	if !a.HasOtherProcess() || !b.HasOtherProcess() {
+	second := openTestStore(t, dir, "n/0")
+	if !first.HasOtherProcess() || !second.HasOtherProcess() {
 		t.Error("two processes do not see each other")
 	}
-	if Open(dir, "n1", slog.New(slog.DiscardHandler)).HasOtherProcess() {
+	if openTestStore(t, dir, "n1").HasOtherProcess() {
 		t.Error("another sidecar's processes are taken for its own")
 	}
-	if _, err := a.Update(func(s *State) { s.Drained = true }, unkept); err != nil {
+	if _, err := first.Update(func(s *State) { s.Drained = true }, notPersisted); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := b.Update(func(s *State) { s.Banned = []string{"s-1"} }, unkept); err != nil {
+	if _, err := second.Update(func(s *State) { s.Banned = []string{"s-1"} }, notPersisted); err != nil {
 		t.Fatal(err)
 	}
-	want := State{Version: formatVersion, Revision: 2, Drained: true, Banned: []string{"s-1"}}
-	if got := a.Load(); !reflect.DeepEqual(got, want) {
+	want := State{Revision: 2, Drained: true, Banned: []string{"s-1"}}
+	if got := first.Load(); !reflect.DeepEqual(got, want) {
 		t.Errorf("the first sees %+v, want %+v", got, want)
 	}
-	b.Close()
-	if a.HasOtherProcess() {
+	second.Close()
+	if first.HasOtherProcess() {
 		t.Error("an ended process is still seen")
 	}
-	a.Close()
-	if got := Open(dir, "n/0", slog.New(slog.DiscardHandler)).Load(); !reflect.DeepEqual(got, want) {
+	first.Close()
+	if got := openTestStore(t, dir, "n/0").Load(); !reflect.DeepEqual(got, want) {
 		t.Errorf("the next process sees %+v, want %+v", got, want)
 	}
 }
 
-// A file that makes no sense is logged, and the last good state holds.
-func TestStoreKeepsTheLastGoodState(t *testing.T) {
+// An invalid file is logged once, and the last valid state stays.
+func TestInvalidFileLeavesTheLastValidState(t *testing.T) {
 	for name, damage := range map[string]func(path string) error{
-		"torn":    func(path string) error { return os.WriteFile(path, []byte(`{"version":1,"seq":9,"dra`), 0o600) },
-		"foreign": func(path string) error { return os.WriteFile(path, []byte(`{"version":2,"seq":9}`), 0o600) },
-		"missing": os.Remove,
+		"truncated":       func(path string) error { return os.WriteFile(path, []byte(`{"version":1,"seq":9,"dra`), 0o600) },
+		"another version": func(path string) error { return os.WriteFile(path, []byte(`{"version":2,"seq":9}`), 0o600) },
+		"missing":         os.Remove,
 	} {
-		var log strings.Builder
-		s := Open(t.TempDir(), "n0", slog.New(slog.NewTextHandler(&log, nil)))
-		before, err := s.Update(func(s *State) { s.Banned = []string{"s-1"} }, unkept)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := damage(s.path); err != nil {
-			t.Fatal(err)
-		}
-		for range 2 {
-			s.Load()
-		}
-		if got := s.Load(); !reflect.DeepEqual(got, before) {
-			t.Errorf("%s: the state is %+v, want %+v", name, got, before)
-		}
-		if n := strings.Count(log.String(), "state file"); n != 1 {
-			t.Errorf("%s: logged %d times, want once: %s", name, n, log.String())
-		}
-		if got, err := s.Update(func(s *State) { s.Drained = true }, unkept); err != nil || len(got.Banned) != 1 {
-			t.Errorf("%s: a change after it: %+v, %v", name, got, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			var log strings.Builder
+			s := Open(t.TempDir(), "n0", slog.New(slog.NewTextHandler(&log, nil)))
+			t.Cleanup(s.Close)
+			before, err := s.Update(func(s *State) { s.Banned = []string{"s-1"} }, notPersisted)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if err := damage(s.path); err != nil {
+				t.Fatal(err)
+			}
+			for range 2 {
+				s.Load()
+			}
+			if got := s.Load(); !reflect.DeepEqual(got, before) {
+				t.Errorf("the state is %+v, want %+v", got, before)
+			}
+			if n := strings.Count(log.String(), "handover file not valid"); n != 1 || strings.Count(log.String(), "\n") != 1 {
+				t.Errorf("logged %d times, want one line: %s", n, log.String())
+			}
+			if got, err := s.Update(func(s *State) { s.Drained = true }, notPersisted); err != nil || len(got.Banned) != 1 {
+				t.Errorf("an update after it: %+v, %v", got, err)
+			}
+		})
 	}
 }
 
-func TestStoreThatCannotBeWritten(t *testing.T) {
-	missing := t.TempDir() + "/none"
-	s := Open(missing, "n0", slog.New(slog.DiscardHandler))
-	if _, err := s.Update(func(s *State) { s.Drained = true }, unkept); err == nil || s.Load().Drained {
-		t.Errorf("a change that was not written: %v, %+v; want an error and no change", err, s.Load())
+func TestUpdateThatIsNotWrittenChangesNothing(t *testing.T) {
+	withoutFolder := openTestStore(t, t.TempDir()+"/missing", "n0")
+	if _, err := withoutFolder.Update(func(s *State) { s.Drained = true }, notPersisted); !errors.Is(err, ErrUnavailable) {
+		t.Errorf("without the folder: %v, want %v", err, ErrUnavailable)
 	}
-	dir := t.TempDir()
-	s = Open(dir, "n0", slog.New(slog.DiscardHandler))
-	if err := os.Mkdir(s.path+".new", 0o700); err != nil { // root may write anywhere, but not over a folder
+	if withoutFolder.Load().Drained {
+		t.Error("without the folder: the update is in force")
+	}
+
+	blocked := openTestStore(t, t.TempDir(), "n0")
+	if err := os.Mkdir(blocked.path+".new", 0o700); err != nil { // root may write anywhere, but not over a folder
 		t.Fatal(err)
 	}
-	if _, err := s.Update(func(s *State) { s.Drained = true }, unkept); err == nil || s.Load().Drained {
-		t.Errorf("a change that was not written: %v, %+v; want an error and no change", err, s.Load())
+	if _, err := blocked.Update(func(s *State) { s.Drained = true }, notPersisted); err == nil || blocked.Load().Drained {
+		t.Errorf("with a file that cannot be written: %v, %+v; want an error and no change", err, blocked.Load())
+	}
+
+	unpersisted := openTestStore(t, t.TempDir(), "n0")
+	errDisk := errors.New("disk full")
+	_, err := unpersisted.Update(func(s *State) { s.Drained = true }, func(State) error { return errDisk })
+	if !errors.Is(err, errDisk) || unpersisted.Load().Drained || unpersisted.Cached().Drained {
+		t.Errorf("with a state that cannot be persisted: %v, %+v; want its error and no change", err, unpersisted.Load())
 	}
 }
 
-// unkept is for changes of a sidecar that keeps no state.
-func unkept(State) error { return nil }
+// A persisted state replaces the file's where it is newer; one of an earlier release has no revision.
+func TestRestoreAdoptsTheNewerState(t *testing.T) {
+	for _, c := range []struct {
+		name                  string
+		updates               int // made before, each of which bans s-1
+		persisted             State
+		wantRevision          uint64
+		wantBanned, wantDrain bool
+	}{
+		{"file lost", 0, State{Revision: 7, Drained: true}, 7, false, true},
+		{"file older", 1, State{Revision: 7, Drained: true}, 7, false, true},
+		{"file newer", 3, State{Revision: 2, Drained: true}, 3, true, false},
+		{"same revision", 2, State{Revision: 2, Drained: true}, 2, true, false},
+		{"no revision, file lost", 0, State{Drained: true}, 1, false, true},
+		{"no revision, nothing ordered", 0, State{}, 0, false, false},
+		{"no revision, file there", 1, State{Drained: true}, 1, true, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			dir := t.TempDir()
+			s := openTestStore(t, dir, "n0")
+			for range c.updates {
+				if _, err := s.Update(func(s *State) { s.Banned = []string{"s-1"} }, notPersisted); err != nil {
+					t.Fatal(err)
+				}
+			}
+			if err := s.Restore(c.persisted); err != nil {
+				t.Fatal(err)
+			}
+			for name, got := range map[string]State{"this": s.Load(), "another": openTestStore(t, dir, "n0").Load()} {
+				if got.Revision != c.wantRevision || (len(got.Banned) == 1) != c.wantBanned || got.Drained != c.wantDrain {
+					t.Errorf("%s process has %+v", name, got)
+				}
+			}
+		})
+	}
+}
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -8,9 +8,7 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"os"
 	"runtime"
-	"runtime/debug"
 	"strconv"
 	"sync"
 	"sync/atomic"
@@ -21,7 +19,6 @@
 
 	"bramblestand/balancer"
 	"bramblestand/internal/handover"
-	"bramblestand/internal/mutant"
 	"bramblestand/internal/state"
 )
 
@@ -61,10 +58,10 @@
 	acceptFor time.Duration // after SIGTERM, or a call to drain
 
 	handover        *handover.Store // nil without operators
-	handoverMutex   sync.Mutex      // of what is shared
-	appliedRevision uint64          // sequence number of the latest
+	applyMu         sync.Mutex      // guards the three below, and the order in which settings are applied
+	appliedRevision uint64          // of the operators' settings in force
 	hasOtherProcess bool            // another process of this sidecar runs
-	limitsSplit     bool            // the limits were divided once
+	limitsSplit     bool            // splitLimits was called
 }
 
 // Run serves until ctx ends, then answers what it has taken and returns. Each
@@ -94,19 +91,9 @@
 		if err != nil {
 			return err
 		}
-		s.handover = handover.Open(os.TempDir(), cfg.Name, log)
+		s.openHandover()
 		defer s.handover.Close()
 		paired = s.handover.HasOtherProcess()
-		if l.restored != nil {
-			settings := l.restored.Admin
-			if err := s.handover.Restore(handover.State{Revision: settings.Revision, Banned: settings.Banned, Drained: settings.Drained}); err != nil {
-				log.Error("restored admin settings not shared with the next process", "error", err)
-			}
-		}
-		if mutant.ForgetsBans {
-			s.handover.Update(func(st *handover.State) { st.Banned = nil }, func(handover.State) error { return nil })
-		}
-		l.admin = s.handover.Cached
 		go l.run()
 		if err := s.applySettings(s.handover.Load(), paired); err != nil {
 			return err
@@ -194,87 +181,6 @@
 	}
 }
 
-// applySettings takes in what both processes of an upgrade share, and whether there are two. Old news does nothing.
-func (s *server) applySettings(state handover.State, paired bool) error {
-	s.handoverMutex.Lock()
-	defer s.handoverMutex.Unlock()
-	if paired != s.hasOtherProcess || !s.limitsSplit {
-		if err := s.loop.urge(func(balancer.Micros) { s.loop.balancer.SetProcessCount(processCount(paired)) }); err != nil {
-			return err
-		}
-		s.splitLimits(paired)
-	}
-	if state.Revision <= s.appliedRevision {
-		return nil
-	}
-	if err := s.loop.urge(func(now balancer.Micros) { s.loop.setBans(now, state.Banned) }); err != nil {
-		return err // the next look at the file tries again
-	}
-	s.appliedRevision = state.Revision
-	s.setDrained(state.Drained)
-	return nil
-}
-
-// pollHandover takes in what the other process changes, until ctx ends.
-func (s *server) pollHandover(ctx context.Context) {
-	tick := time.NewTicker(handover.PollInterval)
-	defer tick.Stop()
-	for {
-		select {
-		case <-tick.C:
-			if err := s.applySettings(s.handover.Load(), s.handover.HasOtherProcess()); err != nil && ctx.Err() == nil {
-				s.loop.log.Warn("state file: not taken in yet", "error", err)
-			}
-		case <-ctx.Done():
-			return
-		}
-	}
-}
-
-func processCount(paired bool) int {
-	if paired {
-		return 2
-	}
-	return 1
-}
-
-// splitLimits keeps this process to its part of the platform's limits: all of them, or half while another runs. But
-// clients hold a third of the descriptors at most, in whichever process, and each has one attempt out: a process that
-// was alone cannot give theirs back at once, and soon all of them come to the newcomer, which must not turn them
-// back. What is divided then is what may lie idle.
-func (s *server) splitLimits(paired bool) {
-	cfg := s.loop.cfg
-	most := connections(cfg)
-	if paired {
-		s.loop.log.Info("another process of this sidecar runs; limits are shared")
-		third := min(most, cfg.Limits.Sockets/clientsPart)
-		idle := (cfg.Limits.Sockets - 2*third - 2*socketSpare) / 2
-		s.loop.up.bound(third, max(idle, 0))
-		if !s.limitsSplit {
-			s.clients.bound(third)
-		}
-	} else {
-		s.loop.up.bound(most, most)
-		s.clients.bound(most)
-	}
-	s.hasOtherProcess, s.limitsSplit = paired, true
-	// The heap stays under the limit at which the platform kills the process, with room for what the runtime does
-	// not count.
-	heap := int64(cfg.Limits.MemoryMB) << 20 / 10 * 8 / int64(processCount(paired))
-	debug.SetMemoryLimit(heap)
-	s.incoming.bound(heap / bodiesPart)
-}
-
-// updateSettings alters what is shared, for this process and the other. Where state is kept, the change is on disk before it
-// holds anywhere: a yes must outlive the machine's power.
-func (s *server) updateSettings(alter func(*handover.State)) error {
-	state, err := s.handover.Update(alter, s.loop.persistAdminSettings)
-	if err != nil {
-		return fmt.Errorf("state file: %w", err)
-	}
-	return s.applySettings(state, s.handover.HasOtherProcess())
-}
-
 // connections is the most that clients may hold, and the most to endpoints: every client's request has one attempt at
 // a time.
 func connections(cfg *Config) int {
--- a/internal/sidecar/snapshot.go
+++ b/internal/sidecar/snapshot.go
@@ -91,16 +91,11 @@
 	if err := l.urge(func(now balancer.Micros) { s = l.snapshot(now) }); err != nil {
 		return err
 	}
-	s.Admin = adminSettings(settings)
+	s.Admin = state.AdminSettings(settings)
 	_, err := state.Save(l.cfg.StateDir, s)
 	return err
 }
 
-// adminSettings are the settings of the handover file in the form in which they are persisted.
-func adminSettings(settings handover.State) state.AdminSettings {
-	return state.AdminSettings{Revision: settings.Revision, Banned: settings.Banned, Drained: settings.Drained}
-}
-
 // snapshot returns what is to be persisted. The loop's goroutine calls it.
 func (l *loop) snapshot(now balancer.Micros) *state.Snapshot {
 	s := &state.Snapshot{SidecarName: l.cfg.Name, ListedAt: l.listedAt, IsFullList: true, Membership: l.keepView()}
@@ -114,7 +109,7 @@
 	}
 	sort.Slice(s.Endpoints, func(i, j int) bool { return s.Endpoints[i].Name < s.Endpoints[j].Name })
 	if l.admin != nil {
-		s.Admin = adminSettings(*l.admin())
+		s.Admin = state.AdminSettings(*l.admin())
 	} else {
 		s.Admin.Banned = l.bannedNames() // without operators the bans of an earlier process stay in force
 	}
