--- a/internal/lab/control.go
+++ b/internal/lab/control.go
@@ -59,7 +59,7 @@
 
 // controlSample is what was known at one time.
 type controlSample struct {
-	status   map[int]sidecar.ControlStatus // by sidecar
+	status   map[int]sidecar.TrafficStatus // by sidecar
 	at       map[int]time.Duration         // when it had answered
 	cpu      map[int]time.Duration
 	loopback [2]uint64 // bytes, packets
@@ -86,7 +86,7 @@
 }
 
 func (o *operatorsLab) controlSample() controlSample {
-	s := controlSample{status: map[int]sidecar.ControlStatus{}, at: map[int]time.Duration{}, cpu: map[int]time.Duration{}}
+	s := controlSample{status: map[int]sidecar.TrafficStatus{}, at: map[int]time.Duration{}, cpu: map[int]time.Duration{}}
 	var mu sync.Mutex
 	var asking sync.WaitGroup
 	places := make(chan struct{}, controlAsks)
@@ -97,7 +97,7 @@
 			defer asking.Done()
 			defer func() { <-places }()
 			code, text := o.ask(http.MethodGet, i, "/control", "")
-			var status sidecar.ControlStatus
+			var status sidecar.TrafficStatus
 			if code != http.StatusOK || json.Unmarshal([]byte(text), &status) != nil {
 				return // it is down, or comes up
 			}
@@ -129,14 +129,14 @@
 		s.WireBytes += wire
 		s.MostBytes = max(s.MostBytes, wire)
 		for name, kind := range now.Kinds {
-			k, r := kind.Less(then.Kinds[name]), s.Kinds[name]
+			k, r := kind.Since(then.Kinds[name]), s.Kinds[name]
 			r.Sent += float64(k.Sent.Messages) / seconds
 			r.SentBytes += float64(k.Sent.Bytes) / seconds
 			r.Received += float64(k.Received.Messages) / seconds
 			r.ReceivedBytes += float64(k.Received.Bytes) / seconds
 			r.Connections += float64(k.Opened+k.Accepted+k.Failed) / seconds
 			r.Packets += float64(k.Sent.Packets+k.Received.Packets) / seconds
-			r.WireBytes += float64(k.Wire()) / seconds
+			r.WireBytes += float64(k.TotalWireBytes()) / seconds
 			s.Kinds[name] = r
 		}
 	}
@@ -187,7 +187,7 @@
 func (c *Control) String() string {
 	line := func(name string, s *ControlSpan) string {
 		text := fmt.Sprintf("control, %s of %.1f s, a sidecar: %.0f B/s (most %.0f)", name, s.Seconds, s.WireBytes, s.MostBytes)
-		for _, kind := range sidecar.ControlKinds {
+		for _, kind := range sidecar.TrafficKinds {
 			text += fmt.Sprintf(", %s %.0f", kind, s.Kinds[kind].WireBytes)
 		}
 		return text + fmt.Sprintf("; %.2f%% of a core\n", s.CPU*100)
--- a/internal/sidecar/control_test.go
+++ b/internal/sidecar/control_test.go
@@ -23,7 +23,7 @@
 // counted is what a stand-in saw of one kind of control, by its own count of a connection's bytes.
 type counted struct{ sent, sentBytes, received, receivedBytes, conns uint64 } // as the sidecar names the two ways
 
-func told(k ControlKind) counted {
+func told(k KindTraffic) counted {
 	return counted{k.Sent.Messages, k.Sent.Bytes, k.Received.Messages, k.Received.Bytes, k.Opened + k.Accepted}
 }
 
@@ -104,14 +104,14 @@
 	}{
 		"right":                 {func(*loop) {}, ""},
 		"leaves out probes":     {func(l *loop) { l.up.probes = nil }, "probe"},
-		"leaves out discovery":  {func(l *loop) { l.disc.count(&flow{}) }, "discovery"},
-		"probes among the rest": {func(l *loop) { l.up.probes = &l.control.discovery }, "discovery"},
+		"leaves out discovery":  {func(l *loop) { l.disc.count(&Counter{}) }, "discovery"},
+		"probes among the rest": {func(l *loop) { l.up.probes = &l.control.Discovery }, "discovery"},
 		"counts twice": {func(l *loop) {
 			transport := l.disc.client.Transport.(*http.Transport)
 			dial := transport.DialContext
 			transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 				conn, err := dial(ctx, network, address)
-				return countedConn{conn, &l.control.discovery}, err
+				return CountedConn{conn, &l.control.Discovery}, err
 			}
 		}, "discovery"},
 	} {
@@ -193,7 +193,7 @@
 				l.mu.Lock()
 				before := map[string]counted{"probe": l.probe, "discovery": l.discovery, "orders": l.orders}
 				l.mu.Unlock()
-				return told(w.loop.control.status(nil).Kinds[kind]) == before[kind]
+				return told(w.loop.control.Status(nil).Kinds[kind]) == before[kind]
 			}
 			close(l.news)
 			for _, kind := range []string{"probe", "discovery", "orders"} {
@@ -228,11 +228,11 @@
 		link.ToListener: {SentDatagrams: 1, SentBytes: 20, ReceivedDatagrams: 1, ReceivedBytes: 7},
 		link.ToDialer:   {ReceivedDatagrams: 2, ReceivedBytes: 50},
 	}
-	news, view := datagrams(counts, link.News), datagrams(counts, link.Packets, link.ToListener, link.ToDialer)
-	if want := (ControlKind{Sent: ControlCount{2, 100, 2, 156}, Received: ControlCount{5, 300, 5, 440}}); news != want {
+	news, view := datagramTraffic(counts, link.News), datagramTraffic(counts, link.Packets, link.ToListener, link.ToDialer)
+	if want := (KindTraffic{Sent: DirectionTraffic{2, 100, 2, 156}, Received: DirectionTraffic{5, 300, 5, 440}}); news != want {
 		t.Errorf("news %+v, want %+v", news, want)
 	}
-	if want := (ControlKind{Sent: ControlCount{2, 30, 2, 86}, Received: ControlCount{3, 57, 3, 141}}); view != want {
+	if want := (KindTraffic{Sent: DirectionTraffic{2, 30, 2, 86}, Received: DirectionTraffic{3, 57, 3, 141}}); view != want {
 		t.Errorf("view %+v, want %+v", view, want)
 	}
 	// And they are the link's own counts, over a socket.
@@ -244,8 +244,8 @@
 		t.Fatal(err)
 	}
 	f.Tell([]byte{byte(link.News), 1, 2, 3})
-	c := control{since: time.Now()}
-	if got := c.status(f).Kinds["news"].Sent; got != (ControlCount{1, 4, 1, 32}) {
+	c := Accounting{Started: time.Now()}
+	if got := c.Status(f).Kinds["news"].Sent; got != (DirectionTraffic{1, 4, 1, 32}) {
 		t.Errorf("after one message of 4 bytes: %+v", got)
 	}
 }
@@ -277,7 +277,7 @@
 	cfg.Ops = "127.0.0.1:0"
 	w.launch(cfg)
 	w.operate()
-	ask := func() (s ControlStatus) {
+	ask := func() (s TrafficStatus) {
 		r, _ := http.NewRequest(http.MethodGet, "http://"+w.ops+"/control", nil)
 		got := w.send(r)
 		decoder := json.NewDecoder(strings.NewReader(got.body))
@@ -290,14 +290,14 @@
 	w.until("a list to be told", func() bool { return ask().Kinds["discovery"].Received.Messages > 0 })
 	s := ask()
 	sum := uint64(0)
-	for _, name := range ControlKinds {
+	for _, name := range TrafficKinds {
 		k, ok := s.Kinds[name]
 		if !ok {
 			t.Errorf("%s is not told", name)
 		}
-		sum += k.Wire()
+		sum += k.TotalWireBytes()
 	}
-	if len(s.Kinds) != len(ControlKinds) || sum != s.WireBytes || s.Seconds <= 0 {
+	if len(s.Kinds) != len(TrafficKinds) || sum != s.WireBytes || s.Seconds <= 0 {
 		t.Errorf("told %+v, want a sum of %d", s, sum)
 	}
 	if orders := s.Kinds["orders"]; orders.Accepted < 2 || orders.Sent.Messages+1 < orders.Received.Messages {
@@ -311,19 +311,19 @@
 
 // What is reckoned of the counts follows the formula of ControlCount.
 func TestControlWireBytes(t *testing.T) {
-	var f flow
-	f.send(100, true)
-	f.receive(3000, true)
-	f.open(nil)
-	f.open(io.EOF)
-	got := f.kind()
-	want := ControlKind{Opened: 1, Failed: 1,
-		Sent:     ControlCount{1, 100, 1 + 1 + 4 + 1, 100 + 52*7},
-		Received: ControlCount{1, 3000, 1 + 2 + 1 + 3 + 1, 3000 + 52*8}}
+	var f Counter
+	f.CountSent(100, true)
+	f.CountReceived(3000, true)
+	f.CountDial(nil)
+	f.CountDial(io.EOF)
+	got := f.Traffic()
+	want := KindTraffic{Opened: 1, Failed: 1,
+		Sent:     DirectionTraffic{1, 100, 1 + 1 + 4 + 1, 100 + 52*7},
+		Received: DirectionTraffic{1, 3000, 1 + 2 + 1 + 3 + 1, 3000 + 52*8}}
 	if got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
-	if d := got.Less(want); d != (ControlKind{}) || !reflect.DeepEqual(got.Less(ControlKind{}), got) {
+	if d := got.Since(want); d != (KindTraffic{}) || !reflect.DeepEqual(got.Since(KindTraffic{}), got) {
 		t.Errorf("less itself: %+v", d)
 	}
 }
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -77,7 +77,7 @@
 	address string
 	url     string
 	client  http.Client
-	flow    *flow // counts the calls; nil where nobody is told
+	flow    *Counter // counts the calls; nil where nobody is told
 	dial    func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
@@ -122,7 +122,7 @@
 	if err != nil {
 		return list, err
 	}
-	d.flow.receive(0, true)
+	d.flow.CountReceived(0, true)
 	if response.StatusCode != http.StatusOK {
 		return list, fmt.Errorf("discovery answered %s", response.Status)
 	}
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -75,7 +75,7 @@
 	restored  *state.Snapshot                // what an earlier process persisted, until the start
 	admin     func() *handover.State         // what operators ordered; nil without operators
 	listedAt  time.Time                      // wall clock when discovery last told the list
-	control   *control                       // counts what control costs; nil without operators
+	control   *Accounting                       // counts what control costs; nil without operators
 
 	// Below: the loop's goroutine alone.
 	balancer  decider
@@ -133,9 +133,9 @@
 		stopWatch: func() {},
 	}
 	if cfg.Ops != "" {
-		l.control = &control{since: time.Now()}
-		l.up.probes = &l.control.probe
-		l.disc.count(&l.control.discovery)
+		l.control = &Accounting{Started: time.Now()}
+		l.up.probes = &l.control.LoadProbes
+		l.disc.count(&l.control.Discovery)
 	}
 	var err error
 	l.balancer, err = balancer.New(cfg.Settings, cfg.Seed, l)
--- a/internal/sidecar/ops.go
+++ b/internal/sidecar/ops.go
@@ -44,7 +44,7 @@
 func newOperators(s *server) *operators {
 	o := &operators{server: s, log: s.loop.log, callers: newClients(opsMost)}
 	if s.loop.control != nil {
-		o.callers.flow = &s.loop.control.orders
+		o.callers.flow = &s.loop.control.Admin
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ready", o.ready)
@@ -56,8 +56,8 @@
 	mux.HandleFunc("POST /drain", o.drain(true))
 	mux.HandleFunc("POST /undrain", o.drain(false))
 	handler := func(w http.ResponseWriter, in *http.Request) {
-		o.callers.flow.receive(0, true)
-		defer o.callers.flow.send(0, true)
+		o.callers.flow.CountReceived(0, true)
+		defer o.callers.flow.CountSent(0, true)
 		body, err := io.ReadAll(http.MaxBytesReader(w, in.Body, opsBodyMost))
 		var large *http.MaxBytesError
 		if errors.As(err, &large) {
@@ -136,7 +136,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(o.server.loop.control.status(o.server.loop.fleet.Load()))
+	json.NewEncoder(w).Encode(o.server.loop.control.Status(o.server.loop.fleet.Load()))
 }
 
 // ban answers a call that takes a pin server out of use by hand, or into use again.
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -262,8 +262,8 @@
 		select {
 		case <-tick.C:
 			s.loop.post(s.holds)
-			if s.loop.control != nil && n%controlReport == 0 {
-				s.loop.control.log(s.loop.log, s.loop.fleet.Load())
+			if s.loop.control != nil && n%controlLogInterval == 0 {
+				s.loop.control.Log(s.loop.log, s.loop.fleet.Load())
 			}
 		case <-ctx.Done():
 			return
