--- a/internal/sidecar/control.go
+++ b/internal/controltraffic/accounting.go
@@ -1,12 +1,9 @@
-package sidecar
+package controltraffic
 
 import (
-	"context"
 	"log/slog"
 	"math"
 	"net"
-	"net/http"
-	"net/http/httptrace"
 	"sync/atomic"
 	"time"
 
@@ -17,10 +14,9 @@
 // What headers below the payload come to on the wire, in bytes. The frame of Ethernet (14, with check, preamble and gap
 // 38 a packet) is left out: Packets tells how many there are.
 const (
-	tcpHeaderBytes       = 20 + 32 // IPv4, and TCP with its timestamps
-	udpHeaderBytes       = 20 + 8
-	tcpSegmentBytes       = 1500 - tcpHeaderBytes // payload of a full packet
-	controlLogInterval = 10             // log lines of what is held for each of what control costs
+	tcpHeaderBytes  = 20 + 32 // IPv4, and TCP with its timestamps
+	udpHeaderBytes  = 20 + 8
+	tcpSegmentBytes = 1500 - tcpHeaderBytes // payload of a full packet
 )
 
 // Counter counts one kind of control on connections of this sidecar's: whole messages, and bytes as on the connection,
@@ -28,8 +24,8 @@
 type Counter struct {
 	sentMessages, sentBytes         atomic.Uint64
 	receivedMessages, receivedBytes atomic.Uint64
-	dialed, accepted        atomic.Uint64 // connections
-	dialsFailed                  atomic.Uint64 // connections that did not come up
+	dialed, accepted                atomic.Uint64 // connections
+	dialsFailed                     atomic.Uint64 // connections that did not come up
 }
 
 func (f *Counter) CountSent(bytes int, whole bool) {
@@ -60,6 +56,13 @@
 	}
 }
 
+// CountAccepted counts a connection that was accepted.
+func (f *Counter) CountAccepted() {
+	if f != nil {
+		f.accepted.Add(1)
+	}
+}
+
 // CountedConn counts the bytes that pass a connection.
 type CountedConn struct {
 	net.Conn
@@ -78,37 +81,10 @@
 	return n, err
 }
 
-// count has the calls counted from here on; none may have been made. A nil flow changes nothing.
-func (d *discovery) count(f *Counter) {
-	transport, ok := d.client.Transport.(*http.Transport)
-	if f == nil || !ok {
-		return
-	}
-	d.flow = f
-	transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
-		conn, err := d.connect(ctx, network, address)
-		f.CountDial(err)
-		if err != nil {
-			return nil, err
-		}
-		return CountedConn{conn, f}, nil
-	}
-}
-
-// traced is ctx with the requests counted as they are written, which the transport may do anew on another connection.
-func (d *discovery) traced(ctx context.Context) context.Context {
-	if d.flow == nil {
-		return ctx
-	}
-	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteRequest: func(info httptrace.WroteRequestInfo) {
-		d.flow.CountSent(0, info.Err == nil)
-	}})
-}
-
 // Accounting counts what this process spends on control, by kind; datagrams are counted by the link. It is kept where
 // there are operators to tell.
 type Accounting struct {
-	Started                    time.Time
+	Started                      time.Time
 	LoadProbes, Discovery, Admin Counter
 }
 
@@ -128,9 +104,9 @@
 type KindTraffic struct {
 	Sent     DirectionTraffic `json:"sent"`
 	Received DirectionTraffic `json:"received"`
-	Opened   uint64       `json:"opened"`   // connections opened for it; a probe and a call use each other's
-	Accepted uint64       `json:"accepted"` // connections accepted for it
-	Failed   uint64       `json:"failed"`   // connections that did not come up
+	Opened   uint64           `json:"opened"`   // connections opened for it; a probe and a call use each other's
+	Accepted uint64           `json:"accepted"` // connections accepted for it
+	Failed   uint64           `json:"failed"`   // connections that did not come up
 }
 
 // DirectionTraffic is what went one way. Messages and Bytes are counted, Bytes as on the connection with HTTP's heads, or a
--- a/internal/lab/control.go
+++ b/internal/lab/control.go
@@ -1,6 +1,7 @@
 package lab
 
 import (
+	"bramblestand/internal/controltraffic"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -11,8 +12,6 @@
 	"strings"
 	"sync"
 	"time"
-
-	"bramblestand/internal/sidecar"
 )
 
 // When control is looked at, on the lab's clock. Sidecars start before the load, and probe all that is new at their
@@ -59,8 +58,8 @@
 
 // controlSample is what was known at one time.
 type controlSample struct {
-	status   map[int]sidecar.TrafficStatus // by sidecar
-	at       map[int]time.Duration         // when it had answered
+	status   map[int]controltraffic.TrafficStatus // by sidecar
+	at       map[int]time.Duration                // when it had answered
 	cpu      map[int]time.Duration
 	loopback [2]uint64 // bytes, packets
 }
@@ -86,7 +85,7 @@
 }
 
 func (o *operatorsLab) controlSample() controlSample {
-	s := controlSample{status: map[int]sidecar.TrafficStatus{}, at: map[int]time.Duration{}, cpu: map[int]time.Duration{}}
+	s := controlSample{status: map[int]controltraffic.TrafficStatus{}, at: map[int]time.Duration{}, cpu: map[int]time.Duration{}}
 	var mu sync.Mutex
 	var asking sync.WaitGroup
 	places := make(chan struct{}, controlAsks)
@@ -97,7 +96,7 @@
 			defer asking.Done()
 			defer func() { <-places }()
 			code, text := o.ask(http.MethodGet, i, "/control", "")
-			var status sidecar.TrafficStatus
+			var status controltraffic.TrafficStatus
 			if code != http.StatusOK || json.Unmarshal([]byte(text), &status) != nil {
 				return // it is down, or comes up
 			}
@@ -187,7 +186,7 @@
 func (c *Control) String() string {
 	line := func(name string, s *ControlSpan) string {
 		text := fmt.Sprintf("control, %s of %.1f s, a sidecar: %.0f B/s (most %.0f)", name, s.Seconds, s.WireBytes, s.MostBytes)
-		for _, kind := range sidecar.TrafficKinds {
+		for _, kind := range controltraffic.TrafficKinds {
 			text += fmt.Sprintf(", %s %.0f", kind, s.Kinds[kind].WireBytes)
 		}
 		return text + fmt.Sprintf("; %.2f%% of a core\n", s.CPU*100)
--- a/internal/sidecar/control_test.go
+++ b/internal/sidecar/control_test.go
@@ -1,6 +1,7 @@
 package sidecar
 
 import (
+	"bramblestand/internal/controltraffic"
 	"bufio"
 	"context"
 	"encoding/json"
@@ -9,21 +10,16 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"net/netip"
-	"reflect"
 	"strings"
 	"sync"
 	"testing"
 	"time"
-
-	"bramblestand/internal/fleet"
-	"bramblestand/internal/fleet/link"
 )
 
 // counted is what a stand-in saw of one kind of control, by its own count of a connection's bytes.
 type counted struct{ sent, sentBytes, received, receivedBytes, conns uint64 } // as the sidecar names the two ways
 
-func told(k KindTraffic) counted {
+func told(k controltraffic.KindTraffic) counted {
 	return counted{k.Sent.Messages, k.Sent.Bytes, k.Received.Messages, k.Received.Bytes, k.Opened + k.Accepted}
 }
 
@@ -104,14 +100,14 @@
 	}{
 		"right":                 {func(*loop) {}, ""},
 		"leaves out probes":     {func(l *loop) { l.up.probes = nil }, "probe"},
-		"leaves out discovery":  {func(l *loop) { l.disc.count(&Counter{}) }, "discovery"},
+		"leaves out discovery":  {func(l *loop) { l.disc.count(&controltraffic.Counter{}) }, "discovery"},
 		"probes among the rest": {func(l *loop) { l.up.probes = &l.control.Discovery }, "discovery"},
 		"counts twice": {func(l *loop) {
 			transport := l.disc.client.Transport.(*http.Transport)
 			dial := transport.DialContext
 			transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 				conn, err := dial(ctx, network, address)
-				return CountedConn{conn, &l.control.Discovery}, err
+				return controltraffic.CountedConn{Conn: conn, Counter: &l.control.Discovery}, err
 			}
 		}, "discovery"},
 	} {
@@ -220,36 +216,6 @@
 	}
 }
 
-// Datagrams are counted by channel: the module's messages as news, all of the view as view.
-func TestControlCountsDatagrams(t *testing.T) {
-	counts := map[link.Channel]link.Count{
-		link.News:       {SentDatagrams: 2, SentBytes: 100, ReceivedDatagrams: 5, ReceivedBytes: 300},
-		link.Packets:    {SentDatagrams: 1, SentBytes: 10},
-		link.ToListener: {SentDatagrams: 1, SentBytes: 20, ReceivedDatagrams: 1, ReceivedBytes: 7},
-		link.ToDialer:   {ReceivedDatagrams: 2, ReceivedBytes: 50},
-	}
-	news, view := datagramTraffic(counts, link.News), datagramTraffic(counts, link.Packets, link.ToListener, link.ToDialer)
-	if want := (KindTraffic{Sent: DirectionTraffic{2, 100, 2, 156}, Received: DirectionTraffic{5, 300, 5, 440}}); news != want {
-		t.Errorf("news %+v, want %+v", news, want)
-	}
-	if want := (KindTraffic{Sent: DirectionTraffic{2, 30, 2, 86}, Received: DirectionTraffic{3, 57, 3, 141}}); view != want {
-		t.Errorf("view %+v, want %+v", view, want)
-	}
-	// And they are the link's own counts, over a socket.
-	address := netip.MustParseAddrPort("127.0.0.1:0")
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
-	f, err := fleet.Open(ctx, fleet.Options{Listen: address, All: netip.MustParseAddrPort("127.0.0.1:9"), Log: slog.New(slog.DiscardHandler)})
-	if err != nil {
-		t.Fatal(err)
-	}
-	f.Tell([]byte{byte(link.News), 1, 2, 3})
-	c := Accounting{Started: time.Now()}
-	if got := c.Status(f).Kinds["news"].Sent; got != (DirectionTraffic{1, 4, 1, 32}) {
-		t.Errorf("after one message of 4 bytes: %+v", got)
-	}
-}
-
 // A process without operators counts nothing, and its calls of discovery go out on bare connections.
 func TestControlIsOffWithoutOperators(t *testing.T) {
 	l, err := newLoop(context.Background(), configure(t, "127.0.0.1:1", nil), slog.New(slog.DiscardHandler))
@@ -277,7 +243,7 @@
 	cfg.Ops = "127.0.0.1:0"
 	w.launch(cfg)
 	w.operate()
-	ask := func() (s TrafficStatus) {
+	ask := func() (s controltraffic.TrafficStatus) {
 		r, _ := http.NewRequest(http.MethodGet, "http://"+w.ops+"/control", nil)
 		got := w.send(r)
 		decoder := json.NewDecoder(strings.NewReader(got.body))
@@ -290,14 +256,14 @@
 	w.until("a list to be told", func() bool { return ask().Kinds["discovery"].Received.Messages > 0 })
 	s := ask()
 	sum := uint64(0)
-	for _, name := range TrafficKinds {
+	for _, name := range controltraffic.TrafficKinds {
 		k, ok := s.Kinds[name]
 		if !ok {
 			t.Errorf("%s is not told", name)
 		}
 		sum += k.TotalWireBytes()
 	}
-	if len(s.Kinds) != len(TrafficKinds) || sum != s.WireBytes || s.Seconds <= 0 {
+	if len(s.Kinds) != len(controltraffic.TrafficKinds) || sum != s.WireBytes || s.Seconds <= 0 {
 		t.Errorf("told %+v, want a sum of %d", s, sum)
 	}
 	if orders := s.Kinds["orders"]; orders.Accepted < 2 || orders.Sent.Messages+1 < orders.Received.Messages {
@@ -308,22 +274,3 @@
 	w.do(func() { w.loop.rediscover(second.address) })
 	w.until("calls of the new discovery", func() bool { return second.count() > 0 && ask().Kinds["discovery"].Opened > before })
 }
-
-// What is reckoned of the counts follows the formula of ControlCount.
-func TestControlWireBytes(t *testing.T) {
-	var f Counter
-	f.CountSent(100, true)
-	f.CountReceived(3000, true)
-	f.CountDial(nil)
-	f.CountDial(io.EOF)
-	got := f.Traffic()
-	want := KindTraffic{Opened: 1, Failed: 1,
-		Sent:     DirectionTraffic{1, 100, 1 + 1 + 4 + 1, 100 + 52*7},
-		Received: DirectionTraffic{1, 3000, 1 + 2 + 1 + 3 + 1, 3000 + 52*8}}
-	if got != want {
-		t.Errorf("%+v, want %+v", got, want)
-	}
-	if d := got.Since(want); d != (KindTraffic{}) || !reflect.DeepEqual(got.Since(KindTraffic{}), got) {
-		t.Errorf("less itself: %+v", d)
-	}
-}
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -8,10 +8,12 @@
 	"io"
 	"net"
 	"net/http"
+	"net/http/httptrace"
 	"slices"
 	"time"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/controltraffic"
 	"bramblestand/internal/state"
 )
 
@@ -77,7 +79,7 @@
 	address string
 	url     string
 	client  http.Client
-	flow    *Counter // counts the calls; nil where nobody is told
+	flow    *controltraffic.Counter // counts the calls; nil where nobody is told
 	dial    func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
@@ -183,3 +185,30 @@
 		time.Sleep(watchPause)
 	}
 }
+
+// count has the calls counted from here on; none may have been made. A nil flow changes nothing.
+func (d *discovery) count(f *controltraffic.Counter) {
+	transport, ok := d.client.Transport.(*http.Transport)
+	if f == nil || !ok {
+		return
+	}
+	d.flow = f
+	transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
+		conn, err := d.connect(ctx, network, address)
+		f.CountDial(err)
+		if err != nil {
+			return nil, err
+		}
+		return controltraffic.CountedConn{Conn: conn, Counter: f}, nil
+	}
+}
+
+// traced is ctx with the requests counted as they are written, which the transport may do anew on another connection.
+func (d *discovery) traced(ctx context.Context) context.Context {
+	if d.flow == nil {
+		return ctx
+	}
+	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteRequest: func(info httptrace.WroteRequestInfo) {
+		d.flow.CountSent(0, info.Err == nil)
+	}})
+}
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/controltraffic"
 	"bramblestand/internal/fleet"
 	"bramblestand/internal/handover"
 	"bramblestand/internal/state"
@@ -75,7 +76,7 @@
 	restored  *state.Snapshot                // what an earlier process persisted, until the start
 	admin     func() *handover.State         // what operators ordered; nil without operators
 	listedAt  time.Time                      // wall clock when discovery last told the list
-	control   *Accounting                       // counts what control costs; nil without operators
+	control   *controltraffic.Accounting     // counts what control costs; nil without operators
 
 	// Below: the loop's goroutine alone.
 	balancer  decider
@@ -133,7 +134,7 @@
 		stopWatch: func() {},
 	}
 	if cfg.Ops != "" {
-		l.control = &Accounting{Started: time.Now()}
+		l.control = &controltraffic.Accounting{Started: time.Now()}
 		l.up.probes = &l.control.LoadProbes
 		l.disc.count(&l.control.Discovery)
 	}
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -23,23 +23,24 @@
 )
 
 const (
-	answerMargin = 10 * time.Millisecond   // of a client's time, at most, kept for writing the final answer
-	marginPart   = 20                      // and one part in so many of it: a deadline may be as short as that
-	acceptAfter  = 600 * time.Millisecond  // after SIGTERM or a drain: clients go on connecting for 0.4 s
-	acceptOut    = time.Millisecond        // after SIGTERM, with another process there to take clients
-	listWait     = 1500 * time.Millisecond // a process beside another waits so long for discovery: its yes is owed in 6 s
-	idleSweep    = 100 * time.Millisecond  // between looks for connections at rest while drained
-	socketSpare  = 32                      // descriptors for discovery, logs and the runtime
-	busyRetry    = time.Second             // wait told to clients that find all connections in use
-	timeLeftMost = time.Minute             // that a request gets
-	reportEvery  = time.Second             // between log lines of what the sidecar holds
-	writeTimeout = 2 * time.Second         // for an answer, from its first byte on
-	bodiesPart   = 2                       // one part in so many of the heap may be bodies
-	clientsPart  = 3                       // one part in so many of the descriptors is the most that clients hold
-	turnedRetry  = 50 * time.Millisecond   // wait told to clients that a process about to end turns away
-	endSweep     = 10 * time.Millisecond   // between looks for connections at rest at the end
-	endMost      = time.Minute             // after that, for what still goes on when it ends
-	idleTimeout  = 10 * time.Second        // between a client's requests
+	answerMargin       = 10 * time.Millisecond   // of a client's time, at most, kept for writing the final answer
+	marginPart         = 20                      // and one part in so many of it: a deadline may be as short as that
+	acceptAfter        = 600 * time.Millisecond  // after SIGTERM or a drain: clients go on connecting for 0.4 s
+	acceptOut          = time.Millisecond        // after SIGTERM, with another process there to take clients
+	listWait           = 1500 * time.Millisecond // a process beside another waits so long for discovery: its yes is owed in 6 s
+	idleSweep          = 100 * time.Millisecond  // between looks for connections at rest while drained
+	socketSpare        = 32                      // descriptors for discovery, logs and the runtime
+	busyRetry          = time.Second             // wait told to clients that find all connections in use
+	timeLeftMost       = time.Minute             // that a request gets
+	reportEvery        = time.Second             // between log lines of what the sidecar holds
+	controlLogInterval = 10                      // reports between log lines of control traffic
+	writeTimeout       = 2 * time.Second         // for an answer, from its first byte on
+	bodiesPart         = 2                       // one part in so many of the heap may be bodies
+	clientsPart        = 3                       // one part in so many of the descriptors is the most that clients hold
+	turnedRetry        = 50 * time.Millisecond   // wait told to clients that a process about to end turns away
+	endSweep           = 10 * time.Millisecond   // between looks for connections at rest at the end
+	endMost            = time.Minute             // after that, for what still goes on when it ends
+	idleTimeout        = 10 * time.Second        // between a client's requests
 )
 
 // server takes the application's requests.
