--- a/internal/controltraffic/accounting.go
+++ b/internal/controltraffic/accounting.go
@@ -28,13 +28,13 @@
 	dialsFailed                     atomic.Uint64 // connections that did not come up
 }
 
-func (f *Counter) CountSent(bytes int, whole bool) {
+func (f *Counter) AddSent(bytes int, whole bool) {
 	if f != nil {
 		addMessage(&f.sentMessages, &f.sentBytes, bytes, whole)
 	}
 }
 
-func (f *Counter) CountReceived(bytes int, whole bool) {
+func (f *Counter) AddReceived(bytes int, whole bool) {
 	if f != nil {
 		addMessage(&f.receivedMessages, &f.receivedBytes, bytes, whole)
 	}
@@ -47,8 +47,8 @@
 	}
 }
 
-// CountDial counts a connection that was dialled.
-func (f *Counter) CountDial(err error) {
+// AddDial counts a connection that was dialled.
+func (f *Counter) AddDial(err error) {
 	if f != nil && err == nil {
 		f.dialed.Add(1)
 	} else if f != nil {
@@ -56,28 +56,28 @@
 	}
 }
 
-// CountAccepted counts a connection that was accepted.
-func (f *Counter) CountAccepted() {
+// AddAccepted counts a connection that was accepted.
+func (f *Counter) AddAccepted() {
 	if f != nil {
 		f.accepted.Add(1)
 	}
 }
 
-// CountedConn counts the bytes that pass a connection.
-type CountedConn struct {
+// Conn counts the bytes that pass a connection.
+type Conn struct {
 	net.Conn
 	Counter *Counter
 }
 
-func (c CountedConn) Read(p []byte) (int, error) {
+func (c Conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.Counter.CountReceived(n, false)
+	c.Counter.AddReceived(n, false)
 	return n, err
 }
 
-func (c CountedConn) Write(p []byte) (int, error) {
+func (c Conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.Counter.CountSent(n, false)
+	c.Counter.AddSent(n, false)
 	return n, err
 }
 
@@ -88,28 +88,28 @@
 	LoadProbes, Discovery, Admin Counter
 }
 
-// TrafficKinds are the kinds of control, in the order in which they are told: probes of endpoints, calls of discovery,
+// Kinds are the kinds of control, in the order in which they are told: probes of endpoints, calls of discovery,
 // news of probes' answers between sidecars, the fleet's view, operators' calls.
-var TrafficKinds = []string{"probe", "discovery", "news", "view", "orders"}
+var Kinds = []string{"probe", "discovery", "news", "view", "orders"}
 
-// TrafficStatus is what operators are told of the cost of control: all since the start of this process.
-type TrafficStatus struct {
+// Status is what operators are told of the cost of control: all since the start of this process.
+type Status struct {
 	Seconds float64                `json:"seconds"` // since the start
-	Kinds   map[string]KindTraffic `json:"kinds"`   // by ControlKinds
+	Kinds   map[string]Traffic `json:"kinds"`   // by ControlKinds
 	// Both ways and of all kinds, headers included.
 	WireBytes uint64 `json:"wire_bytes"`
 }
 
-// KindTraffic is one kind of control.
-type KindTraffic struct {
-	Sent     DirectionTraffic `json:"sent"`
-	Received DirectionTraffic `json:"received"`
+// Traffic is one kind of control.
+type Traffic struct {
+	Sent     Totals `json:"sent"`
+	Received Totals `json:"received"`
 	Opened   uint64           `json:"opened"`   // connections opened for it; a probe and a call use each other's
 	Accepted uint64           `json:"accepted"` // connections accepted for it
 	Failed   uint64           `json:"failed"`   // connections that did not come up
 }
 
-// DirectionTraffic is what went one way. Messages and Bytes are counted, Bytes as on the connection with HTTP's heads, or a
+// Totals is what went one way. Messages and Bytes are counted, Bytes as on the connection with HTTP's heads, or a
 // datagram's payload. Packets and WireBytes are reckoned of them, for IPv4 and an MTU of 1,500:
 //
 //	TCP  data     messages + bytes / 1448
@@ -120,7 +120,7 @@
 //	UDP  wire     bytes + 28 x datagrams
 //
 // Ethernet's frame (38 bytes a packet with preamble and gap) is not in it.
-type DirectionTraffic struct {
+type Totals struct {
 	Messages  uint64 `json:"messages"`
 	Bytes     uint64 `json:"bytes"`
 	Packets   uint64 `json:"packets"`
@@ -128,19 +128,19 @@
 }
 
 // TotalWireBytes is the kind's bytes both ways, headers included.
-func (k KindTraffic) TotalWireBytes() uint64 { return k.Sent.WireBytes + k.Received.WireBytes }
+func (k Traffic) TotalWireBytes() uint64 { return k.Sent.WireBytes + k.Received.WireBytes }
 
-// Since is what came to pass since then.
-func (k KindTraffic) Since(then KindTraffic) KindTraffic {
-	less := func(a, b DirectionTraffic) DirectionTraffic {
-		return DirectionTraffic{a.Messages - b.Messages, a.Bytes - b.Bytes, a.Packets - b.Packets, a.WireBytes - b.WireBytes}
+// Sub is what came to pass since then.
+func (k Traffic) Sub(then Traffic) Traffic {
+	less := func(a, b Totals) Totals {
+		return Totals{a.Messages - b.Messages, a.Bytes - b.Bytes, a.Packets - b.Packets, a.WireBytes - b.WireBytes}
 	}
-	return KindTraffic{less(k.Sent, then.Sent), less(k.Received, then.Received), k.Opened - then.Opened, k.Accepted - then.Accepted, k.Failed - then.Failed}
+	return Traffic{less(k.Sent, then.Sent), less(k.Received, then.Received), k.Opened - then.Opened, k.Accepted - then.Accepted, k.Failed - then.Failed}
 }
 
-func (f *Counter) Traffic() KindTraffic {
-	k := KindTraffic{Sent: DirectionTraffic{Messages: f.sentMessages.Load(), Bytes: f.sentBytes.Load()},
-		Received: DirectionTraffic{Messages: f.receivedMessages.Load(), Bytes: f.receivedBytes.Load()},
+func (f *Counter) Traffic() Traffic {
+	k := Traffic{Sent: Totals{Messages: f.sentMessages.Load(), Bytes: f.sentBytes.Load()},
+		Received: Totals{Messages: f.receivedMessages.Load(), Bytes: f.receivedBytes.Load()},
 		Opened:   f.dialed.Load(), Accepted: f.accepted.Load(), Failed: f.dialsFailed.Load()}
 	s, r := &k.Sent, &k.Received
 	s.Packets = s.Messages + s.Bytes/tcpSegmentBytes + r.Messages + 4*k.Opened + 3*k.Accepted + k.Failed
@@ -150,25 +150,25 @@
 }
 
 // datagramTraffic are those of some of the link's channels.
-func datagramTraffic(counts map[link.Channel]link.Count, channels ...link.Channel) (k KindTraffic) {
+func datagramTraffic(counts map[link.Channel]link.Count, channels ...link.Channel) (k Traffic) {
 	for _, c := range channels {
 		n := counts[c]
 		k.Sent.Messages, k.Sent.Bytes = k.Sent.Messages+n.SentDatagrams, k.Sent.Bytes+n.SentBytes
 		k.Received.Messages, k.Received.Bytes = k.Received.Messages+n.ReceivedDatagrams, k.Received.Bytes+n.ReceivedBytes
 	}
-	for _, c := range []*DirectionTraffic{&k.Sent, &k.Received} {
+	for _, c := range []*Totals{&k.Sent, &k.Received} {
 		c.Packets, c.WireBytes = c.Messages, c.Bytes+udpHeaderBytes*c.Messages
 	}
 	return k
 }
 
 // Status tells what was counted so far; f may be nil.
-func (c *Accounting) Status(f *fleet.Fleet) TrafficStatus {
+func (c *Accounting) Status(f *fleet.Fleet) Status {
 	var counts map[link.Channel]link.Count
 	if f != nil {
 		counts = f.Counts()
 	}
-	s := TrafficStatus{Seconds: math.Round(time.Since(c.Started).Seconds()*1e3) / 1e3, Kinds: map[string]KindTraffic{
+	s := Status{Seconds: math.Round(time.Since(c.Started).Seconds()*1e3) / 1e3, Kinds: map[string]Traffic{
 		"probe": c.LoadProbes.Traffic(), "discovery": c.Discovery.Traffic(), "orders": c.Admin.Traffic(),
 		"news": datagramTraffic(counts, link.News), "view": datagramTraffic(counts, link.Packets, link.ToListener, link.ToDialer)}}
 	for _, k := range s.Kinds {
@@ -181,7 +181,7 @@
 func (c *Accounting) Log(log *slog.Logger, f *fleet.Fleet) {
 	s := c.Status(f)
 	args := []any{"seconds", s.Seconds, "wire_bytes", s.WireBytes}
-	for _, name := range TrafficKinds {
+	for _, name := range Kinds {
 		args = append(args, name, s.Kinds[name].TotalWireBytes())
 	}
 	log.Info("control", args...)
--- a/internal/controltraffic/accounting_test.go
+++ b/internal/controltraffic/accounting_test.go
@@ -21,10 +21,10 @@
 		link.ToDialer:   {ReceivedDatagrams: 2, ReceivedBytes: 50},
 	}
 	news, view := datagramTraffic(counts, link.News), datagramTraffic(counts, link.Packets, link.ToListener, link.ToDialer)
-	if want := (KindTraffic{Sent: DirectionTraffic{2, 100, 2, 156}, Received: DirectionTraffic{5, 300, 5, 440}}); news != want {
+	if want := (Traffic{Sent: Totals{2, 100, 2, 156}, Received: Totals{5, 300, 5, 440}}); news != want {
 		t.Errorf("news %+v, want %+v", news, want)
 	}
-	if want := (KindTraffic{Sent: DirectionTraffic{2, 30, 2, 86}, Received: DirectionTraffic{3, 57, 3, 141}}); view != want {
+	if want := (Traffic{Sent: Totals{2, 30, 2, 86}, Received: Totals{3, 57, 3, 141}}); view != want {
 		t.Errorf("view %+v, want %+v", view, want)
 	}
 	// And they are the link's own counts, over a socket.
@@ -37,7 +37,7 @@
 	}
 	f.Tell([]byte{byte(link.News), 1, 2, 3})
 	c := Accounting{Started: time.Now()}
-	if got := c.Status(f).Kinds["news"].Sent; got != (DirectionTraffic{1, 4, 1, 32}) {
+	if got := c.Status(f).Kinds["news"].Sent; got != (Totals{1, 4, 1, 32}) {
 		t.Errorf("after one message of 4 bytes: %+v", got)
 	}
 }
@@ -45,18 +45,18 @@
 // What is reckoned of the counts follows the formula of ControlCount.
 func TestControlWireBytes(t *testing.T) {
 	var f Counter
-	f.CountSent(100, true)
-	f.CountReceived(3000, true)
-	f.CountDial(nil)
-	f.CountDial(io.EOF)
+	f.AddSent(100, true)
+	f.AddReceived(3000, true)
+	f.AddDial(nil)
+	f.AddDial(io.EOF)
 	got := f.Traffic()
-	want := KindTraffic{Opened: 1, Failed: 1,
-		Sent:     DirectionTraffic{1, 100, 1 + 1 + 4 + 1, 100 + 52*7},
-		Received: DirectionTraffic{1, 3000, 1 + 2 + 1 + 3 + 1, 3000 + 52*8}}
+	want := Traffic{Opened: 1, Failed: 1,
+		Sent:     Totals{1, 100, 1 + 1 + 4 + 1, 100 + 52*7},
+		Received: Totals{1, 3000, 1 + 2 + 1 + 3 + 1, 3000 + 52*8}}
 	if got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
-	if d := got.Since(want); d != (KindTraffic{}) || !reflect.DeepEqual(got.Since(KindTraffic{}), got) {
+	if d := got.Sub(want); d != (Traffic{}) || !reflect.DeepEqual(got.Sub(Traffic{}), got) {
 		t.Errorf("less itself: %+v", d)
 	}
 }
--- a/internal/lab/control.go
+++ b/internal/lab/control.go
@@ -58,7 +58,7 @@
 
 // controlSample is what was known at one time.
 type controlSample struct {
-	status   map[int]controltraffic.TrafficStatus // by sidecar
+	status   map[int]controltraffic.Status // by sidecar
 	at       map[int]time.Duration                // when it had answered
 	cpu      map[int]time.Duration
 	loopback [2]uint64 // bytes, packets
@@ -85,7 +85,7 @@
 }
 
 func (o *operatorsLab) controlSample() controlSample {
-	s := controlSample{status: map[int]controltraffic.TrafficStatus{}, at: map[int]time.Duration{}, cpu: map[int]time.Duration{}}
+	s := controlSample{status: map[int]controltraffic.Status{}, at: map[int]time.Duration{}, cpu: map[int]time.Duration{}}
 	var mu sync.Mutex
 	var asking sync.WaitGroup
 	places := make(chan struct{}, controlAsks)
@@ -96,7 +96,7 @@
 			defer asking.Done()
 			defer func() { <-places }()
 			code, text := o.ask(http.MethodGet, i, "/control", "")
-			var status controltraffic.TrafficStatus
+			var status controltraffic.Status
 			if code != http.StatusOK || json.Unmarshal([]byte(text), &status) != nil {
 				return // it is down, or comes up
 			}
@@ -128,7 +128,7 @@
 		s.WireBytes += wire
 		s.MostBytes = max(s.MostBytes, wire)
 		for name, kind := range now.Kinds {
-			k, r := kind.Since(then.Kinds[name]), s.Kinds[name]
+			k, r := kind.Sub(then.Kinds[name]), s.Kinds[name]
 			r.Sent += float64(k.Sent.Messages) / seconds
 			r.SentBytes += float64(k.Sent.Bytes) / seconds
 			r.Received += float64(k.Received.Messages) / seconds
@@ -186,7 +186,7 @@
 func (c *Control) String() string {
 	line := func(name string, s *ControlSpan) string {
 		text := fmt.Sprintf("control, %s of %.1f s, a sidecar: %.0f B/s (most %.0f)", name, s.Seconds, s.WireBytes, s.MostBytes)
-		for _, kind := range controltraffic.TrafficKinds {
+		for _, kind := range controltraffic.Kinds {
 			text += fmt.Sprintf(", %s %.0f", kind, s.Kinds[kind].WireBytes)
 		}
 		return text + fmt.Sprintf("; %.2f%% of a core\n", s.CPU*100)
--- a/internal/lab/control_table.go
+++ b/internal/lab/control_table.go
@@ -138,13 +138,13 @@
 	var text strings.Builder
 	w := tabwriter.NewWriter(&text, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "price\tservers\tcalls/s\tstart bytes\tin s")
-	for _, kind := range controltraffic.TrafficKinds {
+	for _, kind := range controltraffic.Kinds {
 		fmt.Fprintf(w, "\t%s B/s", kind)
 	}
 	fmt.Fprint(w, "\tsteady B/s\tprobes/s\tcore %\tpeak MB\treckoned/lo start\tsteady\t\n")
 	for _, r := range t.Rows {
 		fmt.Fprintf(w, "%v\t%d\t%v\t%.0f\t%.1f", r.Price, r.Servers, r.Rate, r.StartBytes, r.Start.Seconds)
-		for _, kind := range controltraffic.TrafficKinds {
+		for _, kind := range controltraffic.Kinds {
 			fmt.Fprintf(w, "\t%.0f", r.Steady.Kinds[kind].WireBytes)
 		}
 		fmt.Fprintf(w, "\t%.0f\t%.2f\t%.2f\t%.1f\t%.3f\t%.3f\t\n", r.Steady.WireBytes, r.Steady.Kinds["probe"].Sent, r.Steady.CPU*100, r.OverMB, r.Ratio[0], r.Ratio[1])
--- a/internal/lab/control_test.go
+++ b/internal/lab/control_test.go
@@ -7,18 +7,18 @@
 )
 
 // status is a sidecar's count so many seconds after its start, of so many probes at 300 bytes both ways.
-func status(seconds float64, probes uint64) controltraffic.TrafficStatus {
-	k := controltraffic.KindTraffic{Sent: controltraffic.DirectionTraffic{Messages: probes, Bytes: 100 * probes, Packets: probes, WireBytes: 150 * probes},
-		Received: controltraffic.DirectionTraffic{Messages: probes, Bytes: 100 * probes, Packets: probes, WireBytes: 150 * probes}, Opened: probes}
-	return controltraffic.TrafficStatus{Seconds: seconds, Kinds: map[string]controltraffic.KindTraffic{"probe": k}, WireBytes: k.TotalWireBytes()}
+func status(seconds float64, probes uint64) controltraffic.Status {
+	k := controltraffic.Traffic{Sent: controltraffic.Totals{Messages: probes, Bytes: 100 * probes, Packets: probes, WireBytes: 150 * probes},
+		Received: controltraffic.Totals{Messages: probes, Bytes: 100 * probes, Packets: probes, WireBytes: 150 * probes}, Opened: probes}
+	return controltraffic.Status{Seconds: seconds, Kinds: map[string]controltraffic.Traffic{"probe": k}, WireBytes: k.TotalWireBytes()}
 }
 
 // Rates are of the time between two looks; a sidecar that restarted between them is left out.
 func TestControlSpans(t *testing.T) {
 	at := func(d time.Duration) map[int]time.Duration { return map[int]time.Duration{0: d, 1: d, 2: d, 3: d} }
-	from := controlSample{at: at(14 * time.Second), status: map[int]controltraffic.TrafficStatus{0: status(15, 100), 1: status(15, 100), 2: status(15, 100)},
+	from := controlSample{at: at(14 * time.Second), status: map[int]controltraffic.Status{0: status(15, 100), 1: status(15, 100), 2: status(15, 100)},
 		cpu: map[int]time.Duration{0: time.Second}, loopback: [2]uint64{1000, 10}}
-	to := controlSample{at: at(24500 * time.Millisecond), status: map[int]controltraffic.TrafficStatus{0: status(25, 110), 1: status(25, 130), 2: status(4, 60), 3: status(5, 7)},
+	to := controlSample{at: at(24500 * time.Millisecond), status: map[int]controltraffic.Status{0: status(25, 110), 1: status(25, 130), 2: status(4, 60), 3: status(5, 7)},
 		cpu: map[int]time.Duration{0: 1200 * time.Millisecond}, loopback: [2]uint64{7000, 70}}
 	s := span(from, to)
 	p := s.Kinds["probe"]
--- a/internal/sidecar/conn.go
+++ b/internal/sidecar/conn.go
@@ -119,7 +119,7 @@
 // Write writes to the client.
 func (c *clientConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.owner.flow.CountSent(n, false)
+	c.owner.flow.AddSent(n, false)
 	return n, err
 }
 
@@ -140,7 +140,7 @@
 
 // note takes in what was read. It holds c.mu.
 func (c *clientConn) note(p []byte) {
-	c.owner.flow.CountReceived(len(p), false)
+	c.owner.flow.AddReceived(len(p), false)
 	c.framing.read(p)
 	if !c.framing.begun {
 		c.begun = time.Time{}
--- a/internal/sidecar/control_test.go
+++ b/internal/sidecar/control_test.go
@@ -19,7 +19,7 @@
 // counted is what a stand-in saw of one kind of control, by its own count of a connection's bytes.
 type counted struct{ sent, sentBytes, received, receivedBytes, conns uint64 } // as the sidecar names the two ways
 
-func told(k controltraffic.KindTraffic) counted {
+func told(k controltraffic.Traffic) counted {
 	return counted{k.Sent.Messages, k.Sent.Bytes, k.Received.Messages, k.Received.Bytes, k.Opened + k.Accepted}
 }
 
@@ -107,7 +107,7 @@
 			dial := transport.DialContext
 			transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 				conn, err := dial(ctx, network, address)
-				return controltraffic.CountedConn{Conn: conn, Counter: &l.control.Discovery}, err
+				return controltraffic.Conn{Conn: conn, Counter: &l.control.Discovery}, err
 			}
 		}, "discovery"},
 	} {
@@ -243,7 +243,7 @@
 	cfg.Ops = "127.0.0.1:0"
 	w.launch(cfg)
 	w.operate()
-	ask := func() (s controltraffic.TrafficStatus) {
+	ask := func() (s controltraffic.Status) {
 		r, _ := http.NewRequest(http.MethodGet, "http://"+w.ops+"/control", nil)
 		got := w.send(r)
 		decoder := json.NewDecoder(strings.NewReader(got.body))
@@ -256,14 +256,14 @@
 	w.until("a list to be told", func() bool { return ask().Kinds["discovery"].Received.Messages > 0 })
 	s := ask()
 	sum := uint64(0)
-	for _, name := range controltraffic.TrafficKinds {
+	for _, name := range controltraffic.Kinds {
 		k, ok := s.Kinds[name]
 		if !ok {
 			t.Errorf("%s is not told", name)
 		}
 		sum += k.TotalWireBytes()
 	}
-	if len(s.Kinds) != len(controltraffic.TrafficKinds) || sum != s.WireBytes || s.Seconds <= 0 {
+	if len(s.Kinds) != len(controltraffic.Kinds) || sum != s.WireBytes || s.Seconds <= 0 {
 		t.Errorf("told %+v, want a sum of %d", s, sum)
 	}
 	if orders := s.Kinds["orders"]; orders.Accepted < 2 || orders.Sent.Messages+1 < orders.Received.Messages {
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -124,7 +124,7 @@
 	if err != nil {
 		return list, err
 	}
-	d.flow.CountReceived(0, true)
+	d.flow.AddReceived(0, true)
 	if response.StatusCode != http.StatusOK {
 		return list, fmt.Errorf("discovery answered %s", response.Status)
 	}
@@ -195,11 +195,11 @@
 	d.flow = f
 	transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := d.connect(ctx, network, address)
-		f.CountDial(err)
+		f.AddDial(err)
 		if err != nil {
 			return nil, err
 		}
-		return controltraffic.CountedConn{Conn: conn, Counter: f}, nil
+		return controltraffic.Conn{Conn: conn, Counter: f}, nil
 	}
 }
 
@@ -209,6 +209,6 @@
 		return ctx
 	}
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteRequest: func(info httptrace.WroteRequestInfo) {
-		d.flow.CountSent(0, info.Err == nil)
+		d.flow.AddSent(0, info.Err == nil)
 	}})
 }
--- a/internal/sidecar/ops.go
+++ b/internal/sidecar/ops.go
@@ -56,8 +56,8 @@
 	mux.HandleFunc("POST /drain", o.drain(true))
 	mux.HandleFunc("POST /undrain", o.drain(false))
 	handler := func(w http.ResponseWriter, in *http.Request) {
-		o.callers.flow.CountReceived(0, true)
-		defer o.callers.flow.CountSent(0, true)
+		o.callers.flow.AddReceived(0, true)
+		defer o.callers.flow.AddSent(0, true)
 		body, err := io.ReadAll(http.MaxBytesReader(w, in.Body, opsBodyMost))
 		var large *http.MaxBytesError
 		if errors.As(err, &large) {
