--- a/internal/controltraffic/accounting_test.go
+++ b/internal/controltraffic/accounting_test.go
@@ -1,8 +1,6 @@
 package controltraffic
 
 import (
-	"bramblestand/internal/fleet"
-	"bramblestand/internal/fleet/link"
 	"context"
 	"io"
 	"log/slog"
@@ -10,46 +8,49 @@
 	"reflect"
 	"testing"
 	"time"
+
+	"bramblestand/internal/fleet"
+	"bramblestand/internal/fleet/link"
 )
 
-// Datagrams are counted by channel: the module's messages as news, all of the view as view.
-func TestControlCountsDatagrams(t *testing.T) {
+// The balancer's datagrams count as gossip, all other channels as membership.
+func TestDatagramsAreCountedByChannel(t *testing.T) {
 	counts := map[link.Channel]link.Count{
 		link.News:       {SentDatagrams: 2, SentBytes: 100, ReceivedDatagrams: 5, ReceivedBytes: 300},
 		link.Packets:    {SentDatagrams: 1, SentBytes: 10},
 		link.ToListener: {SentDatagrams: 1, SentBytes: 20, ReceivedDatagrams: 1, ReceivedBytes: 7},
 		link.ToDialer:   {ReceivedDatagrams: 2, ReceivedBytes: 50},
 	}
-	news, view := datagramTraffic(counts, link.News), datagramTraffic(counts, link.Packets, link.ToListener, link.ToDialer)
-	if want := (Traffic{Sent: Totals{2, 100, 2, 156}, Received: Totals{5, 300, 5, 440}}); news != want {
-		t.Errorf("news %+v, want %+v", news, want)
+	gossip, membership := datagramTraffic(counts, link.News), datagramTraffic(counts, link.Packets, link.ToListener, link.ToDialer)
+	if want := (Traffic{Sent: Totals{2, 100, 2, 156}, Received: Totals{5, 300, 5, 440}}); gossip != want {
+		t.Errorf("gossip %+v, want %+v", gossip, want)
 	}
-	if want := (Traffic{Sent: Totals{2, 30, 2, 86}, Received: Totals{3, 57, 3, 141}}); view != want {
-		t.Errorf("view %+v, want %+v", view, want)
+	if want := (Traffic{Sent: Totals{2, 30, 2, 86}, Received: Totals{3, 57, 3, 141}}); membership != want {
+		t.Errorf("membership %+v, want %+v", membership, want)
 	}
-	// And they are the link's own counts, over a socket.
+	// And they are the transport's own counts, over a socket.
 	address := netip.MustParseAddrPort("127.0.0.1:0")
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
+	ctx, cancel := context.WithCancel(context.Background())
+	t.Cleanup(cancel)
 	f, err := fleet.Open(ctx, fleet.Options{Listen: address, All: netip.MustParseAddrPort("127.0.0.1:9"), Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.Tell([]byte{byte(link.News), 1, 2, 3})
-	c := Accounting{Started: time.Now()}
-	if got := c.Status(f).Kinds["news"].Sent; got != (Totals{1, 4, 1, 32}) {
+	accounting := Accounting{Started: time.Now()}
+	if got := accounting.Status(f.Counts()).Kinds["news"].Sent; got != (Totals{1, 4, 1, 32}) {
 		t.Errorf("after one message of 4 bytes: %+v", got)
 	}
 }
 
-// What is reckoned of the counts follows the formula of ControlCount.
-func TestControlWireBytes(t *testing.T) {
-	var f Counter
-	f.AddSent(100, true)
-	f.AddReceived(3000, true)
-	f.AddDial(nil)
-	f.AddDial(io.EOF)
-	got := f.Traffic()
+// The estimates follow the formula of Totals.
+func TestWireBytesFollowTheFormula(t *testing.T) {
+	var counter Counter
+	counter.AddSent(100, true)
+	counter.AddReceived(3000, true)
+	counter.AddDial(nil)
+	counter.AddDial(io.EOF)
+	got := counter.Traffic()
 	want := Traffic{Opened: 1, Failed: 1,
 		Sent:     Totals{1, 100, 1 + 1 + 4 + 1, 100 + 52*7},
 		Received: Totals{1, 3000, 1 + 2 + 1 + 3 + 1, 3000 + 52*8}}
@@ -57,6 +58,6 @@
 		t.Errorf("%+v, want %+v", got, want)
 	}
 	if d := got.Sub(want); d != (Traffic{}) || !reflect.DeepEqual(got.Sub(Traffic{}), got) {
-		t.Errorf("less itself: %+v", d)
+		t.Errorf("minus itself: %+v", d)
 	}
 }
--- a/internal/lab/control.go
+++ b/internal/lab/control.go
@@ -59,7 +59,7 @@
 // controlSample is what was known at one time.
 type controlSample struct {
 	status   map[int]controltraffic.Status // by sidecar
-	at       map[int]time.Duration                // when it had answered
+	at       map[int]time.Duration         // when it had answered
 	cpu      map[int]time.Duration
 	loopback [2]uint64 // bytes, packets
 }
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -13,6 +13,7 @@
 	"bramblestand/balancer"
 	"bramblestand/internal/controltraffic"
 	"bramblestand/internal/fleet"
+	"bramblestand/internal/fleet/link"
 	"bramblestand/internal/handover"
 	"bramblestand/internal/state"
 )
@@ -582,3 +583,11 @@
 
 // Log records a line of the balancer's.
 func (l *loop) Log(line string) { l.log.Info(line) }
+
+// datagramCounts returns the datagrams by channel since the start, nil where there is no transport yet.
+func (l *loop) datagramCounts() map[link.Channel]link.Count {
+	if f := l.fleet.Load(); f != nil {
+		return f.Counts()
+	}
+	return nil
+}
--- a/internal/sidecar/ops.go
+++ b/internal/sidecar/ops.go
@@ -136,7 +136,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(o.server.loop.control.Status(o.server.loop.fleet.Load()))
+	json.NewEncoder(w).Encode(o.server.loop.control.Status(o.server.loop.datagramCounts()))
 }
 
 // ban answers a call that takes a pin server out of use by hand, or into use again.
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -264,7 +264,7 @@
 		case <-tick.C:
 			s.loop.post(s.holds)
 			if s.loop.control != nil && n%controlLogInterval == 0 {
-				s.loop.control.Log(s.loop.log, s.loop.fleet.Load())
+				s.loop.control.Log(s.loop.log, s.loop.datagramCounts())
 			}
 		case <-ctx.Done():
 			return
