--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -38,7 +38,7 @@
 	peers      []netip.AddrPort // of the whole tier, by their numbers
 	peersAll   netip.AddrPort   // reaches all of them
 
-	known  registry
+	known  List
 	zones  []string // names, by the numbers that the balancer uses
 	kinds  []string
 	fields []string      // of a load report, in the order of Settings.Fields
@@ -75,7 +75,7 @@
 		Ops        string          `json:"ops"`
 		Seed       string          `json:"seed"`
 		Limits     Limits          `json:"limits"`
-		Known      registry        `json:"known"`
+		Known      List            `json:"known"`
 		PeerListen string          `json:"peer_listen"`
 		Peers      []string        `json:"peers"`
 		PeersAll   string          `json:"peers_all"`
@@ -106,7 +106,7 @@
 	if file.Limits.Sockets < leastSockets {
 		return nil, fmt.Errorf("limits.sockets: %d is under %d", file.Limits.Sockets, leastSockets)
 	}
-	if err := file.Known.validate(); err != nil {
+	if err := file.Known.Validate(); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
 	age := stateAge
--- a/internal/sidecar/config_golden_test.go
+++ b/internal/sidecar/config_golden_test.go
@@ -57,12 +57,12 @@
 }
 
 // registryText is a list of endpoints, a line for each key of discovery's.
-func registryText(prefix string, r registry) string {
+func registryText(prefix string, r List) string {
 	var out strings.Builder
 	line := func(key string, value any) { fmt.Fprintf(&out, "%s%s=%v\n", prefix, key, value) }
-	line("seq", r.Seq)
-	line("whole", r.Whole)
-	for i, h := range r.Hosts {
+	line("seq", r.Version)
+	line("whole", r.IsFull)
+	for i, h := range r.Endpoints {
 		at := fmt.Sprintf("hosts.%d.", i)
 		line(at+"host", h.Name)
 		line(at+"dial", h.Address)
--- a/internal/sidecar/control_test.go
+++ b/internal/sidecar/control_test.go
@@ -100,10 +100,10 @@
 	}{
 		"right":                 {func(*loop) {}, ""},
 		"leaves out probes":     {func(l *loop) { l.up.probes = nil }, "probe"},
-		"leaves out discovery":  {func(l *loop) { l.disc.count(&controltraffic.Counter{}) }, "discovery"},
+		"leaves out discovery":  {func(l *loop) { l.disc.countTraffic(&controltraffic.Counter{}) }, "discovery"},
 		"probes among the rest": {func(l *loop) { l.up.probes = &l.control.Discovery }, "discovery"},
 		"counts twice": {func(l *loop) {
-			transport := l.disc.client.Transport.(*http.Transport)
+			transport := l.disc.http.Transport.(*http.Transport)
 			dial := transport.DialContext
 			transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 				conn, err := dial(ctx, network, address)
@@ -129,7 +129,7 @@
 					kind.conns++
 				}
 			})
-			list, _ := json.Marshal(registry{Seq: 7, Whole: true, Hosts: []host{ready("s-1", address)}})
+			list, _ := json.Marshal(List{Version: 7, IsFull: true, Endpoints: []Endpoint{ready("s-1", address)}})
 			agent := l.serve(t, func(r *http.Request) string {
 				if r.FormValue("after") == "" {
 					return httpAnswer(string(list))
@@ -222,11 +222,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if l.control != nil || l.up.probes != nil || l.disc.flow != nil {
-		t.Errorf("counted without operators: %v, %v, %v", l.control, l.up.probes, l.disc.flow)
+	if l.control != nil || l.up.probes != nil || l.disc.traffic != nil {
+		t.Errorf("counted without operators: %v, %v, %v", l.control, l.up.probes, l.disc.traffic)
 	}
 	to := newDirectory(t).address
-	conn, err := l.disc.client.Transport.(*http.Transport).DialContext(context.Background(), "tcp", to)
+	conn, err := l.disc.http.Transport.(*http.Transport).DialContext(context.Background(), "tcp", to)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/departure_burst_test.go
+++ b/internal/sidecar/departure_burst_test.go
@@ -120,7 +120,7 @@
 						}
 					}
 				})
-				var hosts []host // so many that none is too busy for a request
+				var hosts []Endpoint // so many that none is too busy for a request
 				for i := range leaving + staying {
 					hosts = append(hosts, ready(fmt.Sprint("s-", i), e.address))
 				}
--- a/internal/sidecar/departure_test.go
+++ b/internal/sidecar/departure_test.go
@@ -169,7 +169,7 @@
 							io.WriteString(conn, served)
 						}
 					})
-					var hosts []host // so many that none is too busy for a request
+					var hosts []Endpoint // so many that none is too busy for a request
 					for i := range clients {
 						hosts = append(hosts, ready(fmt.Sprint("s-", i), e.address))
 					}
--- a/internal/sidecar/departure_unread_test.go
+++ b/internal/sidecar/departure_unread_test.go
@@ -35,7 +35,7 @@
 					io.WriteString(conn, served)
 				}
 			})
-			var hosts []host
+			var hosts []Endpoint
 			for i := range clients {
 				hosts = append(hosts, ready(fmt.Sprint("s-", i), e.address))
 			}
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -18,38 +18,38 @@
 )
 
 const (
-	watchWait    = 20 * time.Second // a watch call is held so long without news
-	listPatience = 4 * time.Second  // beyond that: discovery works through calls in turn
+	MaxWait     = 20 * time.Second // a watch call is held so long without news
+	ListTimeout = 4 * time.Second  // beyond that: discovery works through calls in turn
 	// News counts as told 2 s after a wait's end, whether the answer has come or
 	// not: by then the list has been asked for again.
-	waitPatience = time.Second
-	listMost     = 8 << 20 // bytes of a list
+	waitGrace    = time.Second
+	maxListBytes = 8 << 20 // bytes of a list
 
 	// A watch ends when its next call comes later than 200 ms after the last
 	// answer; calls without any pause could become a flood.
-	watchPause = 20 * time.Millisecond
+	watchCallDelay = 20 * time.Millisecond
 	// Where lists are pushed the balancer never asks: the watch begins again by itself.
-	pushedPause = 500 * time.Millisecond
+	resubscribeDelay = 500 * time.Millisecond
 )
 
-// registry is a list of endpoints, or of changes, in discovery's form.
-type registry struct {
-	Seq   uint64 `json:"seq"`
-	Whole bool   `json:"whole"`
-	Hosts []host `json:"hosts"`
+// List is a list of endpoints, or of changes, in discovery's form.
+type List struct {
+	Version   uint64     `json:"seq"`
+	IsFull    bool       `json:"whole"`
+	Endpoints []Endpoint `json:"hosts"`
 }
 
-// host is one entry of discovery's list; the state file keeps it as it is.
-type host = state.Endpoint
+// Endpoint is one entry of discovery's list; the state file keeps it as it is.
+type Endpoint = state.Endpoint
 
-var states = map[string]balancer.EndpointState{
+var endpointStates = map[string]balancer.EndpointState{
 	"Ready": balancer.Ready, "Terminating": balancer.Draining, "Gone": balancer.Removed,
 }
 
-// validate keeps entries that nothing could be sent to from the balancer.
-func (r *registry) validate() error {
-	for i, h := range r.Hosts {
-		state, ok := states[h.Health]
+// Validate keeps entries that nothing could be sent to from the balancer.
+func (r *List) Validate() error {
+	for i, h := range r.Endpoints {
+		state, ok := endpointStates[h.Health]
 		switch {
 		case h.Name == "":
 			return fmt.Errorf("hosts[%d].host is missing", i)
@@ -64,45 +64,45 @@
 	return nil
 }
 
-// unknownName numbers a zone or kind that the settings do not list.
-const unknownName = 255
+// UnknownIndex numbers a zone or kind that the settings do not list.
+const UnknownIndex = 255
 
-func number(names []string, name string) uint8 {
-	if i := slices.Index(names, name); i >= 0 && i < unknownName {
+func indexOf(names []string, name string) uint8 {
+	if i := slices.Index(names, name); i >= 0 && i < UnknownIndex {
 		return uint8(i)
 	}
-	return unknownName
+	return UnknownIndex
 }
 
-// discovery calls the service that lists endpoints.
-type discovery struct {
-	address string
+// Client calls the service that lists endpoints.
+type Client struct {
+	Address string
 	url     string
-	client  http.Client
-	flow    *controltraffic.Counter // counts the calls; nil where nobody is told
+	http    http.Client
+	traffic *controltraffic.Counter // counts the calls; nil where nobody is told
 	dial    func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-func newDiscovery(address string) *discovery {
-	d := &discovery{address: address, url: "http://" + address + "/registry/instances", dial: new(net.Dialer).DialContext}
-	d.client.Transport = &http.Transport{MaxIdleConns: 1, MaxConnsPerHost: 2, DialContext: d.connect}
+func NewClient(address string) *Client {
+	d := &Client{Address: address, url: "http://" + address + "/registry/instances", dial: new(net.Dialer).DialContext}
+	d.http.Transport = &http.Transport{MaxIdleConns: 1, MaxConnsPerHost: 2, DialContext: d.connect}
 	return d
 }
 
 // connect opens a connection, or gives up as the call does that wants it: net/http would leave it to come up, and the
 // system would try for minutes, at ever longer intervals, while later calls stand behind it.
-func (d *discovery) connect(ctx context.Context, network, address string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, listPatience)
+func (d *Client) connect(ctx context.Context, network, address string) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, ListTimeout)
 	defer cancel()
 	return d.dial(ctx, network, address)
 }
 
-// list makes one call. With after it asks for what is newer than that version,
+// List makes one call. With after it asks for what is newer than that version,
 // which may be 0, and waits for news as long as wait; without, for the whole list.
-func (d *discovery) list(ctx context.Context, after *uint64, wait time.Duration) (registry, error) {
-	patience := listPatience
+func (d *Client) List(ctx context.Context, after *uint64, wait time.Duration) (List, error) {
+	patience := ListTimeout
 	if wait > 0 && after != nil {
-		patience = wait + waitPatience
+		patience = wait + waitGrace
 	}
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
@@ -110,40 +110,40 @@
 	if after != nil {
 		url = fmt.Sprintf("%s?after=%d&wait_ms=%d", d.url, *after, wait.Milliseconds())
 	}
-	var list registry
+	var list List
 	request, err := http.NewRequestWithContext(d.traced(ctx), http.MethodGet, url, nil)
 	if err != nil {
 		return list, err
 	}
-	response, err := d.client.Do(request)
+	response, err := d.http.Do(request)
 	if err != nil {
 		return list, err
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, listMost))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes))
 	if err != nil {
 		return list, err
 	}
-	d.flow.AddReceived(0, true)
+	d.traffic.AddReceived(0, true)
 	if response.StatusCode != http.StatusOK {
 		return list, fmt.Errorf("discovery answered %s", response.Status)
 	}
-	if list, err = parseRegistry(body); err != nil {
+	if list, err = ParseList(body); err != nil {
 		return list, fmt.Errorf("discovery's answer: %w", err)
 	}
-	if after != nil && !list.Whole && list.Seq < *after {
+	if after != nil && !list.IsFull && list.Version < *after {
 		// Discovery has begun anew: changes since an older version say nothing of the list that is held.
-		return list, fmt.Errorf("discovery's answer: seq: %w: %d after %d", errOlder, list.Seq, *after)
+		return list, fmt.Errorf("discovery's answer: seq: %w: %d after %d", ErrOlderVersion, list.Version, *after)
 	}
 	return list, nil
 }
 
-// errOlder says that a list of changes is of an earlier version than the list that is held.
-var errOlder = errors.New("changes of an older version")
+// ErrOlderVersion says that a list of changes is of an earlier version than the list that is held.
+var ErrOlderVersion = errors.New("changes of an older version")
 
-// parseRegistry reads a list as discovery sends it.
-func parseRegistry(body []byte) (registry, error) {
-	var list registry
+// ParseList reads a list as discovery sends it.
+func ParseList(body []byte) (List, error) {
+	var list List
 	// Without these an answer cut short, or of something else, would pass for news that there is none.
 	given := struct {
 		Seq   *uint64 `json:"seq"`
@@ -158,41 +158,41 @@
 	if given.Whole == nil {
 		return list, errors.New("whole is missing")
 	}
-	return list, list.validate()
+	return list, list.Validate()
 }
 
-// watch reports what discovery tells until a call fails, which it reports too.
+// Watch reports what discovery tells until a call fails, which it reports too.
 // The first call does not wait for news: its answer is the balancer's sign that
 // the watch has begun. After is the version to go on from, nil if there was no
 // list yet; so is what it returns.
-func (d *discovery) watch(ctx context.Context, after *uint64, tell func(balancer.UpdateKind, registry)) (*uint64, error) {
-	for wait := time.Duration(0); ; wait = watchWait {
-		list, err := d.list(ctx, after, wait)
-		if errors.Is(err, errOlder) {
+func (d *Client) Watch(ctx context.Context, after *uint64, tell func(balancer.UpdateKind, List)) (*uint64, error) {
+	for wait := time.Duration(0); ; wait = MaxWait {
+		list, err := d.List(ctx, after, wait)
+		if errors.Is(err, ErrOlderVersion) {
 			after = nil // which asks for the whole list
 			continue
 		}
 		if err != nil {
-			tell(balancer.UpdateFailed, registry{})
+			tell(balancer.UpdateFailed, List{})
 			return after, err
 		}
-		after = &list.Seq
+		after = &list.Version
 		kind := balancer.UpdateDelta
-		if list.Whole {
+		if list.IsFull {
 			kind = balancer.UpdateFull
 		}
 		tell(kind, list)
-		time.Sleep(watchPause)
+		time.Sleep(watchCallDelay)
 	}
 }
 
-// count has the calls counted from here on; none may have been made. A nil flow changes nothing.
-func (d *discovery) count(f *controltraffic.Counter) {
-	transport, ok := d.client.Transport.(*http.Transport)
+// countTraffic has the calls counted from here on; none may have been made. A nil flow changes nothing.
+func (d *Client) countTraffic(f *controltraffic.Counter) {
+	transport, ok := d.http.Transport.(*http.Transport)
 	if f == nil || !ok {
 		return
 	}
-	d.flow = f
+	d.traffic = f
 	transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := d.connect(ctx, network, address)
 		f.AddDial(err)
@@ -204,11 +204,11 @@
 }
 
 // traced is ctx with the requests counted as they are written, which the transport may do anew on another connection.
-func (d *discovery) traced(ctx context.Context) context.Context {
-	if d.flow == nil {
+func (d *Client) traced(ctx context.Context) context.Context {
+	if d.traffic == nil {
 		return ctx
 	}
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteRequest: func(info httptrace.WroteRequestInfo) {
-		d.flow.AddSent(0, info.Err == nil)
+		d.traffic.AddSent(0, info.Err == nil)
 	}})
 }
--- a/internal/sidecar/discovery_golden_test.go
+++ b/internal/sidecar/discovery_golden_test.go
@@ -30,7 +30,7 @@
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&out, "%s\n", filepath.Base(path))
-		list, err := parseRegistry(body)
+		list, err := ParseList(body)
 		if err != nil {
 			fmt.Fprintf(&out, "\terror %q\n", plainError(err))
 			continue
@@ -92,10 +92,10 @@
 		wantOlder bool
 	}{
 		{"the whole list", nil, 0, httpAnswer(empty), "GET /registry/instances", "", false},
-		{"the whole list, whatever the wait", nil, watchWait, httpAnswer(empty), "GET /registry/instances", "", false},
+		{"the whole list, whatever the wait", nil, MaxWait, httpAnswer(empty), "GET /registry/instances", "", false},
 		{"from version 0 on", &zero, 0, httpAnswer(empty), "GET /registry/instances?after=0&wait_ms=0", "", false},
 		{"first call of a watch", &held, 0, httpAnswer(empty), "GET /registry/instances?after=41&wait_ms=0", "", false},
-		{"next call of a watch", &held, watchWait, httpAnswer(empty), "GET /registry/instances?after=41&wait_ms=20000", "", false},
+		{"next call of a watch", &held, MaxWait, httpAnswer(empty), "GET /registry/instances?after=41&wait_ms=20000", "", false},
 		{"an older list of changes", &held, 0, httpAnswer(`{"seq":40,"whole":false,"hosts":[]}`),
 			"GET /registry/instances?after=41&wait_ms=0", "discovery's answer: seq: changes of an older version: 40 after 41", true},
 		{"an older whole list", &held, 0, httpAnswer(`{"seq":40,"whole":true,"hosts":[]}`),
@@ -109,10 +109,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			address, requests := answerEach(t, c.answer)
-			d := newDiscovery(address)
-			t.Cleanup(d.client.CloseIdleConnections)
-			_, err := d.list(context.Background(), c.after, c.wait)
-			if got := plainError(err); got != c.want || errors.Is(err, errOlder) != c.wantOlder {
+			d := NewClient(address)
+			t.Cleanup(d.http.CloseIdleConnections)
+			_, err := d.List(context.Background(), c.after, c.wait)
+			if got := plainError(err); got != c.want || errors.Is(err, ErrOlderVersion) != c.wantOlder {
 				t.Errorf("error %q, want %q", got, c.want)
 			}
 			want := c.request + " HTTP/1.1\r\nHost: " + address + "\r\nUser-Agent: Go-http-client/1.1\r\nAccept-Encoding: gzip\r\n\r\n"
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -65,7 +65,7 @@
 	log       *slog.Logger
 	clock     clock
 	up        *upstream
-	disc      *discovery
+	disc      *Client
 	events    chan func(now balancer.Micros)
 	urgent    chan func(now balancer.Micros) // operators' calls, ahead of events
 	ctx       context.Context                // ends with the loop
@@ -96,7 +96,7 @@
 
 // listing is what discovery last said of an endpoint.
 type listing struct {
-	host
+	Endpoint
 	state balancer.EndpointState
 }
 
@@ -127,7 +127,7 @@
 func newLoop(ctx context.Context, cfg *Config, log *slog.Logger) (*loop, error) {
 	l := &loop{
 		cfg: cfg, log: log, clock: clock{time.Now()}, ctx: ctx,
-		up: newUpstream(cfg, connections(cfg)), told: make(chan struct{}), disc: newDiscovery(cfg.Discovery),
+		up: newUpstream(cfg, connections(cfg)), told: make(chan struct{}), disc: NewClient(cfg.Discovery),
 		events:   make(chan func(balancer.Micros), eventsMost),
 		urgent:   make(chan func(balancer.Micros), opsMost),
 		listings: map[uint32]listing{}, banned: map[uint32]bool{},
@@ -137,7 +137,7 @@
 	if cfg.Ops != "" {
 		l.control = &controltraffic.Accounting{Started: time.Now()}
 		l.up.probes = &l.control.LoadProbes
-		l.disc.count(&l.control.Discovery)
+		l.disc.countTraffic(&l.control.Discovery)
 	}
 	var err error
 	l.balancer, err = balancer.New(cfg.Settings, cfg.Seed, l)
@@ -148,7 +148,7 @@
 func (l *loop) run() {
 	now := l.clock.now()
 	l.balancer.Start(now)
-	if list := l.restore(now, l.restored); len(list.Hosts) > 0 {
+	if list := l.restore(now, l.restored); len(list.Endpoints) > 0 {
 		l.members(now, balancer.UpdateCached, list)
 	}
 	l.restoreEndpointStates(now, l.restored)
@@ -316,19 +316,19 @@
 }
 
 // members passes on a list and brings the targets in line with it.
-func (l *loop) members(now balancer.Micros, kind balancer.UpdateKind, list registry) {
+func (l *loop) members(now balancer.Micros, kind balancer.UpdateKind, list List) {
 	if kind == balancer.UpdateFailed {
 		l.balancer.UpdateEndpoints(now, kind, nil)
 		return
 	}
-	l.seq = &list.Seq
-	entries := make([]balancer.Endpoint, 0, len(list.Hosts))
+	l.seq = &list.Version
+	entries := make([]balancer.Endpoint, 0, len(list.Endpoints))
 	named := map[uint32]bool{}
-	for _, h := range list.Hosts {
+	for _, h := range list.Endpoints {
 		id := l.number(h.Name)
 		named[id] = true
-		e := balancer.Endpoint{ID: id, Zone: number(l.cfg.zones, h.Zone), MachineType: number(l.cfg.kinds, h.MachineType),
-			Pod: h.Pod, State: states[h.Health], Weight: h.Weight}
+		e := balancer.Endpoint{ID: id, Zone: indexOf(l.cfg.zones, h.Zone), MachineType: indexOf(l.cfg.kinds, h.MachineType),
+			Pod: h.Pod, State: endpointStates[h.Health], Weight: h.Weight}
 		if h.StartedAtMillis > 0 {
 			e.StartTime = h.StartedAtMillis * 1000
 		}
@@ -529,7 +529,7 @@
 	ctx, stop := context.WithCancel(l.ctx)
 	l.stopWatch = stop
 	seq, disc := l.seq, l.disc
-	tell := func(kind balancer.UpdateKind, list registry) {
+	tell := func(kind balancer.UpdateKind, list List) {
 		l.post(func(now balancer.Micros) {
 			if ctx.Err() == nil { // else the watch was ended meanwhile
 				l.members(now, kind, list)
@@ -539,14 +539,14 @@
 	go func() {
 		for ctx.Err() == nil {
 			var err error
-			seq, err = disc.watch(ctx, seq, tell)
+			seq, err = disc.Watch(ctx, seq, tell)
 			if ctx.Err() == nil {
 				l.log.Warn("discovery", "error", err)
 			}
 			if l.cfg.Settings.MustSubscribe {
 				return // when to ask again is the balancer's decision
 			}
-			time.Sleep(pushedPause)
+			time.Sleep(resubscribeDelay)
 		}
 	}()
 }
@@ -557,7 +557,7 @@
 		select {
 		case cfg := <-reloads:
 			l.post(func(balancer.Micros) {
-				if cfg.Discovery != l.disc.address {
+				if cfg.Discovery != l.disc.Address {
 					l.rediscover(cfg.Discovery)
 				}
 			})
@@ -570,15 +570,15 @@
 // rediscover turns to discovery at another address. Its versions may not be the
 // old one's: the watch begins with the whole list.
 func (l *loop) rediscover(address string) {
-	l.log.Info("discovery moves", "from", l.disc.address, "to", address)
+	l.log.Info("discovery moves", "from", l.disc.Address, "to", address)
 	old := l.disc
-	l.disc, l.seq = newDiscovery(address), nil
-	l.disc.count(old.flow)
+	l.disc, l.seq = NewClient(address), nil
+	l.disc.countTraffic(old.traffic)
 	l.disc.dial = old.dial
 	if l.watching {
 		l.WatchEndpoints(true)
 	}
-	old.client.CloseIdleConnections()
+	old.http.CloseIdleConnections()
 }
 
 // Log records a line of the balancer's.
--- a/internal/sidecar/ops_test.go
+++ b/internal/sidecar/ops_test.go
@@ -198,7 +198,7 @@
 // A pin server out by hand gets nothing, whatever the list says, until the call back.
 func TestPinServerOutByHand(t *testing.T) {
 	one, two := newEndpoint(t, always(served)), newEndpoint(t, always(served))
-	hosts := []host{ready("s-1", one.address), ready("s-2", two.address)}
+	hosts := []Endpoint{ready("s-1", one.address), ready("s-2", two.address)}
 	w := start(t, nil, hosts...)
 	call := w.operate()
 	for range 2 {
@@ -208,9 +208,9 @@
 	}
 	lists := w.listed()
 	w.dir.change(func() {
-		w.dir.list.Seq++
+		w.dir.list.Version++
 		hosts[0].StartedAtMillis = time.Now().UnixMilli()
-		w.dir.list.Hosts = hosts
+		w.dir.list.Endpoints = hosts
 	})
 	w.until("the list with its restart", func() bool { return w.listed() > lists })
 	before, _ := one.seen()
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -44,14 +44,14 @@
 			io.WriteString(conn, served)
 		}
 	}
-	other := func(h host) host {
+	other := func(h Endpoint) Endpoint {
 		h.Pod = 2
 		return h
 	}
 	for _, c := range []struct {
 		name, class string
 		first       func(*endpoint, net.Conn, *bufio.Reader)
-		move        func(host) host // of the second endpoint
+		move        func(Endpoint) Endpoint // of the second endpoint
 		code        int
 		attempts    int
 	}{
@@ -522,7 +522,7 @@
 	draining := ready("s-1", first.address)
 	draining.Health = "Terminating"
 	w.dir.change(func() {
-		w.dir.list = registry{Seq: 1, Whole: true, Hosts: []host{draining, ready("s-2", second.address)}}
+		w.dir.list = List{Version: 1, IsFull: true, Endpoints: []Endpoint{draining, ready("s-2", second.address)}}
 	})
 	w.until("the news", func() bool {
 		moved := false
--- a/internal/sidecar/snapshot.go
+++ b/internal/sidecar/snapshot.go
@@ -44,22 +44,22 @@
 // restore gives the balancer what an earlier process persisted, before its first event: the bans whatever their age,
 // and, as a cached list that is probed before it is trusted, the persisted list. It returns the list to begin with:
 // the persisted one, or the configuration's where that is newer or the persisted one is too old or not valid.
-func (l *loop) restore(now balancer.Micros, persisted *state.Snapshot) registry {
+func (l *loop) restore(now balancer.Micros, persisted *state.Snapshot) List {
 	known := l.cfg.known
 	if persisted == nil {
 		return known
 	}
 	l.setBans(now, persisted.Admin.Banned)
 	isFresh := state.IsFresh(persisted.ListedAt, time.Now(), l.cfg.StateAge)
-	isOutdated := len(known.Hosts) > 0 && persisted.ListVersion < known.Seq
+	isOutdated := len(known.Endpoints) > 0 && persisted.ListVersion < known.Version
 	if !isFresh || isOutdated {
 		l.log.Info("persisted endpoint list not used", "listed_at", persisted.ListedAt, "list_version", persisted.ListVersion,
-			"known_version", known.Seq, "max_age", l.cfg.StateAge)
+			"known_version", known.Version, "max_age", l.cfg.StateAge)
 		return known
 	}
 	l.listedAt = persisted.ListedAt
-	list := registry{Seq: persisted.ListVersion, Whole: persisted.IsFullList, Hosts: persisted.Endpoints}
-	if err := list.validate(); err != nil {
+	list := List{Version: persisted.ListVersion, IsFull: persisted.IsFullList, Endpoints: persisted.Endpoints}
+	if err := list.Validate(); err != nil {
 		l.log.Error("persisted endpoint list not valid; not used", "error", err)
 		return known
 	}
@@ -104,7 +104,7 @@
 	}
 	for _, listed := range l.listings {
 		if listed.state != balancer.Removed {
-			s.Endpoints = append(s.Endpoints, listed.host)
+			s.Endpoints = append(s.Endpoints, listed.Endpoint)
 		}
 	}
 	sort.Slice(s.Endpoints, func(i, j int) bool { return s.Endpoints[i].Name < s.Endpoints[j].Name })
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -71,7 +71,7 @@
 	// Together 384 MB, of which a twelfth is allowed: what is allocated while a collection runs counts as in use,
 	// and on a busy machine one runs long.
 	const many, each, allowed = 12, 4 * long, 32 << 20
-	var hosts []host
+	var hosts []Endpoint
 	for i := range many {
 		e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
 			for e.next(in) != nil {
--- a/internal/sidecar/told_test.go
+++ b/internal/sidecar/told_test.go
@@ -106,7 +106,7 @@
 			}
 		}
 		a.mu.Unlock()
-		answer := func(code int, list registry) {
+		answer := func(code int, list List) {
 			body, _ := json.Marshal(list)
 			fmt.Fprintf(conn, "HTTP/1.1 %d x\r\nContent-Length: %d\r\n\r\n%s", code, len(body), body)
 		}
@@ -114,10 +114,10 @@
 		if a.out(now) {
 			switch a.how {
 			case hangsUp:
-				time.Sleep(listPatience - 10*time.Millisecond)
+				time.Sleep(ListTimeout - 10*time.Millisecond)
 				return
 			case turnsAway:
-				answer(http.StatusServiceUnavailable, registry{})
+				answer(http.StatusServiceUnavailable, List{})
 				continue
 			case stalls:
 				fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"seq\":")
@@ -130,7 +130,7 @@
 				deaf() // until it goes down, or for good
 				return
 			}
-			answer(http.StatusOK, registry{Seq: 1, Whole: true, Hosts: []host{ready("s-1", "127.0.0.1:1")}})
+			answer(http.StatusOK, List{Version: 1, IsFull: true, Endpoints: []Endpoint{ready("s-1", "127.0.0.1:1")}})
 			continue
 		}
 		if begun.Before(a.back) && a.how == silent4ever {
@@ -142,7 +142,7 @@
 		if a.anew {
 			seq = 0
 			if r.FormValue("after") != "" {
-				answer(http.StatusOK, registry{Seq: seq, Hosts: []host{}})
+				answer(http.StatusOK, List{Version: seq, Endpoints: []Endpoint{}})
 				continue
 			}
 			if now.Before(a.wholeFrom) {
@@ -154,7 +154,7 @@
 			deaf()
 			return
 		}
-		answer(http.StatusOK, registry{Seq: seq, Whole: true, Hosts: []host{ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:2")}})
+		answer(http.StatusOK, List{Version: seq, IsFull: true, Endpoints: []Endpoint{ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:2")}})
 	}
 }
 
@@ -193,12 +193,12 @@
 	t.Helper()
 	begin := time.Now()
 	ctx, stop := context.WithCancel(context.Background())
-	hosts := []host{}
+	hosts := []Endpoint{}
 	if known {
 		hosts = append(hosts, ready("s-1", "127.0.0.1:1"))
 	}
 	cfg := configure(t, "127.0.0.1:1", alter, hosts...)
-	cfg.known.Seq = 1
+	cfg.known.Version = 1
 	cfg.Seed = uint64(a.back.UnixNano())
 	l, err := newLoop(ctx, cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -234,7 +234,7 @@
 	stop()
 	<-ended
 	time.Sleep(5 * time.Minute) // until all that goes on by itself is over
-	l.disc.client.CloseIdleConnections()
+	l.disc.http.CloseIdleConnections()
 	for _, of := range []*agentIn{a, first} {
 		of.mu.Lock()
 		for _, c := range of.conns {
@@ -294,7 +294,7 @@
 								moved, a.back = begin, zero.Add(begin+lasts)
 							}
 							told := learns(t, alter, a, moved, when != "start without a list")
-							late, waited := told.Sub(a.back), told.Sub(a.waits.Add(watchWait))
+							late, waited := told.Sub(a.back), told.Sub(a.waits.Add(MaxWait))
 							switch {
 							case !a.waits.IsZero() && waited <= waitMost-waitMargin:
 								worstWait = max(worstWait, waited)
--- a/internal/sidecar/world_test.go
+++ b/internal/sidecar/world_test.go
@@ -136,16 +136,16 @@
 	address string
 
 	mu     sync.Mutex
-	list   registry
+	list   List
 	down   bool
 	broken string // an answer to give in place of the list
 	calls  []string
 	news   chan struct{} // closed and replaced with every change
 }
 
-func newDirectory(t *testing.T, hosts ...host) *directory {
+func newDirectory(t *testing.T, hosts ...Endpoint) *directory {
 	t.Helper()
-	d := &directory{list: registry{Whole: true, Hosts: hosts}, news: make(chan struct{})}
+	d := &directory{list: List{IsFull: true, Endpoints: hosts}, news: make(chan struct{})}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -161,7 +161,7 @@
 	d.mu.Lock()
 	d.calls = append(d.calls, r.URL.RawQuery)
 	after, wait, news := r.FormValue("after"), r.FormValue("wait_ms"), d.news
-	waits := after == fmt.Sprint(d.list.Seq) && wait != "0" && !d.down && d.broken == ""
+	waits := after == fmt.Sprint(d.list.Version) && wait != "0" && !d.down && d.broken == ""
 	d.mu.Unlock()
 	if waits {
 		select {
@@ -178,8 +178,8 @@
 		json.NewEncoder(w).Encode(d.list) // which must not be believed
 	case d.broken != "":
 		io.WriteString(w, d.broken)
-	case after == fmt.Sprint(d.list.Seq):
-		json.NewEncoder(w).Encode(registry{Seq: d.list.Seq, Hosts: []host{}})
+	case after == fmt.Sprint(d.list.Version):
+		json.NewEncoder(w).Encode(List{Version: d.list.Version, Endpoints: []Endpoint{}})
 	default:
 		json.NewEncoder(w).Encode(d.list)
 	}
@@ -201,8 +201,8 @@
 }
 
 // ready is discovery's entry for an endpoint.
-func ready(name, address string) host {
-	return host{Name: name, Address: address, Zone: "a", MachineType: "m1", Health: "Ready", Weight: 1}
+func ready(name, address string) Endpoint {
+	return Endpoint{Name: name, Address: address, Zone: "a", MachineType: "m1", Health: "Ready", Weight: 1}
 }
 
 // spy passes everything on to the balancer and keeps what it was told.
@@ -279,7 +279,7 @@
 }
 
 // configure returns a configuration that knows the given list.
-func configure(t *testing.T, discovery string, alter func(settings map[string]any), hosts ...host) *Config {
+func configure(t *testing.T, discovery string, alter func(settings map[string]any), hosts ...Endpoint) *Config {
 	t.Helper()
 	var settings map[string]any
 	if err := json.Unmarshal([]byte(settingsText), &settings); err != nil {
@@ -291,7 +291,7 @@
 	text, err := json.Marshal(map[string]any{
 		"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 256},
-		"known":  registry{Whole: true, Hosts: hosts}, "settings": settings})
+		"known":  List{IsFull: true, Endpoints: hosts}, "settings": settings})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -303,7 +303,7 @@
 }
 
 // start runs a sidecar that knows these endpoints, and waits until it is ready.
-func start(t *testing.T, alter func(settings map[string]any), hosts ...host) *world {
+func start(t *testing.T, alter func(settings map[string]any), hosts ...Endpoint) *world {
 	t.Helper()
 	w := &world{t: t, dir: newDirectory(t, hosts...)}
 	w.launch(configure(t, w.dir.address, alter, hosts...))
