--- a/internal/sidecar/discovery.go
+++ b/internal/discovery/client.go
@@ -1,4 +1,4 @@
-package sidecar
+package discovery
 
 import (
 	"context"
@@ -9,7 +9,6 @@
 	"net"
 	"net/http"
 	"net/http/httptrace"
-	"slices"
 	"time"
 
 	"bramblestand/balancer"
@@ -29,7 +28,7 @@
 	// answer; calls without any pause could become a flood.
 	watchCallDelay = 20 * time.Millisecond
 	// Where lists are pushed the balancer never asks: the watch begins again by itself.
-	resubscribeDelay = 500 * time.Millisecond
+	ResubscribeDelay = 500 * time.Millisecond
 )
 
 // List is a list of endpoints, or of changes, in discovery's form.
@@ -42,14 +41,14 @@
 // Endpoint is one entry of discovery's list; the state file keeps it as it is.
 type Endpoint = state.Endpoint
 
-var endpointStates = map[string]balancer.EndpointState{
+var States = map[string]balancer.EndpointState{
 	"Ready": balancer.Ready, "Terminating": balancer.Draining, "Gone": balancer.Removed,
 }
 
 // Validate keeps entries that nothing could be sent to from the balancer.
 func (r *List) Validate() error {
 	for i, h := range r.Endpoints {
-		state, ok := endpointStates[h.Health]
+		state, ok := States[h.Health]
 		switch {
 		case h.Name == "":
 			return fmt.Errorf("hosts[%d].host is missing", i)
@@ -64,28 +63,18 @@
 	return nil
 }
 
-// UnknownIndex numbers a zone or kind that the settings do not list.
-const UnknownIndex = 255
-
-func indexOf(names []string, name string) uint8 {
-	if i := slices.Index(names, name); i >= 0 && i < UnknownIndex {
-		return uint8(i)
-	}
-	return UnknownIndex
-}
-
 // Client calls the service that lists endpoints.
 type Client struct {
 	Address string
 	url     string
-	http    http.Client
-	traffic *controltraffic.Counter // counts the calls; nil where nobody is told
-	dial    func(ctx context.Context, network, address string) (net.Conn, error)
+	HTTP    http.Client
+	Traffic *controltraffic.Counter // counts the calls; nil where nobody is told
+	Dial    func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
 func NewClient(address string) *Client {
-	d := &Client{Address: address, url: "http://" + address + "/registry/instances", dial: new(net.Dialer).DialContext}
-	d.http.Transport = &http.Transport{MaxIdleConns: 1, MaxConnsPerHost: 2, DialContext: d.connect}
+	d := &Client{Address: address, url: "http://" + address + "/registry/instances", Dial: new(net.Dialer).DialContext}
+	d.HTTP.Transport = &http.Transport{MaxIdleConns: 1, MaxConnsPerHost: 2, DialContext: d.connect}
 	return d
 }
 
@@ -94,7 +83,7 @@
 func (d *Client) connect(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, ListTimeout)
 	defer cancel()
-	return d.dial(ctx, network, address)
+	return d.Dial(ctx, network, address)
 }
 
 // List makes one call. With after it asks for what is newer than that version,
@@ -115,7 +104,7 @@
 	if err != nil {
 		return list, err
 	}
-	response, err := d.http.Do(request)
+	response, err := d.HTTP.Do(request)
 	if err != nil {
 		return list, err
 	}
@@ -124,7 +113,7 @@
 	if err != nil {
 		return list, err
 	}
-	d.traffic.AddReceived(0, true)
+	d.Traffic.AddReceived(0, true)
 	if response.StatusCode != http.StatusOK {
 		return list, fmt.Errorf("discovery answered %s", response.Status)
 	}
@@ -186,13 +175,13 @@
 	}
 }
 
-// countTraffic has the calls counted from here on; none may have been made. A nil flow changes nothing.
-func (d *Client) countTraffic(f *controltraffic.Counter) {
-	transport, ok := d.http.Transport.(*http.Transport)
+// CountTraffic has the calls counted from here on; none may have been made. A nil flow changes nothing.
+func (d *Client) CountTraffic(f *controltraffic.Counter) {
+	transport, ok := d.HTTP.Transport.(*http.Transport)
 	if f == nil || !ok {
 		return
 	}
-	d.traffic = f
+	d.Traffic = f
 	transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := d.connect(ctx, network, address)
 		f.AddDial(err)
@@ -205,10 +194,10 @@
 
 // traced is ctx with the requests counted as they are written, which the transport may do anew on another connection.
 func (d *Client) traced(ctx context.Context) context.Context {
-	if d.traffic == nil {
+	if d.Traffic == nil {
 		return ctx
 	}
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteRequest: func(info httptrace.WroteRequestInfo) {
-		d.traffic.AddSent(0, info.Err == nil)
+		d.Traffic.AddSent(0, info.Err == nil)
 	}})
 }
--- a/internal/sidecar/discovery_golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package discovery_test
 
 import (
 	"bufio"
@@ -13,12 +13,16 @@
 	"strings"
 	"testing"
 	"time"
+
+	"bramblestand/internal/discovery"
+	"bramblestand/internal/discovery/discoverytest"
+	"bramblestand/internal/goldentest"
 )
 
-// Each list in testdata/discovery is read as before, or fails with the same error. The golden file's left side is
+// Each list in testdata/lists is read as before, or fails with the same error. The golden file's left side is
 // discovery's own names.
 func TestDiscoveryListIsReadAsBefore(t *testing.T) {
-	paths, err := filepath.Glob(filepath.Join("testdata", "discovery", "*.json"))
+	paths, err := filepath.Glob(filepath.Join("testdata", "lists", "*.json"))
 	if err != nil || len(paths) == 0 {
 		t.Fatalf("lists: %v, %v", paths, err)
 	}
@@ -30,14 +34,14 @@
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&out, "%s\n", filepath.Base(path))
-		list, err := ParseList(body)
+		list, err := discovery.ParseList(body)
 		if err != nil {
-			fmt.Fprintf(&out, "\terror %q\n", plainError(err))
+			fmt.Fprintf(&out, "\terror %q\n", goldentest.ErrorText(err))
 			continue
 		}
-		out.WriteString(registryText("\t", list))
+		out.WriteString(discoverytest.ListText("\t", list))
 	}
-	equalLines(t, out.String(), filepath.Join("testdata", "discovery", "lists.golden"))
+	goldentest.EqualLines(t, out.String(), filepath.Join("testdata", "lists", "lists.golden"))
 }
 
 // answerEach listens, reads one request a time, keeps its text and gives the answers in turn.
@@ -92,10 +96,10 @@
 		wantOlder bool
 	}{
 		{"the whole list", nil, 0, httpAnswer(empty), "GET /registry/instances", "", false},
-		{"the whole list, whatever the wait", nil, MaxWait, httpAnswer(empty), "GET /registry/instances", "", false},
+		{"the whole list, whatever the wait", nil, discovery.MaxWait, httpAnswer(empty), "GET /registry/instances", "", false},
 		{"from version 0 on", &zero, 0, httpAnswer(empty), "GET /registry/instances?after=0&wait_ms=0", "", false},
 		{"first call of a watch", &held, 0, httpAnswer(empty), "GET /registry/instances?after=41&wait_ms=0", "", false},
-		{"next call of a watch", &held, MaxWait, httpAnswer(empty), "GET /registry/instances?after=41&wait_ms=20000", "", false},
+		{"next call of a watch", &held, discovery.MaxWait, httpAnswer(empty), "GET /registry/instances?after=41&wait_ms=20000", "", false},
 		{"an older list of changes", &held, 0, httpAnswer(`{"seq":40,"whole":false,"hosts":[]}`),
 			"GET /registry/instances?after=41&wait_ms=0", "discovery's answer: seq: changes of an older version: 40 after 41", true},
 		{"an older whole list", &held, 0, httpAnswer(`{"seq":40,"whole":true,"hosts":[]}`),
@@ -109,10 +113,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			address, requests := answerEach(t, c.answer)
-			d := NewClient(address)
-			t.Cleanup(d.http.CloseIdleConnections)
+			d := discovery.NewClient(address)
+			t.Cleanup(d.HTTP.CloseIdleConnections)
 			_, err := d.List(context.Background(), c.after, c.wait)
-			if got := plainError(err); got != c.want || errors.Is(err, ErrOlderVersion) != c.wantOlder {
+			if got := goldentest.ErrorText(err); got != c.want || errors.Is(err, discovery.ErrOlderVersion) != c.wantOlder {
 				t.Errorf("error %q, want %q", got, c.want)
 			}
 			want := c.request + " HTTP/1.1\r\nHost: " + address + "\r\nUser-Agent: Go-http-client/1.1\r\nAccept-Encoding: gzip\r\n\r\n"
@@ -122,3 +126,7 @@
 		})
 	}
 }
+
+func httpAnswer(body string) string {
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+}
--- a/internal/lab/control.go
+++ b/internal/lab/control.go
@@ -1,7 +1,6 @@
 package lab
 
 import (
-	"bramblestand/internal/controltraffic"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -12,6 +11,8 @@
 	"strings"
 	"sync"
 	"time"
+
+	"bramblestand/internal/controltraffic"
 )
 
 // When control is looked at, on the lab's clock. Sidecars start before the load, and probe all that is new at their
--- a/internal/lab/control_table.go
+++ b/internal/lab/control_table.go
@@ -1,7 +1,6 @@
 package lab
 
 import (
-	"bramblestand/internal/controltraffic"
 	"context"
 	"fmt"
 	"log/slog"
@@ -12,6 +11,8 @@
 	"sync"
 	"text/tabwriter"
 	"time"
+
+	"bramblestand/internal/controltraffic"
 )
 
 // ControlTable is what control costs by servers listed and calls a second.
--- a/internal/lab/control_test.go
+++ b/internal/lab/control_test.go
@@ -1,9 +1,10 @@
 package lab
 
 import (
-	"bramblestand/internal/controltraffic"
 	"testing"
 	"time"
+
+	"bramblestand/internal/controltraffic"
 )
 
 // status is a sidecar's count so many seconds after its start, of so many probes at 300 bytes both ways.
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -12,11 +12,13 @@
 	"net"
 	"net/netip"
 	"os"
+	"slices"
 	"strconv"
 	"strings"
 	"time"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/discovery"
 	"bramblestand/internal/fleet"
 	"bramblestand/internal/simwire"
 )
@@ -38,7 +40,7 @@
 	peers      []netip.AddrPort // of the whole tier, by their numbers
 	peersAll   netip.AddrPort   // reaches all of them
 
-	known  List
+	known  discovery.List
 	zones  []string // names, by the numbers that the balancer uses
 	kinds  []string
 	fields []string      // of a load report, in the order of Settings.Fields
@@ -75,7 +77,7 @@
 		Ops        string          `json:"ops"`
 		Seed       string          `json:"seed"`
 		Limits     Limits          `json:"limits"`
-		Known      List            `json:"known"`
+		Known      discovery.List  `json:"known"`
 		PeerListen string          `json:"peer_listen"`
 		Peers      []string        `json:"peers"`
 		PeersAll   string          `json:"peers_all"`
@@ -241,3 +243,13 @@
 var separators = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
 
 func scalar(v any) string { return separators.Replace(fmt.Sprint(v)) }
+
+// UnknownIndex numbers a zone or kind that the settings do not list.
+const UnknownIndex = 255
+
+func indexOf(names []string, name string) uint8 {
+	if i := slices.Index(names, name); i >= 0 && i < UnknownIndex {
+		return uint8(i)
+	}
+	return UnknownIndex
+}
--- a/internal/sidecar/config_golden_test.go
+++ b/internal/sidecar/config_golden_test.go
@@ -5,13 +5,13 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"regexp"
-	"slices"
 	"strconv"
 	"strings"
 	"testing"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/discovery/discoverytest"
+	"bramblestand/internal/goldentest"
 )
 
 // The golden files of a configuration say what each key of the file comes to. Their left side is the file's own names,
@@ -41,7 +41,7 @@
 	line("fleet.probe_ms", c.Fleet.ProbeMS)
 	line("fleet.members", c.Fleet.Members)
 	line("fleet.datagrams_per_s", c.Fleet.DatagramsPerS)
-	out.WriteString(registryText("known.", c.known))
+	out.WriteString(discoverytest.ListText("known.", c.known))
 	out.WriteString(settingsLines(&c.Settings))
 	for i, name := range c.zones {
 		line(fmt.Sprintf("settings.areas.%d", i), name)
@@ -56,26 +56,6 @@
 	return out.String()
 }
 
-// registryText is a list of endpoints, a line for each key of discovery's.
-func registryText(prefix string, r List) string {
-	var out strings.Builder
-	line := func(key string, value any) { fmt.Fprintf(&out, "%s%s=%v\n", prefix, key, value) }
-	line("seq", r.Version)
-	line("whole", r.IsFull)
-	for i, h := range r.Endpoints {
-		at := fmt.Sprintf("hosts.%d.", i)
-		line(at+"host", h.Name)
-		line(at+"dial", h.Address)
-		line(at+"site", h.Zone)
-		line(at+"class", h.MachineType)
-		line(at+"block", h.Pod)
-		line(at+"health", h.Health)
-		line(at+"share", h.Weight)
-		line(at+"born_ms", h.StartedAtMillis)
-	}
-	return out.String()
-}
-
 // settingsLines is what the settings were read to, a line for each key on the simulator's wire.
 func settingsLines(s *balancer.Settings) string {
 	var out strings.Builder
@@ -140,39 +120,6 @@
 	return out.String()
 }
 
-var (
-	goField = regexp.MustCompile(`into Go struct field [^ .]*\.(\S+) of type \S+`)
-	goValue = regexp.MustCompile(`into Go value of type .*`)
-)
-
-// plainError is an error's text, "" for none. Of the texts of encoding/json it leaves out the names of Go's types, which say
-// nothing of the file, and a line that only repeats the one before it.
-func plainError(err error) string {
-	if err == nil {
-		return ""
-	}
-	lines := strings.Split(goValue.ReplaceAllString(goField.ReplaceAllString(err.Error(), "into $1"), "into the whole"), "\n")
-	return strings.Join(slices.Compact(lines), "\n")
-}
-
-// equalLines compares a text with a golden file, line by line.
-func equalLines(t *testing.T, got, goldenPath string) {
-	t.Helper()
-	golden, err := os.ReadFile(goldenPath)
-	if err != nil {
-		t.Fatal(err)
-	}
-	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(golden), "\n")
-	if len(gotLines) != len(wantLines) {
-		t.Errorf("%s: %d lines, want %d", goldenPath, len(gotLines), len(wantLines))
-	}
-	for i := range min(len(gotLines), len(wantLines)) {
-		if gotLines[i] != wantLines[i] {
-			t.Errorf("%s:%d: got\n\t%s\nwant\n\t%s", goldenPath, i+1, gotLines[i], wantLines[i])
-		}
-	}
-}
-
 func TestConfigIsReadAsBefore(t *testing.T) {
 	for _, c := range []struct{ name, file, opsEnv, stateEnv string }{
 		{name: "full", file: "full.json"},
@@ -187,7 +134,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			equalLines(t, configText(cfg), filepath.Join("testdata", "config", c.name+".golden"))
+			goldentest.EqualLines(t, configText(cfg), filepath.Join("testdata", "config", c.name+".golden"))
 		})
 	}
 }
@@ -280,7 +227,7 @@
 		}
 		result := "ok"
 		if _, err := parseConfig(broken); err != nil {
-			result = plainError(err)
+			result = goldentest.ErrorText(err)
 		}
 		value := c.value
 		if value == "" {
@@ -288,5 +235,5 @@
 		}
 		fmt.Fprintf(&out, "%s: %s -> %s\n", c.path, value, result)
 	}
-	equalLines(t, out.String(), filepath.Join("testdata", "config", "errors.golden"))
+	goldentest.EqualLines(t, out.String(), filepath.Join("testdata", "config", "errors.golden"))
 }
--- a/internal/sidecar/control_test.go
+++ b/internal/sidecar/control_test.go
@@ -1,7 +1,6 @@
 package sidecar
 
 import (
-	"bramblestand/internal/controltraffic"
 	"bufio"
 	"context"
 	"encoding/json"
@@ -14,6 +13,9 @@
 	"sync"
 	"testing"
 	"time"
+
+	"bramblestand/internal/controltraffic"
+	"bramblestand/internal/discovery"
 )
 
 // counted is what a stand-in saw of one kind of control, by its own count of a connection's bytes.
@@ -100,10 +102,10 @@
 	}{
 		"right":                 {func(*loop) {}, ""},
 		"leaves out probes":     {func(l *loop) { l.up.probes = nil }, "probe"},
-		"leaves out discovery":  {func(l *loop) { l.disc.countTraffic(&controltraffic.Counter{}) }, "discovery"},
+		"leaves out discovery":  {func(l *loop) { l.disc.CountTraffic(&controltraffic.Counter{}) }, "discovery"},
 		"probes among the rest": {func(l *loop) { l.up.probes = &l.control.Discovery }, "discovery"},
 		"counts twice": {func(l *loop) {
-			transport := l.disc.http.Transport.(*http.Transport)
+			transport := l.disc.HTTP.Transport.(*http.Transport)
 			dial := transport.DialContext
 			transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 				conn, err := dial(ctx, network, address)
@@ -129,7 +131,7 @@
 					kind.conns++
 				}
 			})
-			list, _ := json.Marshal(List{Version: 7, IsFull: true, Endpoints: []Endpoint{ready("s-1", address)}})
+			list, _ := json.Marshal(discovery.List{Version: 7, IsFull: true, Endpoints: []discovery.Endpoint{ready("s-1", address)}})
 			agent := l.serve(t, func(r *http.Request) string {
 				if r.FormValue("after") == "" {
 					return httpAnswer(string(list))
@@ -222,11 +224,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if l.control != nil || l.up.probes != nil || l.disc.traffic != nil {
-		t.Errorf("counted without operators: %v, %v, %v", l.control, l.up.probes, l.disc.traffic)
+	if l.control != nil || l.up.probes != nil || l.disc.Traffic != nil {
+		t.Errorf("counted without operators: %v, %v, %v", l.control, l.up.probes, l.disc.Traffic)
 	}
 	to := newDirectory(t).address
-	conn, err := l.disc.http.Transport.(*http.Transport).DialContext(context.Background(), "tcp", to)
+	conn, err := l.disc.HTTP.Transport.(*http.Transport).DialContext(context.Background(), "tcp", to)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/departure_burst_test.go
+++ b/internal/sidecar/departure_burst_test.go
@@ -13,6 +13,8 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"bramblestand/internal/discovery"
 )
 
 // departedMost is how long after a client's close an attempt may still begin.
@@ -120,7 +122,7 @@
 						}
 					}
 				})
-				var hosts []Endpoint // so many that none is too busy for a request
+				var hosts []discovery.Endpoint // so many that none is too busy for a request
 				for i := range leaving + staying {
 					hosts = append(hosts, ready(fmt.Sprint("s-", i), e.address))
 				}
--- a/internal/sidecar/departure_test.go
+++ b/internal/sidecar/departure_test.go
@@ -18,6 +18,7 @@
 	"time"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/discovery"
 )
 
 // departures is a log handler that keeps when the sidecar noticed that a client had left.
@@ -169,7 +170,7 @@
 							io.WriteString(conn, served)
 						}
 					})
-					var hosts []Endpoint // so many that none is too busy for a request
+					var hosts []discovery.Endpoint // so many that none is too busy for a request
 					for i := range clients {
 						hosts = append(hosts, ready(fmt.Sprint("s-", i), e.address))
 					}
--- a/internal/sidecar/departure_unread_test.go
+++ b/internal/sidecar/departure_unread_test.go
@@ -12,6 +12,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"bramblestand/internal/discovery"
 )
 
 // Clients leave while their attempts are dialled, and nobody has read their connections' ends when the dials come up, as
@@ -35,7 +37,7 @@
 					io.WriteString(conn, served)
 				}
 			})
-			var hosts []Endpoint
+			var hosts []discovery.Endpoint
 			for i := range clients {
 				hosts = append(hosts, ready(fmt.Sprint("s-", i), e.address))
 			}
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -12,6 +12,7 @@
 
 	"bramblestand/balancer"
 	"bramblestand/internal/controltraffic"
+	"bramblestand/internal/discovery"
 	"bramblestand/internal/fleet"
 	"bramblestand/internal/fleet/link"
 	"bramblestand/internal/handover"
@@ -65,7 +66,7 @@
 	log       *slog.Logger
 	clock     clock
 	up        *upstream
-	disc      *Client
+	disc      *discovery.Client
 	events    chan func(now balancer.Micros)
 	urgent    chan func(now balancer.Micros) // operators' calls, ahead of events
 	ctx       context.Context                // ends with the loop
@@ -96,7 +97,7 @@
 
 // listing is what discovery last said of an endpoint.
 type listing struct {
-	Endpoint
+	discovery.Endpoint
 	state balancer.EndpointState
 }
 
@@ -127,7 +128,7 @@
 func newLoop(ctx context.Context, cfg *Config, log *slog.Logger) (*loop, error) {
 	l := &loop{
 		cfg: cfg, log: log, clock: clock{time.Now()}, ctx: ctx,
-		up: newUpstream(cfg, connections(cfg)), told: make(chan struct{}), disc: NewClient(cfg.Discovery),
+		up: newUpstream(cfg, connections(cfg)), told: make(chan struct{}), disc: discovery.NewClient(cfg.Discovery),
 		events:   make(chan func(balancer.Micros), eventsMost),
 		urgent:   make(chan func(balancer.Micros), opsMost),
 		listings: map[uint32]listing{}, banned: map[uint32]bool{},
@@ -137,7 +138,7 @@
 	if cfg.Ops != "" {
 		l.control = &controltraffic.Accounting{Started: time.Now()}
 		l.up.probes = &l.control.LoadProbes
-		l.disc.countTraffic(&l.control.Discovery)
+		l.disc.CountTraffic(&l.control.Discovery)
 	}
 	var err error
 	l.balancer, err = balancer.New(cfg.Settings, cfg.Seed, l)
@@ -316,7 +317,7 @@
 }
 
 // members passes on a list and brings the targets in line with it.
-func (l *loop) members(now balancer.Micros, kind balancer.UpdateKind, list List) {
+func (l *loop) members(now balancer.Micros, kind balancer.UpdateKind, list discovery.List) {
 	if kind == balancer.UpdateFailed {
 		l.balancer.UpdateEndpoints(now, kind, nil)
 		return
@@ -328,7 +329,7 @@
 		id := l.number(h.Name)
 		named[id] = true
 		e := balancer.Endpoint{ID: id, Zone: indexOf(l.cfg.zones, h.Zone), MachineType: indexOf(l.cfg.kinds, h.MachineType),
-			Pod: h.Pod, State: endpointStates[h.Health], Weight: h.Weight}
+			Pod: h.Pod, State: discovery.States[h.Health], Weight: h.Weight}
 		if h.StartedAtMillis > 0 {
 			e.StartTime = h.StartedAtMillis * 1000
 		}
@@ -529,7 +530,7 @@
 	ctx, stop := context.WithCancel(l.ctx)
 	l.stopWatch = stop
 	seq, disc := l.seq, l.disc
-	tell := func(kind balancer.UpdateKind, list List) {
+	tell := func(kind balancer.UpdateKind, list discovery.List) {
 		l.post(func(now balancer.Micros) {
 			if ctx.Err() == nil { // else the watch was ended meanwhile
 				l.members(now, kind, list)
@@ -546,7 +547,7 @@
 			if l.cfg.Settings.MustSubscribe {
 				return // when to ask again is the balancer's decision
 			}
-			time.Sleep(resubscribeDelay)
+			time.Sleep(discovery.ResubscribeDelay)
 		}
 	}()
 }
@@ -572,13 +573,13 @@
 func (l *loop) rediscover(address string) {
 	l.log.Info("discovery moves", "from", l.disc.Address, "to", address)
 	old := l.disc
-	l.disc, l.seq = NewClient(address), nil
-	l.disc.countTraffic(old.traffic)
-	l.disc.dial = old.dial
+	l.disc, l.seq = discovery.NewClient(address), nil
+	l.disc.CountTraffic(old.Traffic)
+	l.disc.Dial = old.Dial
 	if l.watching {
 		l.WatchEndpoints(true)
 	}
-	old.http.CloseIdleConnections()
+	old.HTTP.CloseIdleConnections()
 }
 
 // Log records a line of the balancer's.
--- a/internal/sidecar/ops_golden_test.go
+++ b/internal/sidecar/ops_golden_test.go
@@ -16,6 +16,7 @@
 	"testing"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/discovery"
 	"bramblestand/internal/fleet"
 )
 
@@ -93,7 +94,7 @@
 // TestAnswersOfAnEarlierRelease makes every call of the operators', the refused ones too.
 func TestAnswersOfAnEarlierRelease(t *testing.T) {
 	// One more than are banned: a list that comes while all are makes the sidecar not ready.
-	hosts := []Endpoint{ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:1"), ready("s-3", "127.0.0.1:1")}
+	hosts := []discovery.Endpoint{ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:1"), ready("s-3", "127.0.0.1:1")}
 	plain := start(t, nil, hosts...) // counts no control and keeps no view
 	plain.operate()
 	w := &world{t: t, dir: newDirectory(t, hosts...)}
--- a/internal/sidecar/ops_test.go
+++ b/internal/sidecar/ops_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/discovery"
 	"bramblestand/internal/handover"
 )
 
@@ -198,7 +199,7 @@
 // A pin server out by hand gets nothing, whatever the list says, until the call back.
 func TestPinServerOutByHand(t *testing.T) {
 	one, two := newEndpoint(t, always(served)), newEndpoint(t, always(served))
-	hosts := []Endpoint{ready("s-1", one.address), ready("s-2", two.address)}
+	hosts := []discovery.Endpoint{ready("s-1", one.address), ready("s-2", two.address)}
 	w := start(t, nil, hosts...)
 	call := w.operate()
 	for range 2 {
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/discovery"
 )
 
 func TestServesAndReusesConnections(t *testing.T) {
@@ -44,14 +45,14 @@
 			io.WriteString(conn, served)
 		}
 	}
-	other := func(h Endpoint) Endpoint {
+	other := func(h discovery.Endpoint) discovery.Endpoint {
 		h.Pod = 2
 		return h
 	}
 	for _, c := range []struct {
 		name, class string
 		first       func(*endpoint, net.Conn, *bufio.Reader)
-		move        func(Endpoint) Endpoint // of the second endpoint
+		move        func(discovery.Endpoint) discovery.Endpoint // of the second endpoint
 		code        int
 		attempts    int
 	}{
@@ -522,7 +523,7 @@
 	draining := ready("s-1", first.address)
 	draining.Health = "Terminating"
 	w.dir.change(func() {
-		w.dir.list = List{Version: 1, IsFull: true, Endpoints: []Endpoint{draining, ready("s-2", second.address)}}
+		w.dir.list = discovery.List{Version: 1, IsFull: true, Endpoints: []discovery.Endpoint{draining, ready("s-2", second.address)}}
 	})
 	w.until("the news", func() bool {
 		moved := false
--- a/internal/sidecar/snapshot.go
+++ b/internal/sidecar/snapshot.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/discovery"
 	"bramblestand/internal/handover"
 	"bramblestand/internal/state"
 )
@@ -44,7 +45,7 @@
 // restore gives the balancer what an earlier process persisted, before its first event: the bans whatever their age,
 // and, as a cached list that is probed before it is trusted, the persisted list. It returns the list to begin with:
 // the persisted one, or the configuration's where that is newer or the persisted one is too old or not valid.
-func (l *loop) restore(now balancer.Micros, persisted *state.Snapshot) List {
+func (l *loop) restore(now balancer.Micros, persisted *state.Snapshot) discovery.List {
 	known := l.cfg.known
 	if persisted == nil {
 		return known
@@ -58,7 +59,7 @@
 		return known
 	}
 	l.listedAt = persisted.ListedAt
-	list := List{Version: persisted.ListVersion, IsFull: persisted.IsFullList, Endpoints: persisted.Endpoints}
+	list := discovery.List{Version: persisted.ListVersion, IsFull: persisted.IsFullList, Endpoints: persisted.Endpoints}
 	if err := list.Validate(); err != nil {
 		l.log.Error("persisted endpoint list not valid; not used", "error", err)
 		return known
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/discovery"
 )
 
 // pattern is a body of so many bytes that no other place of it looks like.
@@ -71,7 +72,7 @@
 	// Together 384 MB, of which a twelfth is allowed: what is allocated while a collection runs counts as in use,
 	// and on a busy machine one runs long.
 	const many, each, allowed = 12, 4 * long, 32 << 20
-	var hosts []Endpoint
+	var hosts []discovery.Endpoint
 	for i := range many {
 		e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
 			for e.next(in) != nil {
--- a/internal/sidecar/told_test.go
+++ b/internal/sidecar/told_test.go
@@ -19,6 +19,7 @@
 	"time"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/discovery"
 )
 
 // outage is how discovery is out of reach.
@@ -106,7 +107,7 @@
 			}
 		}
 		a.mu.Unlock()
-		answer := func(code int, list List) {
+		answer := func(code int, list discovery.List) {
 			body, _ := json.Marshal(list)
 			fmt.Fprintf(conn, "HTTP/1.1 %d x\r\nContent-Length: %d\r\n\r\n%s", code, len(body), body)
 		}
@@ -114,10 +115,10 @@
 		if a.out(now) {
 			switch a.how {
 			case hangsUp:
-				time.Sleep(ListTimeout - 10*time.Millisecond)
+				time.Sleep(discovery.ListTimeout - 10*time.Millisecond)
 				return
 			case turnsAway:
-				answer(http.StatusServiceUnavailable, List{})
+				answer(http.StatusServiceUnavailable, discovery.List{})
 				continue
 			case stalls:
 				fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"seq\":")
@@ -130,7 +131,7 @@
 				deaf() // until it goes down, or for good
 				return
 			}
-			answer(http.StatusOK, List{Version: 1, IsFull: true, Endpoints: []Endpoint{ready("s-1", "127.0.0.1:1")}})
+			answer(http.StatusOK, discovery.List{Version: 1, IsFull: true, Endpoints: []discovery.Endpoint{ready("s-1", "127.0.0.1:1")}})
 			continue
 		}
 		if begun.Before(a.back) && a.how == silent4ever {
@@ -142,7 +143,7 @@
 		if a.anew {
 			seq = 0
 			if r.FormValue("after") != "" {
-				answer(http.StatusOK, List{Version: seq, Endpoints: []Endpoint{}})
+				answer(http.StatusOK, discovery.List{Version: seq, Endpoints: []discovery.Endpoint{}})
 				continue
 			}
 			if now.Before(a.wholeFrom) {
@@ -154,7 +155,7 @@
 			deaf()
 			return
 		}
-		answer(http.StatusOK, List{Version: seq, IsFull: true, Endpoints: []Endpoint{ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:2")}})
+		answer(http.StatusOK, discovery.List{Version: seq, IsFull: true, Endpoints: []discovery.Endpoint{ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:2")}})
 	}
 }
 
@@ -193,7 +194,7 @@
 	t.Helper()
 	begin := time.Now()
 	ctx, stop := context.WithCancel(context.Background())
-	hosts := []Endpoint{}
+	hosts := []discovery.Endpoint{}
 	if known {
 		hosts = append(hosts, ready("s-1", "127.0.0.1:1"))
 	}
@@ -205,9 +206,9 @@
 		t.Fatal(err)
 	}
 	first := &agentIn{down: begin.Add(time.Hour), back: begin.Add(time.Hour)}
-	l.disc.dial = a.dial
+	l.disc.Dial = a.dial
 	if moved > 0 {
-		l.disc.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+		l.disc.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			if strings.HasSuffix(address, ":1") {
 				return first.dial(ctx, network, address)
 			}
@@ -234,7 +235,7 @@
 	stop()
 	<-ended
 	time.Sleep(5 * time.Minute) // until all that goes on by itself is over
-	l.disc.http.CloseIdleConnections()
+	l.disc.HTTP.CloseIdleConnections()
 	for _, of := range []*agentIn{a, first} {
 		of.mu.Lock()
 		for _, c := range of.conns {
@@ -294,7 +295,7 @@
 								moved, a.back = begin, zero.Add(begin+lasts)
 							}
 							told := learns(t, alter, a, moved, when != "start without a list")
-							late, waited := told.Sub(a.back), told.Sub(a.waits.Add(MaxWait))
+							late, waited := told.Sub(a.back), told.Sub(a.waits.Add(discovery.MaxWait))
 							switch {
 							case !a.waits.IsZero() && waited <= waitMost-waitMargin:
 								worstWait = max(worstWait, waited)
--- a/internal/sidecar/world_test.go
+++ b/internal/sidecar/world_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/discovery"
 )
 
 // patience is how long a test waits for what must come.
@@ -136,16 +137,16 @@
 	address string
 
 	mu     sync.Mutex
-	list   List
+	list   discovery.List
 	down   bool
 	broken string // an answer to give in place of the list
 	calls  []string
 	news   chan struct{} // closed and replaced with every change
 }
 
-func newDirectory(t *testing.T, hosts ...Endpoint) *directory {
+func newDirectory(t *testing.T, hosts ...discovery.Endpoint) *directory {
 	t.Helper()
-	d := &directory{list: List{IsFull: true, Endpoints: hosts}, news: make(chan struct{})}
+	d := &directory{list: discovery.List{IsFull: true, Endpoints: hosts}, news: make(chan struct{})}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -179,7 +180,7 @@
 	case d.broken != "":
 		io.WriteString(w, d.broken)
 	case after == fmt.Sprint(d.list.Version):
-		json.NewEncoder(w).Encode(List{Version: d.list.Version, Endpoints: []Endpoint{}})
+		json.NewEncoder(w).Encode(discovery.List{Version: d.list.Version, Endpoints: []discovery.Endpoint{}})
 	default:
 		json.NewEncoder(w).Encode(d.list)
 	}
@@ -201,8 +202,8 @@
 }
 
 // ready is discovery's entry for an endpoint.
-func ready(name, address string) Endpoint {
-	return Endpoint{Name: name, Address: address, Zone: "a", MachineType: "m1", Health: "Ready", Weight: 1}
+func ready(name, address string) discovery.Endpoint {
+	return discovery.Endpoint{Name: name, Address: address, Zone: "a", MachineType: "m1", Health: "Ready", Weight: 1}
 }
 
 // spy passes everything on to the balancer and keeps what it was told.
@@ -279,7 +280,7 @@
 }
 
 // configure returns a configuration that knows the given list.
-func configure(t *testing.T, discovery string, alter func(settings map[string]any), hosts ...Endpoint) *Config {
+func configure(t *testing.T, discoveryAddress string, alter func(settings map[string]any), hosts ...discovery.Endpoint) *Config {
 	t.Helper()
 	var settings map[string]any
 	if err := json.Unmarshal([]byte(settingsText), &settings); err != nil {
@@ -289,9 +290,9 @@
 		alter(settings)
 	}
 	text, err := json.Marshal(map[string]any{
-		"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d27a5be964",
+		"name": "n0", "listen": "127.0.0.1:0", "discovery": discoveryAddress, "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 256},
-		"known":  List{IsFull: true, Endpoints: hosts}, "settings": settings})
+		"known":  discovery.List{IsFull: true, Endpoints: hosts}, "settings": settings})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -303,7 +304,7 @@
 }
 
 // start runs a sidecar that knows these endpoints, and waits until it is ready.
-func start(t *testing.T, alter func(settings map[string]any), hosts ...Endpoint) *world {
+func start(t *testing.T, alter func(settings map[string]any), hosts ...discovery.Endpoint) *world {
 	t.Helper()
 	w := &world{t: t, dir: newDirectory(t, hosts...)}
 	w.launch(configure(t, w.dir.address, alter, hosts...))
