--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -113,8 +113,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			address, requests := answerEach(t, c.answer)
-			d := discovery.NewClient(address)
-			t.Cleanup(d.HTTP.CloseIdleConnections)
+			d := discovery.NewClient(address, discovery.Options{})
+			t.Cleanup(d.CloseIdleConnections)
 			_, err := d.List(context.Background(), c.after, c.wait)
 			if got := goldentest.ErrorText(err); got != c.want || errors.Is(err, discovery.ErrOlderVersion) != c.wantOlder {
 				t.Errorf("error %q, want %q", got, c.want)
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"context"
+	"errors"
 	"io"
+	"log/slog"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -14,9 +16,9 @@
 	"bramblestand/internal/discovery"
 )
 
-// Discovery that is back with a smaller version has begun anew: its changes say nothing of the list that is held, and
-// the whole is asked for at once.
-func TestDiscoveryBegunAnew(t *testing.T) {
+// Discovery that is back with a smaller version has started anew: its delta says nothing of the list that is held, and
+// the full list is asked for at once.
+func TestOlderVersionMakesTheWatchAskForTheFullList(t *testing.T) {
 	var mu sync.Mutex
 	var calls []string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -35,27 +37,116 @@
 			io.WriteString(w, "{\n \"seq\": 3,\n \"whole\": false,\n \"hosts\": []\n}\n") // indented, as it may come
 		}
 	}))
-	defer server.CloseClientConnections()
+	t.Cleanup(server.CloseClientConnections)
 	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
+	t.Cleanup(cancel)
 	held, kinds := uint64(41), make(chan balancer.UpdateKind, 8)
-	go discovery.NewClient(strings.TrimPrefix(server.URL, "http://")).Watch(ctx, &held, func(kind balancer.UpdateKind, list discovery.List) {
-		if kind == balancer.UpdateFull && (list.Version != 3 || len(list.Endpoints) != 1) {
-			t.Errorf("the list %+v", list)
-		}
-		kinds <- kind
-	})
+	watch := &discovery.Watch{
+		Client: discovery.NewClient(strings.TrimPrefix(server.URL, "http://"), discovery.Options{}),
+		After:  &held,
+		Notify: func(kind balancer.UpdateKind, list discovery.List) {
+			if kind == balancer.UpdateFull && (list.Version != 3 || len(list.Endpoints) != 1) {
+				t.Errorf("the list %+v", list)
+			}
+			kinds <- kind
+		},
+		Log: slog.New(slog.DiscardHandler),
+	}
+	go watch.Run(ctx)
 	select {
 	case kind := <-kinds:
 		if kind != balancer.UpdateFull {
-			t.Errorf("told %v first, want the whole list", kind)
+			t.Errorf("notified of %v first, want the full list", kind)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("no list is told")
+		t.Fatal("notified of no list")
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	if len(calls) < 2 || calls[0] != "after=41&wait_ms=0" || calls[1] != "" {
-		t.Errorf("calls %q, want one for the whole list next", calls)
+		t.Errorf("calls %q, want one for the full list next", calls)
+	}
+}
+
+// roundTripper answers calls in place of connections.
+type roundTripper func(r *http.Request) (*http.Response, error)
+
+func (f roundTripper) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
+
+// failingTransport answers each call with an error and keeps when it came.
+type failingTransport struct{ calls []time.Time }
+
+func (f *failingTransport) RoundTrip(*http.Request) (*http.Response, error) {
+	f.calls = append(f.calls, time.Now())
+	return nil, errors.New("unreachable")
+}
+
+// After a failure the watch ends, or goes on after half a second where nobody else would begin it again.
+func TestWatchResubscribesOnlyWhereToldTo(t *testing.T) {
+	const pause = 500 * time.Millisecond
+	for name, c := range map[string]struct {
+		resubscribes bool
+		calls        int
+	}{"ends": {false, 1}, "goes on": {true, 3}} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			ctx, cancel := context.WithCancel(context.Background())
+			t.Cleanup(cancel)
+			transport, failures := &failingTransport{}, 0
+			watch := &discovery.Watch{
+				Client: discovery.NewClient("discovery:1", discovery.Options{Transport: transport}),
+				Notify: func(kind balancer.UpdateKind, _ discovery.List) {
+					if kind != balancer.UpdateFailed {
+						t.Errorf("notified of %v, want a failure", kind)
+					}
+					if failures++; failures == 3 {
+						cancel()
+					}
+				},
+				Resubscribes: c.resubscribes,
+				Log:          slog.New(slog.DiscardHandler),
+			}
+			watch.Run(ctx)
+			if len(transport.calls) != c.calls || failures != c.calls {
+				t.Fatalf("%d calls and %d failures, want %d", len(transport.calls), failures, c.calls)
+			}
+			for i := 1; i < c.calls; i++ {
+				if waited := transport.calls[i].Sub(transport.calls[i-1]); waited < pause {
+					t.Errorf("call %d came %v after the one before, want %v or more", i, waited, pause)
+				}
+			}
+		})
+	}
+}
+
+// The pauses of a watch end with its context, and no call is made after that.
+func TestWatchEndsWithItsContext(t *testing.T) {
+	for name, answer := range map[string]func() (*http.Response, error){
+		"between calls": func() (*http.Response, error) {
+			return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(`{"seq":1,"whole":true,"hosts":[]}`))}, nil
+		},
+		"after a failure": func() (*http.Response, error) { return nil, errors.New("unreachable") },
+	} {
+		t.Run(name, func(t *testing.T) {
+			ctx, cancel := context.WithCancel(context.Background())
+			t.Cleanup(cancel)
+			calls, notifications := 0, 0
+			watch := &discovery.Watch{
+				Client: discovery.NewClient("discovery:1", discovery.Options{Transport: roundTripper(func(*http.Request) (*http.Response, error) {
+					calls++
+					return answer()
+				})}),
+				Notify: func(balancer.UpdateKind, discovery.List) {
+					notifications++
+					cancel()
+				},
+				Resubscribes: true,
+				Log:          slog.New(slog.DiscardHandler),
+			}
+			watch.Run(ctx)
+			if calls != 1 || notifications != 1 {
+				t.Errorf("%d calls and %d notifications, want one each", calls, notifications)
+			}
+		})
 	}
 }
--- a/internal/sidecar/control_test.go
+++ b/internal/sidecar/control_test.go
@@ -100,17 +100,19 @@
 		spoil func(l *loop)
 		wrong string // the kind whose count is not right
 	}{
-		"right":                 {func(*loop) {}, ""},
-		"leaves out probes":     {func(l *loop) { l.up.probes = nil }, "probe"},
-		"leaves out discovery":  {func(l *loop) { l.disc.CountTraffic(&controltraffic.Counter{}) }, "discovery"},
+		"right":             {func(*loop) {}, ""},
+		"leaves out probes": {func(l *loop) { l.up.probes = nil }, "probe"},
+		"leaves out discovery": {func(l *loop) {
+			l.disc = discovery.NewClient(l.disc.Address(), discovery.Options{Traffic: &controltraffic.Counter{}})
+		}, "discovery"},
 		"probes among the rest": {func(l *loop) { l.up.probes = &l.control.Discovery }, "discovery"},
 		"counts twice": {func(l *loop) {
-			transport := l.disc.HTTP.Transport.(*http.Transport)
-			dial := transport.DialContext
-			transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
-				conn, err := dial(ctx, network, address)
-				return controltraffic.Conn{Conn: conn, Counter: &l.control.Discovery}, err
+			counted := &l.control.Discovery
+			dial := func(ctx context.Context, network, address string) (net.Conn, error) {
+				conn, err := new(net.Dialer).DialContext(ctx, network, address)
+				return controltraffic.Conn{Conn: conn, Counter: counted}, err
 			}
+			l.disc = discovery.NewClient(l.disc.Address(), discovery.Options{Traffic: counted, Dial: dial})
 		}, "discovery"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -218,23 +220,18 @@
 	}
 }
 
-// A process without operators counts nothing, and its calls of discovery go out on bare connections.
+// A process without operators counts nothing, and its calls of discovery use the system's connections.
 func TestControlIsOffWithoutOperators(t *testing.T) {
 	l, err := newLoop(context.Background(), configure(t, "127.0.0.1:1", nil), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if l.control != nil || l.up.probes != nil || l.disc.Traffic != nil {
-		t.Errorf("counted without operators: %v, %v, %v", l.control, l.up.probes, l.disc.Traffic)
-	}
-	to := newDirectory(t).address
-	conn, err := l.disc.HTTP.Transport.(*http.Transport).DialContext(context.Background(), "tcp", to)
-	if err != nil {
-		t.Fatal(err)
+	calls := l.disc.Options()
+	if l.control != nil || l.up.probes != nil || calls.Traffic != nil {
+		t.Errorf("counted without operators: %v, %v, %v", l.control, l.up.probes, calls.Traffic)
 	}
-	defer conn.Close()
-	if _, bare := conn.(*net.TCPConn); !bare {
-		t.Errorf("discovery is called on a %T, want the system's connection itself", conn)
+	if calls.Dial != nil || calls.Transport != nil { // else connections are bare, as the client's own test shows
+		t.Errorf("discovery is called through %+v, want the system's connections", calls)
 	}
 }
 
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -128,18 +128,20 @@
 func newLoop(ctx context.Context, cfg *Config, log *slog.Logger) (*loop, error) {
 	l := &loop{
 		cfg: cfg, log: log, clock: clock{time.Now()}, ctx: ctx,
-		up: newUpstream(cfg, connections(cfg)), told: make(chan struct{}), disc: discovery.NewClient(cfg.Discovery),
+		up: newUpstream(cfg, connections(cfg)), told: make(chan struct{}),
 		events:   make(chan func(balancer.Micros), eventsMost),
 		urgent:   make(chan func(balancer.Micros), opsMost),
 		listings: map[uint32]listing{}, banned: map[uint32]bool{},
 		requests: map[uint64]*request{}, ids: map[string]uint32{}, names: map[uint32]string{}, targets: map[uint32]*target{},
 		stopWatch: func() {},
 	}
+	var calls discovery.Options
 	if cfg.Ops != "" {
 		l.control = &controltraffic.Accounting{Started: time.Now()}
 		l.up.probes = &l.control.LoadProbes
-		l.disc.CountTraffic(&l.control.Discovery)
+		calls.Traffic = &l.control.Discovery
 	}
+	l.disc = discovery.NewClient(cfg.Discovery, calls)
 	var err error
 	l.balancer, err = balancer.New(cfg.Settings, cfg.Seed, l)
 	return l, err
@@ -329,7 +331,7 @@
 		id := l.number(h.Name)
 		named[id] = true
 		e := balancer.Endpoint{ID: id, Zone: indexOf(l.cfg.zones, h.Zone), MachineType: indexOf(l.cfg.kinds, h.MachineType),
-			Pod: h.Pod, State: discovery.States[h.Health], Weight: h.Weight}
+			Pod: h.Pod, State: discovery.StateOf(h), Weight: h.Weight}
 		if h.StartedAtMillis > 0 {
 			e.StartTime = h.StartedAtMillis * 1000
 		}
@@ -529,27 +531,20 @@
 	}
 	ctx, stop := context.WithCancel(l.ctx)
 	l.stopWatch = stop
-	seq, disc := l.seq, l.disc
-	tell := func(kind balancer.UpdateKind, list discovery.List) {
-		l.post(func(now balancer.Micros) {
-			if ctx.Err() == nil { // else the watch was ended meanwhile
-				l.members(now, kind, list)
-			}
-		})
+	watch := &discovery.Watch{
+		Client: l.disc,
+		After:  l.seq,
+		Notify: func(kind balancer.UpdateKind, list discovery.List) {
+			l.post(func(now balancer.Micros) {
+				if ctx.Err() == nil { // else the watch was ended meanwhile
+					l.members(now, kind, list)
+				}
+			})
+		},
+		Resubscribes: !l.cfg.Settings.MustSubscribe,
+		Log:          l.log,
 	}
-	go func() {
-		for ctx.Err() == nil {
-			var err error
-			seq, err = disc.Watch(ctx, seq, tell)
-			if ctx.Err() == nil {
-				l.log.Warn("discovery", "error", err)
-			}
-			if l.cfg.Settings.MustSubscribe {
-				return // when to ask again is the balancer's decision
-			}
-			time.Sleep(discovery.ResubscribeDelay)
-		}
-	}()
+	go watch.Run(ctx)
 }
 
 // follow takes new configurations until the loop's context ends.
@@ -558,7 +553,7 @@
 		select {
 		case cfg := <-reloads:
 			l.post(func(balancer.Micros) {
-				if cfg.Discovery != l.disc.Address {
+				if cfg.Discovery != l.disc.Address() {
 					l.rediscover(cfg.Discovery)
 				}
 			})
@@ -571,15 +566,13 @@
 // rediscover turns to discovery at another address. Its versions may not be the
 // old one's: the watch begins with the whole list.
 func (l *loop) rediscover(address string) {
-	l.log.Info("discovery moves", "from", l.disc.Address, "to", address)
+	l.log.Info("discovery address changed", "old_address", l.disc.Address(), "new_address", address)
 	old := l.disc
-	l.disc, l.seq = discovery.NewClient(address), nil
-	l.disc.CountTraffic(old.Traffic)
-	l.disc.Dial = old.Dial
+	l.disc, l.seq = discovery.NewClient(address, old.Options()), nil
 	if l.watching {
 		l.WatchEndpoints(true)
 	}
-	old.HTTP.CloseIdleConnections()
+	old.CloseIdleConnections()
 }
 
 // Log records a line of the balancer's.
--- a/internal/sidecar/told_test.go
+++ b/internal/sidecar/told_test.go
@@ -115,7 +115,7 @@
 		if a.out(now) {
 			switch a.how {
 			case hangsUp:
-				time.Sleep(discovery.ListTimeout - 10*time.Millisecond)
+				time.Sleep(discovery.CallTimeout - 10*time.Millisecond)
 				return
 			case turnsAway:
 				answer(http.StatusServiceUnavailable, discovery.List{})
@@ -206,15 +206,16 @@
 		t.Fatal(err)
 	}
 	first := &agentIn{down: begin.Add(time.Hour), back: begin.Add(time.Hour)}
-	l.disc.Dial = a.dial
+	dial := a.dial
 	if moved > 0 {
-		l.disc.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+		dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			if strings.HasSuffix(address, ":1") {
 				return first.dial(ctx, network, address)
 			}
 			return a.dial(ctx, network, address)
 		}
 	}
+	l.disc = discovery.NewClient(cfg.Discovery, discovery.Options{Dial: dial})
 	spy := &tellings{decider: l.balancer, id: l.number("s-2"), told: make(chan time.Time, 1), enough: stop}
 	l.balancer = spy
 	ended := make(chan struct{})
@@ -235,7 +236,7 @@
 	stop()
 	<-ended
 	time.Sleep(5 * time.Minute) // until all that goes on by itself is over
-	l.disc.HTTP.CloseIdleConnections()
+	l.disc.CloseIdleConnections()
 	for _, of := range []*agentIn{a, first} {
 		of.mu.Lock()
 		for _, c := range of.conns {
