--- a/balancer/peers.go
+++ b/balancer/gossip.go
@@ -42,3 +42,18 @@
 	}
 	return all, nil
 }
+
+// ReceiveGossip handles a peer's message. It may be late, lost or of an endpoint's earlier life.
+func (b *Balancer) ReceiveGossip(now Micros, data []byte) {
+	all, err := readNews(data)
+	if err != nil {
+		b.log(now, "peers", "a peer's message is dropped: %v", err)
+		return
+	}
+	for _, n := range all {
+		if e := b.byID[n.id]; e != nil && e.usable() && startMark(e.StartTime) == n.start {
+			b.learnLoad(now, e, float64(n.held))
+			b.learnWidth(e, float64(n.held), float64(n.queue))
+		}
+	}
+}
--- a/balancer/api.go
+++ b/balancer/settings.go
@@ -155,7 +155,8 @@
 		key := fmt.Sprintf("Tenants[%d].Allowance", i)
 		check(t.Quota >= 0, key, t.Quota, "must not be negative")
 	}
-	for _, w := range [...]float64{s.Objective.Overall, s.Objective.WorstWindow, s.Objective.WorstClass, s.Objective.WorstTenant} {
+	goal := &s.Objective
+	for _, w := range [...]float64{goal.Overall, goal.WorstWindow, goal.WorstClass, goal.WorstTenant} {
 		check(w >= 0, "Goal", w, "must not be negative")
 	}
 	check(s.OverQuotaWeight >= 0, "OverShareWorth", s.OverQuotaWeight, "must not be negative")
@@ -165,7 +166,8 @@
 	check(l.MaxRetryAfter >= 0, "Limits.MaxRetryAfter", l.MaxRetryAfter, "must not be negative")
 	check(l.DialTimeout >= 0, "Limits.DialTimeout", l.DialTimeout, "must not be negative")
 	check(c.DrainGrace >= 0, "Contract.DrainGrace", c.DrainGrace, "must not be negative")
-	check(c.SlowStartMinCapacity > 0 && c.SlowStartMinCapacity <= 1, "Contract.ColdFrom", c.SlowStartMinCapacity, "must be in 0..1, not 0")
+	check(c.SlowStartMinCapacity > 0 && c.SlowStartMinCapacity <= 1, "Contract.ColdFrom",
+		c.SlowStartMinCapacity, "must be in 0..1, not 0")
 	check(c.SlowStartDuration >= 0, "Contract.RampTime", c.SlowStartDuration, "must not be negative")
 	check(c.OverloadMultiple > 0, "Contract.FallMultiple", c.OverloadMultiple, "must be positive")
 	check(c.OverloadDuration >= 0, "Contract.OverloadFor", c.OverloadDuration, "must not be negative")
@@ -178,110 +180,3 @@
 	check(p.LateFailure >= 0, "Prices.LateFail", p.LateFailure, "must not be negative")
 	return err
 }
-
-// EndpointState is what discovery says of an endpoint.
-type EndpointState uint8
-
-// The states of an endpoint.
-const (
-	Ready EndpointState = iota
-	Draining
-	Removed
-)
-
-// Endpoint is one entry of discovery's list.
-type Endpoint struct {
-	ID          uint32
-	Zone        uint8
-	MachineType uint8
-	Pod         uint16
-	State       EndpointState
-	Weight      float32
-	StartTime   Micros // of its latest start; 0 for long ago
-}
-
-// UpdateKind says how the entries of a membership event are to be read.
-type UpdateKind uint8
-
-// The kinds of membership event.
-const (
-	UpdateDelta  UpdateKind = iota // changed entries only
-	UpdateFull                     // the complete list
-	UpdateCached                   // the complete list as last held; perhaps old
-	UpdateFailed                   // a call of discovery failed; no entries
-)
-
-// Request is a client's request. One final answer is owed for it: an outcome
-// that settles it, a refusal or a failure.
-type Request struct {
-	ID          uint64
-	Key         uint64
-	Deadline    Micros // the instant at which the client gives this try up
-	CostHint    Micros // expected work; used if HasHint
-	HasCostHint bool
-	IsRetry     bool // the client marked it as a repetition
-	IsUploading bool // its body still comes: Uploaded tells its end, from which its time runs
-	IsWrite     bool
-	Tenant      uint16
-	Class       uint8
-}
-
-// Status says how an attempt or a probe ended.
-type Status uint8
-
-// The ways an attempt may end. Full, ConnectFailed and Moot prove that it
-// never ran; all others but OK leave that open.
-const (
-	OK            Status = iota
-	Error                // an error returned by the endpoint
-	Rejected             // turned away unseen
-	Timeout              // no answer in time
-	ConnectFailed        // no connection in time
-	Reset                // the connection broke
-	Cancelled            // withdrawn by the balancer
-	NotSent              // never sent
-)
-
-var statusNames = [...]string{"ok", "error", "full", "timeout", "connect failed", "reset", "cancelled", "moot"}
-
-func (s Status) String() string {
-	if int(s) < len(statusNames) {
-		return statusNames[s]
-	}
-	return "unknown"
-}
-
-// Outcome tells how an attempt ended. Load is valid during the call only.
-type Outcome struct {
-	ID           uint64
-	Attempt      int // the attempts of a request count from 0 as sent
-	Endpoint     uint32
-	Status       Status
-	Latency      Micros
-	RequestDone  bool // the request has its final answer
-	BodyConsumed bool // part of the request's body is gone: it cannot be sent again
-	LoadReport   []float32
-}
-
-// Actions is what a balancer asks of its host. Calls come from within event
-// methods, in the order in which they are to take effect.
-type Actions interface {
-	// StartAttempt starts an attempt; timeout 0 means until the client's deadline.
-	StartAttempt(id uint64, endpoint uint32, timeout Micros)
-	// Reject is a final answer that promises that a retry is harmless.
-	Reject(id uint64, retryAfter Micros)
-	// Fail is a final answer that promises nothing.
-	Fail(id uint64)
-	// CancelAttempt stops waiting for an attempt; its outcome still comes.
-	CancelAttempt(id uint64, attempt int)
-	// SetTimer asks for a Timer event with this token after delay.
-	SetTimer(delay Micros, token uint32)
-	// SendLoadProbe asks an endpoint for its load.
-	SendLoadProbe(endpoint uint32)
-	// SendGossip sends data to all other balancers; it may be lost. Valid during the call only.
-	SendGossip(data []byte)
-	// WatchEndpoints subscribes to discovery's changes, or ends that.
-	WatchEndpoints(on bool)
-	// Log records a line for on-call staff.
-	Log(line string)
-}
--- a/balancer/keep.go
+++ b/balancer/snapshot.go
@@ -17,7 +17,10 @@
 	out := make([]EndpointSnapshot, 0, len(b.list))
 	for _, e := range b.list {
 		if e.br.base > 0 || e.pace.seen || e.errs > 0 {
-			out = append(out, EndpointSnapshot{ID: e.ID, LatencyBaseline: e.br.base, LatencyCurrent: e.br.current, ServiceTime: e.pace.v * share(e.pace.seen), FailureRate: e.failing(now)})
+			out = append(out, EndpointSnapshot{
+				ID: e.ID, LatencyBaseline: e.br.base, LatencyCurrent: e.br.current,
+				ServiceTime: e.pace.v * share(e.pace.seen), FailureRate: e.failing(now),
+			})
 		}
 	}
 	return out
--- a/balancer/source_test.go
+++ b/balancer/source_test.go
@@ -4,43 +4,83 @@
 	"go/parser"
 	"go/token"
 	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
 	"strings"
 	"testing"
 )
 
-// The operators' limits on the decision module.
-func TestModuleSize(t *testing.T) {
-	text, err := os.ReadFile("balancer.go")
+const (
+	maxFileLines      = 300
+	maxLineCharacters = 110
+)
+
+// sourceFiles returns the names of the package's files without tests.
+func sourceFiles(t *testing.T) []string {
+	t.Helper()
+	files, err := filepath.Glob("*.go")
+	if err != nil || len(files) == 0 {
+		t.Fatalf("no source files: %v", err)
+	}
+	return slices.DeleteFunc(files, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
+}
+
+// TestPolicyListsEveryFile compares the files of the package with `policy` in the deploy file.
+func TestPolicyListsEveryFile(t *testing.T) {
+	text, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	lines := 0
-	for i, line := range strings.Split(string(text), "\n") {
-		if strings.TrimSpace(line) != "" {
-			lines++
-		}
-		if len(line) > 110 {
-			t.Errorf("line %d has %d characters", i+1, len(line))
-		}
+	policy := regexp.MustCompile(`(?s)\npolicy = \[(.*?)\]`).FindSubmatch(text)
+	if policy == nil {
+		t.Fatal("the deploy file has no list `policy`")
+	}
+	var listed []string
+	for _, quoted := range regexp.MustCompile(`"([^"]*)"`).FindAllSubmatch(policy[1], -1) {
+		listed = append(listed, string(quoted[1]))
+	}
+	slices.Sort(listed)
+	var files []string
+	for _, name := range sourceFiles(t) {
+		files = append(files, "balancer/"+name)
 	}
-	if lines > 1200 {
-		t.Errorf("%d lines that are not blank, 1200 at most", lines)
+	if !slices.Equal(listed, files) {
+		t.Errorf("policy lists\n%q\nand the package has\n%q", listed, files)
 	}
-	if !strings.Contains(string(text[:600]), "api.go") {
-		t.Error("the top does not name the interface file")
+}
+
+// TestFilesAreSmall checks each file's lines and their length.
+func TestFilesAreSmall(t *testing.T) {
+	for _, name := range sourceFiles(t) {
+		text, err := os.ReadFile(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines := strings.Split(string(text), "\n")
+		if len(lines)-1 > maxFileLines {
+			t.Errorf("%s has %d lines, %d at most", name, len(lines)-1, maxFileLines)
+		}
+		for i, line := range lines {
+			if len(line) > maxLineCharacters {
+				t.Errorf("%s:%d: %d characters, %d at most", name, i+1, len(line), maxLineCharacters)
+			}
+		}
 	}
 }
 
-func TestModuleImports(t *testing.T) {
-	allowed := map[string]bool{`"fmt"`: true, `"math"`: true, `"slices"`: true, `"strconv"`: true}
-	for _, name := range []string{"balancer.go", "state.go", "api.go"} {
+// TestDecisionsImportNoInputOutput checks that the decisions use neither clocks nor files nor sockets.
+func TestDecisionsImportNoInputOutput(t *testing.T) {
+	allowed := []string{`"fmt"`, `"math"`, `"slices"`, `"strconv"`}
+	allowedIn := map[string][]string{"gossip.go": {`"encoding/binary"`}}
+	for _, name := range sourceFiles(t) {
 		f, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.ImportsOnly)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, i := range f.Imports {
-			if !allowed[i.Path.Value] {
-				t.Errorf("%s imports %s", name, i.Path.Value)
+			if path := i.Path.Value; !slices.Contains(allowed, path) && !slices.Contains(allowedIn[name], path) {
+				t.Errorf("%s imports %s", name, path)
 			}
 		}
 	}
