--- a/balancer/bans_test.go
+++ b/balancer/bans_test.go
@@ -54,7 +54,7 @@
 		now := Micros(i+1) * second
 		r.probes = r.probes[:0]
 		news(now)
-		b.TimerFired(now, tokenProbe)
+		b.TimerFired(now, timerProbeRound)
 		tr.run(now, now+second, 10_000)
 		if slices.Contains(r.probes, 1) || slices.Contains(r.probes, 4) {
 			t.Errorf("after news %d: a banned endpoint was probed", i)
@@ -91,7 +91,7 @@
 			if !slices.Equal(r.probes, []uint32{1}) {
 				t.Errorf("%s: probes at the call back are %v, want one of 1", name, r.probes)
 			}
-			if e := b.byID[1]; !e.cold(5*second, b) {
+			if e := b.endpointsByID[1]; !e.isWarmingUp(5*second, b) {
 				t.Errorf("%s: it is not taken for cold", name)
 			}
 		} else {
@@ -99,7 +99,7 @@
 		}
 		delete(tr.first, 1)
 		tr.run(5*second+second/2, 9*second, 100_000)
-		if at := tr.first[1]; at == 0 || at > 5*second+dueAfter+second {
+		if at := tr.first[1]; at == 0 || at > 5*second+reinstateDelay+second {
 			t.Errorf("%s: first used at %d µs (0 for never), called back at 5 s", name, at)
 		}
 	}
@@ -119,10 +119,10 @@
 	b.Ban(second, 1)
 	b.Unban(2*second, 1)
 	due := func() bool {
-		now := 2*second + dueAfter
+		now := 2*second + reinstateDelay
 		r := b.newRequest(now, request0(1, 0, now))
-		r.work = b.classes[0].work.v
-		return b.due(now, r) != nil
+		r.work = b.classes[0].meanWork.value
+		return b.findReinstated(now, r) != nil
 	}
 	if due() {
 		t.Error("each of a thousand balancers sends it a first request")
--- a/balancer/breaker.go
+++ b/balancer/breaker.go
@@ -2,50 +2,50 @@
 
 // go-zero's constants.
 const (
-	window      = 10 * second
-	buckets     = 40
-	kMost       = 1.5
-	kLeast      = 1.1
-	protection  = 5
-	forcedPass  = second
-	activation  = 3
-	ceilingPart = 0.95
-	fallDivisor = 4
-	riseDivisor = 100
-	currDivisor = 4
-	latencyCap  = 0.3
+	breakerWindow             = 10 * second
+	breakerBuckets            = 40
+	maxAcceptMultiplier       = 1.5
+	minAcceptMultiplier       = 1.1
+	protectedRequests         = 5
+	forcedPassInterval        = second
+	latencyActivationMultiple = 3
+	latencyCeilingFraction    = 0.95
+	baselineFallDivisor       = 4
+	baselineRiseDivisor       = 100
+	currentLatencyDivisor     = 4
+	maxLatencyDropProbability = 0.3
 )
 
 // breaker holds an endpoint's window of outcomes and its two latency averages.
 type breaker struct {
-	ring          [buckets]bucket
-	head          int64 // number of the newest bucket
-	requests      int   // over the window
-	accepts       int
-	base, current float64
-	passed        Micros // last forced pass
+	buckets                         [breakerBuckets]breakerBucket
+	newest                          int64 // number of the newest bucket
+	requests                        int   // over the window
+	accepts                         int
+	latencyBaseline, latencyCurrent float64
+	forcedPassAt                    Micros // last forced pass
 }
 
-type bucket struct{ requests, accepts, failures int }
+type breakerBucket struct{ requests, accepts, failures int }
 
-func (k *breaker) slide(now Micros) *bucket {
-	n := now / (window / buckets)
-	if n-k.head >= buckets {
-		k.ring, k.requests, k.accepts, k.head = [buckets]bucket{}, 0, 0, n
+func (k *breaker) advance(now Micros) *breakerBucket {
+	n := now / (breakerWindow / breakerBuckets)
+	if n-k.newest >= breakerBuckets {
+		k.buckets, k.requests, k.accepts, k.newest = [breakerBuckets]breakerBucket{}, 0, 0, n
 	}
-	for k.head < n {
-		k.head++
-		old := &k.ring[k.head%buckets]
+	for k.newest < n {
+		k.newest++
+		old := &k.buckets[k.newest%breakerBuckets]
 		k.requests -= old.requests
 		k.accepts -= old.accepts
-		*old = bucket{}
+		*old = breakerBucket{}
 	}
-	return &k.ring[n%buckets]
+	return &k.buckets[n%breakerBuckets]
 }
 
-// count adds to the newest bucket. Whatever is asked counts as a request.
-func (k *breaker) count(now Micros, accepts, failures int) {
-	at := k.slide(now)
+// record adds to the newest bucket. Whatever is asked counts as a request.
+func (k *breaker) record(now Micros, accepts, failures int) {
+	at := k.advance(now)
 	at.requests++
 	at.accepts += accepts
 	at.failures += failures
@@ -53,52 +53,55 @@
 	k.accepts += accepts
 }
 
-func (k *breaker) latency(x float64) {
-	if k.base <= 0 {
-		k.base, k.current = x, x
+func (k *breaker) recordLatency(x float64) {
+	if k.latencyBaseline <= 0 {
+		k.latencyBaseline, k.latencyCurrent = x, x
 		return
 	}
-	divisor := float64(riseDivisor)
-	if x < k.base {
-		divisor = fallDivisor
+	divisor := float64(baselineRiseDivisor)
+	if x < k.latencyBaseline {
+		divisor = baselineFallDivisor
 	}
-	k.base = (x + (divisor-1)*k.base) / divisor
-	k.current = (x + (currDivisor-1)*k.current) / currDivisor
+	k.latencyBaseline = (x + (divisor-1)*k.latencyBaseline) / divisor
+	k.latencyCurrent = (x + (currentLatencyDivisor-1)*k.latencyCurrent) / currentLatencyDivisor
 }
 
-func (k *breaker) errorChance(now Micros) float64 {
-	k.slide(now)
+func (k *breaker) errorDropProbability(now Micros) float64 {
+	k.advance(now)
 	failing := 0
-	for i := k.head + 1; i <= k.head+buckets; i++ {
-		if at := &k.ring[i%buckets]; at.accepts > 0 {
+	for i := k.newest + 1; i <= k.newest+breakerBuckets; i++ {
+		if at := &k.buckets[i%breakerBuckets]; at.accepts > 0 {
 			failing = 0
 		} else if at.failures > 0 {
 			failing++
 		}
 	}
-	weight := max(kLeast, kMost-(kMost-kLeast)*float64(failing)/buckets)
+	weight := max(minAcceptMultiplier,
+		maxAcceptMultiplier-(maxAcceptMultiplier-minAcceptMultiplier)*float64(failing)/breakerBuckets)
 	total := float64(k.requests)
-	return max(0, (total-protection-weight*float64(k.accepts))/(total+1))
+	return max(0, (total-protectedRequests-weight*float64(k.accepts))/(total+1))
 }
 
-func (k *breaker) latencyChance(timeout float64) float64 {
-	threshold := activation * k.base
-	ceiling := ceilingPart * timeout
-	if k.base <= 0 || ceiling <= threshold {
+func (k *breaker) latencyDropProbability(timeout float64) float64 {
+	threshold := latencyActivationMultiple * k.latencyBaseline
+	ceiling := latencyCeilingFraction * timeout
+	if k.latencyBaseline <= 0 || ceiling <= threshold {
 		return 0
 	}
-	return min(latencyCap, max(0, (k.current-threshold)/(ceiling-threshold)*latencyCap))
+	return min(maxLatencyDropProbability, max(0,
+		(k.latencyCurrent-threshold)/(ceiling-threshold)*maxLatencyDropProbability))
 }
 
-// allows draws the breaker's lot for a request; a refusal counts as a request.
-func (b *Balancer) allows(now Micros, r *request, e *endpoint) bool {
-	chance := max(e.br.errorChance(now), e.br.latencyChance(float64(b.class(r).ClientTimeout)))
-	if chance > 0 && now-e.br.passed > forcedPass {
-		e.br.passed = now
+// breakerAllows draws the breaker's lot for a request; a refusal counts as a request.
+func (b *Balancer) breakerAllows(now Micros, r *request, e *endpoint) bool {
+	chance := max(e.breaker.errorDropProbability(now),
+		e.breaker.latencyDropProbability(float64(b.classOf(r).ClientTimeout)))
+	if chance > 0 && now-e.breaker.forcedPassAt > forcedPassInterval {
+		e.breaker.forcedPassAt = now
 		return true
 	}
-	if b.rng.float() < chance {
-		e.br.count(now, 0, 0)
+	if b.random.float() < chance {
+		e.breaker.record(now, 0, 0)
 		return false
 	}
 	return true
--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -28,18 +28,18 @@
 		var k breaker
 		now := 100 * second
 		for range c.accepts {
-			k.count(now, 1, 0)
+			k.record(now, 1, 0)
 		}
 		for i := range c.failures {
 			if c.spread > 1 && i%(c.failures/c.spread) == 0 {
-				now += window / buckets
+				now += breakerWindow / breakerBuckets
 			}
-			k.count(now, 0, 1)
+			k.record(now, 0, 1)
 		}
 		for range c.refusals {
-			k.count(now, 0, 0)
+			k.record(now, 0, 0)
 		}
-		if got := k.errorChance(now); !near(got, c.want) {
+		if got := k.errorDropProbability(now); !near(got, c.want) {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -48,18 +48,18 @@
 func TestWindowForgets(t *testing.T) {
 	var k breaker
 	for range 100 {
-		k.count(100*second, 0, 1)
+		k.record(100*second, 0, 1)
 	}
-	if k.errorChance(109*second) == 0 {
+	if k.errorDropProbability(109*second) == 0 {
 		t.Error("failures of nine seconds ago are forgotten")
 	}
-	if got := k.errorChance(110*second + 1); got != 0 || k.requests != 0 {
+	if got := k.errorDropProbability(110*second + 1); got != 0 || k.requests != 0 {
 		t.Errorf("after the window: chance %v, %d requests", got, k.requests)
 	}
 	for range 100 {
-		k.count(200*second, 0, 1)
+		k.record(200*second, 0, 1)
 	}
-	k.errorChance(500 * second)
+	k.errorDropProbability(500 * second)
 	if k.requests != 0 {
 		t.Errorf("after a long pause: %d requests", k.requests)
 	}
@@ -67,17 +67,17 @@
 
 func TestLatencyAverages(t *testing.T) {
 	var k breaker
-	k.latency(100)
-	if k.base != 100 || k.current != 100 {
-		t.Fatalf("first: base %v current %v", k.base, k.current)
+	k.recordLatency(100)
+	if k.latencyBaseline != 100 || k.latencyCurrent != 100 {
+		t.Fatalf("first: base %v current %v", k.latencyBaseline, k.latencyCurrent)
 	}
-	k.latency(60) // falls by a quarter of the way; current (60+3*100)/4
-	if !near(k.base, 90) || !near(k.current, 90) {
-		t.Fatalf("fall: base %v current %v", k.base, k.current)
+	k.recordLatency(60) // falls by a quarter of the way; current (60+3*100)/4
+	if !near(k.latencyBaseline, 90) || !near(k.latencyCurrent, 90) {
+		t.Fatalf("fall: base %v current %v", k.latencyBaseline, k.latencyCurrent)
 	}
-	k.latency(190) // rises by a hundredth: (190+99*90)/100; current (190+270)/4
-	if !near(k.base, 91) || !near(k.current, 115) {
-		t.Fatalf("rise: base %v current %v", k.base, k.current)
+	k.recordLatency(190) // rises by a hundredth: (190+99*90)/100; current (190+270)/4
+	if !near(k.latencyBaseline, 91) || !near(k.latencyCurrent, 115) {
+		t.Fatalf("rise: base %v current %v", k.latencyBaseline, k.latencyCurrent)
 	}
 }
 
@@ -94,8 +94,8 @@
 		{"capped", 100, 5000, 1000, 0.3},
 		{"ceiling under the threshold", 400, 5000, 1000, 0},
 	} {
-		k := breaker{base: c.base, current: c.current}
-		if got := k.latencyChance(c.timeout); !near(got, c.want) {
+		k := breaker{latencyBaseline: c.base, latencyCurrent: c.current}
+		if got := k.latencyDropProbability(c.timeout); !near(got, c.want) {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -103,25 +103,25 @@
 
 func TestForcedPass(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(1))
-	e := b.list[0]
+	e := b.endpoints[0]
 	now := 20 * second
 	for range 1000 {
-		e.br.count(now, 0, 1)
+		e.breaker.record(now, 0, 1)
 	}
 	r := &request{}
-	if !b.allows(now, r, e) {
+	if !b.breakerAllows(now, r, e) {
 		t.Fatal("the first is passed by force")
 	}
 	passed := 0
 	for range 200 {
-		if b.allows(now+1000, r, e) {
+		if b.breakerAllows(now+1000, r, e) {
 			passed++
 		}
 	}
 	if passed > 20 {
 		t.Errorf("%d of 200 passed an endpoint that fails all", passed)
 	}
-	if !b.allows(now+forcedPass+1001, r, e) {
+	if !b.breakerAllows(now+forcedPassInterval+1001, r, e) {
 		t.Error("none passed after the forced-pass interval")
 	}
 }
@@ -138,7 +138,7 @@
 			b.AttemptFinished(now, Outcome{ID: id, Endpoint: r.sends[n-1].endpoint, Status: Error, Latency: 50})
 		}
 	}
-	if !b.list[0].ejected(41_000) {
+	if !b.endpoints[0].isEjected(41_000) {
 		t.Fatal("an endpoint that fails all is not ejected")
 	}
 	for e, n := range sends {
@@ -146,7 +146,7 @@
 			t.Errorf("endpoint %d got %d of %d sends", e, n, len(r.sends))
 		}
 	}
-	if b.list[0].ejected(60 * second) {
+	if b.endpoints[0].isEjected(60 * second) {
 		t.Error("an ejection never ends")
 	}
 }
@@ -172,14 +172,14 @@
 		} else {
 			ends(OK)
 		}
-		if b.list[0].ejected(now) {
+		if b.endpoints[0].isEjected(now) {
 			t.Fatalf("ejected after outcome %d, one of 12 a reset", i)
 		}
 	}
 	for range 3 {
 		ends(Reset)
 	}
-	if !b.list[0].ejected(now) {
+	if !b.endpoints[0].isEjected(now) {
 		t.Error("not ejected after three failures in a row")
 	}
 }
--- a/balancer/cold_fleet_test.go
+++ b/balancer/cold_fleet_test.go
@@ -8,29 +8,29 @@
 	"testing"
 )
 
-// coldFleet is many balancers and their endpoints on a simulated clock. Each endpoint works at a few requests
+// slowStartFleet is many balancers and their endpoints on a simulated clock. Each endpoint works at a few requests
 // side by side, in order, slower while it is cold; requests come at random, and to any balancer alike.
-type coldFleet struct {
+type slowStartFleet struct {
 	t      *testing.T
 	s      Settings
 	now    Micros
 	events eventHeap
 	random *rand.Rand
-	all    []*coldBalancer
-	ends   map[uint32]*coldEndpoint
+	all    []*slowStartBalancer
+	ends   map[uint32]*slowStartEndpoint
 	lastID uint64
 	served int
 }
 
 const (
-	coldWork  = 80_000 // of a request on one core of a warm endpoint
-	coldCores = 2
-	coldWay   = 300 // to an endpoint, and back again
+	slowStartWork      = 80_000 // of a request on one core of a warm endpoint
+	slowStartCores     = 2
+	slowStartRoundTrip = 300 // to an endpoint, and back again
 )
 
-type coldEndpoint struct {
+type slowStartEndpoint struct {
 	started  Micros // of its warm-up; 0 for long ago
-	free     [coldCores]Micros
+	free     [slowStartCores]Micros
 	held     int
 	arrivals []Micros
 }
@@ -56,12 +56,12 @@
 	return last
 }
 
-func (f *coldFleet) in(delay Micros, do func()) {
+func (f *slowStartFleet) in(delay Micros, do func()) {
 	f.lastID++
 	heap.Push(&f.events, simEvent{f.now + delay, int(f.lastID), do})
 }
 
-func (f *coldFleet) run(until Micros) {
+func (f *slowStartFleet) run(until Micros) {
 	for len(f.events) > 0 && f.events[0].at <= until {
 		e := heap.Pop(&f.events).(simEvent)
 		f.now = e.at
@@ -71,7 +71,7 @@
 }
 
 // warmth is what an endpoint's capacity is of a warm one's.
-func (f *coldFleet) warmth(e *coldEndpoint, at Micros) float64 {
+func (f *slowStartFleet) warmth(e *slowStartEndpoint, at Micros) float64 {
 	c := &f.s.Rules
 	if e.started == 0 || at-e.started >= c.SlowStartDuration {
 		return 1
@@ -79,16 +79,16 @@
 	return c.SlowStartMinCapacity + (1-c.SlowStartMinCapacity)*float64(at-e.started)/float64(c.SlowStartDuration)
 }
 
-// coldBalancer is one of the balancers, and carries out its actions.
-type coldBalancer struct {
-	f *coldFleet
+// slowStartBalancer is one of the balancers, and carries out its actions.
+type slowStartBalancer struct {
+	f *slowStartFleet
 	b *Balancer
 }
 
-func (c *coldBalancer) StartAttempt(id uint64, endpoint uint32, _ Micros) {
+func (c *slowStartBalancer) StartAttempt(id uint64, endpoint uint32, _ Micros) {
 	f, e := c.f, c.f.ends[endpoint]
 	sent, attempt := f.now, len(c.b.requests[id].attempts)-1
-	f.in(coldWay, func() {
+	f.in(slowStartRoundTrip, func() {
 		e.arrivals = append(e.arrivals, f.now)
 		e.held++
 		core := 0
@@ -98,11 +98,11 @@
 			}
 		}
 		start := max(f.now, e.free[core])
-		work := coldWork * (0.5 + f.random.ExpFloat64()/2)
+		work := slowStartWork * (0.5 + f.random.ExpFloat64()/2)
 		e.free[core] = start + Micros(work/f.warmth(e, start))
 		f.in(e.free[core]-f.now, func() {
 			e.held--
-			f.in(coldWay, func() {
+			f.in(slowStartRoundTrip, func() {
 				f.served++
 				c.b.AttemptFinished(f.now, Outcome{ID: id, Attempt: attempt, Endpoint: endpoint, Status: OK, Latency: f.now - sent, RequestDone: true})
 			})
@@ -110,37 +110,37 @@
 	})
 }
 
-func (c *coldBalancer) SendLoadProbe(endpoint uint32) {
+func (c *slowStartBalancer) SendLoadProbe(endpoint uint32) {
 	f, e := c.f, c.f.ends[endpoint]
-	f.in(coldWay, func() {
+	f.in(slowStartRoundTrip, func() {
 		load := []float32{float32(e.held)}
-		f.in(coldWay, func() { c.b.LoadProbeResult(f.now, endpoint, OK, 2*coldWay, load) })
+		f.in(slowStartRoundTrip, func() { c.b.LoadProbeResult(f.now, endpoint, OK, 2*slowStartRoundTrip, load) })
 	})
 }
 
-func (c *coldBalancer) SetTimer(delay Micros, token uint32) {
+func (c *slowStartBalancer) SetTimer(delay Micros, token uint32) {
 	c.f.in(delay, func() { c.b.TimerFired(c.f.now, token) })
 }
-func (c *coldBalancer) Reject(uint64, Micros)     {}
-func (c *coldBalancer) Fail(uint64)               {}
-func (c *coldBalancer) CancelAttempt(uint64, int) {}
-func (c *coldBalancer) SendGossip([]byte)         {}
-func (c *coldBalancer) WatchEndpoints(bool)       {}
-func (c *coldBalancer) Log(string)                {}
-
-// playCold has an endpoint join beside nine warm ones, another start anew a second later, and a burst of requests come
+func (c *slowStartBalancer) Reject(uint64, Micros)     {}
+func (c *slowStartBalancer) Fail(uint64)               {}
+func (c *slowStartBalancer) CancelAttempt(uint64, int) {}
+func (c *slowStartBalancer) SendGossip([]byte)         {}
+func (c *slowStartBalancer) WatchEndpoints(bool)       {}
+func (c *slowStartBalancer) Log(string)                {}
+
+// playSlowStart has an endpoint join beside nine warm ones, another start anew a second later, and a burst of requests come
 // some time after: it returns the most that came to either of them within the time that the settings name, as a share
 // of what is let pass.
-func playCold(t *testing.T, s Settings, balancers int, believed Settings, seed uint64, quiet float64, after Micros) (most float64, served int) {
+func playSlowStart(t *testing.T, s Settings, balancers int, believed Settings, seed uint64, quiet float64, after Micros) (most float64, served int) {
 	t.Helper()
 	const joins, burst, lasts = 5 * second, 1.5, 3 * second
-	f := &coldFleet{t: t, s: s, random: rand.New(rand.NewPCG(seed, 0xc01d)), ends: map[uint32]*coldEndpoint{}}
+	f := &slowStartFleet{t: t, s: s, random: rand.New(rand.NewPCG(seed, 0xc01d)), ends: map[uint32]*slowStartEndpoint{}}
 	list := ready(9)
 	for _, e := range list {
-		f.ends[e.ID] = &coldEndpoint{}
+		f.ends[e.ID] = &slowStartEndpoint{}
 	}
 	for i := range balancers {
-		c := &coldBalancer{f: f}
+		c := &slowStartBalancer{f: f}
 		var err error
 		if c.b, err = New(believed, seed*1000+uint64(i), c); err != nil {
 			t.Fatal(err)
@@ -149,7 +149,7 @@
 		c.b.Start(0)
 		c.b.UpdateEndpoints(0, UpdateFull, list)
 	}
-	capacity := 9 * coldCores * float64(second) / coldWork // requests a second
+	capacity := 9 * slowStartCores * float64(second) / slowStartWork // requests a second
 	var come func()
 	id := uint64(0)
 	come = func() {
@@ -168,7 +168,7 @@
 		at Micros
 	}{{10, joins}, {4, joins + second}} {
 		f.in(cold.at, func() {
-			f.ends[cold.id] = &coldEndpoint{started: f.now}
+			f.ends[cold.id] = &slowStartEndpoint{started: f.now}
 			for _, c := range f.all {
 				c.b.UpdateEndpoints(f.now, UpdateDelta, []Endpoint{{ID: cold.id, Zone: uint8(cold.id / 2), Weight: 1, StartTime: f.now}})
 			}
@@ -181,15 +181,15 @@
 			for to < len(e.arrivals) && e.arrivals[to] < e.arrivals[from]+s.Rules.OverloadDuration {
 				to++
 			}
-			n := s.Rules.OverloadMultiple * f.warmth(e, e.arrivals[from]) * coldCores * float64(s.Rules.OverloadDuration) / coldWork
+			n := s.Rules.OverloadMultiple * f.warmth(e, e.arrivals[from]) * slowStartCores * float64(s.Rules.OverloadDuration) / slowStartWork
 			most = max(most, float64(to-from)/(n+2*math.Sqrt(n)+2))
 		}
 	}
 	return most, f.served
 }
 
-// sumMost is the part of what is let pass that the balancers may come to: some is kept for networks less even.
-const sumMost = 0.6
+// maxSumOfBudgets is the part of what is let pass that the balancers may come to: some is kept for networks less even.
+const maxSumOfBudgets = 0.6
 
 // What is sent to a cold endpoint by all balancers together stays within its budget of N requests and chance, 2 x root
 // of N + 2, with few balancers and many, in a burst out of little traffic or much at any time after its start.
@@ -211,23 +211,23 @@
 				for seed := range uint64(3) {
 					for _, quiet := range []float64{0.05, 0.4} {
 						for _, after := range []Micros{100_000, second, 3 * second} {
-							most, served := playCold(t, s, balancers, s, seed+1, quiet, after)
+							most, served := playSlowStart(t, s, balancers, s, seed+1, quiet, after)
 							if served < 500 {
 								t.Fatalf("only %d requests were served", served)
 							}
-							if worst = max(worst, most); most > sumMost {
+							if worst = max(worst, most); most > maxSumOfBudgets {
 								t.Errorf("seed %d, from %.2f to 1.5 of capacity after %.1f s: %.2f of what is let pass",
 									seed+1, quiet, float64(after)/float64(second), most)
 							}
 						}
 					}
-					most, _ := playCold(t, s, balancers, reckless, seed+1, 0.05, second)
+					most, _ := playSlowStart(t, s, balancers, reckless, seed+1, 0.05, second)
 					careless = max(careless, most)
-					most, _ = playCold(t, s, balancers, alone, seed+1, 0.4, second)
+					most, _ = playSlowStart(t, s, balancers, alone, seed+1, 0.4, second)
 					selfish = max(selfish, most)
 				}
 				t.Logf("at most %.2f of what is let pass; %.2f by balancers that know of no cold, %.2f by such as believe to be alone", worst, careless, selfish)
-				if s.Rules == small.Rules && (careless <= sumMost || balancers == 30 && selfish <= sumMost) {
+				if s.Rules == small.Rules && (careless <= maxSumOfBudgets || balancers == 30 && selfish <= maxSumOfBudgets) {
 					t.Errorf("the check does not see balancers that know of no cold, or of each other: %.2f, %.2f", careless, selfish)
 				}
 			})
--- a/balancer/cold_test.go
+++ b/balancer/cold_test.go
@@ -13,10 +13,10 @@
 		b, _ := start(t, s, ready(3))
 		b.SetProcessCount(processes)
 		b.UpdateEndpoints(second, UpdateDelta, []Endpoint{{ID: 4, Weight: 1, StartTime: second}})
-		e := b.byID[4]
-		e.room = 0
-		b.coldRoom(2*second, e, 0)
-		return e.room
+		e := b.endpointsByID[4]
+		e.slowStartBudget = 0
+		b.hasSlowStartBudget(2*second, e, 0)
+		return e.slowStartBudget
 	}
 	alone := saved(2, 1)
 	// A fifth of what one of two can have sent to an endpoint of two cores, less what no burst may save up.
@@ -35,15 +35,15 @@
 func TestWorkIsNotLearnedFromColdness(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(1)[:1])
 	b.UpdateEndpoints(second, UpdateDelta, []Endpoint{{ID: 1, Weight: 1, StartTime: second}})
-	before := b.classes[0].work.v
-	e := b.byID[1]
+	before := b.classes[0].meanWork.value
+	e := b.endpointsByID[1]
 	for i := range 100 {
 		now := second + Micros(i)*10_000
 		r := &request{Request: Request{ID: 1}, work: before}
-		a := &attempt{ep: e, factor: before, expected: before / e.warmth(now, b)}
-		b.learnPace(now, r, a, before/e.warmth(now, b), false)
+		a := &attempt{endpoint: e, contendedWork: before, expectedLatency: before / e.capacityFraction(now, b)}
+		b.learnServiceTime(now, r, a, before/e.capacityFraction(now, b), false)
 	}
-	if got := b.classes[0].work.v; got > 1.01*before || got < 0.99*before {
+	if got := b.classes[0].meanWork.value; got > 1.01*before || got < 0.99*before {
 		t.Errorf("work went from %.0f to %.0f by answers that were slow by coldness alone", before, got)
 	}
 }
@@ -52,26 +52,26 @@
 func TestOneSlowEndpointIsNotItsZone(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(6)) // two a zone
 	learn := func(id uint32, latency float64, times int) {
-		e := b.byID[id]
+		e := b.endpointsByID[id]
 		for range times {
-			work := b.classes[0].work.v
-			b.learnPace(second, &request{work: work}, &attempt{ep: e, factor: work, expected: latency}, latency, false)
+			work := b.classes[0].meanWork.value
+			b.learnServiceTime(second, &request{work: work}, &attempt{endpoint: e, contendedWork: work, expectedLatency: latency}, latency, false)
 		}
 	}
 	for id := range uint32(6) {
 		learn(id+1, 80_000, 200)
 	}
-	usual := b.byID[1].paceNow(second, b)
+	usual := b.endpointsByID[1].expectedServiceTime(second, b)
 	b.UpdateEndpoints(second, UpdateDelta, []Endpoint{{ID: 2, Weight: 1, StartTime: second}})
 	for range 200 { // a tenth of all requests go to the slow one
 		learn(1, 400_000, 1)
 		learn(3, 80_000, 9)
 	}
-	fresh := b.byID[2]
-	if got := fresh.paceNow(second, b) * fresh.warmth(second, b); got > 2*usual {
+	fresh := b.endpointsByID[2]
+	if got := fresh.expectedServiceTime(second, b) * fresh.capacityFraction(second, b); got > 2*usual {
 		t.Errorf("a new endpoint beside a slow one is expected at a pace of %.2f, the fleet's is %.2f", got, usual)
 	}
-	if got := b.byID[1].paceNow(second, b); got < 3*usual {
+	if got := b.endpointsByID[1].expectedServiceTime(second, b); got < 3*usual {
 		t.Errorf("the slow one itself is expected at %.2f, the fleet's pace is %.2f", got, usual)
 	}
 }
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -33,29 +33,29 @@
 
 // recorder keeps what a balancer asks of its host.
 type recorder struct {
-	sends   []sent
-	refused []uint64
-	failed  []uint64
-	cancels []uint64
-	probes  []uint32
-	told    [][]byte
-	timers  []uint32
-	delays  []Micros
-	watches int
-	logs    []string
+	sends    []sent
+	rejected []uint64
+	failed   []uint64
+	cancels  []uint64
+	probes   []uint32
+	gossip   [][]byte
+	timers   []uint32
+	delays   []Micros
+	watches  int
+	logs     []string
 }
 
 func (r *recorder) StartAttempt(id uint64, e uint32, _ Micros) {
 	r.sends = append(r.sends, sent{id, e})
 }
-func (r *recorder) Reject(id uint64, _ Micros)     { r.refused = append(r.refused, id) }
+func (r *recorder) Reject(id uint64, _ Micros)     { r.rejected = append(r.rejected, id) }
 func (r *recorder) Fail(id uint64)                 { r.failed = append(r.failed, id) }
 func (r *recorder) CancelAttempt(id uint64, _ int) { r.cancels = append(r.cancels, id) }
 func (r *recorder) SetTimer(delay Micros, token uint32) {
 	r.timers, r.delays = append(r.timers, token), append(r.delays, delay)
 }
 func (r *recorder) SendLoadProbe(e uint32) { r.probes = append(r.probes, e) }
-func (r *recorder) SendGossip(data []byte) { r.told = append(r.told, slices.Clone(data)) }
+func (r *recorder) SendGossip(data []byte) { r.gossip = append(r.gossip, slices.Clone(data)) }
 func (r *recorder) WatchEndpoints(bool)    { r.watches++ }
 func (r *recorder) Log(line string)        { r.logs = append(r.logs, line) }
 
--- a/balancer/peers_test.go
+++ b/balancer/peers_test.go
@@ -18,17 +18,17 @@
 // What one balancer's probe is answered, all are told of; where each can ask often enough itself, none is.
 func TestAnswersAreToldToPeers(t *testing.T) {
 	b, r := start(t, fleetSettings(), ready(60))
-	b.TimerFired(second, tokenProbe)
+	b.TimerFired(second, timerProbeRound)
 	b.LoadProbeResult(second+500, r.probes[0], OK, 500, []float32{7, 3})
-	if len(r.told) != 1 {
-		t.Fatalf("%d messages after one answer", len(r.told))
+	if len(r.gossip) != 1 {
+		t.Fatalf("%d messages after one answer", len(r.gossip))
 	}
 	other, _ := start(t, fleetSettings(), ready(60))
-	other.TimerFired(second, tokenProbe)
-	other.ReceiveGossip(second+2000, r.told[0])
-	e := other.byID[r.probes[0]]
-	if got := other.load(second+2000, e); got != 7 || other.width(e) != 4 {
-		t.Errorf("load %v and %v worked at after a message of 7 held and 3 waiting", got, other.width(e))
+	other.TimerFired(second, timerProbeRound)
+	other.ReceiveGossip(second+2000, r.gossip[0])
+	e := other.endpointsByID[r.probes[0]]
+	if got := other.estimateLoad(second+2000, e); got != 7 || other.concurrency(e) != 4 {
+		t.Errorf("load %v and %v worked at after a message of 7 held and 3 waiting", got, other.concurrency(e))
 	}
 
 	few := fleetSettings()
@@ -37,23 +37,23 @@
 	for i := range uint64(200) {
 		b.RequestArrived(second+5000*Micros(i), request0(i, 0, second+5000*Micros(i)))
 	}
-	b.TimerFired(2*second, tokenProbe)
+	b.TimerFired(2*second, timerProbeRound)
 	b.LoadProbeResult(2*second+500, r.probes[0], OK, 500, []float32{7, 3})
-	if len(r.told) != 0 {
-		t.Errorf("%d messages though a turn of the fleet takes no second", len(r.told))
+	if len(r.gossip) != 0 {
+		t.Errorf("%d messages though a turn of the fleet takes no second", len(r.gossip))
 	}
 }
 
 // What a message says is forgotten within about a request's time: many choose by it at once.
 func TestToldLoadTurnsUsual(t *testing.T) {
 	b, _ := start(t, fleetSettings(), ready(60))
-	b.TimerFired(second, tokenProbe)
+	b.TimerFired(second, timerProbeRound)
 	for id := uint32(1); id <= 60; id++ {
-		b.ReceiveGossip(second, news{id: id, held: 4}.message())
+		b.ReceiveGossip(second, gossipEntry{endpointID: id, inFlight: 4}.encode())
 	}
-	b.ReceiveGossip(second, news{id: 1, held: 0}.message())
-	e := b.byID[1]
-	soon, late := b.load(second, e), b.load(second+10*Micros(b.classes[0].work.v), e)
+	b.ReceiveGossip(second, gossipEntry{endpointID: 1, inFlight: 0}.encode())
+	e := b.endpointsByID[1]
+	soon, late := b.estimateLoad(second, e), b.estimateLoad(second+10*Micros(b.classes[0].meanWork.value), e)
 	if soon != 0 || late < 3 {
 		t.Errorf("load %v at once and %v after ten requests' time, want 0 and about the 4 of all others", soon, late)
 	}
@@ -65,8 +65,8 @@
 	s := fleetSettings()
 	s.LoadReportFields, s.Classes = []LoadField{LoadFieldInFlight, LoadFieldQueueLength, LoadFieldServiceTime}, s.Classes[:1]
 	b, r := start(t, s, ready(60))
-	b.TimerFired(second, tokenProbe)
-	work := b.classes[0].work.v
+	b.TimerFired(second, timerProbeRound)
+	work := b.classes[0].meanWork.value
 	for i := range uint64(100) {
 		now := second + 1000*Micros(i)
 		b.RequestArrived(now, request0(i, 0, now))
@@ -74,13 +74,13 @@
 			b.AttemptFinished(now, Outcome{ID: i, Endpoint: r.sends[n-1].endpoint, Status: OK, Latency: 800_000, RequestDone: true})
 		}
 	}
-	if got := b.classes[0].work.v; got != work {
+	if got := b.classes[0].meanWork.value; got != work {
 		t.Errorf("work %.0f us after slow answers, want the %.0f of before", got, work)
 	}
 	for i := range Micros(200) {
 		b.LoadProbeResult(2*second+i, 1, OK, 500, []float32{2, 0, 50})
 	}
-	if got := b.classes[0].work.v; got > 51_000 || got < 49_000 {
+	if got := b.classes[0].meanWork.value; got > 51_000 || got < 49_000 {
 		t.Errorf("work %.0f us where reports tell 50 ms", got)
 	}
 }
@@ -92,16 +92,16 @@
 	for name, data := range map[string][]byte{
 		"empty":         {},
 		"foreign":       []byte("hi, there"),
-		"cut":           news{id: 2, held: 9}.message()[:7],
-		"other version": append([]byte{9}, news{id: 2, held: 9}.message()[1:]...),
+		"cut":           gossipEntry{endpointID: 2, inFlight: 9}.encode()[:7],
+		"other version": append([]byte{9}, gossipEntry{endpointID: 2, inFlight: 9}.encode()[1:]...),
 		"too long":      make([]byte, 257),
-		"unknown":       news{id: 77, held: 9}.message(),
-		"earlier life":  news{id: 1, start: 4, held: 9}.message(),
+		"unknown":       gossipEntry{endpointID: 77, inFlight: 9}.encode(),
+		"earlier life":  gossipEntry{endpointID: 1, startMark: 4, inFlight: 9}.encode(),
 	} {
 		b, r := start(t, fleetSettings(), list)
 		b.ReceiveGossip(10*second, data)
-		for _, e := range b.list {
-			if e.hasLoad {
+		for _, e := range b.endpoints {
+			if e.hasLoadReport {
 				t.Errorf("%s: endpoint %d has a load now", name, e.ID)
 			}
 		}
@@ -117,9 +117,9 @@
 	s := fleetSettings()
 	s.Zone = 200 // nobody of it is listed any more
 	b, r := start(t, s, ready(60))
-	b.TimerFired(second, tokenProbe)
+	b.TimerFired(second, timerProbeRound)
 	for id := uint32(1); id <= 60; id++ {
-		b.ReceiveGossip(second, news{id: id, held: uint8(id % 2 * 7)}.message())
+		b.ReceiveGossip(second, gossipEntry{endpointID: id, inFlight: uint8(id % 2 * 7)}.encode())
 	}
 	full := 0
 	for i := range uint64(100) {
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -24,7 +24,7 @@
 	if len(r.sends) != 4 {
 		t.Fatalf("%d sends", len(r.sends))
 	}
-	if got := b.load(1000, b.byID[2]); got != 4 {
+	if got := b.estimateLoad(1000, b.endpointsByID[2]); got != 4 {
 		t.Errorf("load with own sends: %v", got)
 	}
 }
@@ -58,7 +58,7 @@
 	s := testSettings()
 	b, r := start(t, s, ready(2))
 	b.LoadProbeResult(1000, 1, OK, 500, []float32{0})
-	now := 1000 + b.freshFor(1000, second) + 30*second
+	now := 1000 + b.maxReportAge(1000, second) + 30*second
 	seen := map[uint32]bool{}
 	for id := range uint64(20) {
 		b.RequestArrived(now, request0(id, 0, now))
@@ -75,14 +75,14 @@
 	nan := float32(math.NaN())
 	for _, load := range [][]float32{nil, {}, {nan}, {-3}, {float32(math.Inf(1))}} {
 		b.LoadProbeResult(1000, 1, OK, 500, load)
-		if b.list[0].hasLoad {
+		if b.endpoints[0].hasLoadReport {
 			t.Errorf("report %v taken for a load", load)
 		}
 	}
 	b.LoadProbeResult(1000, 99, OK, 500, []float32{1}) // unknown endpoint
 	b.LoadProbeResult(1000, 1, OK, 500, []float32{2, 7, 9})
-	if b.load(1000, b.list[0]) != 2 {
-		t.Errorf("load %v", b.load(1000, b.list[0]))
+	if b.estimateLoad(1000, b.endpoints[0]) != 2 {
+		t.Errorf("load %v", b.estimateLoad(1000, b.endpoints[0]))
 	}
 }
 
@@ -93,24 +93,24 @@
 	for id := range uint64(3) {
 		b.RequestArrived(1000, request0(id, 0, 1000))
 	}
-	busy := b.byID[r.sends[0].endpoint]
+	busy := b.endpointsByID[r.sends[0].endpoint]
 	for i := range Micros(40) {
 		busy.probing = false
-		b.probe(22_000+i, busy)
+		b.sendLoadProbe(22_000+i, busy)
 		b.LoadProbeResult(23_000+i, busy.ID, OK, 500, []float32{0})
 	}
-	if !b.reportsLate {
+	if !b.reportsAreLate {
 		t.Fatal("not found out")
 	}
-	if got := b.load(1000, busy); got < float64(busy.inflight) {
-		t.Errorf("load %v is under own in-flight %d", got, busy.inflight)
+	if got := b.estimateLoad(1000, busy); got < float64(busy.inFlight) {
+		t.Errorf("load %v is under own in-flight %d", got, busy.inFlight)
 	}
 	for i := range Micros(400) {
 		busy.probing = false
-		b.probe(24_000+i, busy)
+		b.sendLoadProbe(24_000+i, busy)
 		b.LoadProbeResult(25_000+i, busy.ID, OK, 500, []float32{5})
 	}
-	if b.reportsLate {
+	if b.reportsAreLate {
 		t.Error("not left again")
 	}
 }
@@ -121,13 +121,13 @@
 	for _, age := range []Micros{15_000, 500_000} {
 		b, r := start(t, testSettings(), ready(2))
 		b.RequestArrived(1000, request0(1, 0, 1000))
-		busy := b.byID[r.sends[0].endpoint]
+		busy := b.endpointsByID[r.sends[0].endpoint]
 		for i := range Micros(100) {
 			busy.probing = false
-			b.probe(1000+age+10*i-500, busy)
+			b.sendLoadProbe(1000+age+10*i-500, busy)
 			b.LoadProbeResult(1000+age+10*i, busy.ID, OK, 500, []float32{0})
 		}
-		if b.reportsLate {
+		if b.reportsAreLate {
 			t.Errorf("reports are held to be late for an attempt %d ms old", age/1000)
 		}
 	}
@@ -137,7 +137,7 @@
 // the queue that a probe's wait tells the longer.
 func TestWorkIsNotLearnedByAnAssumedQueue(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
-	before := b.classes[0].work.v
+	before := b.classes[0].meanWork.value
 	for i := range uint64(200) {
 		now := second + Micros(i)*10_000
 		b.LoadProbeResult(now, 1, OK, 500, []float32{0})                  // the way there
@@ -147,7 +147,7 @@
 			b.AttemptFinished(now+5000, Outcome{ID: i, Endpoint: 1, Status: OK, Latency: Micros(before), RequestDone: true})
 		}
 	}
-	if got := b.classes[0].work.v; got < before*0.9 || len(r.sends) < 100 {
+	if got := b.classes[0].meanWork.value; got < before*0.9 || len(r.sends) < 100 {
 		t.Errorf("work of %.0f us is held to be %.0f after %d answers that took as long", before, got, len(r.sends))
 	}
 }
@@ -160,7 +160,7 @@
 		from, to int
 	}{{second / 100, 3, 6}, {second, 28, 33}} {
 		b, r := start(t, testSettings(), ready(1))
-		b.classes[0].work.v = float64(100 * second)
+		b.classes[0].meanWork.value = float64(100 * second)
 		for i := range uint64(300) {
 			now := 10*second + Micros(i)*c.gap
 			b.RequestArrived(now, request0(i, 0, now))
@@ -168,8 +168,8 @@
 		if n := len(r.sends); n < c.from || n > c.to {
 			t.Errorf("a request every %d us: %d of 300 sent, want %d to %d", c.gap, n, c.from, c.to)
 		}
-		if len(r.refused) != 300-len(r.sends) {
-			t.Errorf("%d refused, %d sent", len(r.refused), len(r.sends))
+		if len(r.rejected) != 300-len(r.sends) {
+			t.Errorf("%d refused, %d sent", len(r.rejected), len(r.sends))
 		}
 	}
 }
@@ -222,11 +222,11 @@
 		}
 	}
 	over, within := &request{Request: Request{Tenant: 0}}, &request{Request: Request{Tenant: 1}}
-	b.refused.v = 0.5
-	if o, w := b.shareWorth(100_000, over), b.shareWorth(100_000, within); w != 1 || o > 0.6 {
+	b.rejectedFraction.value = 0.5
+	if o, w := b.quotaWeight(100_000, over), b.quotaWeight(100_000, within); w != 1 || o > 0.6 {
 		t.Errorf("weights %v over, %v within the share", o, w)
 	}
-	if got := b.shareWorth(100_000, &request{Request: Request{Tenant: 9}}); got != 1 {
+	if got := b.quotaWeight(100_000, &request{Request: Request{Tenant: 9}}); got != 1 {
 		t.Errorf("unknown tenant: %v", got)
 	}
 }
@@ -252,10 +252,10 @@
 func TestLateReportsAllowTheWholeAim(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(1))
 	r := &request{Request: request0(1, 0, 0), work: 50_000}
-	b.classes[0].asked.add(0, 1)
-	before := b.room(0, r, b.list[0])
-	b.reportsLate = true
-	if after := b.room(0, r, b.list[0]); after <= before || after != float64(b.s.Classes[0].LatencyObjective) {
+	b.classes[0].arrivals.add(0, 1)
+	before := b.latencyBudget(0, r, b.endpoints[0])
+	b.reportsAreLate = true
+	if after := b.latencyBudget(0, r, b.endpoints[0]); after <= before || after != float64(b.settings.Classes[0].LatencyObjective) {
 		t.Errorf("limit %v before, %v while late", before, after)
 	}
 }
@@ -265,15 +265,15 @@
 func TestColdEndpointIsExpectedToBeSlow(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
 	b.UpdateEndpoints(1000, UpdateDelta, []Endpoint{{ID: 9, State: Ready, StartTime: 1000}})
-	e := b.byID[9]
-	if got := e.paceNow(1000, b); !near(got, 5) { // warmth 0.2
+	e := b.endpointsByID[9]
+	if got := e.expectedServiceTime(1000, b); !near(got, 5) { // warmth 0.2
 		t.Errorf("pace %v just started", got)
 	}
-	e.pace, e.paceAt = ewma{v: 2, seen: true}, 6*second
-	if got := e.paceNow(6*second, b); got < 2.9 || got > 3 { // warmth 0.68
+	e.serviceTime, e.serviceTimeAt = ewma{value: 2, initialized: true}, 6*second
+	if got := e.expectedServiceTime(6*second, b); got < 2.9 || got > 3 { // warmth 0.68
 		t.Errorf("pace %v half way", got)
 	}
-	if got := e.paceNow(12*second, b); got > 2 {
+	if got := e.expectedServiceTime(12*second, b); got > 2 {
 		t.Errorf("pace %v once warm", got)
 	}
 }
@@ -295,15 +295,15 @@
 			if len(r.sends) == 0 || r.sends[len(r.sends)-1].id != id {
 				continue // refused
 			}
-			latency := Micros(times * b.requests[id].attempts[0].expected)
+			latency := Micros(times * b.requests[id].attempts[0].expectedLatency)
 			b.AttemptFinished(now, Outcome{ID: id, Endpoint: r.sends[len(r.sends)-1].endpoint, Status: OK,
 				Latency: latency, RequestDone: true})
 		}
 	}
 	one := func(now Micros) float64 {
 		b.LoadProbeResult(now, 1, OK, 500, []float32{0})
-		b.byID[1].pace, b.byID[1].paceAt = ewma{v: 1, seen: true}, now
-		return b.predict(now, b.byID[1], 10_000)
+		b.endpointsByID[1].serviceTime, b.endpointsByID[1].serviceTimeAt = ewma{value: 1, initialized: true}, now
+		return b.predictLatency(now, b.endpointsByID[1], 10_000)
 	}
 	serve(0, 50, 1)
 	before := one(60_000)
@@ -328,7 +328,7 @@
 		{"hints tell all", func(hint Micros) Micros { return hint }, 0.85, 1},
 	} {
 		b, r := start(t, testSettings(), ready(4))
-		hints := source(3)
+		hints := randomSource(3)
 		for i := range 4000 {
 			now := 10_000 * Micros(i)
 			hint := 5_000 + hints.below(60_000)
@@ -338,8 +338,8 @@
 					Latency: c.latency(hint), RequestDone: true})
 			}
 		}
-		if b.trust < c.from || b.trust > c.to {
-			t.Errorf("%s: trust %.2f, want %.2f to %.2f", c.name, b.trust, c.from, c.to)
+		if b.hintExponent < c.from || b.hintExponent > c.to {
+			t.Errorf("%s: trust %.2f, want %.2f to %.2f", c.name, b.hintExponent, c.from, c.to)
 		}
 	}
 }
@@ -347,17 +347,17 @@
 // A balancer that refuses everything must still learn when it may stop.
 func TestProbesGoOnWhileAllIsRefused(t *testing.T) {
 	s := testSettings()
-	s.Costs.LoadProbe = probeSpend // one probe a request
+	s.Costs.LoadProbe = probeCostLimit // one probe a request
 	b, _ := start(t, s, ready(4))
 	for i := range 1000 {
-		b.demand.add(5000*Micros(i), 1)
+		b.requestRate.add(5000*Micros(i), 1)
 	}
 	now := 5 * second
-	b.refused.v = 0
-	all := b.probeRate(now)
-	for _, c := range []struct{ refused, want float64 }{{0.5, 0.5}, {0.9, firstTries}, {1, firstTries}} {
-		b.refused.v = c.refused
-		if got := b.probeRate(now) / all; math.Abs(got-c.want) > 0.001 {
+	b.rejectedFraction.value = 0
+	all := b.loadProbeRate(now)
+	for _, c := range []struct{ refused, want float64 }{{0.5, 0.5}, {0.9, minAdmittedFraction}, {1, minAdmittedFraction}} {
+		b.rejectedFraction.value = c.refused
+		if got := b.loadProbeRate(now) / all; math.Abs(got-c.want) > 0.001 {
 			t.Errorf("refused %v: %v of the pace, want %v", c.refused, got, c.want)
 		}
 	}
@@ -373,7 +373,7 @@
 		if len(r.probes) != 0 {
 			t.Errorf("%d probes at the start", len(r.probes))
 		}
-		b.TimerFired(second, tokenProbe)
+		b.TimerFired(second, timerProbeRound)
 		r.probes, r.timers = nil, nil
 		b.RequestArrived(2*second, request0(1, 0, 2*second))
 		if len(r.sends) != 0 || len(r.probes) < 2 {
@@ -411,7 +411,7 @@
 		answer(b, r, i, 0)
 	}
 	b.TimerFired(2*second+50_000, r.timers[len(r.timers)-1])
-	if len(r.sends)+len(r.refused)+len(r.failed) != 0 || len(b.held) != 0 {
+	if len(r.sends)+len(r.rejected)+len(r.failed) != 0 || len(b.probeWaiters) != 0 {
 		t.Error("a request that its client left is still acted on")
 	}
 }
@@ -421,17 +421,17 @@
 	s := testSettings()
 	s.LoadReportFields = []LoadField{LoadFieldThroughput, LoadFieldUtilization}
 	b, _ := start(t, s, ready(2))
-	e := b.byID[1]
+	e := b.endpointsByID[1]
 	b.LoadProbeResult(1000, 1, OK, 500, []float32{90, 0.5})
-	if got := b.load(1000, e); got != 0.5*cores {
+	if got := b.estimateLoad(1000, e); got != 0.5*defaultConcurrency {
 		t.Errorf("load %v of a half busy endpoint", got)
 	}
 	b.LoadProbeResult(2000, 1, OK, 160_500, []float32{90, 0.5})
-	if got := b.load(1000, e); got < 2*cores {
+	if got := b.estimateLoad(1000, e); got < 2*defaultConcurrency {
 		t.Errorf("load %v, though the probe waited for two requests' work", got)
 	}
 	b.LoadProbeResult(3000, 1, Rejected, 500, nil)
-	if e.answerAt != 0 {
+	if e.reportedAt != 0 {
 		t.Error("an endpoint that turns probes away keeps its place in the pool")
 	}
 }
@@ -443,15 +443,15 @@
 	s.Balancers = 1
 	s.LoadReportFields = []LoadField{LoadFieldInFlight, LoadFieldQueueLength}
 	b, r := start(t, s, ready(2))
-	work := b.classes[0].work.v
+	work := b.classes[0].meanWork.value
 	for i := range Micros(20) {
 		b.LoadProbeResult(1000+i, 1, OK, 500, []float32{8, 2})
 	}
 	b.LoadProbeResult(2000, 2, OK, 500, []float32{5, 0})
-	if got, want := b.predict(2000, b.byID[2], work), b.zones[0].way.v+work; got > 1.05*want {
+	if got, want := b.predictLatency(2000, b.endpointsByID[2], work), b.zones[0].roundTrip.value+work; got > 1.05*want {
 		t.Errorf("%.0f us expected of an endpoint that holds 5 of the 6 it works at, want %.0f", got, want)
 	}
-	b.classes[0].work.v = 250_000 // too much to stand in line, but in time if started at once
+	b.classes[0].meanWork.value = 250_000 // too much to stand in line, but in time if started at once
 	b.RequestArrived(3000, request0(1, 0, 3000))
 	if len(r.sends) != 1 || r.sends[0].endpoint != 2 {
 		t.Errorf("sends %v, want one to the endpoint where nobody waits", r.sends)
@@ -463,17 +463,17 @@
 	s := testSettings()
 	s.Balancers = 1000
 	b, r := start(t, s, ready(40))
-	b.TimerFired(second, tokenProbe)
+	b.TimerFired(second, timerProbeRound)
 	for id := range uint64(40) {
 		now := 2*second + 100_000*Micros(id)
 		r.timers = nil
 		b.RequestArrived(now, Request{ID: id, Deadline: now + second})
 		b.TimerFired(now+40_000, r.timers[len(r.timers)-1])
 	}
-	if b.zones[0].usual.v < cores {
-		t.Errorf("usual load %v though no probe is answered", b.zones[0].usual.v)
+	if b.zones[0].baselineLoad.value < defaultConcurrency {
+		t.Errorf("usual load %v though no probe is answered", b.zones[0].baselineLoad.value)
 	}
-	if len(r.refused) == 0 {
+	if len(r.rejected) == 0 {
 		t.Error("nothing refused though no probe is answered")
 	}
 }
@@ -481,7 +481,7 @@
 // A few long answers must not make an endpoint refuse where nobody waits.
 func TestIdleEndpointIsNotRefused(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
-	b.list[0].pace, b.list[0].paceAt = ewma{v: 9, seen: true}, 1000
+	b.endpoints[0].serviceTime, b.endpoints[0].serviceTimeAt = ewma{value: 9, initialized: true}, 1000
 	b.LoadProbeResult(1000, 1, OK, 500, []float32{0})
 	b.RequestArrived(2000, request0(1, 0, 2000))
 	if len(r.sends) != 1 {
@@ -492,7 +492,7 @@
 // Requests passed into a jam keep it jammed: each that earns nothing makes the next rarer.
 func TestPassesThatFailGetRarer(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
-	b.classes[0].work.v = float64(100 * second)
+	b.classes[0].meanWork.value = float64(100 * second)
 	passed := [2]int{}
 	for i := range uint64(400) {
 		now := 10*second + Micros(i)*second
@@ -506,15 +506,15 @@
 	if passed[0] < 3 || passed[0] > 8 || passed[1] > 2 {
 		t.Errorf("%d of the first 200 passed and %d of the next", passed[0], passed[1])
 	}
-	b.passOf = passMost
+	b.forcedAdmissionInterval = maxForcedAdmissionInterval
 	r.sends = nil
-	b.zones[0].trend, b.classes[0].work.v = 1, 1000
+	b.zones[0].trend, b.classes[0].meanWork.value = 1, 1000
 	b.RequestArrived(500*second, request0(1000, 0, 500*second))
 	b.AttemptFinished(501*second, Outcome{ID: 1000, Endpoint: 1, Status: OK, Latency: 1000, RequestDone: true})
 	b.RequestArrived(502*second, request0(1001, 0, 502*second))
 	b.AttemptFinished(502*second+1000, Outcome{ID: 1001, Endpoint: 1, Status: OK, Latency: 1000, RequestDone: true})
-	if b.passOf != passLeast {
-		t.Errorf("one of %d passes after an answer in time", b.passOf)
+	if b.forcedAdmissionInterval != minForcedAdmissionInterval {
+		t.Errorf("one of %d passes after an answer in time", b.forcedAdmissionInterval)
 	}
 }
 
@@ -530,7 +530,7 @@
 		"too late by then": {390_000, 1},
 	} {
 		b, r := start(t, testSettings(), ready(1))
-		b.classes[3].work.v = 100_000
+		b.classes[3].meanWork.value = 100_000
 		b.LoadProbeResult(500, 1, OK, 500, []float32{0})
 		b.RequestArrived(1000, request0(1, 3, 1000))
 		b.LoadProbeResult(c.at-100, 1, OK, 500, []float32{5}) // of which one is ours
@@ -545,17 +545,17 @@
 // times: each tells the same.
 func TestTrendCountsABatchOnce(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
-	b.classes[0].work.v = 1000
+	b.classes[0].meanWork.value = 1000
 	for i := range uint64(100) {
 		b.RequestArrived(second, request0(i, 0, second))
 	}
-	slow := Micros(2 * b.requests[50].attempts[0].expected)
+	slow := Micros(2 * b.requests[50].attempts[0].expectedLatency)
 	for i := range uint64(100) {
 		a := b.requests[i].attempts[0]
-		b.AttemptFinished(second+slow, Outcome{ID: i, Endpoint: a.ep.ID, Status: OK, Latency: Micros(2 * a.expected), RequestDone: true})
+		b.AttemptFinished(second+slow, Outcome{ID: i, Endpoint: a.endpoint.ID, Status: OK, Latency: Micros(2 * a.expectedLatency), RequestDone: true})
 	}
-	if len(r.sends) != 100 || b.zones[0].trend > 2*trendNoise {
-		t.Errorf("trend %.1f after %d answers twice as slow as expected, want %.1f at most", b.zones[0].trend, len(r.sends), 2*trendNoise)
+	if len(r.sends) != 100 || b.zones[0].trend > 2*trendNoiseMargin {
+		t.Errorf("trend %.1f after %d answers twice as slow as expected, want %.1f at most", b.zones[0].trend, len(r.sends), 2*trendNoiseMargin)
 	}
 }
 
@@ -563,8 +563,8 @@
 // fleet is known to be well again.
 func TestPassesThatServeEndTheRefusals(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
-	b.classes[0].work.v = 250_000
-	b.zones[0].trend, b.zones[0].trendAt = trendMost, 10*second
+	b.classes[0].meanWork.value = 250_000
+	b.zones[0].trend, b.zones[0].trendUpdatedAt = maxTrend, 10*second
 	const gap = second / 200
 	last := Micros(0) // refusal
 	for i := range uint64(1000) {
@@ -585,17 +585,17 @@
 // Where all is refused nothing comes back that could tell of a recovery: the refusals must end by themselves.
 func TestSlownessThatNothingConfirmsFades(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
-	b.classes[0].work.v = 100_000
-	b.zones[0].trend, b.zones[0].trendAt, b.passOf = trendMost, 10*second, passMost
+	b.classes[0].meanWork.value = 100_000
+	b.zones[0].trend, b.zones[0].trendUpdatedAt, b.forcedAdmissionInterval = maxTrend, 10*second, maxForcedAdmissionInterval
 	for i, c := range []struct {
 		at      Micros
 		refused int
 	}{{10*second + 1, 1}, {16 * second, 1}} {
 		b.LoadProbeResult(c.at, 1, OK, 500, []float32{0})
-		b.classes[0].passed = c.at // no pass is due
+		b.classes[0].forcedAt = c.at // no pass is due
 		b.RequestArrived(c.at, request0(uint64(i), 0, c.at))
-		if len(r.refused) != c.refused || len(r.sends) != i {
-			t.Errorf("%d refused and %d sent by %.1f s", len(r.refused), len(r.sends), float64(c.at)/1e6)
+		if len(r.rejected) != c.refused || len(r.sends) != i {
+			t.Errorf("%d refused and %d sent by %.1f s", len(r.rejected), len(r.sends), float64(c.at)/1e6)
 		}
 	}
 }
@@ -611,12 +611,12 @@
 		list[i].Zone = uint8(i % 5)
 	}
 	b, r := start(t, s, list)
-	at := func(id uint32) bool { return int(b.byID[id].Zone) == s.Zone }
+	at := func(id uint32) bool { return int(b.endpointsByID[id].Zone) == s.Zone }
 	var sends, probes int
 	for i := range uint64(400) {
 		now := second + 50_000*Micros(i)
 		if i%20 == 0 {
-			b.TimerFired(now, tokenProbe)
+			b.TimerFired(now, timerProbeRound)
 			id := r.probes[len(r.probes)-1]
 			b.LoadProbeResult(now+500, id, OK, 500, []float32{2})
 		}
@@ -624,10 +624,10 @@
 		b.AttemptFinished(now+30_000, Outcome{ID: i, Endpoint: r.sends[i].endpoint, Status: OK, Latency: 29_000, RequestDone: true})
 	}
 	for _, a := range r.sends {
-		sends += int(share(at(a.endpoint)))
+		sends += int(indicator(at(a.endpoint)))
 	}
 	for _, id := range r.probes {
-		probes += int(share(at(id)))
+		probes += int(indicator(at(id)))
 	}
 	if sends < 380 || 2*probes < len(r.probes) {
 		t.Errorf("%d of %d requests and %d of %d probes stay at home", sends, len(r.sends), probes, len(r.probes))
@@ -644,7 +644,7 @@
 		list[i].Zone = uint8(i % 5)
 	}
 	b, r := start(t, s, list)
-	b.classes[0].work.v = 40_000
+	b.classes[0].meanWork.value = 40_000
 	for i := range uint64(200) {
 		now := second + 10_000*Micros(i)
 		b.RequestArrived(now, request0(i, 0, now))
@@ -656,10 +656,10 @@
 		if a.zone == 0 {
 			latency = 350_000
 		}
-		b.AttemptFinished(now+1000, Outcome{ID: i, Endpoint: a.ep.ID, Status: OK, Latency: latency, RequestDone: true})
+		b.AttemptFinished(now+1000, Outcome{ID: i, Endpoint: a.endpoint.ID, Status: OK, Latency: latency, RequestDone: true})
 	}
-	if len(r.refused) > 40 {
-		t.Errorf("%d of 200 requests are refused though four zones of five are quick", len(r.refused))
+	if len(r.rejected) > 40 {
+		t.Errorf("%d of 200 requests are refused though four zones of five are quick", len(r.rejected))
 	}
 }
 
@@ -672,7 +672,7 @@
 		}
 		b, _ := start(t, testSettings(), list)
 		for range 50 {
-			if e := b.draw(1000, &request{Request: request0(1, 0, 1000)}, b.list, nil, 0); (e == nil) != (n == 0) {
+			if e := b.drawRandom(1000, &request{Request: request0(1, 0, 1000)}, b.endpoints, nil, 0); (e == nil) != (n == 0) {
 				t.Fatalf("%d endpoints: drew %v", n, e)
 			}
 		}
@@ -688,13 +688,13 @@
 		list[i].Zone = uint8(i % 2)
 	}
 	b, r := start(t, s, list)
-	b.zones[0].way, b.zones[1].way = ewma{v: 500, seen: true}, ewma{v: 30_000, seen: true}
-	b.TimerFired(second, tokenProbe)
+	b.zones[0].roundTrip, b.zones[1].roundTrip = ewma{value: 500, initialized: true}, ewma{value: 30_000, initialized: true}
+	b.TimerFired(second, timerProbeRound)
 	for id := range uint64(20) {
 		b.RequestArrived(2*second, request0(id, 0, 2*second))
 	}
 	for _, e := range r.probes {
-		if b.byID[e].Zone != 0 {
+		if b.endpointsByID[e].Zone != 0 {
 			t.Fatalf("probe of endpoint %d, 30 ms away, for a wait of 40 ms", e)
 		}
 	}
@@ -716,14 +716,14 @@
 		b.Start(0)
 		b.UpdateEndpoints(0, UpdateCached, ready(10))
 		for i := range Micros(10) {
-			b.sentWork.add(i*second, 80_000) // one request a second
+			b.startedWork.add(i*second, 80_000) // one request a second
 		}
 		b.UpdateEndpoints(10*second, UpdateDelta, []Endpoint{{ID: 11, Weight: 1, StartTime: 10 * second}})
 		for i := range Micros(6) {
-			b.sentWork.add((10+i)*second, 80_000)
-			b.coldRoom((10+i)*second, b.byID[11], 80_000)
+			b.startedWork.add((10+i)*second, 80_000)
+			b.hasSlowStartBudget((10+i)*second, b.endpointsByID[11], 80_000)
 		}
-		if b.coldRoom(15*second, b.byID[11], 80_000) {
+		if b.hasSlowStartBudget(15*second, b.endpointsByID[11], 80_000) {
 			allowed++
 		}
 	}
--- a/balancer/probe_wait.go
+++ b/balancer/probe_wait.go
@@ -3,60 +3,60 @@
 import "slices"
 
 const (
-	askSpend = 0.02 // of the result, at most, goes to probes asked for single requests
-	holdPart = 0.1  // of its aim, at most, a request waits for the probes asked for it
+	onDemandProbeCostLimit = 0.02 // of the result, at most, goes to probes asked for single requests
+	maxProbeWaitFraction   = 0.1  // of its aim, at most, a request waits for the probes asked for it
 )
 
-// hold probes a few random endpoints for r and keeps it until they answer.
-func (b *Balancer) hold(now Micros, r *request) bool {
+// awaitProbes probes a few random endpoints for r and keeps it until they answer.
+func (b *Balancer) awaitProbes(now Micros, r *request) bool {
 	// While most is refused, most go without: clients retry, and their probes alone would fill the fleet.
-	asking := b.sparse && b.s.Limits.AllowLoadProbes && len(b.s.LoadReportFields) > 0
-	if !asking || b.rng.float() > max(firstTries, 2-2*b.refused.v) {
+	asking := b.probesOnDemand && b.settings.Limits.AllowLoadProbes && len(b.settings.LoadReportFields) > 0
+	if !asking || b.random.float() > max(minAdmittedFraction, 2-2*b.rejectedFraction.value) {
 		return false
 	}
-	wait := min(holdPart*float64(b.class(r).LatencyObjective), float64(r.Deadline-now)/4)
-	for i := range int(b.asks) {
+	wait := min(maxProbeWaitFraction*float64(b.classOf(r).LatencyObjective), float64(r.Deadline-now)/4)
+	for i := range int(b.probesPerRequest) {
 		// One of its own zone, and others whose answer can come in time: from afar it would come too late,
 		// and an endpoint heard of so late would serve late. While much is refused, a way out is looked for.
 		far := wait / 2
 		if i == 0 {
 			far = 0
-		} else if b.rng.float() < b.refused.v {
+		} else if b.random.float() < b.rejectedFraction.value {
 			far = wait
 		}
-		e := b.draw(now, r, b.list, nil, far)
+		e := b.drawRandom(now, r, b.endpoints, nil, far)
 		if e == nil {
 			return false
 		}
-		if !slices.Contains(r.awaits, e) {
-			b.probe(now, e)
-			r.awaits = append(r.awaits, e)
+		if !slices.Contains(r.awaitedEndpoints, e) {
+			b.sendLoadProbe(now, e)
+			r.awaitedEndpoints = append(r.awaitedEndpoints, e)
 		}
 	}
-	r.held = true
-	b.held = append(b.held, r)
-	b.out.SetTimer(max(1, Micros(wait)), r.token)
+	r.awaitingProbes = true
+	b.probeWaiters = append(b.probeWaiters, r)
+	b.actions.SetTimer(max(1, Micros(wait)), r.timerToken)
 	return true
 }
 
-// heard sends the requests that waited for e's answer alone.
-func (b *Balancer) heard(now Micros, e *endpoint) {
-	for i := len(b.held) - 1; i >= 0; i = min(i, len(b.held)) - 1 {
-		r := b.held[i]
-		waited := len(r.awaits)
-		r.awaits = slices.DeleteFunc(r.awaits, func(a *endpoint) bool { return a == e })
+// probeFinished sends the requests that waited for e's answer alone.
+func (b *Balancer) probeFinished(now Micros, e *endpoint) {
+	for i := len(b.probeWaiters) - 1; i >= 0; i = min(i, len(b.probeWaiters)) - 1 {
+		r := b.probeWaiters[i]
+		waited := len(r.awaitedEndpoints)
+		r.awaitedEndpoints = slices.DeleteFunc(r.awaitedEndpoints, func(a *endpoint) bool { return a == e })
 		// Nothing beats an endpoint that has room at once.
-		idle := e.answerAt == now && e.others+float64(e.inflight) <= b.width(e)-1
-		if len(r.awaits) < waited && (idle || len(r.awaits) == 0) {
-			b.decide(now, r)
+		idle := e.reportedAt == now && e.externalLoad+float64(e.inFlight) <= b.concurrency(e)-1
+		if len(r.awaitedEndpoints) < waited && (idle || len(r.awaitedEndpoints) == 0) {
+			b.admitOrReject(now, r)
 		}
 	}
 }
 
-// release ends r's wait for probes.
-func (b *Balancer) release(r *request) {
-	if r.held {
-		r.held, r.awaits = false, r.awaits[:0]
-		b.held = slices.DeleteFunc(b.held, func(h *request) bool { return h == r })
+// stopAwaitingProbes ends r's wait for probes.
+func (b *Balancer) stopAwaitingProbes(r *request) {
+	if r.awaitingProbes {
+		r.awaitingProbes, r.awaitedEndpoints = false, r.awaitedEndpoints[:0]
+		b.probeWaiters = slices.DeleteFunc(b.probeWaiters, func(h *request) bool { return h == r })
 	}
 }
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -5,20 +5,20 @@
 // request is the ledger's record of a request and its attempts.
 type request struct {
 	Request
-	token    uint32 // of its timers
-	arrived  Micros
-	work     float64
-	value    float64 // of its class and tenant, 0 to 1, when last decided
-	hint     float64 // logarithm of its hint over the mean of its class
-	attempts []attempt
-	out      int     // attempts without outcome
-	ended    bool    // the final answer is out
-	stream   bool    // an answer has begun: the attempt is the client's
-	pass     bool    // it was sent although it seemed too late
-	good     float64 // 1 once answered within its aim
-	held     bool    // it waits for probes
-	spent    bool    // it cannot be sent again
-	awaits   []*endpoint
+	timerToken       uint32 // of its timers
+	arrivedAt        Micros
+	work             float64
+	priority         float64 // of its class and tenant, 0 to 1, when last decided
+	logHintRatio     float64 // logarithm of its hint over the mean of its class
+	attempts         []attempt
+	outstanding      int     // attempts without outcome
+	answered         bool    // the final answer is out
+	streaming        bool    // an answer has begun: the attempt is the client's
+	forced           bool    // it was sent although it seemed too late
+	inTime           float64 // 1 once answered within its aim
+	awaitingProbes   bool    // it waits for probes
+	bodyConsumed     bool    // it cannot be sent again
+	awaitedEndpoints []*endpoint
 }
 
 // RequestArrived handles a client's request.
@@ -27,148 +27,151 @@
 		return
 	}
 	if int(in.Class) >= len(b.classes) {
-		b.out.Reject(in.ID, 0) // nothing is known of it, but an answer is owed
+		b.actions.Reject(in.ID, 0) // nothing is known of it, but an answer is owed
 		return
 	}
 	r := b.newRequest(now, in)
-	b.demand.add(now, 1)
-	b.credit = min(budgetBurst, b.credit+retryShare)
+	b.requestRate.add(now, 1)
+	b.retryTokens = min(maxRetryTokens, b.retryTokens+retryTokensPerRequest)
 	c := &b.classes[in.Class]
-	c.asked.add(now, 1)
+	c.arrivals.add(now, 1)
 	if int(in.Tenant) < len(b.tenants) {
 		b.tenants[in.Tenant].add(now, 1)
 	}
-	r.work = c.work.v
-	if r.hint = 0; in.HasCostHint && in.CostHint > 0 {
-		b.hinted = true
-		c.work.add(float64(in.CostHint), workWeight)
-		r.hint = math.Log(float64(in.CostHint) / c.work.v)
-		r.work = c.work.v * math.Exp(b.trust*r.hint)
+	r.work = c.meanWork.value
+	if r.logHintRatio = 0; in.HasCostHint && in.CostHint > 0 {
+		b.hasSeenCostHint = true
+		c.meanWork.add(float64(in.CostHint), meanWorkWeight)
+		r.logHintRatio = math.Log(float64(in.CostHint) / c.meanWork.value)
+		r.work = c.meanWork.value * math.Exp(b.hintExponent*r.logHintRatio)
 	}
-	if now >= in.Deadline || b.open > b.s.Limits.MaxUnanswered {
-		b.refuse(now, r)
+	if now >= in.Deadline || b.unansweredCount > b.settings.Limits.MaxUnanswered {
+		b.reject(now, r)
 		return
 	}
-	if !b.hold(now, r) {
-		b.decide(now, r)
+	if !b.awaitProbes(now, r) {
+		b.admitOrReject(now, r)
 	}
 }
 
 func (b *Balancer) newRequest(now Micros, in Request) *request {
 	var r *request
-	if n := len(b.free); n > 0 {
-		r, b.free = b.free[n-1], b.free[:n-1]
+	if n := len(b.freeRequests); n > 0 {
+		r, b.freeRequests = b.freeRequests[n-1], b.freeRequests[:n-1]
 	} else {
-		r = &request{token: uint32(len(b.slots) + firstSlot)}
-		b.slots = append(b.slots, r)
+		r = &request{timerToken: uint32(len(b.requestSlots) + firstRequestTimer)}
+		b.requestSlots = append(b.requestSlots, r)
 	}
 	// The high bits count uses of the slot, so that an old timer finds nothing.
-	r.token += 1 << slotBits
-	r.Request, r.arrived, r.attempts, r.out, r.ended, r.stream = in, now, r.attempts[:0], 0, false, false
-	r.good, r.pass, r.held, r.spent, r.awaits = 0, false, false, false, r.awaits[:0]
+	r.timerToken += 1 << timerSlotBits
+	r.Request, r.arrivedAt, r.attempts, r.outstanding, r.answered, r.streaming = in, now,
+		r.attempts[:0], 0, false, false
+	r.inTime, r.forced, r.awaitingProbes, r.bodyConsumed, r.awaitedEndpoints = 0, false, false, false,
+		r.awaitedEndpoints[:0]
 	b.requests[in.ID] = r
-	b.open++
+	b.unansweredCount++
 	return r
 }
 
-func (b *Balancer) class(r *request) *Class { return &b.s.Classes[r.Class] }
+func (b *Balancer) classOf(r *request) *Class { return &b.settings.Classes[r.Class] }
 
-// decide sends a request, or refuses it.
-func (b *Balancer) decide(now Micros, r *request) {
-	b.release(r)
+// admitOrReject sends a request, or refuses it.
+func (b *Balancer) admitOrReject(now Micros, r *request) {
+	b.stopAwaitingProbes(r)
 	first := len(r.attempts) == 0
-	sent := b.attempt(now, r, first)
+	sent := b.pickAndStart(now, r, first)
 	if first {
-		b.refused.add(share(!sent), shareWeight)
+		b.rejectedFraction.add(indicator(!sent), fractionWeight)
 	}
 	if !sent {
-		b.refuse(now, r)
+		b.reject(now, r)
 	}
 }
 
 // BodySent tells that the last byte of a request's body is sent. Its time begins.
 func (b *Balancer) BodySent(now Micros, id uint64, deadline Micros) {
 	r := b.requests[id]
-	if r == nil || r.ended || !r.IsUploading {
+	if r == nil || r.answered || !r.IsUploading {
 		return
 	}
-	r.IsUploading, r.arrived, r.Deadline = false, now, deadline
-	b.out.SetTimer(max(1, deadline-now), r.token)
-	if n := len(r.attempts); n > 0 && r.attempts[n-1].out {
-		r.attempts[n-1].count(now)
+	r.IsUploading, r.arrivedAt, r.Deadline = false, now, deadline
+	b.actions.SetTimer(max(1, deadline-now), r.timerToken)
+	if n := len(r.attempts); n > 0 && r.attempts[n-1].outstanding {
+		r.attempts[n-1].markInFlight(now)
 	}
 }
 
 // ResponseStarted handles the start of a streamed answer: no deadline and no attempt concern it from here on.
 func (b *Balancer) ResponseStarted(now Micros, id uint64, attempt int, latency Micros) {
 	r := b.requests[id]
-	if r == nil || r.ended || attempt < 0 || attempt >= len(r.attempts) {
+	if r == nil || r.answered || attempt < 0 || attempt >= len(r.attempts) {
 		return
 	}
-	r.stream = true
-	b.judge(now, r, true)
+	r.streaming = true
+	b.recordTimeliness(now, r, true)
 }
 
 // ClientDisconnected handles a client that left before its final answer.
 func (b *Balancer) ClientDisconnected(now Micros, id uint64) {
 	if r := b.requests[id]; r != nil {
-		b.end(r)
+		b.finish(r)
 	}
 }
 
-// wake looks at a request whose probes are slow, or whose time is up.
-func (b *Balancer) wake(now Micros, r *request) {
+// requestTimerFired looks at a request whose probes are slow, or whose time is up.
+func (b *Balancer) requestTimerFired(now Micros, r *request) {
 	if now >= r.Deadline {
-		if n := len(r.attempts); n > 0 && r.attempts[n-1].out {
+		if n := len(r.attempts); n > 0 && r.attempts[n-1].outstanding {
 			a := &r.attempts[n-1]
-			b.learnPace(now, r, a, float64(now-a.at), true)
+			b.learnServiceTime(now, r, a, float64(now-a.startedAt), true)
 		}
-		b.refuse(now, r)
-	} else if r.held {
+		b.reject(now, r)
+	} else if r.awaitingProbes {
 		// Only the idle answer in time: to count them alone would show an idle fleet when all of it is jammed.
-		for _, e := range r.awaits {
-			b.zones[e.Zone].usual.add(b.width(e)+b.line(e, float64(now-e.probedAt)), usualWeight)
+		for _, e := range r.awaitedEndpoints {
+			b.zones[e.Zone].baselineLoad.add(b.concurrency(e)+b.queueAhead(e, float64(now-e.probedAt)),
+				baselineLoadWeight)
 		}
-		b.decide(now, r)
+		b.admitOrReject(now, r)
 	}
 }
 
-// refuse gives the final answer "refused" where that is true, else "failed".
-func (b *Balancer) refuse(now Micros, r *request) {
-	if r.ended || !b.mayRefuse(r) {
+// reject gives the final answer "refused" where that is true, else "failed".
+func (b *Balancer) reject(now Micros, r *request) {
+	if r.answered || !b.mayReject(r) {
 		b.fail(r)
 		return
 	}
 	var after Micros
-	if b.s.Limits.AllowRetryAfter {
+	if b.settings.Limits.AllowRetryAfter {
 		// Spread the returns, and let them come while an answer is still wanted.
-		after = Micros((0.1 + 0.2*b.rng.float()) * float64(b.class(r).LatencyObjective))
-		after = min(after, b.s.Limits.MaxRetryAfter)
+		after = Micros((0.1 + 0.2*b.random.float()) * float64(b.classOf(r).LatencyObjective))
+		after = min(after, b.settings.Limits.MaxRetryAfter)
 	}
-	b.out.Reject(r.ID, after)
-	b.end(r)
+	b.actions.Reject(r.ID, after)
+	b.finish(r)
 }
 
 func (b *Balancer) fail(r *request) {
-	if !r.ended {
-		b.out.Fail(r.ID)
-		b.end(r)
+	if !r.answered {
+		b.actions.Fail(r.ID)
+		b.finish(r)
 	}
 }
 
-// end marks that the final answer is out; the record stays for late outcomes.
-func (b *Balancer) end(r *request) {
-	if !r.ended {
-		b.classes[r.Class].good.add(r.good, 0.02)
-		r.ended = true
-		b.release(r)
-		b.open--
-		if n := len(r.attempts); r.out > 0 && b.s.Limits.AllowCancel {
-			b.out.CancelAttempt(r.ID, n-1)
+// finish marks that the final answer is out; the record stays for late outcomes.
+func (b *Balancer) finish(r *request) {
+	if !r.answered {
+		b.classes[r.Class].inTimeFraction.add(r.inTime, 0.02)
+		r.answered = true
+		b.stopAwaitingProbes(r)
+		b.unansweredCount--
+		if n := len(r.attempts); r.outstanding > 0 && b.settings.Limits.AllowCancel {
+			b.actions.CancelAttempt(r.ID, n-1)
 		}
 	}
-	if r.out == 0 && b.requests[r.ID] == r {
+	if r.outstanding == 0 && b.requests[r.ID] == r {
 		delete(b.requests, r.ID)
-		b.free = append(b.free, r)
+		b.freeRequests = append(b.freeRequests, r)
 	}
 }
--- a/balancer/retry_budget.go
+++ b/balancer/retry_budget.go
@@ -1,6 +1,6 @@
 package balancer
 
 const (
-	budgetBurst = 10.0
-	retryShare  = 0.2 // retries earned by each request
+	maxRetryTokens        = 10.0
+	retryTokensPerRequest = 0.2 // retries earned by each request
 )
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -23,17 +23,17 @@
 }
 
 type checked struct {
-	in       Request
-	answered int
-	told     bool // it was told that the request is over
-	attempts []checkedAttempt
+	in             Request
+	answered       int
+	clientInformed bool // it was told that the request is over
+	attempts       []checkedAttempt
 }
 
 type checkedAttempt struct {
-	ep     Endpoint
-	at     Micros
-	out    bool
-	mayRun bool
+	ep          Endpoint
+	at          Micros
+	outstanding bool
+	mayHaveRun  bool
 }
 
 type pending struct {
@@ -47,7 +47,7 @@
 
 func (r *checked) bound() *checkedAttempt {
 	for i := range r.attempts {
-		if r.attempts[i].mayRun {
+		if r.attempts[i].mayHaveRun {
 			return &r.attempts[i]
 		}
 	}
@@ -62,7 +62,7 @@
 	}
 	e, known := c.states[endpoint]
 	class := c.s.Classes[r.in.Class]
-	if r.answered > 0 || r.told {
+	if r.answered > 0 || r.clientInformed {
 		c.fault("send after the end of %d", id)
 	}
 	if c.banned[endpoint] {
@@ -75,7 +75,7 @@
 		c.fault("attempt %d of %d", len(r.attempts), id)
 	}
 	for _, a := range r.attempts {
-		if a.out && !c.s.Limits.AllowHedging {
+		if a.outstanding && !c.s.Limits.AllowHedging {
 			c.fault("second copy of %d", id)
 		}
 	}
@@ -89,12 +89,12 @@
 	if _, cold := c.cold[endpoint]; cold {
 		c.coldWork[endpoint]++
 	}
-	r.attempts = append(r.attempts, checkedAttempt{ep: e, at: c.now, out: true, mayRun: true})
+	r.attempts = append(r.attempts, checkedAttempt{ep: e, at: c.now, outstanding: true, mayHaveRun: true})
 }
 
 func (c *checker) final(id uint64) *checked {
 	r := c.reqs[id]
-	if r == nil || r.answered > 0 || r.told {
+	if r == nil || r.answered > 0 || r.clientInformed {
 		c.fault("final answer for %d, which is not open", id)
 		return nil
 	}
@@ -180,7 +180,7 @@
 	statuses := []Status{OK, OK, OK, Error, Rejected, Timeout, ConnectFailed, Reset, Cancelled, NotSent}
 	for range 3000 {
 		c.now += Micros(rnd.Intn(pause))
-		held = max(held, len(b.held))
+		held = max(held, len(b.probeWaiters))
 		for i := 0; i < len(c.timers); {
 			if p := c.timers[i]; p.at <= c.now {
 				c.timers = slices.Delete(c.timers, i, i+1)
@@ -202,18 +202,18 @@
 			r := c.reqs[open[at]]
 			for i := range r.attempts {
 				a := &r.attempts[i]
-				if !a.out {
+				if !a.outstanding {
 					continue
 				}
-				a.out = false
+				a.outstanding = false
 				status := statuses[rnd.Intn(len(statuses))]
 				if status == Rejected || status == ConnectFailed || status == NotSent {
-					a.mayRun = false
+					a.mayHaveRun = false
 				}
-				if status == OK && r.answered == 0 && !r.told {
-					r.told = true
+				if status == OK && r.answered == 0 && !r.clientInformed {
+					r.clientInformed = true
 				}
-				settled := r.answered > 0 || r.told
+				settled := r.answered > 0 || r.clientInformed
 				b.AttemptFinished(c.now, Outcome{ID: r.in.ID, Attempt: i, Endpoint: a.ep.ID, Status: status,
 					Latency: c.now - a.at, RequestDone: settled})
 				break
@@ -221,7 +221,7 @@
 		case n < 16 && len(open) > 0:
 			r := c.reqs[open[rnd.Intn(len(open))]]
 			if r.answered == 0 {
-				r.told = true
+				r.clientInformed = true
 			}
 			b.ClientDisconnected(c.now, r.in.ID)
 		case n < 18:
@@ -267,7 +267,7 @@
 	for range 400 {
 		c.now += 5000
 		for i := 0; i < len(c.timers); {
-			if p := c.timers[i]; p.at <= c.now && p.token >= firstSlot {
+			if p := c.timers[i]; p.at <= c.now && p.token >= firstRequestTimer {
 				c.timers = slices.Delete(c.timers, i, i+1)
 				b.TimerFired(c.now, p.token)
 				continue
@@ -276,11 +276,11 @@
 		}
 	}
 	for id, r := range c.reqs {
-		if r.answered == 0 && !r.told {
+		if r.answered == 0 && !r.clientInformed {
 			c.fault("request %d never got a final answer", id)
 		}
 	}
-	if s.Balancers > 2 && s.Limits.AllowLoadProbes && s.Costs.LoadProbe < askSpend && held == 0 {
+	if s.Balancers > 2 && s.Limits.AllowLoadProbes && s.Costs.LoadProbe < onDemandProbeCostLimit && held == 0 {
 		c.fault("no request ever waited for probes: the run says nothing of those that do")
 	}
 	return c.bad
@@ -352,7 +352,7 @@
 			b, r := start(t, s, ready(4)) // endpoints 1, 2 share a zone and a cell; so do 3, 4
 			b.RequestArrived(1000, request0(1, class, 1000))
 			a := b.requests[1].attempts[0]
-			b.AttemptFinished(2000, Outcome{ID: 1, Endpoint: a.ep.ID, Status: status, Latency: 1000})
+			b.AttemptFinished(2000, Outcome{ID: 1, Endpoint: a.endpoint.ID, Status: status, Latency: 1000})
 			sends := len(r.sends)
 			switch kind := s.Classes[class]; {
 			case kind.RetrySafety == NonIdempotent && !never[status]:
@@ -377,8 +377,8 @@
 	b.RequestArrived(1000, request0(1, 3, 1000))
 	first := r.sends[0].endpoint
 	b.AttemptFinished(1000+s.Classes[3].DedupWindow, Outcome{ID: 1, Endpoint: first, Status: Reset})
-	if len(r.sends) != 1 || len(r.failed) != 1 || len(r.refused) != 0 {
-		t.Errorf("after the window: sends %v, failed %v, refused %v", r.sends, r.failed, r.refused)
+	if len(r.sends) != 1 || len(r.failed) != 1 || len(r.rejected) != 0 {
+		t.Errorf("after the window: sends %v, failed %v, refused %v", r.sends, r.failed, r.rejected)
 	}
 }
 
@@ -386,26 +386,26 @@
 	b, r := start(t, testSettings(), nil)
 	b.RequestArrived(1000, request0(1, 4, 1000))
 	b.RequestArrived(1000, Request{ID: 2, Deadline: 500})
-	if len(r.refused) != 2 || b.open != 0 || len(b.requests) != 0 {
-		t.Errorf("refused %v, open %d", r.refused, b.open)
+	if len(r.rejected) != 2 || b.unansweredCount != 0 || len(b.requests) != 0 {
+		t.Errorf("refused %v, open %d", r.rejected, b.unansweredCount)
 	}
 }
 
 func TestUnansweredAttemptEndsAtTheDeadline(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.RequestArrived(1000, request0(1, 4, 1000))
-	token := b.requests[1].token
+	token := b.requests[1].timerToken
 	b.TimerFired(1000+second, token)
 	if len(r.failed) != 1 || len(r.cancels) != 1 {
 		t.Fatalf("failed %v, cancelled %v", r.failed, r.cancels)
 	}
 	b.AttemptFinished(2*second, Outcome{ID: 1, Endpoint: 1, Status: OK, Latency: second, RequestDone: true})
-	if b.list[0].br.accepts != 1 || b.list[0].inflight != 0 || len(b.requests) != 0 {
+	if b.endpoints[0].breaker.accepts != 1 || b.endpoints[0].inFlight != 0 || len(b.requests) != 0 {
 		t.Error("a late outcome must still feed the statistics")
 	}
 	b.RequestArrived(3*second, request0(2, 0, 3*second))
 	b.TimerFired(3*second, token) // of the ended request, whose slot is in use again
-	if len(r.failed) != 1 || len(r.refused) != 0 {
+	if len(r.failed) != 1 || len(r.rejected) != 0 {
 		t.Error("an old timer ended another request")
 	}
 }
@@ -424,9 +424,9 @@
 	}
 }
 
-// coldSends counts sends to a cold endpoint over the overload window just
+// slowStartSends counts sends to a cold endpoint over the overload window just
 // after its start, beside nine warm ones under a steady load.
-func coldSends(t *testing.T, rate int, colds int) (cold []int, warm float64) {
+func slowStartSends(t *testing.T, rate int, colds int) (cold []int, warm float64) {
 	t.Helper()
 	s := testSettings()
 	list := ready(10)
@@ -465,7 +465,7 @@
 
 func TestColdEndpointGetsItsRampShare(t *testing.T) {
 	for _, c := range []struct{ rate, colds int }{{100, 1}, {500, 1}, {500, 2}, {2000, 2}} {
-		cold, warm := coldSends(t, c.rate, c.colds)
+		cold, warm := slowStartSends(t, c.rate, c.colds)
 		for _, n := range cold {
 			// Warmth goes from 0.2 to 0.28 in this second; one request may round up.
 			if float64(n) > 0.28*warm+1 {
@@ -497,10 +497,10 @@
 	now := Micros(0)
 	fire := func() {
 		for i, token := range r.timers {
-			if token == tokenDiscovery {
+			if token == timerDiscoveryPoll {
 				now += r.delays[i]
 				r.timers, r.delays = nil, nil
-				b.TimerFired(now, tokenDiscovery)
+				b.TimerFired(now, timerDiscoveryPoll)
 				return
 			}
 		}
@@ -520,12 +520,12 @@
 			t.Fatalf("asked only after %d", now-before)
 		}
 	}
-	if len(b.list) != 2 {
+	if len(b.endpoints) != 2 {
 		t.Error("a failed call changed the list")
 	}
 	b.UpdateEndpoints(now, UpdateDelta, nil)
 	n := r.watches
-	b.TimerFired(now+100*second, tokenDiscovery)
+	b.TimerFired(now+100*second, timerDiscoveryPoll)
 	if r.watches != n {
 		t.Error("asked again while subscribed")
 	}
@@ -535,8 +535,8 @@
 	b, r := start(t, testSettings(), ready(2))
 	b.RequestArrived(1000, request0(1, 0, 1000))
 	b.ResponseStarted(2000, 1, 0, 1000)
-	b.TimerFired(2*second, b.requests[1].token)
-	if len(r.sends) != 1 || len(r.refused)+len(r.failed) != 0 {
+	b.TimerFired(2*second, b.requests[1].timerToken)
+	if len(r.sends) != 1 || len(r.rejected)+len(r.failed) != 0 {
 		t.Error("a stream that began was given an end or a copy")
 	}
 	b.AttemptFinished(3*second, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: OK, Latency: 3 * second, RequestDone: true})
@@ -552,7 +552,7 @@
 			now := Micros(i) * 7000
 			b.RequestArrived(now, request0(i, uint8(i%5), now))
 			if i%3 == 0 {
-				b.TimerFired(now, tokenProbe)
+				b.TimerFired(now, timerProbeRound)
 				b.LoadProbeResult(now, uint32(i%5+1), OK, 500, []float32{float32(i % 4)})
 			}
 			last := r.sends[len(r.sends)-1]
@@ -604,8 +604,8 @@
 		b.LoadProbeResult(now, 1, OK, 500, []float32{50})
 		b.RequestArrived(now, request0(id, 0, now))
 	}
-	if len(r.refused) < 150 {
-		t.Fatalf("only %d refused", len(r.refused))
+	if len(r.rejected) < 150 {
+		t.Fatalf("only %d refused", len(r.rejected))
 	}
 	if len(r.logs) != 1 || !strings.Contains(r.logs[0], "endpoint 1, would take") {
 		t.Errorf("log: %q", r.logs)
@@ -633,11 +633,11 @@
 			b.RequestArrived(1000, c.in)
 		}
 		for i, token := range r.timers {
-			if token >= firstSlot {
+			if token >= firstRequestTimer {
 				b.TimerFired(max(1000+r.delays[i], c.in.Deadline), token)
 			}
 		}
-		if n := len(r.refused) + len(r.failed); n != 1 || len(r.sends) > 1 {
+		if n := len(r.rejected) + len(r.failed); n != 1 || len(r.sends) > 1 {
 			t.Errorf("%s: %d final answers, %d sends", name, n, len(r.sends))
 		}
 	}
@@ -653,27 +653,27 @@
 	if len(r.sends) != 1 {
 		t.Fatalf("sent %v, want one", r.sends)
 	}
-	e := b.byID[r.sends[0].endpoint]
-	if e.inflight != 0 {
-		t.Errorf("in flight while its body comes: %d", e.inflight)
+	e := b.endpointsByID[r.sends[0].endpoint]
+	if e.inFlight != 0 {
+		t.Errorf("in flight while its body comes: %d", e.inFlight)
 	}
 	for _, token := range r.timers {
 		b.TimerFired(10*second, token)
 	}
-	if len(r.refused)+len(r.failed) != 0 {
+	if len(r.rejected)+len(r.failed) != 0 {
 		t.Fatal("ended while its body comes")
 	}
 	b.BodySent(10*second, 1, 11*second)
-	if e.inflight != 1 {
-		t.Errorf("in flight after its last byte: %d", e.inflight)
+	if e.inFlight != 1 {
+		t.Errorf("in flight after its last byte: %d", e.inFlight)
 	}
-	b.TimerFired(11*second, b.requests[1].token)
-	if len(r.refused) != 1 {
+	b.TimerFired(11*second, b.requests[1].timerToken)
+	if len(r.rejected) != 1 {
 		t.Error("not ended when its time is up")
 	}
 	b.AttemptFinished(11*second, Outcome{ID: 1, Endpoint: e.ID, Status: Cancelled, RequestDone: true})
-	if e.inflight != 0 || len(e.sentAt) != 0 {
-		t.Errorf("in flight after its end: %d", e.inflight)
+	if e.inFlight != 0 || len(e.startTimes) != 0 {
+		t.Errorf("in flight after its end: %d", e.inFlight)
 	}
 
 	b, r = start(t, testSettings(), ready(3))
@@ -685,12 +685,12 @@
 		t.Fatalf("sent %v, want a second try with the whole body", r.sends)
 	}
 	b.AttemptFinished(3000, Outcome{ID: 2, Attempt: 1, Status: ConnectFailed, BodyConsumed: true})
-	if len(r.sends) != 2 || len(r.refused) != 1 {
-		t.Errorf("sent %v, refused %v; want no third try and a refusal", r.sends, r.refused)
+	if len(r.sends) != 2 || len(r.rejected) != 1 {
+		t.Errorf("sent %v, refused %v; want no third try and a refusal", r.sends, r.rejected)
 	}
-	for id, e := range b.byID {
-		if e.inflight != 0 {
-			t.Errorf("endpoint %d: %d in flight at the end", id, e.inflight)
+	for id, e := range b.endpointsByID {
+		if e.inFlight != 0 {
+			t.Errorf("endpoint %d: %d in flight at the end", id, e.inFlight)
 		}
 	}
 }
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -14,12 +14,13 @@
 // Snapshot lists what is worth keeping of every listed endpoint that has been
 // heard from, in the order first heard of. It decides nothing.
 func (b *Balancer) Snapshot(now Micros) []EndpointSnapshot {
-	out := make([]EndpointSnapshot, 0, len(b.list))
-	for _, e := range b.list {
-		if e.br.base > 0 || e.pace.seen || e.errs > 0 {
+	out := make([]EndpointSnapshot, 0, len(b.endpoints))
+	for _, e := range b.endpoints {
+		if e.breaker.latencyBaseline > 0 || e.serviceTime.initialized || e.failureRate > 0 {
 			out = append(out, EndpointSnapshot{
-				ID: e.ID, LatencyBaseline: e.br.base, LatencyCurrent: e.br.current,
-				ServiceTime: e.pace.v * share(e.pace.seen), FailureRate: e.failing(now),
+				ID: e.ID, LatencyBaseline: e.breaker.latencyBaseline, LatencyCurrent: e.breaker.latencyCurrent,
+				ServiceTime: e.serviceTime.value * indicator(e.serviceTime.initialized),
+				FailureRate: e.currentFailureRate(now),
 			})
 		}
 	}
@@ -33,20 +34,20 @@
 // are not finite and positive are left out.
 func (b *Balancer) Restore(now Micros, kept []EndpointSnapshot) {
 	for _, k := range kept {
-		e := b.byID[k.ID]
+		e := b.endpointsByID[k.ID]
 		if e == nil {
 			continue
 		}
 		if k.LatencyBaseline > 0 && k.LatencyCurrent > 0 && k.LatencyBaseline < 1e12 && k.LatencyCurrent < 1e12 {
-			e.br.base, e.br.current = k.LatencyBaseline, k.LatencyCurrent
+			e.breaker.latencyBaseline, e.breaker.latencyCurrent = k.LatencyBaseline, k.LatencyCurrent
 		}
 		if k.ServiceTime > 0 && k.ServiceTime < 1e12 {
-			e.pace, e.paceAt = ewma{k.ServiceTime, true}, now-paceLife/2
-			b.zones[e.Zone].pace.add(k.ServiceTime, fleetWeight)
-			b.pace.add(k.ServiceTime, fleetWeight)
+			e.serviceTime, e.serviceTimeAt = ewma{k.ServiceTime, true}, now-serviceTimeLifetime/2
+			b.zones[e.Zone].serviceTime.add(k.ServiceTime, groupServiceTimeWeight)
+			b.serviceTime.add(k.ServiceTime, groupServiceTimeWeight)
 		}
 		if k.FailureRate > 0 && k.FailureRate <= 1 {
-			e.errs, e.errAt = k.FailureRate, now-3*second
+			e.failureRate, e.failureRateAt = k.FailureRate, now-3*second
 		}
 	}
 }
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -4,59 +4,59 @@
 
 // ewma is a moving average whose first sample is taken whole.
 type ewma struct {
-	v    float64
-	seen bool
+	value       float64
+	initialized bool
 }
 
 func (a *ewma) add(x, weight float64) {
-	if !a.seen {
-		a.v, a.seen = x, true
+	if !a.initialized {
+		a.value, a.initialized = x, true
 		return
 	}
-	a.v += (x - a.v) * weight
+	a.value += (x - a.value) * weight
 }
 
-func (a *ewma) or(fallback float64) float64 {
-	if a.seen {
-		return a.v
+func (a *ewma) valueOr(fallback float64) float64 {
+	if a.initialized {
+		return a.value
 	}
 	return fallback
 }
 
-// share counts a yes as a whole.
-func share(yes bool) float64 {
+// indicator counts a yes as a whole.
+func indicator(yes bool) float64 {
 	if yes {
 		return 1
 	}
 	return 0
 }
 
-// meter is a rate a second, averaged over about two seconds.
-type meter struct {
-	sum float64
-	at  Micros
+// rateMeter is a rate a second, averaged over about two seconds.
+type rateMeter struct {
+	sum       float64
+	updatedAt Micros
 }
 
-const meterSpan = 2 * second
+const rateWindow = 2 * second
 
-func (m *meter) add(now Micros, x float64) { m.sum, m.at = m.decayed(now)+x, now }
+func (m *rateMeter) add(now Micros, x float64) { m.sum, m.updatedAt = m.decayed(now)+x, now }
 
-func (m *meter) decayed(now Micros) float64 {
+func (m *rateMeter) decayed(now Micros) float64 {
 	if m.sum == 0 {
 		return 0
 	}
-	return m.sum * math.Exp(-float64(now-m.at)/float64(meterSpan))
+	return m.sum * math.Exp(-float64(now-m.updatedAt)/float64(rateWindow))
 }
 
-func (m *meter) rate(now Micros) float64 {
-	return m.decayed(now) * float64(second) / float64(meterSpan)
+func (m *rateMeter) rate(now Micros) float64 {
+	return m.decayed(now) * float64(second) / float64(rateWindow)
 }
 
-// source is a SplitMix64 generator.
-type source uint64
+// randomSource is a SplitMix64 generator.
+type randomSource uint64
 
 // float returns a number in [0,1).
-func (s *source) float() float64 {
+func (s *randomSource) float() float64 {
 	*s += 0x9e3779b97f4a7c15
 	z := uint64(*s)
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
@@ -65,4 +65,4 @@
 }
 
 // below returns a duration in [0,d).
-func (s *source) below(d Micros) Micros { return Micros(s.float() * float64(d)) }
+func (s *randomSource) below(d Micros) Micros { return Micros(s.float() * float64(d)) }
