--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -3,82 +3,139 @@
 import "math"
 
 const (
-	minForcedAdmissionInterval = 10  // requests that seem too late: one of so many is sent all the same,
-	maxForcedAdmissionInterval = 640 // and one of so many after passes that earned nothing
-	// of what the aim leaves may be waited by the class of most value: latencies vary
+	// Of the requests that seem too late, one in so many is admitted all the same; and one in at most so
+	// many once such requests were late indeed.
+	minForcedAdmissionInterval = 10
+	maxForcedAdmissionInterval = 640
+
+	// Fraction of the time left to the latency objective that a request may wait: of the highest
+	// priority, and of any. Latencies vary, so that not all of it can be planned.
 	maxWaitFraction = 0.6
-	minWaitFraction = 0.2 // and by any
-	// worth counts more in the worst windows, and those are when requests are refused
-	worstWindowGain = 4.0
+	minWaitFraction = 0.2
+
+	worstWindowGain   = 4.0  // requests are rejected in the worst windows, where those served count more
+	minWorkFraction   = 0.05 // of a class in the work of all, as it counts for the worst class
+	worstClassFalloff = 0.1  // difference in the fraction in time that divides a class's weight by e
 )
 
 // classStats is what a balancer knows of a class.
 type classStats struct {
-	meanWork        ewma      // mean work of a request
-	arrivals        rateMeter // requests taken
-	inTimeFraction  ewma      // share answered in time
-	forcedAt        Micros    // last request sent although it seemed too late
-	lateSinceForced int       // requests that seemed too late since then
+	meanWork        ewma      // of a request, in microseconds of service time
+	arrivals        rateMeter // requests received
+	inTimeFraction  ewma      // of the requests, answered within the latency objective
+	forcedAt        Micros    // latest forced admission
+	lateSinceForced int       // requests since then that seemed too late
+}
+
+// forcedAdmission admits few of the requests that seem too late, so that a wrong prediction, or one that
+// has become wrong, does not reject a class for ever.
+type forcedAdmission struct {
+	interval int // one in so many is admitted
+}
+
+// take counts a request of a class that seems too late and reports whether it is admitted.
+func (f *forcedAdmission) take(now Micros, class *classStats, isFirst bool) bool {
+	class.lateSinceForced++
+	if !isFirst || class.lateSinceForced < f.interval || now-class.forcedAt < forcedPassInterval {
+		return false
+	}
+	class.forcedAt, class.lateSinceForced = now, 0
+	return true
+}
+
+// succeeded notes that a request was in time.
+func (f *forcedAdmission) succeeded() { f.interval = minForcedAdmissionInterval }
+
+// failed notes that a forced request was late: an overload needs rest.
+func (f *forcedAdmission) failed() {
+	f.interval = min(2*f.interval, maxForcedAdmissionInterval)
+}
+
+// admits reports whether a request may go to e, the best endpoint for it: its predicted latency is within
+// its budget, or there is neither contention nor a slowdown (a few samples of a long-tailed latency must
+// not rule out an idle endpoint), or it is forced.
+func (b *Balancer) admits(now Micros, r *request, e *endpoint, isFirst bool) bool {
+	latency, budget := b.predictLatency(now, e, r.work), b.latencyBudget(now, r, e)
+	isLate := latency > budget
+	isLoaded := b.contention(now, e) > 1 || b.slowdown(now, e) > 1
+	if !isLate || !isLoaded {
+		return true
+	}
+	if b.forcedAdmission.take(now, &b.classes[r.Class], isFirst) {
+		r.forced = true
+		return true
+	}
+	b.log(now, "request rejected, predicted latency over budget",
+		LogField{"endpoint", e.ID},
+		LogField{"predicted_ms", math.Round(latency / 1000)},
+		LogField{"budget_ms", math.Round(budget / 1000)},
+		LogField{"load", roundTenths(b.estimateLoad(now, e))},
+		LogField{"baseline_load", roundTenths(b.zones[e.Zone].baselineLoad.value)},
+		LogField{"slowdown", roundTenths(b.slowdown(now, e))},
+		LogField{"work_ms", roundTenths(r.work / 1000)},
+		LogField{"rejected_percent", math.Round(100 * b.rejectedFraction.value)})
+	return false
 }
 
-// latencyBudget is the longest predicted latency at which r is still sent to e: its time there without
-// a queue, and
-// a part of what the aim leaves for waiting. Classes of little value for their work give way first.
+// latencyBudget returns the longest predicted latency (microseconds) at which a request is admitted at e:
+// its latency there alone, and a fraction of what is then left to the latency objective, by its priority.
 func (b *Balancer) latencyBudget(now Micros, r *request, e *endpoint) float64 {
-	alone := b.zones[e.Zone].roundTrip.value + r.work*b.slowdown(now, e)*e.expectedServiceTime(now, b)
-	share := max(minWaitFraction, maxWaitFraction*r.priority)
-	if b.reportsAreLate || !b.mayReject(r) {
-		// The least loaded endpoint is not known, and averages must not refuse what it would serve; or nobody
-		// may be told to come back, and what is not sent again is lost.
-		share = 1
+	alone := b.zones[e.Zone].roundTrip.value + r.work*b.slowdown(now, e)*b.expectedServiceTime(now, e)
+	fraction := max(minWaitFraction, maxWaitFraction*r.priority)
+	if b.lateReports.detected || !b.mayReject(r) {
+		// Averages may not reject what the least loaded endpoint, which is not known, would serve; and what
+		// cannot be rejected would be lost.
+		fraction = 1
 	}
-	spare := float64(b.classOf(r).LatencyObjective) - float64(now-r.arrivedAt) - alone
-	return min(alone+share*spare, float64(r.Deadline-now))
+	left := float64(b.classOf(r).LatencyObjective) - float64(now-r.arrivedAt) - alone
+	return min(alone+fraction*left, float64(r.Deadline-now))
 }
 
-// classPriority ranks r's class, 0 to 1, by the goal's gain from a unit of its work: worth, and more if
-// served worst.
-func (b *Balancer) classPriority(now Micros, r *request) float64 {
-	var work, worth float64
+// requestPriority returns the priority of a request among all, 0 to 1: what the objective gains by a unit
+// of its work, relative to the best class, times the weight of its tenant's quota.
+func (b *Balancer) requestPriority(now Micros, r *request) float64 {
+	var work, weight float64 // a second, over all classes
 	worst := 1.0
 	for i := range b.classes {
-		c := &b.classes[i]
-		rate := c.arrivals.rate(now)
-		work += rate * c.meanWork.value
-		worth += rate * b.priorityWeight(i)
-		worst = min(worst, c.inTimeFraction.valueOr(1))
+		class := &b.classes[i]
+		rate := class.arrivals.rate(now)
+		work += rate * class.meanWork.value
+		weight += rate * b.priorityWeight(i)
+		worst = min(worst, class.inTimeFraction.valueOr(1))
 	}
-	var top, own float64
+	objective := &b.settings.Objective
+	var highest, own float64
 	for i := range b.classes {
-		c := &b.classes[i]
-		part := c.arrivals.rate(now) * c.meanWork.value / work
-		v := (b.settings.Objective.Overall + worstWindowGain*b.settings.Objective.WorstWindow) *
-			b.priorityWeight(i) / c.meanWork.value * work / worth
-		v += b.settings.Objective.WorstClass / max(0.05, part) * math.Exp((worst-c.inTimeFraction.valueOr(1))/0.1)
-		top = max(top, v)
-		own += v * indicator(i == int(r.Class))
+		class := &b.classes[i]
+		workFraction := class.arrivals.rate(now) * class.meanWork.value / work
+		gain := (objective.Overall + worstWindowGain*objective.WorstWindow) * b.priorityWeight(i) /
+			class.meanWork.value * work / weight
+		gain += objective.WorstClass / max(minWorkFraction, workFraction) *
+			math.Exp((worst-class.inTimeFraction.valueOr(1))/worstClassFalloff)
+		highest = max(highest, gain)
+		own += gain * indicator(i == int(r.Class))
 	}
-	if !(top > 0) {
-		return 1 // no worth was set
+	if !(highest > 0) { // no weights are set; true for NaN, too
+		return 1
 	}
-	return own / top * b.quotaWeight(now, r)
+	return own / highest * b.quotaWeight(now, r)
 }
 
+// priorityWeight returns the weight of a request of a class.
 func (b *Balancer) priorityWeight(class int) float64 {
-	return b.settings.Classes[class].PriorityWeight * (1 +
-		(b.classes[class].meanWork.value-1)*indicator(b.settings.PriorityPerWork))
+	perWork := 1 + (b.classes[class].meanWork.value-1)*indicator(b.settings.PriorityPerWork)
+	return b.settings.Classes[class].PriorityWeight * perWork
 }
 
-// recordTimeliness learns whether a request's answer came while it was wanted.
-func (b *Balancer) recordTimeliness(now Micros, r *request, answered bool) {
-	if answered && now-r.arrivedAt <= b.classOf(r).LatencyObjective {
+// recordTimeliness learns whether a request had its response within the latency objective.
+func (b *Balancer) recordTimeliness(now Micros, r *request, hasResponse bool) {
+	if hasResponse && now-r.arrivedAt <= b.classOf(r).LatencyObjective {
 		r.inTime = 1
-		b.forcedAdmissionInterval = minForcedAdmissionInterval
-		if r.forced { // a jam may be over: to tell so by one pass a second would take many seconds more
+		b.forcedAdmission.succeeded()
+		if r.forced { // an overload may be over: the next forced admission need not wait
 			b.classes[r.Class].forcedAt = 0
 		}
 	} else if r.forced {
-		// a jam needs rest: what is passed into it only keeps it
-		b.forcedAdmissionInterval = min(2*b.forcedAdmissionInterval, maxForcedAdmissionInterval)
+		b.forcedAdmission.failed()
 	}
 }
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -2,79 +2,88 @@
 
 import "slices"
 
-// attempt is one send of a request.
+// attempt is one attempt of a request at an endpoint.
 type attempt struct {
 	endpoint        *endpoint
-	zone            uint8 // of ep when sent: an endpoint may move
+	zone            uint8 // of the endpoint at the start: an endpoint may move
 	pod             uint16
 	startedAt       Micros
-	expectedLatency float64 // latency predicted when sent, but for the trend
-	contendedWork   float64 // work times the crowding seen when sent
+	expectedLatency float64 // predicted at the start, without the latency trend, in microseconds
+	contendedWork   float64 // work times the contention estimated at the start
 	outstanding     bool    // no outcome yet
-	inFlight        bool    // in flight there: its body is sent
-	mayHaveRun      bool    // it may have had its effect, or may yet
+	inFlight        bool    // counted as in flight at the endpoint: the request has been sent
+	mayHaveRun      bool    // the endpoint may have executed it, or may yet
 }
 
+// lastAttempt returns the latest attempt of a request, or nil.
+func (r *request) lastAttempt() *attempt {
+	if len(r.attempts) == 0 {
+		return nil
+	}
+	return &r.attempts[len(r.attempts)-1]
+}
+
+// hasTried reports whether the request was attempted at e.
 func (r *request) hasTried(e *endpoint) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.endpoint == e })
 }
 
-// pickAndStart picks and sends; a pick that the breaker refuses tries one more.
-func (b *Balancer) pickAndStart(now Micros, r *request, first bool) bool {
-	r.priority = b.classPriority(now, r)
-	e := b.findReinstated(now, r)
-	if e != nil && b.breakerAllows(now, r, e) {
+// pickAndStart picks an endpoint and starts an attempt there, unless nothing is available, the request
+// would be too late or the breakers drop it. It reports whether an attempt was started; isFirst says that
+// the request has none yet.
+func (b *Balancer) pickAndStart(now Micros, r *request, isFirst bool) bool {
+	r.priority = b.requestPriority(now, r)
+	if e := b.findReinstated(now, r); e != nil && b.breakerAllows(now, r, e) {
 		return b.startAttempt(now, r, e)
 	}
-	e = b.pick(now, r, nil)
-	if n := len(r.attempts); e == nil && n > 0 && b.mayStartAttempt(now, r, r.attempts[n-1].endpoint) {
-		e = r.attempts[n-1].endpoint // alone in its group: often the connection broke, not the endpoint
-	}
-	if e == nil {
+	e := b.pickOrRepeat(now, r)
+	if e == nil || !b.admits(now, r, e, isFirst) {
 		return false
 	}
-	x, most := b.predictLatency(now, e, r.work), b.latencyBudget(now, r, e)
-	if x > most && (b.contention(now, e) > 1 || b.slowdown(now, e) > 1) {
-		// It would come too late to be worth its work: not where nobody waits while the fleet is well, since
-		// few samples of a long-tailed latency make a healthy endpoint look hopeless. As with the breaker, one
-		// passes now and then, so that a wrong guess does not feed itself: of so many, since a pass a second
-		// at each of a thousand balancers is more than a jammed fleet can bear.
-		c := &b.classes[r.Class]
-		c.lateSinceForced++
-		if !first || c.lateSinceForced < b.forcedAdmissionInterval || now-c.forcedAt < forcedPassInterval {
-			b.log(now, "refuse", "refusing, %.0f%% of late: the best, endpoint %d, would take %.0f ms, limit %.0f ms"+
-				"; load %.1f, usual %.1f, slowdown %.1f, work %.1f ms",
-				100*b.rejectedFraction.value, e.ID, x/1000, most/1000,
-				b.estimateLoad(now, e), b.zones[e.Zone].baselineLoad.value, b.slowdown(now, e), r.work/1000)
-			return false
-		}
-		c.forcedAt, c.lateSinceForced = now, 0
-		r.forced = true
-	}
 	if !b.breakerAllows(now, r, e) {
-		if e = b.pick(now, r, e); e == nil || !b.breakerAllows(now, r, e) {
+		e = b.pick(now, r, e)
+		if e == nil || !b.breakerAllows(now, r, e) {
 			return false
 		}
 	}
 	return b.startAttempt(now, r, e)
 }
 
-// startAttempt starts an attempt if the rules allow it.
+// pickOrRepeat picks an endpoint, or that of the last attempt if no other may be tried: a broken
+// connection says little of the endpoint.
+func (b *Balancer) pickOrRepeat(now Micros, r *request) *endpoint {
+	if e := b.pick(now, r, nil); e != nil {
+		return e
+	}
+	if last := r.lastAttempt(); last != nil && b.mayStartAttempt(now, r, last.endpoint) {
+		return last.endpoint
+	}
+	return nil
+}
+
+// startAttempt starts an attempt if the safety rules allow it, and reports whether it did. Every attempt
+// leaves through it.
 func (b *Balancer) startAttempt(now Micros, r *request, e *endpoint) bool {
 	if !b.mayStartAttempt(now, r, e) {
 		return false
 	}
-	if e.isWarmingUp(now, b) {
-		e.slowStartBudget -= r.work * slowStartCharge
+	if b.isWarmingUp(now, e) {
+		e.slowStart.budget -= r.work * slowStartCharge
 	}
-	r.attempts = append(r.attempts, attempt{endpoint: e, zone: e.Zone, pod: e.Pod, startedAt: now,
+	r.attempts = append(r.attempts, attempt{
+		endpoint:        e,
+		zone:            e.Zone,
+		pod:             e.Pod,
+		startedAt:       now,
 		expectedLatency: b.predictLatency(now, e, r.work) / b.slowdown(now, e),
 		contendedWork:   r.work * b.contention(now, e),
-		outstanding:     true, mayHaveRun: true})
+		outstanding:     true,
+		mayHaveRun:      true,
+	})
 	r.outstanding++
 	e.reinstateDueAt = 0
-	if !r.IsUploading { // a server begins a request with its last byte
-		r.attempts[len(r.attempts)-1].markInFlight(now)
+	if !r.IsUploading { // an endpoint begins to serve at the last byte
+		r.lastAttempt().markInFlight(now)
 	}
 	b.startedWork.add(now, r.work)
 	b.actions.StartAttempt(r.ID, e.ID, 0)
@@ -84,14 +93,14 @@
 	return true
 }
 
-// markInFlight counts an attempt whose request has been sent.
+// markInFlight counts an attempt as in flight, from the instant at which its request has been sent.
 func (a *attempt) markInFlight(at Micros) {
 	a.startedAt, a.inFlight = at, true
-	a.endpoint.inFlight++
-	a.endpoint.startTimes = append(a.endpoint.startTimes, at)
+	a.endpoint.addInFlight(at)
 }
 
-// AttemptFinished handles the end of an attempt.
+// AttemptFinished handles the end of an attempt: it settles the request, retries it or answers it. An
+// outcome of an unknown attempt, or a second one, is ignored.
 func (b *Balancer) AttemptFinished(now Micros, o Outcome) {
 	r := b.requests[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || !r.attempts[o.Attempt].outstanding {
@@ -104,7 +113,7 @@
 		a.endpoint.removeInFlight(a.startedAt)
 	}
 	r.bodyConsumed = r.bodyConsumed || o.BodyConsumed
-	if o.Status == Rejected || o.Status == ConnectFailed || o.Status == NotSent {
+	if o.Status.provesNotRun() {
 		a.mayHaveRun = false
 	}
 	b.recordOutcome(now, r, a, o.Status, o.Latency)
@@ -115,32 +124,24 @@
 		b.finish(r)
 		return
 	}
-	price := indicator(a.mayHaveRun) // what never ran may be sent again for nothing
-	if b.retryTokens >= price && b.pickAndStart(now, r, false) {
-		b.retryTokens -= price
-		return
+	if !b.retry(now, r, a) {
+		b.reject(now, r)
 	}
-	b.reject(now, r)
 }
 
-// recordOutcome feeds an outcome to the averages.
+// recordOutcome feeds an outcome to the breaker, the failure rate and the service time of its endpoint.
 func (b *Balancer) recordOutcome(now Micros, r *request, a *attempt, status Status, latency Micros) {
 	e := a.endpoint
 	switch status {
+	case Cancelled, NotSent: // say nothing of the endpoint
 	case OK:
 		e.breaker.record(now, 1, 0)
 		e.breaker.recordLatency(float64(latency))
-		e.failureRate, e.failureRateAt = (1-failureWeight)*e.currentFailureRate(now), now
+		e.failures.recordSuccess(now)
 		b.learnServiceTime(now, r, a, float64(latency), false)
-	case Cancelled, NotSent:
 	default:
 		e.breaker.record(now, 0, 1)
-		before := e.isEjected(now)
-		e.failureRate, e.failureRateAt = (1-failureWeight)*e.currentFailureRate(now)+failureWeight, now
-		if !before && e.isEjected(now) {
-			b.log(now, "eject", "endpoint %d ejected, %.0f%% of its answers of late are failures", e.ID,
-				100*e.failureRate)
-		}
+		b.recordFailure(now, e)
 		if status == Timeout {
 			b.learnServiceTime(now, r, a, float64(latency), true)
 		}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,98 +1,116 @@
 package balancer
 
-import "fmt"
-
 const second Micros = 1_000_000
 
-// Balancer decides for one sidecar. Make one with New.
+const (
+	// Until an endpoint reports or a request is hinted, the work of a class is taken for this part of its
+	// latency objective.
+	initialWorkDivisor  = 5
+	initialHintExponent = 0.5
+
+	maxZones        = 256 // Endpoint.Zone is a byte
+	maxMachineTypes = 256 // Endpoint.MachineType is a byte
+)
+
+// Balancer makes the decisions of one sidecar. It is made by New and belongs to one goroutine: its
+// methods may not be called concurrently, nor from within Actions.
 type Balancer struct {
 	settings Settings
 	actions  Actions
 	random   randomSource
 
-	processCount int // that act for this balancer
+	processCount int // processes that divide the traffic of this balancer
 
-	requests        map[uint64]*request // every request with an attempt out or no final answer
+	// Requests (requests.go, probe_wait.go).
+	requests        map[uint64]*request // those unanswered or with an outstanding attempt, by ID
 	requestSlots    []*request          // by timer slot
-	freeRequests    []*request          // records to use again
-	unansweredCount int                 // requests without final answer
-	probeWaiters    []*request          // requests that wait for probes
-
-	endpointsByID         map[uint32]*endpoint
-	bannedSince           map[uint32]Micros // endpoints out by hand, listed or not, and since when
-	pendingReinstatements map[uint32]Micros // called back while not listed, and when they are due
-	endpoints             []*endpoint       // known endpoints in the order first heard of
-	localEndpoints        []*endpoint       // those of the own zone
-	hasEndpointList       bool              // discovery has answered since the start
-	probedPool            []*endpoint       // endpoints with a fresh answer
-	maxWeight             float64           // share of any listed endpoint
-	probesPerRequest      float64           // probes that go with a request, while sparse
-	gossiping             bool              // answers are shared with the other balancers
-	probesOnDemand        bool              // probes are asked for single requests
-
-	subscribed  bool
-	nextPollAt  Micros // next call of discovery, unless subscribed by then
-	lastPollAt  Micros // latest call that was asked for
-	pollBackoff Micros
-
-	classes                 []classStats
-	tenants                 []rateMeter // requests taken, by tenant
-	zones                   [256]zoneStats
-	serviceTime             ewma      // of all warm endpoints
-	requestRate             rateMeter // requests taken
-	startedWork             rateMeter // work sent
-	rejectedFraction        ewma      // share of requests refused at arrival
-	forcedAdmissionInterval int       // requests that seem too late for one that is sent
-	retryTokens             float64   // retry budget, in attempts
-
-	queuedProbeFraction ewma // share of probes that waited in line
-	lateReportFraction  ewma // share of load reports that must be late
-	// requests that an endpoint of each kind works at side by side, as reports tell
-	concurrencyByType [256]ewma
-	reportsAreLate    bool
-	hasSeenCostHint   bool    // a request's work was hinted at
-	hintExponent      float64 // power of a hint that work grows with
-
-	lastLogged map[string]Micros // last line by topic
+	freeRequests    []*request          // records to reuse
+	unansweredCount int
+	probeWaiters    []*request // requests that wait for load probes
+
+	// Endpoints (endpoints.go, bans.go, discovery_poll.go).
+	endpoints       []*endpoint // in the order in which they were first listed
+	endpointsByID   map[uint32]*endpoint
+	localEndpoints  []*endpoint // those of this balancer's zone
+	maxWeight       float64     // of any endpoint ever listed
+	hasEndpointList bool        // discovery has answered since the start
+	bans            bans
+	poll            discoveryPoll
+
+	// Load probes and reports (load_probes.go, load_estimate.go, late_reports.go).
+	probesPerRequest    float64     // load probes sent for one request while probing on demand
+	probesOnDemand      bool        // load probes are sent for single requests, not in rounds
+	gossiping           bool        // load reports are shared with the other balancers
+	probedPool          []*endpoint // endpoints with a fresh load report
+	queuedProbeFraction ewma        // fraction of load probes that waited in a queue
+	lateReports         lateReports
+	concurrency         [maxMachineTypes]ewma // requests that an endpoint serves at a time, by machine type
+
+	// Estimates (latency_estimate.go, admission.go).
+	classes          []classStats
+	zones            [maxZones]zoneStats
+	serviceTime      ewma      // per unit of work, over all endpoints past their slow start
+	requestRate      rateMeter // requests received
+	startedWork      rateMeter // work of the attempts started, in microseconds
+	rejectedFraction ewma      // of the requests, by the first decision on each
+	hasSeenCostHint  bool
+	hintExponent     float64 // work grows with a cost hint to this power, 0 to 1
+
+	// Limits (admission.go, quota.go, retry_budget.go).
+	forcedAdmission forcedAdmission
+	tenantRates     []rateMeter // requests received, by tenant
+	retryBudget     retryBudget
+
+	lastLogged map[string]Micros // by message
 }
 
-// New returns a balancer, or a *SettingError. Call Start before any other event.
-func New(s Settings, seed uint64, out Actions) (*Balancer, error) {
-	if err := s.Validate(); err != nil {
+// New returns a balancer that acts through actions, or a *SettingError. Two balancers of the same
+// settings, seed and events act the same. The host calls Start before any other event.
+func New(settings Settings, seed uint64, actions Actions) (*Balancer, error) {
+	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
 	b := &Balancer{
-		settings: s, actions: out, random: randomSource(seed), processCount: 1,
-		requests: map[uint64]*request{}, endpointsByID: map[uint32]*endpoint{}, bannedSince: map[uint32]Micros{},
-		pendingReinstatements: map[uint32]Micros{}, lastLogged: map[string]Micros{},
-		classes: make([]classStats, len(s.Classes)), tenants: make([]rateMeter, len(s.Tenants)),
+		settings:      settings,
+		actions:       actions,
+		random:        randomSource(seed),
+		processCount:  1,
+		requests:      map[uint64]*request{},
+		endpointsByID: map[uint32]*endpoint{},
+		bans:          newBans(),
+		classes:       make([]classStats, len(settings.Classes)),
+		tenantRates:   make([]rateMeter, len(settings.Tenants)),
+		lastLogged:    map[string]Micros{},
 	}
 	for i := range b.classes {
-		b.classes[i].meanWork = ewma{value: float64(s.Classes[i].LatencyObjective) / 5, initialized: true}
+		work := float64(settings.Classes[i].LatencyObjective) / initialWorkDivisor
+		b.classes[i].meanWork = ewma{value: work, initialized: true}
 	}
 	return b, nil
 }
 
-// Start begins the balancer's life.
+// Start arms the first timers. The host calls it once, before any other event.
 func (b *Balancer) Start(now Micros) {
-	b.lateReportFraction.initialized, b.rejectedFraction.initialized = true, true
-	b.hintExponent = 0.5
+	b.lateReports.fraction.initialized = true
+	b.rejectedFraction.initialized = true
+	b.hintExponent = initialHintExponent
 	for i := range b.zones {
-		b.zones[i].trend = 1
+		b.zones[i].trend.value = 1
 	}
-	b.retryTokens, b.forcedAdmissionInterval = maxRetryTokens, minForcedAdmissionInterval
-	// a price of 0 asks for the most
+	b.retryBudget.tokens = maxRetryTokens
+	b.forcedAdmission.interval = minForcedAdmissionInterval
 	b.probesPerRequest = min(maxProbesPerRequest, onDemandProbeCostLimit/b.settings.Costs.LoadProbe)
-	// all may start at once: spread their first calls
 	if b.settings.MustSubscribe {
-		b.schedulePoll(now, 1+b.random.below(min(b.settings.Rules.MaxPollInterval/10, maxFirstPollDelay)))
+		b.scheduleFirstPoll(now)
 	}
 	if b.settings.Limits.AllowLoadProbes {
 		b.actions.SetTimer(1+b.random.below(maxProbeRoundInterval), timerProbeRound)
 	}
 }
 
-// Timer tokens below firstSlot belong to the balancer; others name a request.
+// Timer tokens below firstRequestTimer belong to the balancer. The others name a request: the low bits
+// its slot, the high bits how often the slot was used, so that a timer of an earlier request finds
+// nothing.
 const (
 	timerProbeRound = iota
 	timerDiscoveryPoll
@@ -100,28 +118,25 @@
 	timerSlotBits     = 20
 )
 
-// TimerFired handles a token given to Actions.Timer.
+// TimerFired handles the end of a timer that Actions.SetTimer asked for.
 func (b *Balancer) TimerFired(now Micros, token uint32) {
 	switch {
 	case token == timerProbeRound:
 		b.probeRound(now)
 	case token == timerDiscoveryPoll:
-		b.poll(now)
+		b.pollDiscovery(now)
 	case token >= firstRequestTimer:
-		slot := int(token&(1<<timerSlotBits-1)) - firstRequestTimer
-		if slot >= 0 && slot < len(b.requestSlots) {
-			if r := b.requestSlots[slot]; r.timerToken == token && !r.answered && !r.streaming {
-				b.requestTimerFired(now, r)
-			}
+		if r := b.requestByTimer(token); r != nil {
+			b.requestTimerFired(now, r)
 		}
 	}
 }
 
-// log writes a line for on-call staff, at most one a second for each topic: refusals come in thousands.
-func (b *Balancer) log(now Micros, topic, format string, args ...any) {
-	if at, ok := b.lastLogged[topic]; ok && now-at < second {
+// log records an event for the staff on call, at most once a second for each message.
+func (b *Balancer) log(now Micros, message string, fields ...LogField) {
+	if at, ok := b.lastLogged[message]; ok && now-at < second {
 		return
 	}
-	b.lastLogged[topic] = now
-	b.actions.Log(fmt.Sprintf(format, args...))
+	b.lastLogged[message] = now
+	b.actions.Log(message, fields...)
 }
--- a/balancer/bans.go
+++ b/balancer/bans.go
@@ -1,59 +1,79 @@
 package balancer
 
-const (
-	// An endpoint that was called back and that no request has come to by itself gets the next one: operators
-	// expect it in use within 5 s.
-	reinstateDelay = 2 * second
-)
+// reinstateDelay is how long a reinstated endpoint may wait for a request before the next one goes there.
+// Operators expect it in use within 5 s.
+const reinstateDelay = 2 * second
 
-// Ban takes an endpoint out of use by hand until Unban, whatever lists say of it, listed or not.
+// bans holds the endpoints that operators have taken out of use, listed or not.
+type bans struct {
+	since       map[uint32]Micros // start of the ban, by endpoint ID
+	reinstateAt map[uint32]Micros // end of the delay, of endpoints reinstated while not listed
+}
+
+func newBans() bans {
+	return bans{since: map[uint32]Micros{}, reinstateAt: map[uint32]Micros{}}
+}
+
+// takeReinstatement returns when an endpoint is due for a request, if it was reinstated while not listed,
+// and forgets it.
+func (s *bans) takeReinstatement(id uint32) (dueAt Micros, ok bool) {
+	dueAt, ok = s.reinstateAt[id]
+	delete(s.reinstateAt, id)
+	return dueAt, ok
+}
+
+// Ban takes an endpoint out of use until Unban, whatever discovery says of it and whether it is listed or
+// not. Attempts in flight go on. A second ban changes nothing.
 func (b *Balancer) Ban(now Micros, id uint32) {
-	if _, ok := b.bannedSince[id]; ok {
+	if _, ok := b.bans.since[id]; ok {
 		return
 	}
-	b.bannedSince[id] = now
-	delete(b.pendingReinstatements, id)
+	b.bans.since[id] = now
+	delete(b.bans.reinstateAt, id)
 	if e := b.endpointsByID[id]; e != nil {
 		e.bannedAt, e.banned, e.reinstateDueAt = now, true, 0
 	}
 }
 
-// Unban takes an endpoint into use again. It counts as cold: it was probably restarted while it was out, and
-// the list may say so late.
+// Unban reinstates a banned endpoint. It starts with a slow start and without a record: it was probably
+// restarted while banned, and the list may say so late.
 func (b *Balancer) Unban(now Micros, id uint32) {
-	if _, ok := b.bannedSince[id]; !ok {
+	if _, ok := b.bans.since[id]; !ok {
 		return
 	}
-	delete(b.bannedSince, id)
+	delete(b.bans.since, id)
 	e := b.endpointsByID[id]
-	if e == nil { // not listed now: it is due once it is
-		b.pendingReinstatements[id] = now + reinstateDelay
+	if e == nil {
+		b.bans.reinstateAt[id] = now + reinstateDelay
 		return
 	}
-	e.banned, e.reportedAt = false, 0
-	if !e.warmingUp || e.warmUpStart < e.bannedAt {
-		e.warmingUp, e.warmUpStart = true, now
+	e.banned, e.report.at = false, 0
+	if !e.slowStart.active || e.slowStart.startedAt < e.bannedAt {
+		e.slowStart.active, e.slowStart.startedAt = true, now
 	}
-	// What it failed at before says nothing of it now.
-	e.failureRate, e.serviceTime, e.breaker = 0, ewma{}, breaker{}
-	e.slowStartBudget, e.budgetRefilledAt, e.reinstateDueAt = 0, now, now+reinstateDelay
+	e.slowStart.budget, e.slowStart.refilledAt = 0, now
+	e.failures.value, e.serviceTime.average, e.breaker = 0, ewma{}, breaker{}
+	e.reinstateDueAt = now + reinstateDelay
 	e.probing = false
 	b.sendLoadProbe(now, e)
 }
 
-// findReinstated returns an endpoint that was called back and has got nothing for too long, if r may go
-// there. Its first
-// request need not be saved up where those of all balancers together are no more than it bears when coldest.
+// findReinstated returns an endpoint that was reinstated and has had no request for too long, if the
+// first attempt of this request may start there, or nil. The request need not be saved up for where the
+// first ones of all balancers together are within what the endpoint bears at the start of its slow start.
 func (b *Balancer) findReinstated(now Micros, r *request) *endpoint {
-	c, first := &b.settings.Rules, r.work*slowStartCharge
+	if len(r.attempts) > 0 {
+		return nil
+	}
+	rules, cost := &b.settings.Rules, r.work*slowStartCharge
 	for _, e := range b.endpoints {
-		if e.reinstateDueAt == 0 || now < e.reinstateDueAt || len(r.attempts) > 0 {
+		if e.reinstateDueAt == 0 || now < e.reinstateDueAt {
 			continue
 		}
-		bears := c.SlowStartMinCapacity * slowStartLoadFraction * c.OverloadMultiple *
-			float64(c.OverloadDuration) * b.concurrency(e)
-		if float64(b.settings.Balancers*b.processCount)*first <= bears {
-			e.slowStartBudget = max(e.slowStartBudget, first)
+		bearable := rules.SlowStartMinCapacity * slowStartLoadFraction * rules.OverloadMultiple *
+			float64(rules.OverloadDuration) * b.concurrencyOf(e)
+		if float64(b.settings.Balancers*b.processCount)*cost <= bearable {
+			e.slowStart.budget = max(e.slowStart.budget, cost)
 		}
 		if b.mayStartAttempt(now, r, e) {
 			return e
--- a/balancer/bans_test.go
+++ b/balancer/bans_test.go
@@ -91,7 +91,7 @@
 			if !slices.Equal(r.probes, []uint32{1}) {
 				t.Errorf("%s: probes at the call back are %v, want one of 1", name, r.probes)
 			}
-			if e := b.endpointsByID[1]; !e.isWarmingUp(5*second, b) {
+			if e := b.endpointsByID[1]; !b.isWarmingUp(5*second, e) {
 				t.Errorf("%s: it is not taken for cold", name)
 			}
 		} else {
--- a/balancer/breaker.go
+++ b/balancer/breaker.go
@@ -1,108 +1,119 @@
 package balancer
 
-// go-zero's constants.
+// The constants of go-zero's breaker, which combines the error rate with the latency.
 const (
-	breakerWindow             = 10 * second
-	breakerBuckets            = 40
-	maxAcceptMultiplier       = 1.5
-	minAcceptMultiplier       = 1.1
-	protectedRequests         = 5
-	forcedPassInterval        = second
-	latencyActivationMultiple = 3
-	latencyCeilingFraction    = 0.95
-	baselineFallDivisor       = 4
-	baselineRiseDivisor       = 100
-	currentLatencyDivisor     = 4
-	maxLatencyDropProbability = 0.3
+	breakerWindow         = 10 * second
+	breakerBuckets        = 40
+	maxAcceptMultiplier   = 1.5 // k: requests allowed per accepted one
+	minAcceptMultiplier   = 1.1 // k once all buckets are failing
+	protectedRequests     = 5   // never dropped for errors
+	forcedPassInterval    = second
+	latencyMultiple       = 3    // of the baseline, from which latency counts
+	latencyCeiling        = 0.95 // of the timeout, at which the drop probability is greatest
+	maxLatencyDrop        = 0.3  // probability
+	baselineFallDivisor   = 4
+	baselineRiseDivisor   = 100
+	currentLatencyDivisor = 4
 )
 
-// breaker holds an endpoint's window of outcomes and its two latency averages.
+// breaker drops requests to one endpoint at random: the more of them, the more failed within a window, or
+// the further the latency is above its baseline.
 type breaker struct {
-	buckets                         [breakerBuckets]breakerBucket
-	newest                          int64 // number of the newest bucket
-	requests                        int   // over the window
-	accepts                         int
-	latencyBaseline, latencyCurrent float64
-	forcedPassAt                    Micros // last forced pass
+	buckets         [breakerBuckets]breakerBucket
+	newest          int64 // number of the newest bucket since the origin of time
+	requests        int   // over the window
+	accepts         int
+	latencyBaseline float64 // microseconds; 0 before the first success
+	latencyCurrent  float64
+	forcedPassAt    Micros
 }
 
 type breakerBucket struct{ requests, accepts, failures int }
 
+// advance moves the window to now and returns the newest bucket.
 func (k *breaker) advance(now Micros) *breakerBucket {
-	n := now / (breakerWindow / breakerBuckets)
-	if n-k.newest >= breakerBuckets {
-		k.buckets, k.requests, k.accepts, k.newest = [breakerBuckets]breakerBucket{}, 0, 0, n
+	number := now / (breakerWindow / breakerBuckets)
+	if number-k.newest >= breakerBuckets {
+		k.buckets, k.requests, k.accepts, k.newest = [breakerBuckets]breakerBucket{}, 0, 0, number
 	}
-	for k.newest < n {
+	for k.newest < number {
 		k.newest++
-		old := &k.buckets[k.newest%breakerBuckets]
-		k.requests -= old.requests
-		k.accepts -= old.accepts
-		*old = breakerBucket{}
+		oldest := &k.buckets[k.newest%breakerBuckets]
+		k.requests -= oldest.requests
+		k.accepts -= oldest.accepts
+		*oldest = breakerBucket{}
 	}
-	return &k.buckets[n%breakerBuckets]
+	return &k.buckets[number%breakerBuckets]
 }
 
-// record adds to the newest bucket. Whatever is asked counts as a request.
+// record counts a request with its accepts and failures. A dropped request has neither.
 func (k *breaker) record(now Micros, accepts, failures int) {
-	at := k.advance(now)
-	at.requests++
-	at.accepts += accepts
-	at.failures += failures
+	bucket := k.advance(now)
+	bucket.requests++
+	bucket.accepts += accepts
+	bucket.failures += failures
 	k.requests++
 	k.accepts += accepts
 }
 
-func (k *breaker) recordLatency(x float64) {
+// recordLatency adds the latency (microseconds) of a success to the two averages.
+func (k *breaker) recordLatency(latency float64) {
 	if k.latencyBaseline <= 0 {
-		k.latencyBaseline, k.latencyCurrent = x, x
+		k.latencyBaseline, k.latencyCurrent = latency, latency
 		return
 	}
 	divisor := float64(baselineRiseDivisor)
-	if x < k.latencyBaseline {
+	if latency < k.latencyBaseline {
 		divisor = baselineFallDivisor
 	}
-	k.latencyBaseline = (x + (divisor-1)*k.latencyBaseline) / divisor
-	k.latencyCurrent = (x + (currentLatencyDivisor-1)*k.latencyCurrent) / currentLatencyDivisor
+	k.latencyBaseline = (latency + (divisor-1)*k.latencyBaseline) / divisor
+	k.latencyCurrent = (latency + (currentLatencyDivisor-1)*k.latencyCurrent) / currentLatencyDivisor
 }
 
+// errorDropProbability returns the probability, 0 to 1, of a drop for failures within the window.
 func (k *breaker) errorDropProbability(now Micros) float64 {
 	k.advance(now)
-	failing := 0
+	failing := 0 // buckets since the last success
 	for i := k.newest + 1; i <= k.newest+breakerBuckets; i++ {
-		if at := &k.buckets[i%breakerBuckets]; at.accepts > 0 {
+		if bucket := &k.buckets[i%breakerBuckets]; bucket.accepts > 0 {
 			failing = 0
-		} else if at.failures > 0 {
+		} else if bucket.failures > 0 {
 			failing++
 		}
 	}
-	weight := max(minAcceptMultiplier,
-		maxAcceptMultiplier-(maxAcceptMultiplier-minAcceptMultiplier)*float64(failing)/breakerBuckets)
+	eased := maxAcceptMultiplier - (maxAcceptMultiplier-minAcceptMultiplier)*float64(failing)/breakerBuckets
+	multiplier := max(minAcceptMultiplier, eased)
 	total := float64(k.requests)
-	return max(0, (total-protectedRequests-weight*float64(k.accepts))/(total+1))
+	return max(0, (total-protectedRequests-multiplier*float64(k.accepts))/(total+1))
 }
 
+// latencyDropProbability returns the probability of a drop for a latency above its baseline; timeout
+// (microseconds) is that of the request's class.
 func (k *breaker) latencyDropProbability(timeout float64) float64 {
-	threshold := latencyActivationMultiple * k.latencyBaseline
-	ceiling := latencyCeilingFraction * timeout
+	threshold := latencyMultiple * k.latencyBaseline
+	ceiling := latencyCeiling * timeout
 	if k.latencyBaseline <= 0 || ceiling <= threshold {
 		return 0
 	}
-	return min(maxLatencyDropProbability, max(0,
-		(k.latencyCurrent-threshold)/(ceiling-threshold)*maxLatencyDropProbability))
+	return min(maxLatencyDrop, max(0, (k.latencyCurrent-threshold)/(ceiling-threshold)*maxLatencyDrop))
 }
 
-// breakerAllows draws the breaker's lot for a request; a refusal counts as a request.
-func (b *Balancer) breakerAllows(now Micros, r *request, e *endpoint) bool {
-	chance := max(e.breaker.errorDropProbability(now),
-		e.breaker.latencyDropProbability(float64(b.classOf(r).ClientTimeout)))
-	if chance > 0 && now-e.breaker.forcedPassAt > forcedPassInterval {
-		e.breaker.forcedPassAt = now
+// allows draws whether a request of this timeout may go to the endpoint. One passes in each interval, so
+// that a recovery is noticed.
+func (k *breaker) allows(now Micros, timeout float64, random *randomSource) bool {
+	probability := max(k.errorDropProbability(now), k.latencyDropProbability(timeout))
+	if probability > 0 && now-k.forcedPassAt > forcedPassInterval {
+		k.forcedPassAt = now
 		return true
 	}
-	if b.random.float() < chance {
-		e.breaker.record(now, 0, 0)
+	if random.float() < probability {
+		k.record(now, 0, 0)
 		return false
 	}
 	return true
 }
+
+// breakerAllows asks the breaker of e for a request.
+func (b *Balancer) breakerAllows(now Micros, r *request, e *endpoint) bool {
+	return e.breaker.allows(now, float64(b.classOf(r).ClientTimeout), &b.random)
+}
--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -138,7 +138,7 @@
 			b.AttemptFinished(now, Outcome{ID: id, Endpoint: r.sends[n-1].endpoint, Status: Error, Latency: 50})
 		}
 	}
-	if !b.endpoints[0].isEjected(41_000) {
+	if !b.endpoints[0].failures.isOutlier(41_000) {
 		t.Fatal("an endpoint that fails all is not ejected")
 	}
 	for e, n := range sends {
@@ -146,7 +146,7 @@
 			t.Errorf("endpoint %d got %d of %d sends", e, n, len(r.sends))
 		}
 	}
-	if b.endpoints[0].isEjected(60 * second) {
+	if b.endpoints[0].failures.isOutlier(60 * second) {
 		t.Error("an ejection never ends")
 	}
 }
@@ -172,14 +172,14 @@
 		} else {
 			ends(OK)
 		}
-		if b.endpoints[0].isEjected(now) {
+		if b.endpoints[0].failures.isOutlier(now) {
 			t.Fatalf("ejected after outcome %d, one of 12 a reset", i)
 		}
 	}
 	for range 3 {
 		ends(Reset)
 	}
-	if !b.endpoints[0].isEjected(now) {
+	if !b.endpoints[0].failures.isOutlier(now) {
 		t.Error("not ejected after three failures in a row")
 	}
 }
--- a/balancer/cold_fleet_test.go
+++ b/balancer/cold_fleet_test.go
@@ -126,7 +126,7 @@
 func (c *slowStartBalancer) CancelAttempt(uint64, int) {}
 func (c *slowStartBalancer) SendGossip([]byte)         {}
 func (c *slowStartBalancer) WatchEndpoints(bool)       {}
-func (c *slowStartBalancer) Log(string)                {}
+func (c *slowStartBalancer) Log(string, ...LogField)   {}
 
 // playSlowStart has an endpoint join beside nine warm ones, another start anew a second later, and a burst of requests come
 // some time after: it returns the most that came to either of them within the time that the settings name, as a share
--- a/balancer/cold_test.go
+++ b/balancer/cold_test.go
@@ -14,9 +14,9 @@
 		b.SetProcessCount(processes)
 		b.UpdateEndpoints(second, UpdateDelta, []Endpoint{{ID: 4, Weight: 1, StartTime: second}})
 		e := b.endpointsByID[4]
-		e.slowStartBudget = 0
+		e.slowStart.budget = 0
 		b.hasSlowStartBudget(2*second, e, 0)
-		return e.slowStartBudget
+		return e.slowStart.budget
 	}
 	alone := saved(2, 1)
 	// A fifth of what one of two can have sent to an endpoint of two cores, less what no burst may save up.
@@ -40,8 +40,8 @@
 	for i := range 100 {
 		now := second + Micros(i)*10_000
 		r := &request{Request: Request{ID: 1}, work: before}
-		a := &attempt{endpoint: e, contendedWork: before, expectedLatency: before / e.capacityFraction(now, b)}
-		b.learnServiceTime(now, r, a, before/e.capacityFraction(now, b), false)
+		a := &attempt{endpoint: e, contendedWork: before, expectedLatency: before / e.slowStart.capacityFraction(now, &b.settings.Rules)}
+		b.learnServiceTime(now, r, a, before/e.slowStart.capacityFraction(now, &b.settings.Rules), false)
 	}
 	if got := b.classes[0].meanWork.value; got > 1.01*before || got < 0.99*before {
 		t.Errorf("work went from %.0f to %.0f by answers that were slow by coldness alone", before, got)
@@ -61,17 +61,17 @@
 	for id := range uint32(6) {
 		learn(id+1, 80_000, 200)
 	}
-	usual := b.endpointsByID[1].expectedServiceTime(second, b)
+	usual := b.expectedServiceTime(second, b.endpointsByID[1])
 	b.UpdateEndpoints(second, UpdateDelta, []Endpoint{{ID: 2, Weight: 1, StartTime: second}})
 	for range 200 { // a tenth of all requests go to the slow one
 		learn(1, 400_000, 1)
 		learn(3, 80_000, 9)
 	}
 	fresh := b.endpointsByID[2]
-	if got := fresh.expectedServiceTime(second, b) * fresh.capacityFraction(second, b); got > 2*usual {
+	if got := b.expectedServiceTime(second, fresh) * fresh.slowStart.capacityFraction(second, &b.settings.Rules); got > 2*usual {
 		t.Errorf("a new endpoint beside a slow one is expected at a pace of %.2f, the fleet's is %.2f", got, usual)
 	}
-	if got := b.endpointsByID[1].expectedServiceTime(second, b); got < 3*usual {
+	if got := b.expectedServiceTime(second, b.endpointsByID[1]); got < 3*usual {
 		t.Errorf("the slow one itself is expected at %.2f, the fleet's pace is %.2f", got, usual)
 	}
 }
--- a/balancer/discovery_poll.go
+++ b/balancer/discovery_poll.go
@@ -1,35 +1,55 @@
 package balancer
 
-// What discovery could have told counts as told 6 s after it could be reached again, and 2 s after the end
-// of a wait for news. The host gives a silent call up after 4 s, or 1 s past its wait: no pause after it may
-// take as long as what is left, whatever the settings name.
+// What discovery knows has to be in force 6 s after discovery can be reached again, and 2 s after a
+// change. The host gives up a silent call after 4 s, or 1 s after its wait: no pause may take as long as
+// what is left.
 const (
-	maxFirstPollDelay = second         // at most, of the first calls after all have started at once
-	minPollBackoff    = second / 3     // a pause is half to one and a half of this after a call that took long,
-	maxPollBackoff    = 5 * second / 2 // and of this at most, from its beginning, after one that failed at once
-	pollTimeout       = 5 * second     // a call still out is not given up for another before
+	maxFirstPollDelay     = second // spreads the first polls of balancers that start together
+	firstPollDelayDivisor = 10     // of Rules.MaxPollInterval
+	minPollBackoff        = second / 3
+	maxPollBackoff        = 5 * second / 2
+	maxBackoffDivisor     = 4          // of Rules.MaxPollInterval
+	pollTimeout           = 5 * second // after which a poll counts as lost
 )
 
+// discoveryPoll is the state of the calls to a discovery that answers only when asked.
+type discoveryPoll struct {
+	subscribed bool
+	nextAt     Micros // of the next poll, unless subscribed by then
+	startedAt  Micros // of the latest poll
+	backoff    Micros
+}
+
+// scheduleFirstPoll arms the first poll.
+func (b *Balancer) scheduleFirstPoll(now Micros) {
+	delay := min(b.settings.Rules.MaxPollInterval/firstPollDelayDivisor, maxFirstPollDelay)
+	b.schedulePoll(now, 1+b.random.below(delay))
+}
+
+// schedulePoll arms the next poll.
 func (b *Balancer) schedulePoll(now, delay Micros) {
-	b.nextPollAt = now + delay
+	b.poll.nextAt = now + delay
 	b.actions.SetTimer(delay, timerDiscoveryPoll)
 }
 
-func (b *Balancer) poll(now Micros) {
-	if b.settings.MustSubscribe && !b.subscribed && now >= b.nextPollAt {
-		b.actions.WatchEndpoints(true)
-		b.lastPollAt = now
-		// The answer may be lost, and without one we would never hear again.
-		b.schedulePoll(now, 1+pollTimeout+b.random.below(pollTimeout/2))
+// pollDiscovery subscribes if that is due. It arms another poll, since the answer may be lost.
+func (b *Balancer) pollDiscovery(now Micros) {
+	if !b.settings.MustSubscribe || b.poll.subscribed || now < b.poll.nextAt {
+		return
 	}
+	b.actions.WatchEndpoints(true)
+	b.poll.startedAt = now
+	b.schedulePoll(now, 1+pollTimeout+b.random.below(pollTimeout/2))
 }
 
-// backOffPoll asks discovery again, later each time and never in step with others.
+// backOffPoll schedules a poll after one that failed, with exponential backoff from the start of that
+// one, and jitter, so that balancers do not poll in step.
 func (b *Balancer) backOffPoll(now Micros) {
-	if b.settings.MustSubscribe {
-		b.pollBackoff = max(minPollBackoff, min(2*b.pollBackoff, b.settings.Rules.MaxPollInterval/4,
-			maxPollBackoff))
-		next := b.lastPollAt + b.pollBackoff/2 + b.random.below(b.pollBackoff)
-		b.schedulePoll(now, 1+max(next-now, minPollBackoff/2+b.random.below(minPollBackoff)))
+	if !b.settings.MustSubscribe {
+		return
 	}
+	longest := min(b.settings.Rules.MaxPollInterval/maxBackoffDivisor, maxPollBackoff)
+	b.poll.backoff = max(minPollBackoff, min(2*b.poll.backoff, longest))
+	next := b.poll.startedAt + b.poll.backoff/2 + b.random.below(b.poll.backoff)
+	b.schedulePoll(now, 1+max(next-now, minPollBackoff/2+b.random.below(minPollBackoff)))
 }
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -5,68 +5,69 @@
 
 // The states of an endpoint.
 const (
-	Ready EndpointState = iota
-	Draining
+	Ready    EndpointState = iota
+	Draining               // finishes what it has; nothing new is sent to it
 	Removed
 )
 
-// Endpoint is one entry of discovery's list.
+// Endpoint is an entry of discovery's endpoint list.
 type Endpoint struct {
 	ID          uint32
 	Zone        uint8
 	MachineType uint8
 	Pod         uint16
 	State       EndpointState
-	Weight      float32
-	StartTime   Micros // of its latest start; 0 for long ago
+	Weight      float32 // capacity relative to the other endpoints
+	StartTime   Micros  // of its latest start; 0 for long ago
 }
 
-// UpdateKind says how the entries of a membership event are to be read.
+// UpdateKind says how the entries of an endpoint update are to be read.
 type UpdateKind uint8
 
-// The kinds of membership event.
+// The kinds of endpoint update.
 const (
 	UpdateDelta  UpdateKind = iota // changed entries only
 	UpdateFull                     // the complete list
-	UpdateCached                   // the complete list as last held; perhaps old
-	UpdateFailed                   // a call of discovery failed; no entries
+	UpdateCached                   // the complete list as it was cached, perhaps old
+	UpdateFailed                   // a call of discovery failed or a subscription broke; no entries
 )
 
-// Request is a client's request. One final answer is owed for it: an outcome
-// that settles it, a refusal or a failure.
+// Request is a client's request. It is answered exactly once: by the response of an attempt, a rejection
+// or a failure.
 type Request struct {
 	ID          uint64
 	Key         uint64
-	Deadline    Micros // the instant at which the client gives this try up
-	CostHint    Micros // expected work; used if HasHint
+	Deadline    Micros // when the client gives up; set again by BodySent for an upload
+	CostHint    Micros // expected service time, if HasCostHint
 	HasCostHint bool
-	IsRetry     bool // the client marked it as a repetition
-	IsUploading bool // its body still comes: Uploaded tells its end, from which its time runs
+	IsRetry     bool // the client marked it as a retry
+	IsUploading bool // its body is still arriving: BodySent reports its end
 	IsWrite     bool
-	Tenant      uint16
-	Class       uint8
+	Tenant      uint16 // index in Settings.Tenants
+	Class       uint8  // index in Settings.Classes
 }
 
-// Status says how an attempt or a probe ended.
+// Status says how an attempt or a load probe ended.
 type Status uint8
 
-// The ways an attempt may end. Full, ConnectFailed and Moot prove that it
-// never ran; all others but OK leave that open.
+// The ways in which an attempt may end. Rejected, ConnectFailed and NotSent prove that the endpoint did not
+// execute the request; all others but OK leave that open.
 const (
 	OK            Status = iota
-	Error                // an error returned by the endpoint
-	Rejected             // turned away unseen
-	Timeout              // no answer in time
+	Error                // the endpoint answered with an error
+	Rejected             // the endpoint rejected it unexecuted
+	Timeout              // no response in time
 	ConnectFailed        // no connection in time
 	Reset                // the connection broke
-	Cancelled            // withdrawn by the balancer
+	Cancelled            // by the balancer
 	NotSent              // never sent
 )
 
 var statusNames = [...]string{
-	"ok", "error", "full", "timeout", "connect failed", "reset", "cancelled", "moot",
+	"ok", "error", "rejected", "timeout", "connect failed", "reset", "cancelled", "not sent",
 }
 
+// String returns the name of a status for log lines.
 func (s Status) String() string {
 	if int(s) < len(statusNames) {
 		return statusNames[s]
@@ -74,14 +75,19 @@
 	return "unknown"
 }
 
-// Outcome tells how an attempt ended. Load is valid during the call only.
+// provesNotRun reports whether an attempt of this status was certainly not executed.
+func (s Status) provesNotRun() bool {
+	return s == Rejected || s == ConnectFailed || s == NotSent
+}
+
+// Outcome says how an attempt ended.
 type Outcome struct {
-	ID           uint64
-	Attempt      int // the attempts of a request count from 0 as sent
+	ID           uint64 // of the request
+	Attempt      int    // number of the attempt, from 0
 	Endpoint     uint32
 	Status       Status
-	Latency      Micros
-	RequestDone  bool // the request has its final answer
-	BodyConsumed bool // part of the request's body is gone: it cannot be sent again
-	LoadReport   []float32
+	Latency      Micros    // from the start of the attempt
+	RequestDone  bool      // the client has its response: no answer is wanted
+	BodyConsumed bool      // part of the request's body is gone: it cannot be sent again
+	LoadReport   []float32 // valid during the call only; no decision reads it
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -13,14 +13,14 @@
 	h.sent = append(h.sent, endpoint)
 	fmt.Printf("send request %d to endpoint %d\n", id, endpoint)
 }
-func (h *host) Reject(id uint64, after balancer.Micros) { fmt.Printf("refuse request %d\n", id) }
-func (h *host) Fail(id uint64)                          { fmt.Printf("fail request %d\n", id) }
-func (h *host) CancelAttempt(id uint64, attempt int)    {}
-func (h *host) SetTimer(balancer.Micros, uint32)        {}
-func (h *host) SendLoadProbe(endpoint uint32)           {}
-func (h *host) SendGossip(data []byte)                  {}
-func (h *host) WatchEndpoints(on bool)                  {}
-func (h *host) Log(line string)                         { fmt.Println(line) }
+func (h *host) Reject(id uint64, after balancer.Micros)         { fmt.Printf("refuse request %d\n", id) }
+func (h *host) Fail(id uint64)                                  { fmt.Printf("fail request %d\n", id) }
+func (h *host) CancelAttempt(id uint64, attempt int)            {}
+func (h *host) SetTimer(balancer.Micros, uint32)                {}
+func (h *host) SendLoadProbe(endpoint uint32)                   {}
+func (h *host) SendGossip(data []byte)                          {}
+func (h *host) WatchEndpoints(on bool)                          {}
+func (h *host) Log(message string, fields ...balancer.LogField) { fmt.Println(message, fields) }
 
 func Example() {
 	settings := balancer.Settings{
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -5,59 +5,77 @@
 	"fmt"
 )
 
-// Balancers tell each other what their probes were answered. A message is a version and one or more answers;
-// it goes by a path that may lose it, so that each stands for itself.
+// A gossip message is a version and one or more entries. It may be lost, so that each stands for itself.
 const (
 	gossipVersion    = 1
-	gossipEntryBytes = 8 // of one answer: id, start, requests held, requests waiting
+	gossipEntryBytes = 8
 	maxGossipBytes   = 256
 )
 
-// gossipEntry is one probe's answer as it is told.
+// gossipEntry is one endpoint's load report as it is shared with the other balancers.
 type gossipEntry struct {
-	endpointID uint32
-	// low bits of the endpoint's start in milliseconds: news of an earlier life is of no use
-	startMark             uint16
-	inFlight, queueLength uint8
+	endpointID  uint32
+	startMark   uint16 // startTimeMark of the endpoint: a report of an earlier process is ignored
+	inFlight    uint8  // capped at 255
+	queueLength uint8
 }
 
+// startTimeMark returns the low bits of a start time in milliseconds.
 func startTimeMark(at Micros) uint16 { return uint16(at / 1000) }
 
-// clampToByte fits a load figure into its byte.
+// clampToByte rounds a count and fits it into a byte.
 func clampToByte(x float64) uint8 { return uint8(min(max(x+0.5, 0), 255)) }
 
-func (n gossipEntry) encode() []byte {
-	data := binary.BigEndian.AppendUint32([]byte{gossipVersion}, n.endpointID)
-	data = binary.BigEndian.AppendUint16(data, n.startMark)
-	return append(data, n.inFlight, n.queueLength)
+// encode returns a message of one entry.
+func (g gossipEntry) encode() []byte {
+	data := binary.BigEndian.AppendUint32([]byte{gossipVersion}, g.endpointID)
+	data = binary.BigEndian.AppendUint16(data, g.startMark)
+	return append(data, g.inFlight, g.queueLength)
 }
 
-// decodeGossip reads a message, or says why it cannot be one.
+// decodeGossip reads the entries of a message. The error says that it is none of this version.
 func decodeGossip(data []byte) ([]gossipEntry, error) {
 	if len(data) == 0 || len(data) > maxGossipBytes || data[0] != gossipVersion ||
 		(len(data)-1)%gossipEntryBytes != 0 {
-		return nil, fmt.Errorf("%d bytes are no message of version %d", len(data), gossipVersion)
+		return nil, fmt.Errorf("%d bytes are not a gossip message of version %d", len(data), gossipVersion)
 	}
-	var all []gossipEntry
+	var entries []gossipEntry
 	for data = data[1:]; len(data) > 0; data = data[gossipEntryBytes:] {
-		all = append(all, gossipEntry{binary.BigEndian.Uint32(data), binary.BigEndian.Uint16(data[4:]),
-			data[6], data[7]})
+		entries = append(entries, gossipEntry{
+			endpointID:  binary.BigEndian.Uint32(data),
+			startMark:   binary.BigEndian.Uint16(data[4:]),
+			inFlight:    data[6],
+			queueLength: data[7],
+		})
 	}
-	return all, nil
+	return entries, nil
 }
 
-// ReceiveGossip handles a peer's message. It may be late, lost or of an endpoint's earlier life.
+// sendGossip shares a load report of e with the other balancers.
+func (b *Balancer) sendGossip(e *endpoint, inFlight, queueLength float64) {
+	entry := gossipEntry{
+		endpointID:  e.ID,
+		startMark:   startTimeMark(e.StartTime),
+		inFlight:    clampToByte(inFlight),
+		queueLength: clampToByte(queueLength),
+	}
+	b.actions.SendGossip(entry.encode())
+}
+
+// ReceiveGossip handles a message of another balancer. It may come late; one that is malformed is logged
+// and dropped. data is read during the call only.
 func (b *Balancer) ReceiveGossip(now Micros, data []byte) {
-	all, err := decodeGossip(data)
+	entries, err := decodeGossip(data)
 	if err != nil {
-		b.log(now, "peers", "a peer's message is dropped: %v", err)
+		b.log(now, "gossip message dropped", LogField{"error", err})
 		return
 	}
-	for _, n := range all {
-		if e := b.endpointsByID[n.endpointID]; e != nil && e.isUsable() &&
-			startTimeMark(e.StartTime) == n.startMark {
-			b.recordLoad(now, e, float64(n.inFlight))
-			b.recordConcurrency(e, float64(n.inFlight), float64(n.queueLength))
+	for _, entry := range entries {
+		e := b.endpointsByID[entry.endpointID]
+		if e == nil || !e.isUsable() || startTimeMark(e.StartTime) != entry.startMark {
+			continue
 		}
+		b.recordLoad(now, e, float64(entry.inFlight))
+		b.learnConcurrency(e, float64(entry.inFlight), float64(entry.queueLength))
 	}
 }
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"slices"
 	"testing"
 )
@@ -57,7 +58,15 @@
 func (r *recorder) SendLoadProbe(e uint32) { r.probes = append(r.probes, e) }
 func (r *recorder) SendGossip(data []byte) { r.gossip = append(r.gossip, slices.Clone(data)) }
 func (r *recorder) WatchEndpoints(bool)    { r.watches++ }
-func (r *recorder) Log(line string)        { r.logs = append(r.logs, line) }
+
+// Log keeps a line as a host may write it: the message, then key=value for each field.
+func (r *recorder) Log(message string, fields ...LogField) {
+	line := message
+	for _, field := range fields {
+		line += fmt.Sprintf(" %s=%v", field.Key, field.Value)
+	}
+	r.logs = append(r.logs, line)
+}
 
 // ready returns n ready endpoints with ids from 1; pairs share a cell and a zone.
 func ready(n int) []Endpoint {
--- a/balancer/latency_estimate.go
+++ b/balancer/latency_estimate.go
@@ -6,66 +6,88 @@
 )
 
 const (
-	serviceTimeLifetime    = 10 * second
-	serviceTimeWeight      = 0.03
-	groupServiceTimeWeight = 0.02
-	meanWorkWeight         = 0.01
-	reportedWorkWeight     = 0.03 // of a report's time to serve, in a class's work
-	hintExponentWeight     = 0.005
+	serviceTimeLifetime    = 10 * second // after which an endpoint's own service time is forgotten
+	serviceTimeWeight      = 0.03        // of the latest outcome, for an endpoint
+	groupServiceTimeWeight = 0.02        // of the latest outcome, for a zone and for all endpoints
+	meanWorkWeight         = 0.01        // of the latest hint or outcome in a class's mean work
+	reportedWorkWeight     = 0.03        // of the latest reported service time in a class's mean work
+	hintExponentWeight     = 0.005       // of the latest outcome
 )
 
-// expectedServiceTime is e's time per unit of work, longer while it is cold. Unseen for long, it is its
-// zone's or the
-// fleet's, whichever is less, so that an endpoint once thought slow is tried again: all that is warm of a
-// zone may be one that is slow, which says nothing of those that have just started.
-func (e *endpoint) expectedServiceTime(now Micros, b *Balancer) float64 {
-	usual := min(b.zones[e.Zone].serviceTime.valueOr(b.serviceTime.valueOr(1)), b.serviceTime.valueOr(1))
-	trust := max(0, 1-float64(now-e.serviceTimeAt)/float64(serviceTimeLifetime)) *
-		indicator(e.serviceTime.initialized)
-	return (usual + (e.serviceTime.value-usual)*trust) / e.capacityFraction(now, b)
+// serviceTime is the time that an endpoint needs per unit of work and contention, once past its slow start.
+type serviceTime struct {
+	average   ewma
+	updatedAt Micros
 }
 
-// predictLatency is the latency expected of a request of this work sent to e now.
+// expectedServiceTime returns the time that e needs per unit of work and contention now. The older its
+// own average is, the more that of its zone or of all endpoints counts, whichever is less: so an endpoint
+// found slow is tried again, and a new one is not held to be as slow as the others of its zone.
+func (b *Balancer) expectedServiceTime(now Micros, e *endpoint) float64 {
+	all := b.serviceTime.valueOr(1)
+	group := min(b.zones[e.Zone].serviceTime.valueOr(all), all)
+	own := &e.serviceTime
+	age := float64(now - own.updatedAt)
+	trust := max(0, 1-age/float64(serviceTimeLifetime)) * indicator(own.average.initialized)
+	return (group + (own.average.value-group)*trust) / e.slowStart.capacityFraction(now, &b.settings.Rules)
+}
+
+// predictLatency returns the latency (microseconds) of a request of this work, were it sent to e now.
 func (b *Balancer) predictLatency(now Micros, e *endpoint, work float64) float64 {
-	return b.zones[e.Zone].roundTrip.value + work*b.slowdown(now, e)*e.expectedServiceTime(now,
-		b)*b.contention(now, e)
+	return b.zones[e.Zone].roundTrip.value +
+		work*b.slowdown(now, e)*b.expectedServiceTime(now, e)*b.contention(now, e)
 }
 
-// learnServiceTime learns from a latency; atLeast says that it is only a lower bound.
-func (b *Balancer) learnServiceTime(now Micros, r *request, a *attempt, latency float64, atLeast bool) {
+// learnServiceTime learns from the latency (microseconds) of an attempt. isLowerBound says that the
+// attempt has not ended: it then only counts if it took longer than expected.
+func (b *Balancer) learnServiceTime(now Micros, r *request, a *attempt, latency float64, isLowerBound bool) {
 	e := a.endpoint
-	x := max(0, latency-b.zones[e.Zone].roundTrip.value) / a.contendedWork
-	if atLeast && x <= e.expectedServiceTime(now, b) {
+	measured := max(0, latency-b.zones[e.Zone].roundTrip.value) / a.contendedWork
+	if isLowerBound && measured <= b.expectedServiceTime(now, e) {
 		return
 	}
-	b.updateTrend(now, e, latency/(a.expectedLatency*b.slowdown(now, e)))
-	if !atLeast && r.logHintRatio != 0 && x > 0 {
-		// Rough hints overstate the large and understate the small: learn how far they tell.
-		b.hintExponent = min(1, max(0,
-			b.hintExponent+hintExponentWeight*r.logHintRatio*math.Log(x/e.expectedServiceTime(now, b))))
+	// Relative to what is expected by now: attempts that started before the trend moved must not each
+	// move it.
+	b.zones[e.Zone].trend.record(now, latency/(a.expectedLatency*b.slowdown(now, e)))
+	if !isLowerBound {
+		b.learnHintExponent(now, r, e, measured)
 	}
-	warmth := e.capacityFraction(now, b) // what is kept is the pace once warm
-	e.serviceTime = ewma{value: e.expectedServiceTime(now, b) * warmth, initialized: true}
-	e.serviceTime.add(x*warmth, serviceTimeWeight)
-	e.serviceTimeAt = now
-	if atLeast {
+	capacity := e.slowStart.capacityFraction(now, &b.settings.Rules)
+	e.serviceTime.average = ewma{value: b.expectedServiceTime(now, e) * capacity, initialized: true}
+	e.serviceTime.average.add(measured*capacity, serviceTimeWeight)
+	e.serviceTime.updatedAt = now
+	if isLowerBound {
 		return
 	}
-	if !r.HasCostHint && a.contendedWork <= r.work && !b.learnsWorkFromReports() {
-		// Without hints a class's work is its mean latency on an endpoint without a queue. Elsewhere it would be
-		// learned by the queue assumed there, which is itself told by work: the two would feed each other.
-		b.classes[r.Class].meanWork.add(x*warmth*r.work, meanWorkWeight)
+	b.learnMeanWork(r, a, measured*capacity)
+	if !e.slowStart.active {
+		b.zones[e.Zone].serviceTime.add(measured, groupServiceTimeWeight)
+		b.serviceTime.add(measured, groupServiceTimeWeight)
 	}
-	if !e.warmingUp {
-		b.zones[e.Zone].serviceTime.add(x, groupServiceTimeWeight)
-		b.serviceTime.add(x, groupServiceTimeWeight)
+}
+
+// learnHintExponent learns how far cost hints tell the work: rough ones overstate large requests and
+// understate small ones.
+func (b *Balancer) learnHintExponent(now Micros, r *request, e *endpoint, measured float64) {
+	if r.logHintRatio == 0 || measured <= 0 {
+		return
+	}
+	step := hintExponentWeight * r.logHintRatio * math.Log(measured/b.expectedServiceTime(now, e))
+	b.hintExponent = min(1, max(0, b.hintExponent+step))
+}
+
+// learnMeanWork learns a class's mean work from a service time, where no hints tell it. Attempts that met
+// contention are left out: it is estimated by the mean work, and the two would feed each other.
+func (b *Balancer) learnMeanWork(r *request, a *attempt, measured float64) {
+	if r.HasCostHint || a.contendedWork > r.work || b.learnsWorkFromReports() {
+		return
 	}
+	b.classes[r.Class].meanWork.add(measured*r.work, meanWorkWeight)
 }
 
-// learnsWorkFromReports says that reports tell a class's work: the time to serve without the wait.
-// Where answers are
-// shared the load that a single request meets is guessed, and its latency would count the queue there as
-// work: too much is refused for it then, and what is refused cannot put that right.
+// learnsWorkFromReports reports whether load reports tell the mean work, as their service time. While
+// gossiping, the contention that a request meets is a guess, and its latency would count the queue there
+// as work.
 func (b *Balancer) learnsWorkFromReports() bool {
 	return b.gossiping && len(b.classes) == 1 && !b.hasSeenCostHint &&
 		slices.Contains(b.settings.LoadReportFields, LoadFieldServiceTime)
--- a/balancer/latency_trend.go
+++ b/balancer/latency_trend.go
@@ -3,31 +3,34 @@
 import "math"
 
 const (
-	trendWeight      = 0.1
-	maxTrendRatio    = 4.0 // one outcome counts as no more than this many times the prediction
-	trendNoiseMargin = 1.5
-	maxTrend         = 8.0
-	trendHalfLife    = 2e6 // half-life of its logarithm
+	trendWeight      = 0.1 // of the latest outcome
+	maxTrendRatio    = 4.0 // of a latency to its prediction, as one outcome counts
+	trendNoiseMargin = 1.5 // trend that chance alone may cause
+	maxTrend         = 8.0 // and 1/maxTrend is the least
+	trendHalfLife    = 2e6 // of its logarithm, in microseconds
 )
 
-// updateTrend shifts what is expected of every endpoint of a zone by one outcome: when a whole zone
-// turns slow, or
-// recovers, the paces of endpoints that see little of our traffic are learned far too late. The ratio is to
-// what is expected by now: requests sent before the trend moved must not each move it as far again.
-func (b *Balancer) updateTrend(now Micros, e *endpoint, ratio float64) {
-	z := &b.zones[e.Zone]
-	trend := z.currentTrend(now) * (1 + trendWeight*(min(ratio, maxTrendRatio)-1))
-	z.trend, z.trendUpdatedAt = min(maxTrend, max(1/maxTrend, trend)), now
+// latencyTrend is the ratio of the latencies of a zone to their predictions. It moves within a few
+// outcomes, where the service times of endpoints that get few requests would take long, and fades without
+// outcomes, since rejected requests have none that could tell of a recovery.
+type latencyTrend struct {
+	value     float64 // at updatedAt; 1 for as predicted
+	updatedAt Micros
 }
 
-// currentTrend is the trend by now. What is refused has no outcome that could tell of a recovery: a
-// trend that
-// did not fade would go on refusing to an idle fleet, for longer the fewer requests a balancer has.
-func (z *zoneStats) currentTrend(now Micros) float64 {
-	return math.Pow(z.trend, math.Exp2(-float64(now-z.trendUpdatedAt)/trendHalfLife))
+// record adds an outcome, as the ratio of its latency to the present prediction.
+func (t *latencyTrend) record(now Micros, ratio float64) {
+	value := t.current(now) * (1 + trendWeight*(min(ratio, maxTrendRatio)-1))
+	t.value, t.updatedAt = min(maxTrend, max(1/maxTrend, value)), now
 }
 
-// slowdown is the trend at e beyond what chance makes of it.
+// current returns the trend now.
+func (t *latencyTrend) current(now Micros) float64 {
+	return math.Pow(t.value, math.Exp2(-float64(now-t.updatedAt)/trendHalfLife))
+}
+
+// slowdown returns how many times longer than predicted by its endpoints alone e's zone takes now, at
+// least 1.
 func (b *Balancer) slowdown(now Micros, e *endpoint) float64 {
-	return max(1, b.zones[e.Zone].currentTrend(now)/trendNoiseMargin)
+	return max(1, b.zones[e.Zone].trend.current(now)/trendNoiseMargin)
 }
--- a/balancer/outliers.go
+++ b/balancer/outliers.go
@@ -3,16 +3,45 @@
 import "math"
 
 const (
-	// of the latest outcome in an endpoint's share of failures: a single one does not eject
-	failureWeight     = 0.2
-	ejectionThreshold = 0.4 // share of failures from which an endpoint is ejected
+	failureWeight     = 0.2 // of the latest outcome: a single failure does not eject
+	ejectionThreshold = 0.4 // failure rate from which an endpoint is ejected
+	failureHalfLife   = 3 * second
+	minFailureRate    = 0.01 // below it, 0
 )
 
-// currentFailureRate is the recent share of failures at e; it fades, so that e is tried again.
-func (e *endpoint) currentFailureRate(now Micros) float64 {
-	f := e.failureRate * math.Exp2(-float64(now-e.failureRateAt)/float64(3*second))
-	return f * indicator(f > 0.01) // all but forgotten is forgotten
+// failureRate is the fraction of an endpoint's recent attempts that failed. It fades, so that an ejected
+// endpoint is tried again.
+type failureRate struct {
+	value     float64 // at updatedAt
+	updatedAt Micros
 }
 
-// isEjected says whether e fails so often of late that it serves only when nothing else is left.
-func (e *endpoint) isEjected(now Micros) bool { return e.currentFailureRate(now) >= ejectionThreshold }
+// current returns the failure rate now.
+func (f *failureRate) current(now Micros) float64 {
+	rate := f.value * math.Exp2(-float64(now-f.updatedAt)/float64(failureHalfLife))
+	return rate * indicator(rate > minFailureRate)
+}
+
+// recordSuccess adds an attempt that got a response.
+func (f *failureRate) recordSuccess(now Micros) {
+	f.value, f.updatedAt = (1-failureWeight)*f.current(now), now
+}
+
+// recordFailure adds an attempt that failed.
+func (f *failureRate) recordFailure(now Micros) {
+	f.value, f.updatedAt = (1-failureWeight)*f.current(now)+failureWeight, now
+}
+
+// isOutlier reports whether the endpoint is ejected: it gets requests only if nothing else is left.
+func (f *failureRate) isOutlier(now Micros) bool { return f.current(now) >= ejectionThreshold }
+
+// recordFailure adds an attempt that failed at e, and logs an ejection.
+func (b *Balancer) recordFailure(now Micros, e *endpoint) {
+	wasOutlier := e.failures.isOutlier(now)
+	e.failures.recordFailure(now)
+	if !wasOutlier && e.failures.isOutlier(now) {
+		b.log(now, "endpoint ejected",
+			LogField{"endpoint", e.ID},
+			LogField{"failure_percent", math.Round(100 * e.failures.value)})
+	}
+}
--- a/balancer/peers_test.go
+++ b/balancer/peers_test.go
@@ -27,8 +27,8 @@
 	other.TimerFired(second, timerProbeRound)
 	other.ReceiveGossip(second+2000, r.gossip[0])
 	e := other.endpointsByID[r.probes[0]]
-	if got := other.estimateLoad(second+2000, e); got != 7 || other.concurrency(e) != 4 {
-		t.Errorf("load %v and %v worked at after a message of 7 held and 3 waiting", got, other.concurrency(e))
+	if got := other.estimateLoad(second+2000, e); got != 7 || other.concurrencyOf(e) != 4 {
+		t.Errorf("load %v and %v worked at after a message of 7 held and 3 waiting", got, other.concurrencyOf(e))
 	}
 
 	few := fleetSettings()
@@ -101,12 +101,12 @@
 		b, r := start(t, fleetSettings(), list)
 		b.ReceiveGossip(10*second, data)
 		for _, e := range b.endpoints {
-			if e.hasLoadReport {
+			if e.report.known {
 				t.Errorf("%s: endpoint %d has a load now", name, e.ID)
 			}
 		}
 		proper := name == "unknown" || name == "earlier life"
-		if told := len(r.logs) == 1 && strings.Contains(r.logs[0], "peer"); told == proper {
+		if told := len(r.logs) == 1 && strings.HasPrefix(r.logs[0], "gossip message dropped error="); told == proper {
 			t.Errorf("%s: log %q", name, r.logs)
 		}
 	}
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -3,99 +3,115 @@
 import "slices"
 
 const (
-	weightedDraws             = 8      // random draws before the list is gone through
-	minPoolAge                = second // an answer is fresh for this long,
-	poolAgeRounds             = 3      // or for so many turns of the whole fleet
-	onDemandReportAgeFraction = 0.25   // of its aim, at most, may a figure be old where probes go with requests
-	// of the delay that a send is to those already there: among equals, less load
-	loadCostWeight  = 0.05
-	crossZoneWeight = 2.0 // aims of latency that a crossing's price counts as
+	minPoolAge                = second // for which a report is fresh at least
+	poolAgeRounds             = 3      // rounds over the fleet for which a report is fresh
+	onDemandReportAgeFraction = 0.25   // of the latency objective, for which a report is fresh on demand
+
+	weightedDraws   = 8    // random draws by weight before the list is searched
+	loadCostWeight  = 0.05 // of the delay that a request causes to those in flight there
+	crossZoneWeight = 2.0  // latency objectives that the cost of a zone crossing counts as
 )
 
-// pick returns the pooled endpoint of the least cost for r, leaving out those it must not or should not go
-// to; without fresh answers, the better of two random draws.
-func (b *Balancer) pick(now Micros, r *request, not *endpoint) *endpoint {
-	fresh := b.maxReportAge(now, b.classOf(r).LatencyObjective)
+// pick returns the endpoint of the least cost for a request, or nil: of those with a fresh load report,
+// and of a few random ones where these are few. Endpoints that the request has tried, and excluded, are
+// left out.
+func (b *Balancer) pick(now Micros, r *request, excluded *endpoint) *endpoint {
 	var best *endpoint
-	var least float64
+	var lowest float64
 	consider := func(e *endpoint) {
-		if c := b.cost(now, r, e); best == nil || c < least {
-			best, least = e, c
+		if cost := b.cost(now, r, e); best == nil || cost < lowest {
+			best, lowest = e, cost
 		}
 	}
-	b.probedPool = slices.DeleteFunc(b.probedPool, func(e *endpoint) bool {
-		e.inPool = e.isUsable() && now-e.reportedAt <= fresh
-		return !e.inPool
-	})
-	// A random start parts equals: all balancers may hold the same list. Where they share their answers, the
-	// few draws below part them: else all would go to the one that was quietest.
-	for i, at := 0, int(b.random.float()*float64(len(b.probedPool))); !b.gossiping &&
-		i < len(b.probedPool); i++ {
-		if e := b.probedPool[(at+i)%len(b.probedPool)]; e != not && !r.hasTried(e) && b.mayStartAttempt(now, r, e) {
+	b.expirePool(now, b.classOf(r).LatencyObjective)
+	// The start is random because other balancers may have the same reports. Shared ones are left to the
+	// draws below: by them all balancers would send to the same endpoint.
+	start := int(b.random.float() * float64(len(b.probedPool)))
+	for i := 0; !b.gossiping && i < len(b.probedPool); i++ {
+		e := b.probedPool[(start+i)%len(b.probedPool)]
+		if e != excluded && !r.hasTried(e) && b.mayStartAttempt(now, r, e) {
 			consider(e)
 		}
 	}
-	// A pool of few would take all: with most endpoints unanswered, the draws compete.
-	if best == nil || !b.probesOnDemand && 2*len(b.probedPool) < len(b.endpoints) {
-		// Most draws are made at home: of all zones alike, nearly all would be of the others, and be paid for.
-		for _, list := range [...][]*endpoint{b.localEndpoints, b.localEndpoints, b.endpoints} {
-			e := b.drawRandom(now, r, list, not, float64(r.Deadline))
-			if e == nil || e.isEjected(now) { // a zone that is lost leaves no choice at home
-				e = b.drawRandom(now, r, b.endpoints, not, float64(r.Deadline))
-			}
-			if e != nil {
-				consider(e)
-			}
+	isPoolSmall := !b.probesOnDemand && 2*len(b.probedPool) < len(b.endpoints)
+	if best != nil && !isPoolSmall {
+		return best
+	}
+	// Two draws of three are local: by size alone most would be in other zones.
+	for _, list := range [...][]*endpoint{b.localEndpoints, b.localEndpoints, b.endpoints} {
+		e := b.drawRandom(now, r, list, excluded, float64(r.Deadline))
+		if e == nil || e.failures.isOutlier(now) {
+			e = b.drawRandom(now, r, b.endpoints, excluded, float64(r.Deadline))
+		}
+		if e != nil {
+			consider(e)
 		}
 	}
 	return best
 }
 
-// cost ranks endpoints: predicted latency, and as time a zone crossing's price and a likely failure.
-func (b *Balancer) cost(now Micros, r *request, e *endpoint) float64 {
-	aim := float64(b.classOf(r).LatencyObjective)
-	expected := b.predictLatency(now, e, r.work)
-	// One that answers in time goes first, if far or failing.
-	c := expected + (e.currentFailureRate(now)+indicator(e.isEjected(now))+
-		indicator(expected > b.latencyBudget(now, r, e)))*aim
+// expirePool removes endpoints from the pool that are out of use or whose report is too old for a request
+// of this latency objective.
+func (b *Balancer) expirePool(now, objective Micros) {
+	maxAge := b.maxReportAge(now, objective)
+	b.probedPool = slices.DeleteFunc(b.probedPool, func(e *endpoint) bool {
+		e.inPool = e.isUsable() && now-e.report.at <= maxAge
+		return !e.inPool
+	})
+}
 
-	c += loadCostWeight * b.classes[r.Class].meanWork.value * e.expectedServiceTime(now,
-		b) * b.estimateLoad(now, e)
-	return c + crossZoneWeight*b.settings.Costs.CrossZone*aim*indicator(int(e.Zone) != b.settings.Zone)
+// maxReportAge returns how long a load report is fresh for a request of this latency objective.
+func (b *Balancer) maxReportAge(now, objective Micros) Micros {
+	if b.probesOnDemand {
+		return Micros(onDemandReportAgeFraction * float64(objective))
+	}
+	rounds := poolAgeRounds * float64(len(b.endpoints)) / b.loadProbeRate(now)
+	return max(minPoolAge, Micros(rounds*float64(second)))
 }
 
-// drawRandom returns a random endpoint of a list that r may and should go to, at home or no farther than far,
-// or nil.
-func (b *Balancer) drawRandom(now Micros, r *request, list []*endpoint, not *endpoint,
-	far float64) *endpoint {
-	n := len(list)
-	var last *endpoint
-	at := int(b.random.float() * float64(n))
-	for i := 0; n > 0 && i < weightedDraws+n; i++ {
-		if i < weightedDraws {
-			at = int(b.random.float() * float64(n))
+// cost returns what ranks e for a request, in microseconds: the predicted latency, and as latency a likely
+// failure, a late response, the delay of other requests and a zone crossing.
+func (b *Balancer) cost(now Micros, r *request, e *endpoint) float64 {
+	objective := float64(b.classOf(r).LatencyObjective)
+	latency := b.predictLatency(now, e, r.work)
+	isLate := latency > b.latencyBudget(now, r, e)
+	penalties := e.failures.current(now) + indicator(e.failures.isOutlier(now)) + indicator(isLate)
+	cost := latency + penalties*objective
+	cost += loadCostWeight * b.classes[r.Class].meanWork.value *
+		b.expectedServiceTime(now, e) * b.estimateLoad(now, e)
+	return cost + crossZoneWeight*b.settings.Costs.CrossZone*objective*indicator(!b.isLocal(e))
+}
+
+// drawRandom returns a random endpoint of a list that an attempt may start at, or nil; an ejected one
+// only if there is no other. The first draws go by weight and to zones within a round-trip time
+// (microseconds; 0 for the own zone); then the list is searched from a random place.
+func (b *Balancer) drawRandom(
+	now Micros, r *request, list []*endpoint, excluded *endpoint, maxRoundTrip float64,
+) *endpoint {
+	var fallback *endpoint
+	at := int(b.random.float() * float64(len(list)))
+	for i := 0; len(list) > 0 && i < weightedDraws+len(list); i++ {
+		isWeighted := i < weightedDraws
+		if isWeighted {
+			at = int(b.random.float() * float64(len(list)))
 		}
-		e := list[(at+i)%n]
-		// Larger endpoints are drawn more often.
-		away := int(e.Zone) != b.settings.Zone && (far == 0 || b.zones[e.Zone].roundTrip.value > far)
-		if i < weightedDraws && (away || b.random.float()*b.maxWeight > float64(e.Weight)) {
+		e := list[(at+i)%len(list)]
+		if isWeighted && (b.isTooFar(e, maxRoundTrip) || b.random.float()*b.maxWeight > float64(e.Weight)) {
 			continue
 		}
-		if e == not || r.hasTried(e) || !b.mayStartAttempt(now, r, e) {
+		if e == excluded || r.hasTried(e) || !b.mayStartAttempt(now, r, e) {
 			continue
 		}
-		if !e.isEjected(now) {
+		if !e.failures.isOutlier(now) {
 			return e
 		}
-		last = e // ejected endpoints serve only when nothing else is left
+		fallback = e
 	}
-	return last
+	return fallback
 }
 
-// maxReportAge is how long a pooled answer may be used for a request of this aim.
-func (b *Balancer) maxReportAge(now, aim Micros) Micros {
-	if b.probesOnDemand {
-		return Micros(onDemandReportAgeFraction * float64(aim))
-	}
-	return max(minPoolAge, Micros(poolAgeRounds*float64(len(b.endpoints))/b.loadProbeRate(now)*float64(second)))
+// isTooFar reports whether e is in another zone, at a longer round-trip time than allowed (0 for the own
+// zone).
+func (b *Balancer) isTooFar(e *endpoint, maxRoundTrip float64) bool {
+	return !b.isLocal(e) && (maxRoundTrip == 0 || b.zones[e.Zone].roundTrip.value > maxRoundTrip)
 }
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -75,7 +75,7 @@
 	nan := float32(math.NaN())
 	for _, load := range [][]float32{nil, {}, {nan}, {-3}, {float32(math.Inf(1))}} {
 		b.LoadProbeResult(1000, 1, OK, 500, load)
-		if b.endpoints[0].hasLoadReport {
+		if b.endpoints[0].report.known {
 			t.Errorf("report %v taken for a load", load)
 		}
 	}
@@ -99,7 +99,7 @@
 		b.sendLoadProbe(22_000+i, busy)
 		b.LoadProbeResult(23_000+i, busy.ID, OK, 500, []float32{0})
 	}
-	if !b.reportsAreLate {
+	if !b.lateReports.detected {
 		t.Fatal("not found out")
 	}
 	if got := b.estimateLoad(1000, busy); got < float64(busy.inFlight) {
@@ -110,7 +110,7 @@
 		b.sendLoadProbe(24_000+i, busy)
 		b.LoadProbeResult(25_000+i, busy.ID, OK, 500, []float32{5})
 	}
-	if b.reportsAreLate {
+	if b.lateReports.detected {
 		t.Error("not left again")
 	}
 }
@@ -127,7 +127,7 @@
 			b.sendLoadProbe(1000+age+10*i-500, busy)
 			b.LoadProbeResult(1000+age+10*i, busy.ID, OK, 500, []float32{0})
 		}
-		if b.reportsAreLate {
+		if b.lateReports.detected {
 			t.Errorf("reports are held to be late for an attempt %d ms old", age/1000)
 		}
 	}
@@ -216,9 +216,9 @@
 	s.Tenants = []Tenant{{Name: "a", Quota: 50}, {Name: "b", Quota: 50}}
 	b, _ := start(t, s, ready(2))
 	for i := range Micros(100) {
-		b.tenants[0].add(i*1000, 1)
+		b.tenantRates[0].add(i*1000, 1)
 		if i%4 == 0 {
-			b.tenants[1].add(i*1000, 1)
+			b.tenantRates[1].add(i*1000, 1)
 		}
 	}
 	over, within := &request{Request: Request{Tenant: 0}}, &request{Request: Request{Tenant: 1}}
@@ -254,7 +254,7 @@
 	r := &request{Request: request0(1, 0, 0), work: 50_000}
 	b.classes[0].arrivals.add(0, 1)
 	before := b.latencyBudget(0, r, b.endpoints[0])
-	b.reportsAreLate = true
+	b.lateReports.detected = true
 	if after := b.latencyBudget(0, r, b.endpoints[0]); after <= before || after != float64(b.settings.Classes[0].LatencyObjective) {
 		t.Errorf("limit %v before, %v while late", before, after)
 	}
@@ -266,14 +266,14 @@
 	b, _ := start(t, testSettings(), ready(2))
 	b.UpdateEndpoints(1000, UpdateDelta, []Endpoint{{ID: 9, State: Ready, StartTime: 1000}})
 	e := b.endpointsByID[9]
-	if got := e.expectedServiceTime(1000, b); !near(got, 5) { // warmth 0.2
+	if got := b.expectedServiceTime(1000, e); !near(got, 5) { // warmth 0.2
 		t.Errorf("pace %v just started", got)
 	}
-	e.serviceTime, e.serviceTimeAt = ewma{value: 2, initialized: true}, 6*second
-	if got := e.expectedServiceTime(6*second, b); got < 2.9 || got > 3 { // warmth 0.68
+	e.serviceTime.average, e.serviceTime.updatedAt = ewma{value: 2, initialized: true}, 6*second
+	if got := b.expectedServiceTime(6*second, e); got < 2.9 || got > 3 { // warmth 0.68
 		t.Errorf("pace %v half way", got)
 	}
-	if got := e.expectedServiceTime(12*second, b); got > 2 {
+	if got := b.expectedServiceTime(12*second, e); got > 2 {
 		t.Errorf("pace %v once warm", got)
 	}
 }
@@ -302,7 +302,7 @@
 	}
 	one := func(now Micros) float64 {
 		b.LoadProbeResult(now, 1, OK, 500, []float32{0})
-		b.endpointsByID[1].serviceTime, b.endpointsByID[1].serviceTimeAt = ewma{value: 1, initialized: true}, now
+		b.endpointsByID[1].serviceTime.average, b.endpointsByID[1].serviceTime.updatedAt = ewma{value: 1, initialized: true}, now
 		return b.predictLatency(now, b.endpointsByID[1], 10_000)
 	}
 	serve(0, 50, 1)
@@ -431,7 +431,7 @@
 		t.Errorf("load %v, though the probe waited for two requests' work", got)
 	}
 	b.LoadProbeResult(3000, 1, Rejected, 500, nil)
-	if e.reportedAt != 0 {
+	if e.report.at != 0 {
 		t.Error("an endpoint that turns probes away keeps its place in the pool")
 	}
 }
@@ -481,7 +481,7 @@
 // A few long answers must not make an endpoint refuse where nobody waits.
 func TestIdleEndpointIsNotRefused(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
-	b.endpoints[0].serviceTime, b.endpoints[0].serviceTimeAt = ewma{value: 9, initialized: true}, 1000
+	b.endpoints[0].serviceTime.average, b.endpoints[0].serviceTime.updatedAt = ewma{value: 9, initialized: true}, 1000
 	b.LoadProbeResult(1000, 1, OK, 500, []float32{0})
 	b.RequestArrived(2000, request0(1, 0, 2000))
 	if len(r.sends) != 1 {
@@ -506,15 +506,15 @@
 	if passed[0] < 3 || passed[0] > 8 || passed[1] > 2 {
 		t.Errorf("%d of the first 200 passed and %d of the next", passed[0], passed[1])
 	}
-	b.forcedAdmissionInterval = maxForcedAdmissionInterval
+	b.forcedAdmission.interval = maxForcedAdmissionInterval
 	r.sends = nil
-	b.zones[0].trend, b.classes[0].meanWork.value = 1, 1000
+	b.zones[0].trend.value, b.classes[0].meanWork.value = 1, 1000
 	b.RequestArrived(500*second, request0(1000, 0, 500*second))
 	b.AttemptFinished(501*second, Outcome{ID: 1000, Endpoint: 1, Status: OK, Latency: 1000, RequestDone: true})
 	b.RequestArrived(502*second, request0(1001, 0, 502*second))
 	b.AttemptFinished(502*second+1000, Outcome{ID: 1001, Endpoint: 1, Status: OK, Latency: 1000, RequestDone: true})
-	if b.forcedAdmissionInterval != minForcedAdmissionInterval {
-		t.Errorf("one of %d passes after an answer in time", b.forcedAdmissionInterval)
+	if b.forcedAdmission.interval != minForcedAdmissionInterval {
+		t.Errorf("one of %d passes after an answer in time", b.forcedAdmission.interval)
 	}
 }
 
@@ -554,8 +554,8 @@
 		a := b.requests[i].attempts[0]
 		b.AttemptFinished(second+slow, Outcome{ID: i, Endpoint: a.endpoint.ID, Status: OK, Latency: Micros(2 * a.expectedLatency), RequestDone: true})
 	}
-	if len(r.sends) != 100 || b.zones[0].trend > 2*trendNoiseMargin {
-		t.Errorf("trend %.1f after %d answers twice as slow as expected, want %.1f at most", b.zones[0].trend, len(r.sends), 2*trendNoiseMargin)
+	if len(r.sends) != 100 || b.zones[0].trend.value > 2*trendNoiseMargin {
+		t.Errorf("trend %.1f after %d answers twice as slow as expected, want %.1f at most", b.zones[0].trend.value, len(r.sends), 2*trendNoiseMargin)
 	}
 }
 
@@ -564,7 +564,7 @@
 func TestPassesThatServeEndTheRefusals(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.classes[0].meanWork.value = 250_000
-	b.zones[0].trend, b.zones[0].trendUpdatedAt = maxTrend, 10*second
+	b.zones[0].trend.value, b.zones[0].trend.updatedAt = maxTrend, 10*second
 	const gap = second / 200
 	last := Micros(0) // refusal
 	for i := range uint64(1000) {
@@ -586,7 +586,7 @@
 func TestSlownessThatNothingConfirmsFades(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.classes[0].meanWork.value = 100_000
-	b.zones[0].trend, b.zones[0].trendUpdatedAt, b.forcedAdmissionInterval = maxTrend, 10*second, maxForcedAdmissionInterval
+	b.zones[0].trend.value, b.zones[0].trend.updatedAt, b.forcedAdmission.interval = maxTrend, 10*second, maxForcedAdmissionInterval
 	for i, c := range []struct {
 		at      Micros
 		refused int
--- a/balancer/quota.go
+++ b/balancer/quota.go
@@ -1,25 +1,27 @@
 package balancer
 
-const (
-	quotaSlack = 1.25 // refusals below a fifth say nothing of shares
-)
+// quotaSlack is what the admitted fraction is multiplied by: a small rejected fraction says nothing of
+// quotas.
+const quotaSlack = 1.25
 
-// quotaWeight is what a request of r's tenant is worth on average, given how much of the tenant's traffic
-// lies beyond its share. Only this balancer's mix and refusals are known: the whole demand is taken to
-// exceed the sum of the allowances as it exceeds what is let in here.
+// quotaWeight returns the weight, 0 to 1, of a request by its tenant's quota: the average of 1 for the
+// part of the tenant's requests within the quota and Settings.OverQuotaWeight for the rest. A balancer
+// knows only its own requests: the demand of the fleet is taken to exceed the sum of quotas as its own
+// exceeds what it admits.
 func (b *Balancer) quotaWeight(now Micros, r *request) float64 {
-	if int(r.Tenant) >= len(b.tenants) {
+	if int(r.Tenant) >= len(b.tenantRates) {
 		return 1
 	}
-	var asked, allowed float64
-	for i := range b.tenants {
-		asked += b.tenants[i].rate(now)
-		allowed += b.settings.Tenants[i].Quota
+	var demand, quotas float64
+	for i := range b.tenantRates {
+		demand += b.tenantRates[i].rate(now)
+		quotas += b.settings.Tenants[i].Quota
 	}
-	if allowed <= 0 {
+	if quotas <= 0 {
 		return 1
 	}
-	mine := b.tenants[r.Tenant].rate(now) / asked
-	inside := min(1, b.settings.Tenants[r.Tenant].Quota/allowed/mine*(1-b.rejectedFraction.value)*quotaSlack)
-	return inside + (1-inside)*b.settings.OverQuotaWeight
+	demandFraction := b.tenantRates[r.Tenant].rate(now) / demand
+	admitted := 1 - b.rejectedFraction.value
+	within := min(1, b.settings.Tenants[r.Tenant].Quota/quotas/demandFraction*admitted*quotaSlack)
+	return within + (1-within)*b.settings.OverQuotaWeight
 }
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -2,49 +2,48 @@
 
 import "math"
 
-// request is the ledger's record of a request and its attempts.
+const (
+	inTimeWeight = 0.02 // of the latest request in a class's fraction answered in time
+
+	// The Retry-After of a rejection, as fractions of the latency objective: drawn between the two, so that
+	// clients do not come back together and a response is still wanted.
+	minRetryAfterFraction    = 0.1
+	spreadRetryAfterFraction = 0.2
+)
+
+// request is an entry of the request table: a request and its attempts. It stays there until it is
+// answered and no attempt is outstanding. All answers leave through reject and fail below.
 type request struct {
 	Request
-	timerToken       uint32 // of its timers
+	timerToken       uint32
 	arrivedAt        Micros
-	work             float64
-	priority         float64 // of its class and tenant, 0 to 1, when last decided
-	logHintRatio     float64 // logarithm of its hint over the mean of its class
+	work             float64 // expected, in microseconds of service time
+	priority         float64 // of its class and tenant, 0 to 1, as of the last decision
+	logHintRatio     float64 // logarithm of its cost hint over the mean work of its class
 	attempts         []attempt
 	outstanding      int     // attempts without outcome
-	answered         bool    // the final answer is out
-	streaming        bool    // an answer has begun: the attempt is the client's
-	forced           bool    // it was sent although it seemed too late
-	inTime           float64 // 1 once answered within its aim
-	awaitingProbes   bool    // it waits for probes
-	bodyConsumed     bool    // it cannot be sent again
-	awaitedEndpoints []*endpoint
+	answered         bool    // the response or the answer is out
+	streaming        bool    // a response has begun: the client is bound to the attempt
+	forced           bool    // it was admitted although it seemed too late
+	inTime           float64 // 1 once it got a response within the latency objective
+	awaitingProbes   bool
+	awaitedEndpoints []*endpoint // whose load probes it waits for
+	bodyConsumed     bool        // part of its body is gone: no retry
 }
 
-// RequestArrived handles a client's request.
+// RequestArrived handles a client's request. It is answered in this call or later, exactly once. An ID
+// that is still in the request table is ignored.
 func (b *Balancer) RequestArrived(now Micros, in Request) {
 	if b.requests[in.ID] != nil {
 		return
 	}
 	if int(in.Class) >= len(b.classes) {
-		b.actions.Reject(in.ID, 0) // nothing is known of it, but an answer is owed
+		b.actions.Reject(in.ID, 0)
 		return
 	}
 	r := b.newRequest(now, in)
-	b.requestRate.add(now, 1)
-	b.retryTokens = min(maxRetryTokens, b.retryTokens+retryTokensPerRequest)
-	c := &b.classes[in.Class]
-	c.arrivals.add(now, 1)
-	if int(in.Tenant) < len(b.tenants) {
-		b.tenants[in.Tenant].add(now, 1)
-	}
-	r.work = c.meanWork.value
-	if r.logHintRatio = 0; in.HasCostHint && in.CostHint > 0 {
-		b.hasSeenCostHint = true
-		c.meanWork.add(float64(in.CostHint), meanWorkWeight)
-		r.logHintRatio = math.Log(float64(in.CostHint) / c.meanWork.value)
-		r.work = c.meanWork.value * math.Exp(b.hintExponent*r.logHintRatio)
-	}
+	b.recordArrival(now, r)
+	b.estimateWork(r)
 	if now >= in.Deadline || b.unansweredCount > b.settings.Limits.MaxUnanswered {
 		b.reject(now, r)
 		return
@@ -54,6 +53,7 @@
 	}
 }
 
+// newRequest adds a request to the table.
 func (b *Balancer) newRequest(now Micros, in Request) *request {
 	var r *request
 	if n := len(b.freeRequests); n > 0 {
@@ -62,46 +62,76 @@
 		r = &request{timerToken: uint32(len(b.requestSlots) + firstRequestTimer)}
 		b.requestSlots = append(b.requestSlots, r)
 	}
-	// The high bits count uses of the slot, so that an old timer finds nothing.
-	r.timerToken += 1 << timerSlotBits
-	r.Request, r.arrivedAt, r.attempts, r.outstanding, r.answered, r.streaming = in, now,
-		r.attempts[:0], 0, false, false
-	r.inTime, r.forced, r.awaitingProbes, r.bodyConsumed, r.awaitedEndpoints = 0, false, false, false,
-		r.awaitedEndpoints[:0]
+	*r = request{
+		Request:          in,
+		timerToken:       r.timerToken + 1<<timerSlotBits,
+		arrivedAt:        now,
+		attempts:         r.attempts[:0],
+		awaitedEndpoints: r.awaitedEndpoints[:0],
+	}
 	b.requests[in.ID] = r
 	b.unansweredCount++
 	return r
 }
 
+// recordArrival counts a request in the rates and earns retry tokens.
+func (b *Balancer) recordArrival(now Micros, r *request) {
+	b.requestRate.add(now, 1)
+	b.retryBudget.earn()
+	b.classes[r.Class].arrivals.add(now, 1)
+	if int(r.Tenant) < len(b.tenantRates) {
+		b.tenantRates[r.Tenant].add(now, 1)
+	}
+}
+
+// estimateWork sets the expected work of a request, from the mean of its class and its cost hint.
+func (b *Balancer) estimateWork(r *request) {
+	class := &b.classes[r.Class]
+	r.work = class.meanWork.value
+	if !r.HasCostHint || r.CostHint <= 0 {
+		return
+	}
+	b.hasSeenCostHint = true
+	class.meanWork.add(float64(r.CostHint), meanWorkWeight)
+	r.logHintRatio = math.Log(float64(r.CostHint) / class.meanWork.value)
+	r.work = class.meanWork.value * math.Exp(b.hintExponent*r.logHintRatio)
+}
+
+// classOf returns the settings of a request's class.
 func (b *Balancer) classOf(r *request) *Class { return &b.settings.Classes[r.Class] }
 
-// admitOrReject sends a request, or refuses it.
+// admitOrReject starts an attempt of a request that has none outstanding, or rejects the request.
 func (b *Balancer) admitOrReject(now Micros, r *request) {
 	b.stopAwaitingProbes(r)
-	first := len(r.attempts) == 0
-	sent := b.pickAndStart(now, r, first)
-	if first {
-		b.rejectedFraction.add(indicator(!sent), fractionWeight)
+	isFirst := len(r.attempts) == 0
+	started := b.pickAndStart(now, r, isFirst)
+	if isFirst {
+		b.rejectedFraction.add(indicator(!started), fractionWeight)
 	}
-	if !sent {
+	if !started {
 		b.reject(now, r)
 	}
 }
 
-// BodySent tells that the last byte of a request's body is sent. Its time begins.
+// BodySent reports that the last byte of a request's body has been sent. Its time and its deadline count
+// from now on; a request that is not uploading is ignored.
 func (b *Balancer) BodySent(now Micros, id uint64, deadline Micros) {
 	r := b.requests[id]
 	if r == nil || r.answered || !r.IsUploading {
 		return
 	}
-	r.IsUploading, r.arrivedAt, r.Deadline = false, now, deadline
+	r.IsUploading = false
+	r.arrivedAt = now
+	r.Deadline = deadline
 	b.actions.SetTimer(max(1, deadline-now), r.timerToken)
-	if n := len(r.attempts); n > 0 && r.attempts[n-1].outstanding {
-		r.attempts[n-1].markInFlight(now)
+	if last := r.lastAttempt(); last != nil && last.outstanding {
+		last.markInFlight(now)
 	}
 }
 
-// ResponseStarted handles the start of a streamed answer: no deadline and no attempt concern it from here on.
+// ResponseStarted reports that an attempt's response began to arrive and is passed to the client. From
+// here on the balancer neither answers nor retries the request. latency counts from the start of the
+// attempt.
 func (b *Balancer) ResponseStarted(now Micros, id uint64, attempt int, latency Micros) {
 	r := b.requests[id]
 	if r == nil || r.answered || attempt < 0 || attempt >= len(r.attempts) {
@@ -111,63 +141,76 @@
 	b.recordTimeliness(now, r, true)
 }
 
-// ClientDisconnected handles a client that left before its final answer.
+// ClientDisconnected reports that a client left before it had an answer. None is sent any more.
 func (b *Balancer) ClientDisconnected(now Micros, id uint64) {
 	if r := b.requests[id]; r != nil {
 		b.finish(r)
 	}
 }
 
-// requestTimerFired looks at a request whose probes are slow, or whose time is up.
+// requestByTimer returns the request that a timer token was armed for, unless it is over or streaming.
+func (b *Balancer) requestByTimer(token uint32) *request {
+	slot := int(token&(1<<timerSlotBits-1)) - firstRequestTimer
+	if slot < 0 || slot >= len(b.requestSlots) {
+		return nil
+	}
+	r := b.requestSlots[slot]
+	if r.timerToken != token || r.answered || r.streaming {
+		return nil
+	}
+	return r
+}
+
+// requestTimerFired ends a request whose deadline has passed, or its wait for load probes.
 func (b *Balancer) requestTimerFired(now Micros, r *request) {
 	if now >= r.Deadline {
-		if n := len(r.attempts); n > 0 && r.attempts[n-1].outstanding {
-			a := &r.attempts[n-1]
-			b.learnServiceTime(now, r, a, float64(now-a.startedAt), true)
+		if last := r.lastAttempt(); last != nil && last.outstanding {
+			b.learnServiceTime(now, r, last, float64(now-last.startedAt), true)
 		}
 		b.reject(now, r)
-	} else if r.awaitingProbes {
-		// Only the idle answer in time: to count them alone would show an idle fleet when all of it is jammed.
-		for _, e := range r.awaitedEndpoints {
-			b.zones[e.Zone].baselineLoad.add(b.concurrency(e)+b.queueAhead(e, float64(now-e.probedAt)),
-				baselineLoadWeight)
-		}
-		b.admitOrReject(now, r)
+		return
+	}
+	if r.awaitingProbes {
+		b.probeWaitExpired(now, r)
 	}
 }
 
-// reject gives the final answer "refused" where that is true, else "failed".
+// reject answers a request with a rejection, which promises that a retry is harmless, or fails it where
+// that cannot be promised.
 func (b *Balancer) reject(now Micros, r *request) {
 	if r.answered || !b.mayReject(r) {
 		b.fail(r)
 		return
 	}
-	var after Micros
+	var retryAfter Micros
 	if b.settings.Limits.AllowRetryAfter {
-		// Spread the returns, and let them come while an answer is still wanted.
-		after = Micros((0.1 + 0.2*b.random.float()) * float64(b.classOf(r).LatencyObjective))
-		after = min(after, b.settings.Limits.MaxRetryAfter)
+		fraction := minRetryAfterFraction + spreadRetryAfterFraction*b.random.float()
+		retryAfter = Micros(fraction * float64(b.classOf(r).LatencyObjective))
+		retryAfter = min(retryAfter, b.settings.Limits.MaxRetryAfter)
 	}
-	b.actions.Reject(r.ID, after)
+	b.actions.Reject(r.ID, retryAfter)
 	b.finish(r)
 }
 
+// fail answers a request with a failure, which promises nothing.
 func (b *Balancer) fail(r *request) {
-	if !r.answered {
-		b.actions.Fail(r.ID)
-		b.finish(r)
+	if r.answered {
+		return
 	}
+	b.actions.Fail(r.ID)
+	b.finish(r)
 }
 
-// finish marks that the final answer is out; the record stays for late outcomes.
+// finish marks a request as answered and cancels an outstanding attempt. It removes the request from the
+// table once no outcome is to come.
 func (b *Balancer) finish(r *request) {
 	if !r.answered {
-		b.classes[r.Class].inTimeFraction.add(r.inTime, 0.02)
+		b.classes[r.Class].inTimeFraction.add(r.inTime, inTimeWeight)
 		r.answered = true
 		b.stopAwaitingProbes(r)
 		b.unansweredCount--
-		if n := len(r.attempts); r.outstanding > 0 && b.settings.Limits.AllowCancel {
-			b.actions.CancelAttempt(r.ID, n-1)
+		if r.outstanding > 0 && b.settings.Limits.AllowCancel {
+			b.actions.CancelAttempt(r.ID, len(r.attempts)-1)
 		}
 	}
 	if r.outstanding == 0 && b.requests[r.ID] == r {
--- a/balancer/retry_budget.go
+++ b/balancer/retry_budget.go
@@ -1,6 +1,23 @@
 package balancer
 
 const (
-	maxRetryTokens        = 10.0
-	retryTokensPerRequest = 0.2 // retries earned by each request
+	maxRetryTokens        = 10.0 // burst
+	retryTokensPerRequest = 0.2  // earned by each request that arrives
 )
+
+// retryBudget limits retries to a fraction of the requests, as a token bucket. A retry costs one token, but
+// nothing if the attempt before was certainly not executed.
+type retryBudget struct{ tokens float64 }
+
+// earn adds the tokens of one request.
+func (t *retryBudget) earn() { t.tokens = min(maxRetryTokens, t.tokens+retryTokensPerRequest) }
+
+// retry starts another attempt after one that failed, if the budget covers it, and reports whether it did.
+func (b *Balancer) retry(now Micros, r *request, failed *attempt) bool {
+	cost := indicator(failed.mayHaveRun)
+	if b.retryBudget.tokens < cost || !b.pickAndStart(now, r, false) {
+		return false
+	}
+	b.retryBudget.tokens -= cost
+	return true
+}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -145,7 +145,7 @@
 	}
 }
 
-func (c *checker) Log(string) {}
+func (c *checker) Log(string, ...LogField) {}
 
 // play runs legal random events from a seed and returns the faults found.
 func play(t *testing.T, s Settings, seed int64) []string {
@@ -607,7 +607,7 @@
 	if len(r.rejected) < 150 {
 		t.Fatalf("only %d refused", len(r.rejected))
 	}
-	if len(r.logs) != 1 || !strings.Contains(r.logs[0], "endpoint 1, would take") {
+	if len(r.logs) != 1 || !strings.Contains(r.logs[0], "predicted latency over budget endpoint=1 ") {
 		t.Errorf("log: %q", r.logs)
 	}
 }
--- a/balancer/script_test.go
+++ b/balancer/script_test.go
@@ -310,7 +310,7 @@
 	}
 }
 
-func (s *script) Log(string) {}
+func (s *script) Log(string, ...LogField) {}
 
 // list is the whole list as discovery has it now.
 func (s *script) list() []Endpoint {
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -2,181 +2,162 @@
 
 import "fmt"
 
-// Micros is an instant or a duration in microseconds. Instants share one
-// arbitrary origin chosen by the host; the host's clock never runs backwards.
+// Micros is an instant or a duration in microseconds. Instants share one arbitrary origin chosen by the
+// host; the host's clock never runs backwards.
 type Micros = int64
 
-// RetrySafety says what a second run of a request of a class would do.
+// RetrySafety says what executing a request of a class twice does.
 type RetrySafety uint8
 
-// The three kinds of class.
+// The kinds of retry safety.
 const (
-	Idempotent        RetrySafety = iota // a repeat is harmless
-	IdempotentWithKey                    // a group of endpoints drops repeats for a while
-	NonIdempotent                        // a repeat would have a second effect
+	Idempotent        RetrySafety = iota // nothing more than executing it once
+	IdempotentWithKey                    // nothing more, within the class's dedup scope and window
+	NonIdempotent                        // it has a second effect
 )
 
-// DedupScope is the set of endpoints that drops repeats of a keyed request.
+// DedupScope is the set of endpoints that drop duplicates of a request with the same key.
 type DedupScope uint8
 
-// The groups of a keyed class.
+// The dedup scopes.
 const (
-	DedupScopeFleet DedupScope = iota // every endpoint
+	DedupScopeFleet DedupScope = iota // all endpoints
 	DedupScopeZone                    // the endpoints of one zone
-	DedupScopePod                     // the endpoints of one cell
+	DedupScopePod                     // the endpoints of one pod
 )
 
-// LoadField names one figure of a load report.
+// LoadField names one value of a load report.
 type LoadField uint8
 
-// The figures that a load report may carry. FieldOther is one that this
-// version does not know; it is skipped.
+// The values that a load report may carry. LoadFieldUnknown is one that this version does not know; it is
+// skipped.
 const (
 	LoadFieldUnknown     LoadField = iota
-	LoadFieldInFlight              // requests that the endpoint holds
-	LoadFieldQueueLength           // requests that wait there
-	LoadFieldUtilization           // share of its cores in use
+	LoadFieldInFlight              // requests that the endpoint has
+	LoadFieldQueueLength           // those of them that wait
+	LoadFieldUtilization           // fraction of its cores in use
 	LoadFieldServiceTime           // recent service time in milliseconds
-	LoadFieldThroughput            // requests served a second
-	LoadFieldErrorRate             // errors a second
+	LoadFieldThroughput            // requests served per second
+	LoadFieldErrorRate             // errors per second
 )
 
 // Class describes one class of requests.
 type Class struct {
 	Name             string
 	RetrySafety      RetrySafety
-	DedupScope       DedupScope // keyed only
-	DedupWindow      Micros     // keyed only: how long the group remembers
-	LatencyObjective Micros     // an answer within this time earns the full worth
-	ClientTimeout    Micros     // the client's patience over all its tries
-	PriorityWeight   float64    // of one request
-	LateWeight       float64    // share of the worth earned after the aim
-	Streaming        bool       // answers are streamed: Headers announces them
+	DedupScope       DedupScope // for IdempotentWithKey
+	DedupWindow      Micros     // for IdempotentWithKey: how long duplicates are dropped
+	LatencyObjective Micros     // from the arrival of the request, or the end of its body
+	ClientTimeout    Micros     // over all attempts
+	PriorityWeight   float64    // of a request answered within the objective
+	LateWeight       float64    // 0 to 1: part of it that a later response still has; no decision reads it
+	Streaming        bool       // responses are streamed; no decision reads it, as ResponseStarted tells
 }
 
-// Tenant describes one tenant and its share of the service.
+// Tenant describes one tenant and its quota. No decision reads Name and Fraction.
 type Tenant struct {
 	Name     string
-	Quota    float64 // requests a second over all balancers
-	Fraction float64
+	Quota    float64 // requests per second over all balancers
+	Fraction float64 // of the service
 }
 
-// Limits holds what the deployment permits. DialTimeout is checked but no
-// decision reads it.
+// Limits holds what the deployment permits. No decision reads AllowHedging, since hedged requests would
+// double the work of an endpoint that is slow because it has too much, nor DialTimeout.
 type Limits struct {
-	AllowCancel, AllowLoadProbes, AllowHedging, AllowRetryAfter, AllowGossip bool
-
-	MaxAttempts   int    // attempts a request
-	MaxUnanswered int    // open requests a balancer
-	MaxRetryAfter Micros // the longest wait that clients honour
+	AllowCancel     bool
+	AllowLoadProbes bool
+	AllowHedging    bool
+	AllowRetryAfter bool
+	AllowGossip     bool
+
+	MaxAttempts   int    // of a request
+	MaxUnanswered int    // requests of this balancer
+	MaxRetryAfter Micros // longest that clients honour
 	DialTimeout   Micros
 }
 
-// Rules holds the figures of the rules. DrainGrace and AnswerSlack are
-// checked but no decision reads them: nothing new is sent to a draining
-// endpoint, and answers leave by the deadline.
+// Rules holds the parameters of the service's rules. No decision reads DrainGrace and ResponseSlack:
+// nothing new is sent to a draining endpoint, and requests are answered by their deadline.
 type Rules struct {
 	DrainGrace           Micros
-	SlowStartMinCapacity float64 // an endpoint starts at no less than this share
-	SlowStartDuration    Micros  // and is warm no later than this
-	OverloadMultiple     float64 // of its present capacity, sent for OverloadFor,
-	OverloadDuration     Micros  // makes a cold endpoint fall over
-	MaxPollInterval      Micros  // a balancer without subscription must ask this often
+	SlowStartMinCapacity float64 // least fraction of its full capacity that an endpoint starts with
+	SlowStartDuration    Micros  // after which it has its full capacity
+	OverloadMultiple     float64 // an endpoint in its slow start fails if sent this multiple of its present
+	OverloadDuration     Micros  // capacity for so long
+	MaxPollInterval      Micros  // without a subscription
 	ResponseSlack        Micros
 }
 
-// Costs holds what is taken off the result, each for its rate per request.
-// No decision reads Waste and LateFail.
+// Costs holds what is taken off the result for each event per request. No decision reads WastedWork and
+// LateFailure.
 type Costs struct {
-	CrossZone, LoadProbe, GossipMessage, WastedWork, LateFailure float64
+	CrossZone     float64
+	LoadProbe     float64 // 0 for free
+	GossipMessage float64 // of maxGossipBytes
+	WastedWork    float64
+	LateFailure   float64
 }
 
-// Objective holds the weights of what the users judge. No decision reads WorstTenant.
+// Objective holds the weights of what the service is judged by. No decision reads WorstTenant.
 type Objective struct {
-	Overall, WorstWindow, WorstClass, WorstTenant float64
+	Overall     float64
+	WorstWindow float64
+	WorstClass  float64
+	WorstTenant float64
 }
 
-// Settings is all that a balancer is told at its start. No decision reads
-// Position, Zones and Kinds.
+// Settings configures a balancer. No decision reads Index, Zones, MachineTypes and Tick.
 type Settings struct {
-	Balancers     int // in this tier, this one included
-	Index         int // of this one among them
-	Zone          int // of this one
+	Balancers     int // of this tier, this one included; SetFleetSize changes it
+	Index         int // of this balancer among them
+	Zone          int // of this balancer
 	Zones         int
-	MachineTypes  int  // of machines
-	MustSubscribe bool // discovery answers only when asked
+	MachineTypes  int
+	MustSubscribe bool // discovery sends endpoint updates only after WatchEndpoints
 
-	Classes          []Class
+	Classes          []Class // at least one
 	Tenants          []Tenant
-	LoadReportFields []LoadField // of a load report, in order
+	LoadReportFields []LoadField // in the order of a load report
 
 	Limits          Limits
 	Rules           Rules
 	Costs           Costs
 	Objective       Objective
-	Tick            Micros // the least time between two rounds of events
-	OverQuotaWeight float64
-	PriorityPerWork bool // worth counts per unit of work, not per request
+	Tick            Micros  // least time between two rounds of events
+	OverQuotaWeight float64 // of a request beyond its tenant's quota, relative to one within
+	PriorityPerWork bool    // PriorityWeight counts per unit of work, not per request
 }
 
-// SettingError names a setting that makes no sense.
+// SettingError names an invalid setting: its key, its value and why it is invalid.
 type SettingError struct{ Key, Value, Reason string }
 
-// Error says which setting is wrong, and how.
+// Error implements error.
 func (e *SettingError) Error() string {
 	return fmt.Sprintf("setting %s=%s: %s", e.Key, e.Value, e.Reason)
 }
 
-// Validate returns a *SettingError for the first setting that makes no sense.
+// Validate returns a *SettingError for the first invalid setting, or nil.
 func (s *Settings) Validate() error {
-	var err error
-	check := func(ok bool, key string, value any, reason string) {
-		if !ok && err == nil {
-			err = &SettingError{key, fmt.Sprint(value), reason}
-		}
-	}
-	check(s.Balancers >= 1, "Balancers", s.Balancers, "must be at least 1")
-	check(s.Index >= 0, "Position", s.Index, "must not be negative")
-	check(s.Zone >= 0, "Zone", s.Zone, "must not be negative")
-	check(s.MachineTypes >= 0, "Kinds", s.MachineTypes, "must not be negative")
-	check(s.Tick >= 0, "Tick", s.Tick, "must not be negative")
-	check(len(s.Classes) > 0, "Classes", "none", "at least one class is needed")
-	for i, c := range s.Classes {
-		at := func(name string) string { return fmt.Sprintf("Classes[%d].%s", i, name) }
-		check(c.RetrySafety <= NonIdempotent, at("Repeat"), c.RetrySafety, "not a known kind")
-		check(c.DedupScope <= DedupScopePod, at("Group"), c.DedupScope, "not a known group")
-		check(c.DedupWindow >= 0, at("Window"), c.DedupWindow, "must not be negative")
-		check(c.LatencyObjective > 0, at("Aim"), c.LatencyObjective, "must be positive")
-		check(c.ClientTimeout > 0, at("GiveUp"), c.ClientTimeout, "must be positive")
-		check(c.PriorityWeight >= 0, at("Worth"), c.PriorityWeight, "must not be negative")
-		check(c.LateWeight >= 0 && c.LateWeight <= 1, at("LateWorth"), c.LateWeight, "must be in 0..1")
+	var v validator
+	v.check("Balancers", s.Balancers, s.Balancers >= 1, atLeastOne)
+	v.check("Position", s.Index, s.Index >= 0, notNegative)
+	v.check("Zone", s.Zone, s.Zone >= 0, notNegative)
+	v.check("Kinds", s.MachineTypes, s.MachineTypes >= 0, notNegative)
+	v.check("Tick", s.Tick, s.Tick >= 0, notNegative)
+	v.check("Classes", "none", len(s.Classes) > 0, "at least one class is needed")
+	for i := range s.Classes {
+		v.checkClass(fmt.Sprintf("Classes[%d].", i), &s.Classes[i])
 	}
-	for i, t := range s.Tenants {
-		key := fmt.Sprintf("Tenants[%d].Allowance", i)
-		check(t.Quota >= 0, key, t.Quota, "must not be negative")
+	for i, tenant := range s.Tenants {
+		v.check(fmt.Sprintf("Tenants[%d].Allowance", i), tenant.Quota, tenant.Quota >= 0, notNegative)
 	}
-	goal := &s.Objective
-	for _, w := range [...]float64{goal.Overall, goal.WorstWindow, goal.WorstClass, goal.WorstTenant} {
-		check(w >= 0, "Goal", w, "must not be negative")
+	v.checkObjective(&s.Objective)
+	v.check("OverShareWorth", s.OverQuotaWeight, s.OverQuotaWeight >= 0, notNegative)
+	v.checkLimits(&s.Limits)
+	v.checkRules(&s.Rules)
+	v.checkCosts(&s.Costs)
+	if v.first == nil {
+		return nil
 	}
-	check(s.OverQuotaWeight >= 0, "OverShareWorth", s.OverQuotaWeight, "must not be negative")
-	l, c, p := &s.Limits, &s.Rules, &s.Costs
-	check(l.MaxAttempts >= 1, "Limits.MaxAttempts", l.MaxAttempts, "must be at least 1")
-	check(l.MaxUnanswered >= 1, "Limits.MaxOpen", l.MaxUnanswered, "must be at least 1")
-	check(l.MaxRetryAfter >= 0, "Limits.MaxRetryAfter", l.MaxRetryAfter, "must not be negative")
-	check(l.DialTimeout >= 0, "Limits.DialTimeout", l.DialTimeout, "must not be negative")
-	check(c.DrainGrace >= 0, "Contract.DrainGrace", c.DrainGrace, "must not be negative")
-	check(c.SlowStartMinCapacity > 0 && c.SlowStartMinCapacity <= 1, "Contract.ColdFrom",
-		c.SlowStartMinCapacity, "must be in 0..1, not 0")
-	check(c.SlowStartDuration >= 0, "Contract.RampTime", c.SlowStartDuration, "must not be negative")
-	check(c.OverloadMultiple > 0, "Contract.FallMultiple", c.OverloadMultiple, "must be positive")
-	check(c.OverloadDuration >= 0, "Contract.OverloadFor", c.OverloadDuration, "must not be negative")
-	check(c.MaxPollInterval >= 0, "Contract.AskWithin", c.MaxPollInterval, "must not be negative")
-	check(c.ResponseSlack >= 0, "Contract.AnswerSlack", c.ResponseSlack, "must not be negative")
-	check(p.CrossZone >= 0, "Prices.CrossZone", p.CrossZone, "must not be negative")
-	check(p.LoadProbe >= 0, "Prices.Probe", p.LoadProbe, "must not be negative")
-	check(p.GossipMessage >= 0, "Prices.Peer", p.GossipMessage, "must not be negative")
-	check(p.WastedWork >= 0, "Prices.Waste", p.WastedWork, "must not be negative")
-	check(p.LateFailure >= 0, "Prices.LateFail", p.LateFailure, "must not be negative")
-	return err
+	return v.first
 }
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -1,49 +1,72 @@
 package balancer
 
-// A cold endpoint gets at most a share of its warmth's part of our own mean work per warm endpoint, or of an
-// even part of what a warm one can do, if that is more. All balancers doing so, their sum stays under twice
-// what it can do; none needs to know of the others. By the first alone, one that refuses most would leave
-// what is cold idle, and refuse for that. Each send is charged a little more than its work, for the handshake
-// that it may cost.
 const (
-	slowStartLoadFraction = 0.28 // of the multiple at which it falls over
-	slowStartCharge       = 1.15
-	slowStartProbeCost    = 0.01 // of a request's work, taken from a cold endpoint's room by a probe
+	// Fraction of the overload multiple that all balancers together may send to an endpoint that warms up.
+	slowStartLoadFraction = 0.28
+	slowStartCharge       = 1.15 // budget charged per unit of work: an attempt may cost a handshake, too
+	slowStartProbeCost    = 0.01 // budget charged for a load probe, per unit of a request's work
 )
 
-func (e *endpoint) isWarmingUp(now Micros, b *Balancer) bool {
-	if e.warmingUp && now-e.warmUpStart >= b.settings.Rules.SlowStartDuration {
-		e.warmingUp = false
+// slowStart limits what is sent to an endpoint that warms up, as a token bucket of work. Its zero value
+// is an endpoint past its slow start.
+type slowStart struct {
+	active     bool // as of the last call of isActive
+	startedAt  Micros
+	budget     float64 // work that may still be started, in microseconds; negative after load probes
+	refilledAt Micros
+}
+
+// isActive reports whether the slow start still goes on.
+func (s *slowStart) isActive(now Micros, rules *Rules) bool {
+	if s.active && now-s.startedAt >= rules.SlowStartDuration {
+		s.active = false
 	}
-	return e.warmingUp
+	return s.active
 }
 
-// capacityFraction is the least share of its capacity that e has by now.
-func (e *endpoint) capacityFraction(now Micros, b *Balancer) float64 {
-	if !e.isWarmingUp(now, b) {
+// capacityFraction returns the least fraction of its full capacity, 0 to 1, that the endpoint has by now.
+func (s *slowStart) capacityFraction(now Micros, rules *Rules) float64 {
+	if !s.isActive(now, rules) {
 		return 1
 	}
-	from := b.settings.Rules.SlowStartMinCapacity
-	return from + (1-from)*float64(now-e.warmUpStart)/float64(b.settings.Rules.SlowStartDuration)
+	from := rules.SlowStartMinCapacity
+	return from + (1-from)*float64(now-s.startedAt)/float64(rules.SlowStartDuration)
+}
+
+// refill adds what a rate (work a second) earned since the last refill, up to a budget.
+func (s *slowStart) refill(now Micros, rate, maxBudget float64) {
+	s.budget = min(maxBudget, s.budget+rate*float64(now-s.refilledAt)/float64(second))
+	s.refilledAt = now
+}
+
+// isWarmingUp reports whether e is in its slow start.
+func (b *Balancer) isWarmingUp(now Micros, e *endpoint) bool {
+	return e.slowStart.isActive(now, &b.settings.Rules)
 }
 
-// hasSlowStartBudget refills the token bucket of a cold endpoint and says whether a request of this
-// work fits.
+// hasSlowStartBudget refills the budget of an endpoint that warms up and reports whether it covers a
+// request of this work (microseconds).
+//
+// The budget grows by a fraction of this balancer's work per endpoint, or of an even part of what the
+// endpoint can serve if that is more, in proportion to its present capacity. As every balancer does so,
+// their sum stays within what the endpoint bears, and none has to know of the others' attempts. The even
+// part lets an endpoint warm up while most requests are rejected.
 func (b *Balancer) hasSlowStartBudget(now Micros, e *endpoint, work float64) bool {
-	var warm, ready float64
-	for _, o := range b.endpoints {
-		ready += indicator(o.isUsable())
-		warm += indicator(o.isUsable() && !o.isWarmingUp(now, b))
+	var warm, usable float64
+	for _, other := range b.endpoints {
+		usable += indicator(other.isUsable())
+		warm += indicator(other.isUsable() && !b.isWarmingUp(now, other))
 	}
-	rate := b.startedWork.rate(now)
-	if warm == 0 { // nothing to compare with: an even share of what is asked
-		warm, rate = ready, b.requestRate.rate(now)*work
+	startedWork := b.startedWork.rate(now)
+	if warm == 0 { // nothing to compare with
+		warm, startedWork = usable, b.requestRate.rate(now)*work
 	}
-	even := b.concurrency(e) * float64(second) / float64(b.settings.Balancers*b.processCount)
-	fill := min(1, slowStartLoadFraction*b.settings.Rules.OverloadMultiple) * e.capacityFraction(now,
-		b) * max(rate/max(1, warm), even)
-	most := max(fill*float64(b.settings.Rules.OverloadDuration)/float64(second)/2, work*slowStartCharge)
-	e.slowStartBudget = min(most, e.slowStartBudget+fill*float64(now-e.budgetRefilledAt)/float64(second))
-	e.budgetRefilledAt = now
-	return e.slowStartBudget >= work*slowStartCharge
+	rules := &b.settings.Rules
+	evenPart := b.concurrencyOf(e) * float64(second) / float64(b.settings.Balancers*b.processCount)
+	rate := min(1, slowStartLoadFraction*rules.OverloadMultiple) * e.slowStart.capacityFraction(now, rules) *
+		max(startedWork/max(1, warm), evenPart)
+	cost := work * slowStartCharge
+	maxBudget := max(rate*float64(rules.OverloadDuration)/float64(second)/2, cost)
+	e.slowStart.refill(now, rate, maxBudget)
+	return e.slowStart.budget >= cost
 }
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -1,53 +1,62 @@
 package balancer
 
-// EndpointSnapshot is what a balancer learned of one endpoint that is still of use after
-// a restart of its host: the breaker's latency baselines (microseconds), the
-// pace (microseconds per unit of work and crowding) and the share of recent
-// failures (0..1).
+// maxRestoredMicros bounds the times that Restore accepts, in microseconds.
+const maxRestoredMicros = 1e12
+
+// EndpointSnapshot is what a balancer learned of one endpoint that is of use after a restart of its host.
 type EndpointSnapshot struct {
-	ID                              uint32
-	LatencyBaseline, LatencyCurrent float64
-	ServiceTime                     float64
-	FailureRate                     float64
+	ID              uint32
+	LatencyBaseline float64 // of the breaker, in microseconds; 0 for none
+	LatencyCurrent  float64 // of the breaker, in microseconds
+	ServiceTime     float64 // per unit of work and contention; 0 for none
+	FailureRate     float64 // recent, 0 to 1
 }
 
-// Snapshot lists what is worth keeping of every listed endpoint that has been
-// heard from, in the order first heard of. It decides nothing.
+// Snapshot returns what is worth keeping of each endpoint that has been heard of, in list order. It
+// changes no decision.
 func (b *Balancer) Snapshot(now Micros) []EndpointSnapshot {
-	out := make([]EndpointSnapshot, 0, len(b.endpoints))
+	snapshots := make([]EndpointSnapshot, 0, len(b.endpoints))
 	for _, e := range b.endpoints {
-		if e.breaker.latencyBaseline > 0 || e.serviceTime.initialized || e.failureRate > 0 {
-			out = append(out, EndpointSnapshot{
-				ID: e.ID, LatencyBaseline: e.breaker.latencyBaseline, LatencyCurrent: e.breaker.latencyCurrent,
-				ServiceTime: e.serviceTime.value * indicator(e.serviceTime.initialized),
-				FailureRate: e.currentFailureRate(now),
-			})
+		if e.breaker.latencyBaseline <= 0 && !e.serviceTime.average.initialized && e.failures.value <= 0 {
+			continue
 		}
+		average := &e.serviceTime.average
+		snapshots = append(snapshots, EndpointSnapshot{
+			ID:              e.ID,
+			LatencyBaseline: e.breaker.latencyBaseline,
+			LatencyCurrent:  e.breaker.latencyCurrent,
+			ServiceTime:     average.value * indicator(average.initialized),
+			FailureRate:     e.failures.current(now),
+		})
 	}
-	return out
+	return snapshots
 }
 
-// Restore takes back what Keep listed before a restart, for endpoints that are
-// listed now (a cached list comes first). What it recalls is trusted as half
-// aged: the pace and the failures fade as if heard of a while ago, and the
-// first answers move the baselines as they would any old ones. Figures that
-// are not finite and positive are left out.
-func (b *Balancer) Restore(now Micros, kept []EndpointSnapshot) {
-	for _, k := range kept {
-		e := b.endpointsByID[k.ID]
-		if e == nil {
-			continue
-		}
-		if k.LatencyBaseline > 0 && k.LatencyCurrent > 0 && k.LatencyBaseline < 1e12 && k.LatencyCurrent < 1e12 {
-			e.breaker.latencyBaseline, e.breaker.latencyCurrent = k.LatencyBaseline, k.LatencyCurrent
-		}
-		if k.ServiceTime > 0 && k.ServiceTime < 1e12 {
-			e.serviceTime, e.serviceTimeAt = ewma{k.ServiceTime, true}, now-serviceTimeLifetime/2
-			b.zones[e.Zone].serviceTime.add(k.ServiceTime, groupServiceTimeWeight)
-			b.serviceTime.add(k.ServiceTime, groupServiceTimeWeight)
-		}
-		if k.FailureRate > 0 && k.FailureRate <= 1 {
-			e.failureRate, e.failureRateAt = k.FailureRate, now-3*second
+// Restore takes back a Snapshot, for endpoints that are listed now: UpdateEndpoints with the cached list
+// comes first. What it takes back counts as half aged. Values that are not finite and positive are left
+// out.
+func (b *Balancer) Restore(now Micros, snapshots []EndpointSnapshot) {
+	for i := range snapshots {
+		if e := b.endpointsByID[snapshots[i].ID]; e != nil {
+			b.restoreEndpoint(now, e, &snapshots[i])
 		}
 	}
 }
+
+func (b *Balancer) restoreEndpoint(now Micros, e *endpoint, s *EndpointSnapshot) {
+	if isRestorable(s.LatencyBaseline) && isRestorable(s.LatencyCurrent) {
+		e.breaker.latencyBaseline, e.breaker.latencyCurrent = s.LatencyBaseline, s.LatencyCurrent
+	}
+	if isRestorable(s.ServiceTime) {
+		e.serviceTime.average = ewma{value: s.ServiceTime, initialized: true}
+		e.serviceTime.updatedAt = now - serviceTimeLifetime/2
+		b.zones[e.Zone].serviceTime.add(s.ServiceTime, groupServiceTimeWeight)
+		b.serviceTime.add(s.ServiceTime, groupServiceTimeWeight)
+	}
+	if s.FailureRate > 0 && s.FailureRate <= 1 {
+		e.failures = failureRate{value: s.FailureRate, updatedAt: now - failureHalfLife}
+	}
+}
+
+// isRestorable reports whether a time is positive and within bounds; false for NaN.
+func isRestorable(micros float64) bool { return micros > 0 && micros < maxRestoredMicros }
--- a/balancer/source_test.go
+++ b/balancer/source_test.go
@@ -1,6 +1,7 @@
 package balancer
 
 import (
+	"go/ast"
 	"go/parser"
 	"go/token"
 	"os"
@@ -14,6 +15,7 @@
 const (
 	maxFileLines      = 300
 	maxLineCharacters = 110
+	maxFunctionLines  = 60
 )
 
 // sourceFiles returns the names of the package's files without tests.
@@ -69,6 +71,27 @@
 	}
 }
 
+// TestFunctionsAreShort checks each function's lines, from its signature to its closing brace.
+func TestFunctionsAreShort(t *testing.T) {
+	for _, name := range sourceFiles(t) {
+		files := token.NewFileSet()
+		f, err := parser.ParseFile(files, name, nil, 0)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, declaration := range f.Decls {
+			function, ok := declaration.(*ast.FuncDecl)
+			if !ok {
+				continue
+			}
+			lines := files.Position(function.End()).Line - files.Position(function.Pos()).Line + 1
+			if lines > maxFunctionLines {
+				t.Errorf("%s: %s has %d lines, %d at most", name, function.Name.Name, lines, maxFunctionLines)
+			}
+		}
+	}
+}
+
 // TestDecisionsImportNoInputOutput checks that the decisions use neither clocks nor files nor sockets.
 func TestDecisionsImportNoInputOutput(t *testing.T) {
 	allowed := []string{`"fmt"`, `"math"`, `"slices"`, `"strconv"`}
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -2,20 +2,22 @@
 
 import "math"
 
-// ewma is a moving average whose first sample is taken whole.
+// ewma is an exponentially weighted moving average whose first sample is taken whole.
 type ewma struct {
 	value       float64
 	initialized bool
 }
 
-func (a *ewma) add(x, weight float64) {
+// add moves the average to a sample by its weight, 0 to 1.
+func (a *ewma) add(sample, weight float64) {
 	if !a.initialized {
-		a.value, a.initialized = x, true
+		a.value, a.initialized = sample, true
 		return
 	}
-	a.value += (x - a.value) * weight
+	a.value += (sample - a.value) * weight
 }
 
+// valueOr returns the average, or a fallback before the first sample.
 func (a *ewma) valueOr(fallback float64) float64 {
 	if a.initialized {
 		return a.value
@@ -23,23 +25,24 @@
 	return fallback
 }
 
-// indicator counts a yes as a whole.
-func indicator(yes bool) float64 {
-	if yes {
-		return 1
-	}
-	return 0
-}
+// rateWindow is the time constant of a rateMeter.
+const rateWindow = 2 * second
 
-// rateMeter is a rate a second, averaged over about two seconds.
+// rateMeter measures a rate per second, with exponential decay.
 type rateMeter struct {
-	sum       float64
+	sum       float64 // at updatedAt
 	updatedAt Micros
 }
 
-const rateWindow = 2 * second
+// add counts an amount now.
+func (m *rateMeter) add(now Micros, amount float64) {
+	m.sum, m.updatedAt = m.decayed(now)+amount, now
+}
 
-func (m *rateMeter) add(now Micros, x float64) { m.sum, m.updatedAt = m.decayed(now)+x, now }
+// rate returns the rate per second now.
+func (m *rateMeter) rate(now Micros) float64 {
+	return m.decayed(now) * float64(second) / float64(rateWindow)
+}
 
 func (m *rateMeter) decayed(now Micros) float64 {
 	if m.sum == 0 {
@@ -48,14 +51,10 @@
 	return m.sum * math.Exp(-float64(now-m.updatedAt)/float64(rateWindow))
 }
 
-func (m *rateMeter) rate(now Micros) float64 {
-	return m.decayed(now) * float64(second) / float64(rateWindow)
-}
-
 // randomSource is a SplitMix64 generator.
 type randomSource uint64
 
-// float returns a number in [0,1).
+// float returns a number in [0, 1).
 func (s *randomSource) float() float64 {
 	*s += 0x9e3779b97f4a7c15
 	z := uint64(*s)
@@ -64,5 +63,21 @@
 	return float64((z^z>>31)>>11) / (1 << 53)
 }
 
-// below returns a duration in [0,d).
-func (s *randomSource) below(d Micros) Micros { return Micros(s.float() * float64(d)) }
+// below returns a duration in [0, limit).
+func (s *randomSource) below(limit Micros) Micros { return Micros(s.float() * float64(limit)) }
+
+// element returns a random element of a list that is not empty.
+func (s *randomSource) element(list []*endpoint) *endpoint {
+	return list[int(s.float()*float64(len(list)))]
+}
+
+// indicator returns 1 for true and 0 for false.
+func indicator(condition bool) float64 {
+	if condition {
+		return 1
+	}
+	return 0
+}
+
+// roundTenths rounds to one decimal, for log fields.
+func roundTenths(x float64) float64 { return math.Round(10*x) / 10 }
--- a/cmd/simadapter/instance.go
+++ b/cmd/simadapter/instance.go
@@ -98,5 +98,11 @@
 // WatchEndpoints subscribes to discovery's changes, or ends that.
 func (i *instance) WatchEndpoints(on bool) { i.reply.WatchEndpoints(on) }
 
-// Log adds a line to the run's report.
-func (i *instance) Log(line string) { i.reply.Log(line) }
+// Log writes a trace record: the message, then key=value for each field.
+func (i *instance) Log(message string, fields ...balancer.LogField) {
+	line := message
+	for _, field := range fields {
+		line += fmt.Sprintf(" %s=%v", field.Key, field.Value)
+	}
+	i.reply.Log(line)
+}
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -575,8 +575,14 @@
 	old.CloseIdleConnections()
 }
 
-// Log records a line of the balancer's.
-func (l *loop) Log(line string) { l.log.Info(line) }
+// Log records an event of the balancer's.
+func (l *loop) Log(message string, fields ...balancer.LogField) {
+	attributes := make([]slog.Attr, len(fields))
+	for i, field := range fields {
+		attributes[i] = slog.Any(field.Key, field.Value)
+	}
+	l.log.LogAttrs(l.ctx, slog.LevelInfo, message, attributes...)
+}
 
 // datagramCounts returns the datagrams by channel since the start, nil where there is no transport yet.
 func (l *loop) datagramCounts() map[link.Channel]link.Count {
