--- a/internal/controltraffic/accounting.go
+++ b/internal/controltraffic/accounting.go
@@ -5,7 +5,7 @@
 	"math"
 	"time"
 
-	"bramblestand/internal/fleet/link"
+	"bramblestand/internal/datagram"
 )
 
 // Names of the kinds of control traffic in the operators' JSON and the log.
@@ -35,14 +35,14 @@
 }
 
 // Status returns what was counted so far. Datagrams are the transport's counts, nil where there is none.
-func (a *Accounting) Status(datagrams map[link.Channel]link.Count) Status {
+func (a *Accounting) Status(datagrams map[datagram.Channel]datagram.Count) Status {
 	s := Status{
 		Seconds: math.Round(time.Since(a.Started).Seconds()*1e3) / 1e3,
 		Kinds: map[string]Traffic{
 			KindLoadProbe:  a.LoadProbes.Traffic(),
 			KindDiscovery:  a.Discovery.Traffic(),
-			KindGossip:     datagramTraffic(datagrams, link.News),
-			KindMembership: datagramTraffic(datagrams, link.Packets, link.ToListener, link.ToDialer),
+			KindGossip:     datagramTraffic(datagrams, datagram.News),
+			KindMembership: datagramTraffic(datagrams, datagram.Packets, datagram.ToListener, datagram.ToDialer),
 			KindAdmin:      a.Admin.Traffic(),
 		},
 	}
@@ -53,7 +53,7 @@
 }
 
 // Log writes one line with the bytes on the wire so far: the sum and each kind.
-func (a *Accounting) Log(log *slog.Logger, datagrams map[link.Channel]link.Count) {
+func (a *Accounting) Log(log *slog.Logger, datagrams map[datagram.Channel]datagram.Count) {
 	s := a.Status(datagrams)
 	args := []any{"seconds", s.Seconds, "wire_bytes", s.WireBytes}
 	for _, kind := range Kinds {
--- a/internal/controltraffic/accounting_test.go
+++ b/internal/controltraffic/accounting_test.go
@@ -9,19 +9,19 @@
 	"testing"
 	"time"
 
+	"bramblestand/internal/datagram"
 	"bramblestand/internal/fleet"
-	"bramblestand/internal/fleet/link"
 )
 
 // The balancer's datagrams count as gossip, all other channels as membership.
 func TestDatagramsAreCountedByChannel(t *testing.T) {
-	counts := map[link.Channel]link.Count{
-		link.News:       {SentDatagrams: 2, SentBytes: 100, ReceivedDatagrams: 5, ReceivedBytes: 300},
-		link.Packets:    {SentDatagrams: 1, SentBytes: 10},
-		link.ToListener: {SentDatagrams: 1, SentBytes: 20, ReceivedDatagrams: 1, ReceivedBytes: 7},
-		link.ToDialer:   {ReceivedDatagrams: 2, ReceivedBytes: 50},
+	counts := map[datagram.Channel]datagram.Count{
+		datagram.News:       {SentDatagrams: 2, SentBytes: 100, ReceivedDatagrams: 5, ReceivedBytes: 300},
+		datagram.Packets:    {SentDatagrams: 1, SentBytes: 10},
+		datagram.ToListener: {SentDatagrams: 1, SentBytes: 20, ReceivedDatagrams: 1, ReceivedBytes: 7},
+		datagram.ToDialer:   {ReceivedDatagrams: 2, ReceivedBytes: 50},
 	}
-	gossip, membership := datagramTraffic(counts, link.News), datagramTraffic(counts, link.Packets, link.ToListener, link.ToDialer)
+	gossip, membership := datagramTraffic(counts, datagram.News), datagramTraffic(counts, datagram.Packets, datagram.ToListener, datagram.ToDialer)
 	if want := (Traffic{Sent: Totals{2, 100, 2, 156}, Received: Totals{5, 300, 5, 440}}); gossip != want {
 		t.Errorf("gossip %+v, want %+v", gossip, want)
 	}
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Tell([]byte{byte(link.News), 1, 2, 3})
+	f.Tell([]byte{byte(datagram.News), 1, 2, 3})
 	accounting := Accounting{Started: time.Now()}
 	if got := accounting.Status(f.Counts()).Kinds["news"].Sent; got != (Totals{1, 4, 1, 32}) {
 		t.Errorf("after one message of 4 bytes: %+v", got)
--- a/internal/controltraffic/traffic.go
+++ b/internal/controltraffic/traffic.go
@@ -1,6 +1,6 @@
 package controltraffic
 
-import "bramblestand/internal/fleet/link"
+import "bramblestand/internal/datagram"
 
 // Bytes on the wire, for IPv4 and an MTU of 1,500. Ethernet framing, 38 bytes a packet with preamble
 // and gap, is left out.
@@ -77,7 +77,7 @@
 }
 
 // datagramTraffic adds up some channels of the datagram transport.
-func datagramTraffic(counts map[link.Channel]link.Count, channels ...link.Channel) Traffic {
+func datagramTraffic(counts map[datagram.Channel]datagram.Count, channels ...datagram.Channel) Traffic {
 	var t Traffic
 	for _, channel := range channels {
 		count := counts[channel]
--- a/internal/fleet/link/golden_test.go
+++ b/internal/datagram/golden_test.go
@@ -1,6 +1,6 @@
 //go:build go1.25
 
-package link
+package datagram
 
 import (
 	"bytes"
--- a/internal/fleet/link/streams.go
+++ b/internal/datagram/streams.go
@@ -1,4 +1,4 @@
-package link
+package datagram
 
 import (
 	"encoding/binary"
--- a/internal/fleet/link/link.go
+++ b/internal/datagram/transport.go
@@ -1,8 +1,8 @@
-// Package link is the one path between sidecars: UDP datagrams of at most 256
+// Package datagram is the one path between sidecars: UDP datagrams of at most 256
 // bytes that may be lost (PROTOCOL, Between sidecars). The first byte of each
 // is its channel. A Link carries packets and, by KCP, streams on it, counts
 // what passes, and keeps the view's share to a budget.
-package link
+package datagram
 
 import (
 	"context"
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -16,8 +16,8 @@
 	"syscall"
 	"time"
 
-	"bramblestand/internal/fleet/link"
-	"bramblestand/internal/fleet/view"
+	"bramblestand/internal/datagram"
+	"bramblestand/internal/membership"
 )
 
 // Version is the program's, as members tell it to each other.
@@ -73,7 +73,7 @@
 	Kept       json.RawMessage  // what Keep gave an earlier process
 	// Control sets options of the socket before it is bound; Opened has it afterwards.
 	Control func(network, address string, raw syscall.RawConn) error
-	Link    *link.Link // carries the datagrams in place of a socket: who made it delivers, and ends that; nil for a socket
+	Link    *datagram.Link // carries the datagrams in place of a socket: who made it delivers, and ends that; nil for a socket
 	Opened  func(socket syscall.Conn)
 	News    func(data []byte) // takes news of the module; nil for none
 	Changed func(living int)  // is told how many sidecars there are, whenever that is settled anew and not cut off
@@ -92,13 +92,13 @@
 }
 
 // Self is what this sidecar tells the others of itself; its error names what cannot be told.
-func (o *Options) Self() (view.Member, error) {
-	m := view.Member{Name: o.Name, Zone: o.Zone, Version: Version, Start: time.Now(), Addr: o.advertise()}
+func (o *Options) Self() (membership.Member, error) {
+	m := membership.Member{Name: o.Name, Zone: o.Zone, Version: Version, Start: time.Now(), Addr: o.advertise()}
 	if o.News != nil {
-		m.Features |= view.FeatureNews
+		m.Features |= membership.FeatureNews
 	}
 	if o.State {
-		m.Features |= view.FeatureState
+		m.Features |= membership.FeatureState
 	}
 	return m, m.Validate()
 }
@@ -106,8 +106,8 @@
 // Fleet is one process's part in the fleet.
 type Fleet struct {
 	o    Options
-	link *link.Link
-	view *view.View // nil where it is off
+	link *datagram.Link
+	view *membership.View // nil where it is off
 	stop context.CancelFunc
 
 	mu     sync.Mutex
@@ -116,7 +116,7 @@
 
 type sample struct {
 	at     time.Time
-	counts map[link.Channel]link.Count
+	counts map[datagram.Channel]datagram.Count
 }
 
 const sampleEvery = 5 * time.Second
@@ -125,16 +125,16 @@
 // with a goodbye.
 func Open(ctx context.Context, o Options) (*Fleet, error) {
 	f := &Fleet{o: o, stop: func() {}}
-	var kept view.Kept
+	var kept membership.Kept
 	if len(o.Kept) > 0 && o.On {
 		if err := json.Unmarshal(o.Kept, &kept); err != nil {
 			o.Log.Error("view: what was kept cannot be read; it is not used", "error", err)
-			kept = view.Kept{}
+			kept = membership.Kept{}
 		}
 	}
 	var err error
 	if f.link = o.Link; f.link == nil {
-		if f.link, err = link.Open(ctx, o.Listen, link.Options{Budget: o.DatagramsPerS, Control: o.Control, Log: o.Log}); err != nil {
+		if f.link, err = datagram.Open(ctx, o.Listen, datagram.Options{Budget: o.DatagramsPerS, Control: o.Control, Log: o.Log}); err != nil {
 			return nil, err
 		}
 		if o.Opened != nil {
@@ -146,7 +146,7 @@
 		for _, a := range o.Peers {
 			from[a] = a != o.Listen
 		}
-		f.link.Handle(link.News, func(a netip.AddrPort, data []byte) bool {
+		f.link.Handle(datagram.News, func(a netip.AddrPort, data []byte) bool {
 			if from[a] {
 				o.News(data)
 			}
@@ -159,9 +159,9 @@
 			f.closeSocket()
 			return nil, fmt.Errorf("fleet: %w", err)
 		}
-		f.view, err = view.Open(f.link, view.Options{Self: self, Seeds: o.Peers, Kept: kept, Most: o.Members, Log: o.Log,
+		f.view, err = membership.Open(f.link, membership.Options{Self: self, Seeds: o.Peers, Kept: kept, Most: o.Members, Log: o.Log,
 			Quiet: time.Duration(o.QuietS * float64(time.Second)), Probe: time.Duration(o.ProbeMS * float64(time.Millisecond)),
-			Changed: func(s view.Settled) {
+			Changed: func(s membership.Settled) {
 				if o.Changed != nil && !s.CutOff {
 					o.Changed(len(s.Names))
 				}
@@ -208,7 +208,7 @@
 }
 
 // Counts gives what passed on each channel since the start.
-func (f *Fleet) Counts() map[link.Channel]link.Count {
+func (f *Fleet) Counts() map[datagram.Channel]datagram.Count {
 	counts, _ := f.link.Counts()
 	return counts
 }
@@ -286,7 +286,7 @@
 	Refused           uint64  `json:"refused"`
 }
 
-var channelNames = map[link.Channel]string{link.News: "news", link.Packets: "packets", link.ToListener: "streams_out", link.ToDialer: "streams_in"}
+var channelNames = map[datagram.Channel]string{datagram.News: "news", datagram.Packets: "packets", datagram.ToListener: "streams_out", datagram.ToDialer: "streams_in"}
 
 // Status gives the view, false where it is off; brief leaves out members, traffic and counts.
 func (f *Fleet) Status(brief bool) (Status, bool) {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"bramblestand/internal/fleet/link"
+	"bramblestand/internal/datagram"
 )
 
 func udp(t *testing.T) *net.UDPConn {
@@ -46,7 +46,7 @@
 		}
 	}
 	send(stranger, []byte("\x01strange"))
-	send(friend, bytes.Repeat([]byte{1}, link.DatagramMost+1))
+	send(friend, bytes.Repeat([]byte{1}, datagram.DatagramMost+1))
 	send(friend, []byte("\x02view"))
 	send(friend, []byte("\x09later"))
 	send(friend, []byte("\x01news")) // loopback keeps the order
@@ -61,7 +61,7 @@
 	if len(got) != 0 {
 		t.Errorf("%d more datagrams passed on", len(got))
 	}
-	if counts, unknown := f.link.Counts(); unknown != 3 || counts[link.News].Refused != 1 || counts[link.News].SentDatagrams != 1 {
+	if counts, unknown := f.link.Counts(); unknown != 3 || counts[datagram.News].Refused != 1 || counts[datagram.News].SentDatagrams != 1 {
 		t.Errorf("counts %v, %d unknown", counts, unknown)
 	}
 	if _, on := f.Status(false); on || f.Keep() != nil {
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"bramblestand/internal/fleet/link"
-	"bramblestand/internal/fleet/view"
+	"bramblestand/internal/datagram"
+	"bramblestand/internal/membership"
 )
 
 var updateGolden = flag.Bool("update-golden", false, "write the golden files anew; only for a form that is new to operators or on the disk")
@@ -52,11 +52,11 @@
 	return Status{
 		Name: "s0", Epoch: 7, Digest: "b3ef540f2075099a", SettledSince: goldenTime, CutOff: true, Settled: []string{"s0", "s1"},
 		Members: []MemberStatus{
-			{Name: "s0", State: string(view.Alive), Since: goldenTime, Zone: "a", Version: "21.0", Features: []string{"news", "state"},
+			{Name: "s0", State: string(membership.Alive), Since: goldenTime, Zone: "a", Version: "21.0", Features: []string{"news", "state"},
 				Address: "10.0.0.1:7946", Start: goldenTime, HeardMS: -1},
-			{Name: "s1", State: string(view.Failed), Since: goldenTime, Zone: "b", Version: "20.0", Features: []string{},
+			{Name: "s1", State: string(membership.Failed), Since: goldenTime, Zone: "b", Version: "20.0", Features: []string{},
 				Address: "10.0.0.2:7946", Start: goldenTime, HeardMS: 1234.567},
-			{Name: "s2", State: string(view.Left), Since: goldenTime, Address: "10.0.0.3:7946", Start: goldenTime, HeardMS: 0.25},
+			{Name: "s2", State: string(membership.Left), Since: goldenTime, Address: "10.0.0.3:7946", Start: goldenTime, HeardMS: 0.25},
 		},
 		Traffic: map[string]Traffic{"news": {SentPerS: 1.5, SentBytesPerS: 2, ReceivedPerS: 3, ReceivedBytesPerS: 4, Sent: 5, SentBytes: 6,
 			Received: 7, HeldBack: 8, Refused: 9}},
@@ -93,7 +93,7 @@
 	}
 	own := netip.MustParseAddrPort("10.0.0.1:7946")
 	f, err := Open(context.Background(), Options{Settings: settings, Name: "s0", Zone: "a", State: true, Listen: own, Peers: []netip.AddrPort{own},
-		Kept: kept, Link: link.New(nobody, link.Options{}), News: func([]byte) {}, Log: slog.New(slog.DiscardHandler)})
+		Kept: kept, Link: datagram.New(nobody, datagram.Options{}), News: func([]byte) {}, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"bramblestand/internal/fleet/link"
+	"bramblestand/internal/datagram"
 	"bramblestand/internal/lab"
 	"bramblestand/internal/sidecar"
 )
@@ -162,8 +162,8 @@
 		}
 		s := sidecar.Surroundings{Network: c, Discovery: &caller{client: c, agent: agent, handler: answers}, Log: slog.New(slog.DiscardHandler)}
 		if f.known != nil {
-			s.Link = func(o link.Options) *link.Link {
-				l := link.New(func(data []byte, to netip.AddrPort) error { return f.net.send(m.station, data, to) }, o)
+			s.Link = func(o datagram.Options) *datagram.Link {
+				l := datagram.New(func(data []byte, to netip.AddrPort) error { return f.net.send(m.station, data, to) }, o)
 				m.station.link.Store(l)
 				return l
 			}
--- a/internal/fleet/view/view.go
+++ b/internal/membership/agent.go
@@ -1,9 +1,9 @@
-// Package view keeps one sidecar's list of the fleet: members by
+// Package membership keeps one sidecar's list of the fleet: members by
 // hashicorp/memberlist (SWIM: incarnations, suspicion that the living refute,
 // indirect pings, awareness of one's own slowness, goodbyes) over a link's
 // datagrams, and from them a settled view that changes once per quiet period.
 // See docs/design-fleet.md.
-package view
+package membership
 
 import (
 	"errors"
@@ -23,7 +23,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"bramblestand/internal/fleet/link"
+	"bramblestand/internal/datagram"
 )
 
 // Timing and bounds of the failure detector. A crash is known to all after
@@ -39,7 +39,7 @@
 	streamTimeout = 5 * time.Second
 	hearWithin    = 6  // probe intervals without a word from anybody: it is cut off
 	probedWithin  = 10 // probe intervals without a probe by anybody: the others do not know it
-	packetBytes   = link.DatagramMost - 1 - crcHead
+	packetBytes   = datagram.DatagramMost - 1 - crcHead
 	goodbyeWait   = 500 * time.Millisecond
 
 	verifyPings = 4  // to a member that is said to be dead, over its quiet period, until it answers
@@ -151,7 +151,7 @@
 }
 
 // Open begins a view over l, whose channels of the view it takes. It is found by others, and finds them, from then on.
-func Open(l *link.Link, o Options) (*View, error) {
+func Open(l *datagram.Link, o Options) (*View, error) {
 	if err := o.Self.Validate(); err != nil {
 		return nil, err
 	}
--- a/internal/fleet/view/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -1,6 +1,6 @@
 //go:build go1.25
 
-package view
+package membership
 
 import (
 	"bytes"
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"bramblestand/internal/fleet/link"
+	"bramblestand/internal/datagram"
 )
 
 var updateGolden = flag.Bool("update-golden", false, "write the golden files anew; only for a form that is new on the wire or on the disk")
@@ -261,7 +261,7 @@
 	inSim(t, 33, 5, func(s *sim) {
 		s.spy = func(data []byte) []byte { // called under the sim's lock
 			kind := fmt.Sprint(data[0])
-			if data[0] == byte(link.Packets) {
+			if data[0] == byte(datagram.Packets) {
 				parts := data[1:]
 				if parts[0] == msgHasCRC {
 					parts = parts[crcHead:]
@@ -289,8 +289,8 @@
 		s.set(nil, s.bad)
 
 		stranger := &simNode{sim: s, number: -1, addr: netip.MustParseAddrPort("10.7.7.7:7")}
-		stranger.link = link.New(func(data []byte, to netip.AddrPort) error { return s.carry(stranger, data, to) }, link.Options{})
-		accepts := link.NewStreams(stranger.link)
+		stranger.link = datagram.New(func(data []byte, to netip.AddrPort) error { return s.carry(stranger, data, to) }, datagram.Options{})
+		accepts := datagram.NewStreams(stranger.link)
 		s.mu.Lock()
 		s.links[stranger.addr] = stranger.link
 		s.mu.Unlock()
--- a/internal/fleet/view/measure_test.go
+++ b/internal/membership/measure_test.go
@@ -1,6 +1,6 @@
 //go:build go1.25
 
-package view
+package membership
 
 import (
 	"encoding/json"
--- a/internal/fleet/view/vet_test.go
+++ b/internal/membership/message_check_test.go
@@ -1,4 +1,4 @@
-package view
+package membership
 
 import (
 	"bytes"
--- a/internal/fleet/view/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -1,6 +1,6 @@
 //go:build go1.25
 
-package view
+package membership
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 	"testing/synctest"
 	"time"
 
-	"bramblestand/internal/fleet/link"
+	"bramblestand/internal/datagram"
 )
 
 // sim is a fleet of views in one process on a seeded network of its own, under
@@ -22,7 +22,7 @@
 	t      testing.TB
 	mu     sync.Mutex
 	random *rand.Rand
-	links  map[netip.AddrPort]*link.Link
+	links  map[netip.AddrPort]*datagram.Link
 	nodes  []*simNode
 	cut    func(from, to int) bool // nil for nothing
 	bad    impairment
@@ -43,7 +43,7 @@
 	sim    *sim
 	number int
 	addr   netip.AddrPort
-	link   *link.Link
+	link   *datagram.Link
 	view   *View // nil while it does not run
 	life   int
 }
@@ -54,7 +54,7 @@
 )
 
 func newSim(t testing.TB, seed uint64, n int) *sim {
-	s := &sim{t: t, random: rand.New(rand.NewPCG(seed, 21)), links: map[netip.AddrPort]*link.Link{}, bad: impairment{delay: time.Millisecond},
+	s := &sim{t: t, random: rand.New(rand.NewPCG(seed, 21)), links: map[netip.AddrPort]*datagram.Link{}, bad: impairment{delay: time.Millisecond},
 		most: 1000, zone: "a", name: func(i int) string { return fmt.Sprintf("s%d", i) }}
 	for i := range n {
 		s.nodes = append(s.nodes, &simNode{sim: s, number: i, addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7946)})
@@ -66,7 +66,7 @@
 func (s *sim) carry(from *simNode, data []byte, to netip.AddrPort) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(data) > link.DatagramMost {
+	if len(data) > datagram.DatagramMost {
 		s.long++
 	}
 	l := s.links[to]
@@ -102,7 +102,7 @@
 func (n *simNode) start(o Options) {
 	n.sim.t.Helper()
 	n.life++
-	n.link = link.New(func(data []byte, to netip.AddrPort) error { return n.sim.carry(n, data, to) }, link.Options{Budget: 100})
+	n.link = datagram.New(func(data []byte, to netip.AddrPort) error { return n.sim.carry(n, data, to) }, datagram.Options{Budget: 100})
 	o.Self = Member{Name: n.sim.name(n.number), Zone: n.sim.zone, Version: "sixteen letters!", Start: time.Now(), Addr: n.addr}
 	o.Quiet, o.Probe, o.Most = simQuiet, simProbe, n.sim.most
 	if o.Seeds == nil {
@@ -197,7 +197,7 @@
 		defer s.close()
 		f(s)
 		if s.long > 0 {
-			t.Errorf("%d datagrams over %d bytes", s.long, link.DatagramMost)
+			t.Errorf("%d datagrams over %d bytes", s.long, datagram.DatagramMost)
 		}
 	})
 }
--- a/internal/fleet/view/transport.go
+++ b/internal/membership/transport.go
@@ -1,4 +1,4 @@
-package view
+package membership
 
 import (
 	"bytes"
@@ -12,15 +12,15 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"bramblestand/internal/fleet/link"
+	"bramblestand/internal/datagram"
 )
 
 const packetsMost = 256 // received and not yet looked at
 
 // transport is memberlist's way onto the link: packets as they are, streams by KCP.
 type transport struct {
-	link    *link.Link
-	streams *link.Streams
+	link    *datagram.Link
+	streams *datagram.Streams
 	addr    netip.AddrPort // the own, as the others know it
 	most    int            // states in a push/pull
 	note    said
@@ -34,11 +34,11 @@
 	once    sync.Once
 }
 
-func newTransport(l *link.Link, addr netip.AddrPort, most int, note said, heard func(netip.AddrPort, contents), refused func(net.Addr, error)) *transport {
+func newTransport(l *datagram.Link, addr netip.AddrPort, most int, note said, heard func(netip.AddrPort, contents), refused func(net.Addr, error)) *transport {
 	t := &transport{link: l, addr: addr, most: most, note: note, heard: heard, refused: refused,
 		packets: make(chan *memberlist.Packet, packetsMost), conns: make(chan net.Conn), done: make(chan struct{})}
-	l.Handle(link.Packets, t.packet)
-	t.streams = link.NewStreams(l)
+	l.Handle(datagram.Packets, t.packet)
+	t.streams = datagram.NewStreams(l)
 	go t.accept()
 	return t
 }
@@ -85,8 +85,8 @@
 	if err != nil {
 		return time.Time{}, err
 	}
-	err = t.link.Send(to, append([]byte{byte(link.Packets)}, b...))
-	if errors.Is(err, link.ErrBudget) {
+	err = t.link.Send(to, append([]byte{byte(datagram.Packets)}, b...))
+	if errors.Is(err, datagram.ErrBudget) {
 		err = nil // as if lost on the way, and counted there
 	}
 	return time.Now(), err
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -12,9 +12,9 @@
 
 	"bramblestand/balancer"
 	"bramblestand/internal/controltraffic"
+	"bramblestand/internal/datagram"
 	"bramblestand/internal/discovery"
 	"bramblestand/internal/fleet"
-	"bramblestand/internal/fleet/link"
 	"bramblestand/internal/handover"
 	"bramblestand/internal/state"
 )
@@ -585,7 +585,7 @@
 }
 
 // datagramCounts returns the datagrams by channel since the start, nil where there is no transport yet.
-func (l *loop) datagramCounts() map[link.Channel]link.Count {
+func (l *loop) datagramCounts() map[datagram.Channel]datagram.Count {
 	if f := l.fleet.Load(); f != nil {
 		return f.Counts()
 	}
