--- a/internal/controltraffic/accounting.go
+++ b/internal/controltraffic/accounting.go
@@ -35,14 +35,14 @@
 }
 
 // Status returns what was counted so far. Datagrams are the transport's counts, nil where there is none.
-func (a *Accounting) Status(datagrams map[datagram.Channel]datagram.Count) Status {
+func (a *Accounting) Status(datagrams map[datagram.Channel]datagram.ChannelCounts) Status {
 	s := Status{
 		Seconds: math.Round(time.Since(a.Started).Seconds()*1e3) / 1e3,
 		Kinds: map[string]Traffic{
 			KindLoadProbe:  a.LoadProbes.Traffic(),
 			KindDiscovery:  a.Discovery.Traffic(),
-			KindGossip:     datagramTraffic(datagrams, datagram.News),
-			KindMembership: datagramTraffic(datagrams, datagram.Packets, datagram.ToListener, datagram.ToDialer),
+			KindGossip:     datagramTraffic(datagrams, datagram.ChannelGossip),
+			KindMembership: datagramTraffic(datagrams, datagram.ChannelPackets, datagram.ChannelToListener, datagram.ChannelToDialer),
 			KindAdmin:      a.Admin.Traffic(),
 		},
 	}
@@ -53,7 +53,7 @@
 }
 
 // Log writes one line with the bytes on the wire so far: the sum and each kind.
-func (a *Accounting) Log(log *slog.Logger, datagrams map[datagram.Channel]datagram.Count) {
+func (a *Accounting) Log(log *slog.Logger, datagrams map[datagram.Channel]datagram.ChannelCounts) {
 	s := a.Status(datagrams)
 	args := []any{"seconds", s.Seconds, "wire_bytes", s.WireBytes}
 	for _, kind := range Kinds {
--- a/internal/controltraffic/accounting_test.go
+++ b/internal/controltraffic/accounting_test.go
@@ -15,13 +15,13 @@
 
 // The balancer's datagrams count as gossip, all other channels as membership.
 func TestDatagramsAreCountedByChannel(t *testing.T) {
-	counts := map[datagram.Channel]datagram.Count{
-		datagram.News:       {SentDatagrams: 2, SentBytes: 100, ReceivedDatagrams: 5, ReceivedBytes: 300},
-		datagram.Packets:    {SentDatagrams: 1, SentBytes: 10},
-		datagram.ToListener: {SentDatagrams: 1, SentBytes: 20, ReceivedDatagrams: 1, ReceivedBytes: 7},
-		datagram.ToDialer:   {ReceivedDatagrams: 2, ReceivedBytes: 50},
+	counts := map[datagram.Channel]datagram.ChannelCounts{
+		datagram.ChannelGossip:     {SentDatagrams: 2, SentBytes: 100, ReceivedDatagrams: 5, ReceivedBytes: 300},
+		datagram.ChannelPackets:    {SentDatagrams: 1, SentBytes: 10},
+		datagram.ChannelToListener: {SentDatagrams: 1, SentBytes: 20, ReceivedDatagrams: 1, ReceivedBytes: 7},
+		datagram.ChannelToDialer:   {ReceivedDatagrams: 2, ReceivedBytes: 50},
 	}
-	gossip, membership := datagramTraffic(counts, datagram.News), datagramTraffic(counts, datagram.Packets, datagram.ToListener, datagram.ToDialer)
+	gossip, membership := datagramTraffic(counts, datagram.ChannelGossip), datagramTraffic(counts, datagram.ChannelPackets, datagram.ChannelToListener, datagram.ChannelToDialer)
 	if want := (Traffic{Sent: Totals{2, 100, 2, 156}, Received: Totals{5, 300, 5, 440}}); gossip != want {
 		t.Errorf("gossip %+v, want %+v", gossip, want)
 	}
@@ -32,11 +32,11 @@
 	address := netip.MustParseAddrPort("127.0.0.1:0")
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	f, err := fleet.Open(ctx, fleet.Options{Listen: address, All: netip.MustParseAddrPort("127.0.0.1:9"), Log: slog.New(slog.DiscardHandler)})
+	f, err := fleet.Open(ctx, fleet.Options{Listen: address, PeerBroadcast: netip.MustParseAddrPort("127.0.0.1:9"), Logger: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Tell([]byte{byte(datagram.News), 1, 2, 3})
+	f.SendGossip([]byte{byte(datagram.ChannelGossip), 1, 2, 3})
 	accounting := Accounting{Started: time.Now()}
 	if got := accounting.Status(f.Counts()).Kinds["news"].Sent; got != (Totals{1, 4, 1, 32}) {
 		t.Errorf("after one message of 4 bytes: %+v", got)
--- a/internal/controltraffic/traffic.go
+++ b/internal/controltraffic/traffic.go
@@ -77,7 +77,7 @@
 }
 
 // datagramTraffic adds up some channels of the datagram transport.
-func datagramTraffic(counts map[datagram.Channel]datagram.Count, channels ...datagram.Channel) Traffic {
+func datagramTraffic(counts map[datagram.Channel]datagram.ChannelCounts, channels ...datagram.Channel) Traffic {
 	var t Traffic
 	for _, channel := range channels {
 		count := counts[channel]
--- a/internal/datagram/golden_test.go
+++ b/internal/datagram/golden_test.go
@@ -71,18 +71,18 @@
 		channel Channel
 		payload []byte
 	}{
-		{"news", News, []byte("\x07news of the module")},
-		{"news, empty", News, nil},
-		{"packet", Packets, []byte{2, 0x81, 0xa5, 'S', 'e', 'q', 'N', 'o', 9}},
-		{"packet, longest", Packets, bytes.Repeat([]byte{0xab}, DatagramMost-1)},
-		{"segment to the listener", ToListener, []byte{1, 2, 3, 4, 81, 0}},
-		{"segment to the dialer", ToDialer, []byte{4, 3, 2, 1, 82, 0}},
+		{"news", ChannelGossip, []byte("\x07news of the module")},
+		{"news, empty", ChannelGossip, nil},
+		{"packet", ChannelPackets, []byte{2, 0x81, 0xa5, 'S', 'e', 'q', 'N', 'o', 9}},
+		{"packet, longest", ChannelPackets, bytes.Repeat([]byte{0xab}, MaxSize-1)},
+		{"segment to the listener", ChannelToListener, []byte{1, 2, 3, 4, 81, 0}},
+		{"segment to the dialer", ChannelToDialer, []byte{4, 3, 2, 1, 82, 0}},
 	}
 	var sent []goldenDatagram
 	out := New(func(data []byte, _ netip.AddrPort) error {
 		sent = append(sent, goldenDatagram{payloads[len(sent)].name, Channel(data[0]), hex.EncodeToString(data)})
 		return nil
-	}, Options{Budget: 1000})
+	}, Options{MaxRate: 1000})
 	for _, p := range payloads {
 		if err := out.Send(there, append([]byte{byte(p.channel)}, p.payload...)); err != nil {
 			t.Fatal(p.name, err)
@@ -99,7 +99,7 @@
 		if len(got) == 0 || !bytes.Equal(got[1:], payloads[i].payload) {
 			t.Errorf("%s: came in as %x", g.Name, got)
 		}
-		if counts, unknown := in.Counts(); unknown != 0 || counts[g.Channel].ReceivedDatagrams != 1 || counts[g.Channel].Refused != 0 {
+		if counts, unknown := in.Counts(); unknown != 0 || counts[g.Channel].ReceivedDatagrams != 1 || counts[g.Channel].Rejected != 0 {
 			t.Errorf("%s: counted as %+v, %d unknown", g.Name, counts, unknown)
 		}
 	}
@@ -123,7 +123,7 @@
 // goldenSide is one side of a stream, whose datagrams are kept instead of sent.
 type goldenSide struct {
 	*Streams
-	link *Link
+	link *Transport
 	sent [][]byte
 }
 
--- a/internal/datagram/streams.go
+++ b/internal/datagram/streams.go
@@ -22,7 +22,7 @@
 }
 
 const (
-	segmentMost = DatagramMost - 1 // bytes of a datagram after the channel's
+	segmentMost = MaxSize - 1 // bytes of a datagram after the channel's
 	headMost    = kcp.IKCP_OVERHEAD
 	window      = 32               // segments in flight, and taken out of order
 	kcpInterval = 20               // ms between a stream's looks at what is due
@@ -44,7 +44,7 @@
 // Streams are reliable byte streams by KCP on a link's datagrams. There is no
 // handshake: a stream begins with its first segment.
 type Streams struct {
-	link   *Link
+	link   *Transport
 	accept chan net.Conn
 
 	mu      sync.Mutex
@@ -54,10 +54,10 @@
 }
 
 // NewStreams takes over the link's channels of streams.
-func NewStreams(l *Link) *Streams {
+func NewStreams(l *Transport) *Streams {
 	s := &Streams{link: l, accept: make(chan net.Conn, streamsMost), streams: map[streamKey]*stream{}}
-	l.Handle(ToListener, func(from netip.AddrPort, data []byte) bool { return s.deliver(from, data[1:], false) })
-	l.Handle(ToDialer, func(from netip.AddrPort, data []byte) bool { return s.deliver(from, data[1:], true) })
+	l.Handle(ChannelToListener, func(from netip.AddrPort, data []byte) bool { return s.deliver(from, data[1:], false) })
+	l.Handle(ChannelToDialer, func(from netip.AddrPort, data []byte) bool { return s.deliver(from, data[1:], true) })
 	return s
 }
 
@@ -86,8 +86,8 @@
 	}
 }
 
-// ErrStreams says that too many streams are open.
-var ErrStreams = fmt.Errorf("more than %d streams", streamsMost)
+// ErrTooManyStreams says that too many streams are open.
+var ErrTooManyStreams = fmt.Errorf("more than %d streams", streamsMost)
 
 // add makes a stream; nil without an error where there is one of that key.
 func (s *Streams) add(key streamKey) (*stream, error) {
@@ -99,12 +99,12 @@
 	case s.streams[key] != nil:
 		return nil, nil
 	case s.open >= streamsMost || len(s.streams) >= totalMost:
-		return nil, ErrStreams
+		return nil, ErrTooManyStreams
 	}
 	st := &stream{owner: s, key: key, changed: make(chan struct{})}
-	out := [DatagramMost]byte{byte(ToListener)}
+	out := [MaxSize]byte{byte(ChannelToListener)}
 	if !key.dialed {
-		out[0] = byte(ToDialer)
+		out[0] = byte(ChannelToDialer)
 	}
 	st.kcp = kcp.NewKCP(key.conv, func(segments []byte, size int) {
 		if size > segmentMost || size < headMost { // KCP flushes nothing, too
--- a/internal/datagram/transport.go
+++ b/internal/datagram/transport.go
@@ -18,8 +18,8 @@
 	"golang.org/x/time/rate"
 )
 
-// DatagramMost is the protocol's bound on a datagram, in bytes, its channel's byte included.
-const DatagramMost = 256
+// MaxSize is the protocol's bound on a datagram, in bytes, its channel's byte included.
+const MaxSize = 256
 
 // Channel is the first byte of a datagram.
 type Channel byte
@@ -27,11 +27,11 @@
 // The channels. News is the module's messages, whose version is their first
 // byte, so that they are on the wire as they were before there were others.
 const (
-	News       Channel = 1
-	Packets    Channel = 2 // of the view
-	ToListener Channel = 3 // segments of streams, to the side that accepted
-	ToDialer   Channel = 4
-	channels           = 5
+	ChannelGossip     Channel = 1
+	ChannelPackets    Channel = 2 // of the view
+	ChannelToListener Channel = 3 // segments of streams, to the side that accepted
+	ChannelToDialer   Channel = 4
+	channels                  = 5
 )
 
 const (
@@ -40,27 +40,27 @@
 	burst       = 4 * time.Second // of the budget, which a start or a healing spends at once
 )
 
-// Count is what passed on one channel since the start, in datagrams and bytes
+// ChannelCounts is what passed on one channel since the start, in datagrams and bytes
 // of payload (UDP and IP headers not counted).
-type Count struct {
+type ChannelCounts struct {
 	SentDatagrams, SentBytes         uint64
 	ReceivedDatagrams, ReceivedBytes uint64
-	HeldBack                         uint64 // not sent for want of budget
-	Refused                          uint64 // received and dropped: too long, from a stranger, improper
+	RateLimited                      uint64 // not sent for want of budget
+	Rejected                         uint64 // received and dropped: too long, from a stranger, improper
 }
 
 type counter struct{ sent, sentBytes, received, receivedBytes, held, refused atomic.Uint64 }
 
 // Options of a Link. Zero values are usable.
 type Options struct {
-	Budget float64 // datagrams a second of all channels but News, half for packets and half for streams; 0 for no bound
-	// Control sets options of the socket before it is bound.
-	Control func(network, address string, raw syscall.RawConn) error
-	Log     *slog.Logger
+	MaxRate float64 // datagrams a second of all channels but News, half for packets and half for streams; 0 for no bound
+	// ControlSocket sets options of the socket before it is bound.
+	ControlSocket func(network, address string, raw syscall.RawConn) error
+	Logger        *slog.Logger
 }
 
-// Link is one sidecar's end of the path. It is safe for concurrent use.
-type Link struct {
+// Transport is one sidecar's end of the path. It is safe for concurrent use.
+type Transport struct {
 	send    func(data []byte, to netip.AddrPort) error
 	budget  [channels]*rate.Limiter // nil for no bound
 	counts  [channels]counter
@@ -72,25 +72,25 @@
 
 // New makes a link whose datagrams send carries, without keeping data; what
 // comes in is handed to Deliver. Handlers are set before the first Deliver.
-func New(send func(data []byte, to netip.AddrPort) error, o Options) *Link {
-	l := &Link{send: send, log: o.Log}
+func New(send func(data []byte, to netip.AddrPort) error, o Options) *Transport {
+	l := &Transport{send: send, log: o.Logger}
 	if l.log == nil {
 		l.log = slog.New(slog.DiscardHandler)
 	}
-	if o.Budget > 0 {
+	if o.MaxRate > 0 {
 		half := func() *rate.Limiter {
-			return rate.NewLimiter(rate.Limit(o.Budget/2), max(1, int(o.Budget/2*burst.Seconds())))
+			return rate.NewLimiter(rate.Limit(o.MaxRate/2), max(1, int(o.MaxRate/2*burst.Seconds())))
 		}
-		l.budget[Packets] = half() // so that lists sent to many leave room to answer pings
-		l.budget[ToListener] = half()
-		l.budget[ToDialer] = l.budget[ToListener]
+		l.budget[ChannelPackets] = half() // so that lists sent to many leave room to answer pings
+		l.budget[ChannelToListener] = half()
+		l.budget[ChannelToDialer] = l.budget[ChannelToListener]
 	}
 	return l
 }
 
-// Open makes a link on a UDP socket of its own. Serve reads it, until ctx ends and with it the socket.
-func Open(ctx context.Context, listen netip.AddrPort, o Options) (*Link, error) {
-	config := net.ListenConfig{Control: o.Control}
+// Listen makes a link on a UDP socket of its own. Serve reads it, until ctx ends and with it the socket.
+func Listen(ctx context.Context, listen netip.AddrPort, o Options) (*Transport, error) {
+	config := net.ListenConfig{Control: o.ControlSocket}
 	packets, err := config.ListenPacket(ctx, "udp4", listen.String())
 	if err != nil {
 		return nil, fmt.Errorf("listen to peers: %w", err)
@@ -107,15 +107,15 @@
 }
 
 // Conn is the link's socket.
-func (l *Link) Conn() *net.UDPConn { return l.conn }
+func (l *Transport) Conn() *net.UDPConn { return l.conn }
 
 // Handle has f take what comes on a channel: the whole datagram, which f may
 // keep, and where it came from. f returns false for one that it refuses.
-func (l *Link) Handle(c Channel, f func(from netip.AddrPort, data []byte) bool) { l.handle[c] = f }
+func (l *Transport) Handle(c Channel, f func(from netip.AddrPort, data []byte) bool) { l.handle[c] = f }
 
 // Serve passes on what comes to the socket until it is closed.
-func (l *Link) Serve() {
-	buf := make([]byte, DatagramMost+1) // a byte more tells that one is too long
+func (l *Transport) Serve() {
+	buf := make([]byte, MaxSize+1) // a byte more tells that one is too long
 	for {
 		n, from, err := l.conn.ReadFromUDPAddrPort(buf)
 		switch {
@@ -131,8 +131,8 @@
 }
 
 // Deliver hands in one datagram; it takes data over.
-func (l *Link) Deliver(from netip.AddrPort, data []byte) {
-	if len(data) == 0 || len(data) > DatagramMost || data[0] >= channels || l.handle[data[0]] == nil {
+func (l *Transport) Deliver(from netip.AddrPort, data []byte) {
+	if len(data) == 0 || len(data) > MaxSize || data[0] >= channels || l.handle[data[0]] == nil {
 		l.refused(&l.unknown, from, data)
 		return
 	}
@@ -145,24 +145,24 @@
 }
 
 // refused counts and, the 1st, 2nd, 4th, 8th ... time, logs a datagram dropped.
-func (l *Link) refused(count *atomic.Uint64, from netip.AddrPort, data []byte) {
+func (l *Transport) refused(count *atomic.Uint64, from netip.AddrPort, data []byte) {
 	if n := count.Add(1); n&(n-1) == 0 {
 		l.log.Warn("datagram dropped", "from", from, "bytes", len(data), "dropped", n)
 	}
 }
 
-// ErrBudget says that a datagram was held back.
-var ErrBudget = errors.New("over the budget of datagrams")
+// ErrRateLimited says that a datagram was held back.
+var ErrRateLimited = errors.New("over the budget of datagrams")
 
 // Send sends one datagram, whose first byte is its channel. An error is as if it was lost on the way.
-func (l *Link) Send(to netip.AddrPort, data []byte) error {
-	if len(data) == 0 || len(data) > DatagramMost || data[0] >= channels {
+func (l *Transport) Send(to netip.AddrPort, data []byte) error {
+	if len(data) == 0 || len(data) > MaxSize || data[0] >= channels {
 		return fmt.Errorf("a datagram of %d bytes is not sent", len(data))
 	}
 	c := &l.counts[data[0]]
 	if b := l.budget[data[0]]; b != nil && !b.Allow() {
 		c.held.Add(1)
-		return ErrBudget
+		return ErrRateLimited
 	}
 	if err := l.send(data, to); err != nil {
 		return err
@@ -173,11 +173,11 @@
 }
 
 // Counts gives what passed on each channel, and how many datagrams came that were of none.
-func (l *Link) Counts() (by map[Channel]Count, unknown uint64) {
-	by = map[Channel]Count{}
+func (l *Transport) Counts() (by map[Channel]ChannelCounts, unknown uint64) {
+	by = map[Channel]ChannelCounts{}
 	for i := range l.counts {
 		if c := &l.counts[i]; i > 0 {
-			by[Channel(i)] = Count{c.sent.Load(), c.sentBytes.Load(), c.received.Load(), c.receivedBytes.Load(), c.held.Load(), c.refused.Load()}
+			by[Channel(i)] = ChannelCounts{c.sent.Load(), c.sentBytes.Load(), c.received.Load(), c.receivedBytes.Load(), c.held.Load(), c.refused.Load()}
 		}
 	}
 	return by, l.unknown.Load()
--- a/internal/datagram/transport_test.go
+++ b/internal/datagram/transport_test.go
@@ -17,15 +17,15 @@
 var here, there = netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1")
 
 // pair joins two links by a network that loses, doubles and reorders; long counts datagrams over the bound.
-func pair(seed uint64, loss float64, delay time.Duration, o Options) (a, b *Link, long *int) {
+func pair(seed uint64, loss float64, delay time.Duration, o Options) (a, b *Transport, long *int) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var mu sync.Mutex
 	long = new(int)
-	carry := func(from netip.AddrPort, to **Link) func([]byte, netip.AddrPort) error {
+	carry := func(from netip.AddrPort, to **Transport) func([]byte, netip.AddrPort) error {
 		return func(data []byte, _ netip.AddrPort) error {
 			mu.Lock()
 			defer mu.Unlock()
-			if len(data) > DatagramMost {
+			if len(data) > MaxSize {
 				*long++
 			}
 			copies := 1
@@ -103,7 +103,7 @@
 			}
 			conn.Write([]byte("a"))
 		}
-		if _, err := dialer.Dial(there); !errors.Is(err, ErrStreams) {
+		if _, err := dialer.Dial(there); !errors.Is(err, ErrTooManyStreams) {
 			t.Errorf("one stream more: %v", err)
 		}
 		time.Sleep(lifeMost + lingerMost)
@@ -126,20 +126,20 @@
 // Over the budget datagrams are held back and counted, news never; what is too long is not sent.
 func TestBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, _, _ := pair(1, 0, 0, Options{Budget: 10})
+		a, _, _ := pair(1, 0, 0, Options{MaxRate: 10})
 		for range 100 {
-			a.Send(there, []byte{byte(Packets), 1})
-			a.Send(there, []byte{byte(News), 1})
+			a.Send(there, []byte{byte(ChannelPackets), 1})
+			a.Send(there, []byte{byte(ChannelGossip), 1})
 		}
 		counts, _ := a.Counts()
-		if p, n := counts[Packets], counts[News]; p.SentDatagrams != 20 || p.HeldBack != 80 || n.SentDatagrams != 100 || n.HeldBack != 0 {
+		if p, n := counts[ChannelPackets], counts[ChannelGossip]; p.SentDatagrams != 20 || p.RateLimited != 80 || n.SentDatagrams != 100 || n.RateLimited != 0 {
 			t.Errorf("at once, with 10 a second, half of it, and 4 s of that: %+v, news %+v", p, n)
 		}
 		time.Sleep(time.Second)
-		if a.Send(there, []byte{byte(Packets)}) != nil {
+		if a.Send(there, []byte{byte(ChannelPackets)}) != nil {
 			t.Error("held back with budget left")
 		}
-		if a.Send(there, make([]byte, DatagramMost+1)) == nil || a.Send(there, nil) == nil {
+		if a.Send(there, make([]byte, MaxSize+1)) == nil || a.Send(there, nil) == nil {
 			t.Error("a datagram was sent that must not be")
 		}
 		time.Sleep(time.Second) // what is under way arrives
@@ -162,7 +162,7 @@
 	conn.Write([]byte("hello"))
 	sent := <-first
 	f.Add(sent)
-	f.Add(append([]byte{byte(ToDialer)}, sent[1:]...))
+	f.Add(append([]byte{byte(ChannelToDialer)}, sent[1:]...))
 	f.Add([]byte{1, 2, 3})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if len(data) > 0 {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -25,17 +25,17 @@
 
 // Settings is the configuration's table "fleet".
 type Settings struct {
-	On            bool    `json:"on"`              // keep a view of the fleet; off by default
-	Advertise     string  `json:"advertise"`       // address:port at which the others reach this sidecar; by default its entry in peers, else peer_listen
-	QuietS        float64 `json:"quiet_s"`         // seconds that a change must last, and between views; 1
-	ProbeMS       float64 `json:"probe_ms"`        // milliseconds between probes of the failure detector; 400
-	Members       int     `json:"members"`         // known at once, the gone included; 1000
-	DatagramsPerS float64 `json:"datagrams_per_s"` // a second, of the view, with a burst of 4 s; 100
+	Enabled               bool    `json:"on"`              // keep a view of the fleet; off by default
+	Advertise             string  `json:"advertise"`       // address:port at which the others reach this sidecar; by default its entry in peers, else peer_listen
+	StabilizationSeconds  float64 `json:"quiet_s"`         // seconds that a change must last, and between views; 1
+	ProbeIntervalMillis   float64 `json:"probe_ms"`        // milliseconds between probes of the failure detector; 400
+	MaxMembers            int     `json:"members"`         // known at once, the gone included; 1000
+	MaxDatagramsPerSecond float64 `json:"datagrams_per_s"` // a second, of the view, with a burst of 4 s; 100
 }
 
 // ParseSettings reads the table from JSON; none or null is the defaults. Errors name the key.
 func ParseSettings(raw json.RawMessage) (Settings, error) {
-	s := Settings{QuietS: 1, ProbeMS: 400, Members: 1000, DatagramsPerS: 100}
+	s := Settings{StabilizationSeconds: 1, ProbeIntervalMillis: 400, MaxMembers: 1000, MaxDatagramsPerSecond: 100}
 	if len(raw) == 0 {
 		return s, nil
 	}
@@ -47,8 +47,8 @@
 	for _, c := range []struct {
 		key                string
 		value, least, most float64
-	}{{"quiet_s", s.QuietS, 0.1, 60}, {"probe_ms", s.ProbeMS, 50, 10_000}, {"members", float64(s.Members), 2, 10_000},
-		{"datagrams_per_s", s.DatagramsPerS, 10, 10_000}} {
+	}{{"quiet_s", s.StabilizationSeconds, 0.1, 60}, {"probe_ms", s.ProbeIntervalMillis, 50, 10_000}, {"members", float64(s.MaxMembers), 2, 10_000},
+		{"datagrams_per_s", s.MaxDatagramsPerSecond, 10, 10_000}} {
 		if !(c.value >= c.least && c.value <= c.most) {
 			return s, fmt.Errorf("%s: %v is not within %v to %v", c.key, c.value, c.least, c.most)
 		}
@@ -64,20 +64,20 @@
 // Options of a Fleet.
 type Options struct {
 	Settings
-	Name, Zone string
-	State      bool             // this sidecar keeps state on a disk
-	Listen     netip.AddrPort   // where datagrams come in
-	Peers      []netip.AddrPort // of the whole tier, by their numbers; news is taken from them alone, and they are the view's seeds
-	Position   int              // the own number among Peers
-	All        netip.AddrPort   // reaches all of them
-	Kept       json.RawMessage  // what Keep gave an earlier process
-	// Control sets options of the socket before it is bound; Opened has it afterwards.
-	Control func(network, address string, raw syscall.RawConn) error
-	Link    *datagram.Link // carries the datagrams in place of a socket: who made it delivers, and ends that; nil for a socket
-	Opened  func(socket syscall.Conn)
-	News    func(data []byte) // takes news of the module; nil for none
-	Changed func(living int)  // is told how many sidecars there are, whenever that is settled anew and not cut off
-	Log     *slog.Logger
+	Name, Zone      string
+	PersistentState bool             // this sidecar keeps state on a disk
+	Listen          netip.AddrPort   // where datagrams come in
+	Peers           []netip.AddrPort // of the whole tier, by their numbers; news is taken from them alone, and they are the view's seeds
+	PeerIndex       int              // the own number among Peers
+	PeerBroadcast   netip.AddrPort   // reaches all of them
+	Snapshot        json.RawMessage  // what Keep gave an earlier process
+	// ControlSocket sets options of the socket before it is bound; Opened has it afterwards.
+	ControlSocket func(network, address string, raw syscall.RawConn) error
+	Transport     *datagram.Transport // carries the datagrams in place of a socket: who made it delivers, and ends that; nil for a socket
+	OnSocket      func(socket syscall.Conn)
+	OnGossip      func(data []byte) // takes news of the module; nil for none
+	OnMemberCount func(living int)  // is told how many sidecars there are, whenever that is settled anew and not cut off
+	Logger        *slog.Logger
 }
 
 // advertise is the own address as the others know it.
@@ -85,20 +85,20 @@
 	if o.Advertise != "" {
 		return netip.MustParseAddrPort(o.Advertise)
 	}
-	if o.Position >= 0 && o.Position < len(o.Peers) {
-		return o.Peers[o.Position]
+	if o.PeerIndex >= 0 && o.PeerIndex < len(o.Peers) {
+		return o.Peers[o.PeerIndex]
 	}
 	return o.Listen
 }
 
 // Self is what this sidecar tells the others of itself; its error names what cannot be told.
 func (o *Options) Self() (membership.Member, error) {
-	m := membership.Member{Name: o.Name, Zone: o.Zone, Version: Version, Start: time.Now(), Addr: o.advertise()}
-	if o.News != nil {
-		m.Features |= membership.FeatureNews
+	m := membership.Member{Name: o.Name, Zone: o.Zone, Version: Version, StartTime: time.Now(), Address: o.advertise()}
+	if o.OnGossip != nil {
+		m.Features |= membership.FeatureGossip
 	}
-	if o.State {
-		m.Features |= membership.FeatureState
+	if o.PersistentState {
+		m.Features |= membership.FeaturePersistentState
 	}
 	return m, m.Validate()
 }
@@ -106,8 +106,8 @@
 // Fleet is one process's part in the fleet.
 type Fleet struct {
 	o    Options
-	link *datagram.Link
-	view *membership.View // nil where it is off
+	link *datagram.Transport
+	view *membership.Agent // nil where it is off
 	stop context.CancelFunc
 
 	mu     sync.Mutex
@@ -116,7 +116,7 @@
 
 type sample struct {
 	at     time.Time
-	counts map[datagram.Channel]datagram.Count
+	counts map[datagram.Channel]datagram.ChannelCounts
 }
 
 const sampleEvery = 5 * time.Second
@@ -125,45 +125,45 @@
 // with a goodbye.
 func Open(ctx context.Context, o Options) (*Fleet, error) {
 	f := &Fleet{o: o, stop: func() {}}
-	var kept membership.Kept
-	if len(o.Kept) > 0 && o.On {
-		if err := json.Unmarshal(o.Kept, &kept); err != nil {
-			o.Log.Error("view: what was kept cannot be read; it is not used", "error", err)
-			kept = membership.Kept{}
+	var kept membership.Snapshot
+	if len(o.Snapshot) > 0 && o.Enabled {
+		if err := json.Unmarshal(o.Snapshot, &kept); err != nil {
+			o.Logger.Error("view: what was kept cannot be read; it is not used", "error", err)
+			kept = membership.Snapshot{}
 		}
 	}
 	var err error
-	if f.link = o.Link; f.link == nil {
-		if f.link, err = datagram.Open(ctx, o.Listen, datagram.Options{Budget: o.DatagramsPerS, Control: o.Control, Log: o.Log}); err != nil {
+	if f.link = o.Transport; f.link == nil {
+		if f.link, err = datagram.Listen(ctx, o.Listen, datagram.Options{MaxRate: o.MaxDatagramsPerSecond, ControlSocket: o.ControlSocket, Logger: o.Logger}); err != nil {
 			return nil, err
 		}
-		if o.Opened != nil {
-			o.Opened(f.link.Conn())
+		if o.OnSocket != nil {
+			o.OnSocket(f.link.Conn())
 		}
 	}
-	if o.News != nil {
+	if o.OnGossip != nil {
 		from := map[netip.AddrPort]bool{}
 		for _, a := range o.Peers {
 			from[a] = a != o.Listen
 		}
-		f.link.Handle(datagram.News, func(a netip.AddrPort, data []byte) bool {
+		f.link.Handle(datagram.ChannelGossip, func(a netip.AddrPort, data []byte) bool {
 			if from[a] {
-				o.News(data)
+				o.OnGossip(data)
 			}
 			return from[a]
 		})
 	}
-	if o.On {
+	if o.Enabled {
 		self, err := o.Self()
 		if err != nil {
 			f.closeSocket()
 			return nil, fmt.Errorf("fleet: %w", err)
 		}
-		f.view, err = membership.Open(f.link, membership.Options{Self: self, Seeds: o.Peers, Kept: kept, Most: o.Members, Log: o.Log,
-			Quiet: time.Duration(o.QuietS * float64(time.Second)), Probe: time.Duration(o.ProbeMS * float64(time.Millisecond)),
-			Changed: func(s membership.Settled) {
-				if o.Changed != nil && !s.CutOff {
-					o.Changed(len(s.Names))
+		f.view, err = membership.Open(f.link, membership.Options{Self: self, Seeds: o.Peers, Snapshot: kept, MaxMembers: o.MaxMembers, Logger: o.Logger,
+			StabilizationPeriod: time.Duration(o.StabilizationSeconds * float64(time.Second)), ProbeInterval: time.Duration(o.ProbeIntervalMillis * float64(time.Millisecond)),
+			OnChange: func(s membership.StableView) {
+				if o.OnMemberCount != nil && !s.Isolated {
+					o.OnMemberCount(len(s.Names))
 				}
 			}})
 		if err != nil {
@@ -175,7 +175,7 @@
 		f.keepSamples()
 		go f.sampleUntil(sampling)
 	}
-	if o.Link == nil {
+	if o.Transport == nil {
 		go f.link.Serve()
 	}
 	return f, nil
@@ -183,7 +183,7 @@
 
 // closeSocket ends the link where it is of our own making.
 func (f *Fleet) closeSocket() {
-	if f.o.Link == nil {
+	if f.o.Transport == nil {
 		f.link.Conn().Close()
 	}
 }
@@ -200,25 +200,25 @@
 	}
 }
 
-// Tell sends news of the module to all the others.
-func (f *Fleet) Tell(data []byte) {
-	if err := f.link.Send(f.o.All, data); err != nil {
-		f.o.Log.Debug("peers", "error", err) // as if lost on the way
+// SendGossip sends news of the module to all the others.
+func (f *Fleet) SendGossip(data []byte) {
+	if err := f.link.Send(f.o.PeerBroadcast, data); err != nil {
+		f.o.Logger.Debug("peers", "error", err) // as if lost on the way
 	}
 }
 
 // Counts gives what passed on each channel since the start.
-func (f *Fleet) Counts() map[datagram.Channel]datagram.Count {
+func (f *Fleet) Counts() map[datagram.Channel]datagram.ChannelCounts {
 	counts, _ := f.link.Counts()
 	return counts
 }
 
-// Keep is what a next process of this sidecar should be given; nil where the view is off.
-func (f *Fleet) Keep() json.RawMessage {
+// Snapshot is what a next process of this sidecar should be given; nil where the view is off.
+func (f *Fleet) Snapshot() json.RawMessage {
 	if f.view == nil {
 		return nil
 	}
-	data, err := json.Marshal(f.view.Keep())
+	data, err := json.Marshal(f.view.Snapshot())
 	if err != nil {
 		return nil
 	}
@@ -248,63 +248,63 @@
 
 // Status is what operators are told of the view, as JSON.
 type Status struct {
-	Name         string    `json:"name"`
-	Epoch        uint64    `json:"epoch"`         // of this sidecar's; moves when the set of members does
-	Digest       string    `json:"digest"`        // the same at two sidecars that see the same members
-	SettledSince time.Time `json:"settled_since"` // when the set last changed
-	CutOff       bool      `json:"cut_off"`       // it hears almost nobody, and goes on with what it knew
-	Settled      []string  `json:"settled"`       // the members, sorted
+	Name          string    `json:"name"`
+	Epoch         uint64    `json:"epoch"`         // of this sidecar's; moves when the set of members does
+	Digest        string    `json:"digest"`        // the same at two sidecars that see the same members
+	StableSince   time.Time `json:"settled_since"` // when the set last changed
+	Isolated      bool      `json:"cut_off"`       // it hears almost nobody, and goes on with what it knew
+	StableMembers []string  `json:"settled"`       // the members, sorted
 
-	Members []MemberStatus     `json:"members,omitempty"`
-	Traffic map[string]Traffic `json:"traffic,omitempty"` // by channel
-	Counts  map[string]uint64  `json:"counts,omitempty"`
+	Members  []MemberStatus     `json:"members,omitempty"`
+	Traffic  map[string]Traffic `json:"traffic,omitempty"` // by channel
+	Counters map[string]uint64  `json:"counts,omitempty"`
 }
 
 // MemberStatus is one member as operators see it.
 type MemberStatus struct {
-	Name     string    `json:"name"`
-	State    string    `json:"state"` // alive, failed, left
-	Since    time.Time `json:"since"`
-	Zone     string    `json:"zone"`
-	Version  string    `json:"version"`
-	Features []string  `json:"features"`
-	Address  string    `json:"address"`
-	Start    time.Time `json:"start"`
-	HeardMS  float64   `json:"heard_ms"` // since a datagram of its last came; -1 for never, and for oneself
+	Name              string    `json:"name"`
+	State             string    `json:"state"` // alive, failed, left
+	Since             time.Time `json:"since"`
+	Zone              string    `json:"zone"`
+	Version           string    `json:"version"`
+	Features          []string  `json:"features"`
+	Address           string    `json:"address"`
+	StartTime         time.Time `json:"start"`
+	LastContactMillis float64   `json:"heard_ms"` // since a datagram of its last came; -1 for never, and for oneself
 }
 
 // Traffic of one channel: a second, over the last 5 to 10 s, and whole counts since the start.
 type Traffic struct {
-	SentPerS          float64 `json:"sent_per_s"`
-	SentBytesPerS     float64 `json:"sent_bytes_per_s"`
-	ReceivedPerS      float64 `json:"received_per_s"`
-	ReceivedBytesPerS float64 `json:"received_bytes_per_s"`
-	Sent              uint64  `json:"sent"`
-	SentBytes         uint64  `json:"sent_bytes"`
-	Received          uint64  `json:"received"`
-	HeldBack          uint64  `json:"held_back"` // over the budget
-	Refused           uint64  `json:"refused"`
+	SentPerSecond          float64 `json:"sent_per_s"`
+	SentBytesPerSecond     float64 `json:"sent_bytes_per_s"`
+	ReceivedPerSecond      float64 `json:"received_per_s"`
+	ReceivedBytesPerSecond float64 `json:"received_bytes_per_s"`
+	Sent                   uint64  `json:"sent"`
+	SentBytes              uint64  `json:"sent_bytes"`
+	Received               uint64  `json:"received"`
+	RateLimited            uint64  `json:"held_back"` // over the budget
+	Rejected               uint64  `json:"refused"`
 }
 
-var channelNames = map[datagram.Channel]string{datagram.News: "news", datagram.Packets: "packets", datagram.ToListener: "streams_out", datagram.ToDialer: "streams_in"}
+var channelNames = map[datagram.Channel]string{datagram.ChannelGossip: "news", datagram.ChannelPackets: "packets", datagram.ChannelToListener: "streams_out", datagram.ChannelToDialer: "streams_in"}
 
 // Status gives the view, false where it is off; brief leaves out members, traffic and counts.
 func (f *Fleet) Status(brief bool) (Status, bool) {
 	if f.view == nil {
 		return Status{}, false
 	}
-	settled := f.view.Settled()
-	s := Status{Name: f.o.Name, Epoch: settled.Epoch, Digest: fmt.Sprintf("%016x", settled.Digest), SettledSince: settled.Since,
-		CutOff: settled.CutOff, Settled: settled.Names}
+	settled := f.view.StableView()
+	s := Status{Name: f.o.Name, Epoch: settled.Epoch, Digest: fmt.Sprintf("%016x", settled.Digest), StableSince: settled.ChangedAt,
+		Isolated: settled.Isolated, StableMembers: settled.Names}
 	if brief {
 		return s, true
 	}
 	now := time.Now()
 	for _, m := range f.view.Members() {
-		ms := MemberStatus{Name: m.Name, State: string(m.State), Since: m.Changed, Zone: m.Zone, Version: m.Version, Features: m.Features.Names(),
-			Address: m.Addr.String(), Start: m.Start, HeardMS: -1}
-		if !m.Heard.IsZero() {
-			ms.HeardMS = math.Round(now.Sub(m.Heard).Seconds()*1e6) / 1e3
+		ms := MemberStatus{Name: m.Name, State: string(m.State), Since: m.StateSince, Zone: m.Zone, Version: m.Version, Features: m.Features.Names(),
+			Address: m.Address.String(), StartTime: m.StartTime, LastContactMillis: -1}
+		if !m.LastContact.IsZero() {
+			ms.LastContactMillis = math.Round(now.Sub(m.LastContact).Seconds()*1e6) / 1e3
 		}
 		s.Members = append(s.Members, ms)
 	}
@@ -322,10 +322,10 @@
 		was := old.counts[channel]
 		s.Traffic[channelNames[channel]] = Traffic{perS(c.SentDatagrams, was.SentDatagrams), perS(c.SentBytes, was.SentBytes),
 			perS(c.ReceivedDatagrams, was.ReceivedDatagrams), perS(c.ReceivedBytes, was.ReceivedBytes),
-			c.SentDatagrams, c.SentBytes, c.ReceivedDatagrams, c.HeldBack, c.Refused}
+			c.SentDatagrams, c.SentBytes, c.ReceivedDatagrams, c.RateLimited, c.Rejected}
 	}
-	conflicts, full, improper, dropped := f.view.Troubles()
-	s.Counts = map[string]uint64{"name_conflicts": conflicts, "refused_members": full, "improper_messages": improper,
+	conflicts, full, improper, dropped := f.view.Counters()
+	s.Counters = map[string]uint64{"name_conflicts": conflicts, "refused_members": full, "improper_messages": improper,
 		"dropped_packets": dropped, "unknown_datagrams": unknown}
 	return s, true
 }
@@ -333,13 +333,13 @@
 // Text is the status for people: a line of the view, then one a member.
 func (s Status) Text() string {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "%s: %d members, epoch %d, digest %s, settled since %s", s.Name, len(s.Settled), s.Epoch, s.Digest, s.SettledSince.Format(time.RFC3339))
-	if s.CutOff {
+	fmt.Fprintf(&b, "%s: %d members, epoch %d, digest %s, settled since %s", s.Name, len(s.StableMembers), s.Epoch, s.Digest, s.StableSince.Format(time.RFC3339))
+	if s.Isolated {
 		b.WriteString(", CUT OFF")
 	}
 	b.WriteByte('\n')
 	for _, m := range s.Members {
-		fmt.Fprintf(&b, "%-20s %-7s %-8s %-8s %-21s heard %.0f ms ago, since %s\n", m.Name, m.State, m.Zone, m.Version, m.Address, m.HeardMS, m.Since.Format(time.RFC3339))
+		fmt.Fprintf(&b, "%-20s %-7s %-8s %-8s %-21s heard %.0f ms ago, since %s\n", m.Name, m.State, m.Zone, m.Version, m.Address, m.LastContactMillis, m.Since.Format(time.RFC3339))
 	}
 	return b.String()
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -34,8 +34,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	got := make(chan []byte, 8)
-	f, err := Open(ctx, Options{Listen: own, Peers: []netip.AddrPort{own, addressOf(friend)}, All: addressOf(friend),
-		News: func(data []byte) { got <- data }, Log: slog.New(slog.DiscardHandler)})
+	f, err := Open(ctx, Options{Listen: own, Peers: []netip.AddrPort{own, addressOf(friend)}, PeerBroadcast: addressOf(friend),
+		OnGossip: func(data []byte) { got <- data }, Logger: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,14 +46,14 @@
 		}
 	}
 	send(stranger, []byte("\x01strange"))
-	send(friend, bytes.Repeat([]byte{1}, datagram.DatagramMost+1))
+	send(friend, bytes.Repeat([]byte{1}, datagram.MaxSize+1))
 	send(friend, []byte("\x02view"))
 	send(friend, []byte("\x09later"))
 	send(friend, []byte("\x01news")) // loopback keeps the order
 	if data := <-got; string(data) != "\x01news" {
 		t.Errorf("%d bytes passed on, %.10q", len(data), data)
 	}
-	f.Tell([]byte("\x01ours"))
+	f.SendGossip([]byte("\x01ours"))
 	buf := make([]byte, 10)
 	if n, from, err := friend.ReadFromUDPAddrPort(buf); err != nil || string(buf[:n]) != "\x01ours" || from != own {
 		t.Errorf("%q from %v, %v", buf[:n], from, err)
@@ -61,10 +61,10 @@
 	if len(got) != 0 {
 		t.Errorf("%d more datagrams passed on", len(got))
 	}
-	if counts, unknown := f.link.Counts(); unknown != 3 || counts[datagram.News].Refused != 1 || counts[datagram.News].SentDatagrams != 1 {
+	if counts, unknown := f.link.Counts(); unknown != 3 || counts[datagram.ChannelGossip].Rejected != 1 || counts[datagram.ChannelGossip].SentDatagrams != 1 {
 		t.Errorf("counts %v, %d unknown", counts, unknown)
 	}
-	if _, on := f.Status(false); on || f.Keep() != nil {
+	if _, on := f.Status(false); on || f.Snapshot() != nil {
 		t.Error("a view that is off tells something")
 	}
 }
@@ -85,7 +85,7 @@
 			t.Errorf("%s: %v", text, err)
 		}
 	}
-	if s, err := ParseSettings(nil); err != nil || s.On || s.QuietS != 1 || s.Members != 1000 {
+	if s, err := ParseSettings(nil); err != nil || s.Enabled || s.StabilizationSeconds != 1 || s.MaxMembers != 1000 {
 		t.Errorf("defaults %+v, %v", s, err)
 	}
 }
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -50,17 +50,17 @@
 
 func goldenStatus() Status {
 	return Status{
-		Name: "s0", Epoch: 7, Digest: "b3ef540f2075099a", SettledSince: goldenTime, CutOff: true, Settled: []string{"s0", "s1"},
+		Name: "s0", Epoch: 7, Digest: "b3ef540f2075099a", StableSince: goldenTime, Isolated: true, StableMembers: []string{"s0", "s1"},
 		Members: []MemberStatus{
-			{Name: "s0", State: string(membership.Alive), Since: goldenTime, Zone: "a", Version: "21.0", Features: []string{"news", "state"},
-				Address: "10.0.0.1:7946", Start: goldenTime, HeardMS: -1},
-			{Name: "s1", State: string(membership.Failed), Since: goldenTime, Zone: "b", Version: "20.0", Features: []string{},
-				Address: "10.0.0.2:7946", Start: goldenTime, HeardMS: 1234.567},
-			{Name: "s2", State: string(membership.Left), Since: goldenTime, Address: "10.0.0.3:7946", Start: goldenTime, HeardMS: 0.25},
+			{Name: "s0", State: string(membership.StateAlive), Since: goldenTime, Zone: "a", Version: "21.0", Features: []string{"news", "state"},
+				Address: "10.0.0.1:7946", StartTime: goldenTime, LastContactMillis: -1},
+			{Name: "s1", State: string(membership.StateFailed), Since: goldenTime, Zone: "b", Version: "20.0", Features: []string{},
+				Address: "10.0.0.2:7946", StartTime: goldenTime, LastContactMillis: 1234.567},
+			{Name: "s2", State: string(membership.StateLeft), Since: goldenTime, Address: "10.0.0.3:7946", StartTime: goldenTime, LastContactMillis: 0.25},
 		},
-		Traffic: map[string]Traffic{"news": {SentPerS: 1.5, SentBytesPerS: 2, ReceivedPerS: 3, ReceivedBytesPerS: 4, Sent: 5, SentBytes: 6,
-			Received: 7, HeldBack: 8, Refused: 9}},
-		Counts: map[string]uint64{"name_conflicts": 1},
+		Traffic: map[string]Traffic{"news": {SentPerSecond: 1.5, SentBytesPerSecond: 2, ReceivedPerSecond: 3, ReceivedBytesPerSecond: 4, Sent: 5, SentBytes: 6,
+			Received: 7, RateLimited: 8, Rejected: 9}},
+		Counters: map[string]uint64{"name_conflicts": 1},
 	}
 }
 
@@ -76,8 +76,8 @@
 		t.Errorf("read and told again it is\n%s", again)
 	}
 	compareGolden(t, "status.txt", []byte(status.Text()))
-	status.Members, status.Traffic, status.Counts = nil, nil, nil
-	status.CutOff = false
+	status.Members, status.Traffic, status.Counters = nil, nil, nil
+	status.Isolated = false
 	compareGolden(t, "status_brief.json", asJSON(t, status))
 	compareGolden(t, "status_brief.txt", []byte(status.Text()))
 }
@@ -92,8 +92,8 @@
 		t.Fatal(err)
 	}
 	own := netip.MustParseAddrPort("10.0.0.1:7946")
-	f, err := Open(context.Background(), Options{Settings: settings, Name: "s0", Zone: "a", State: true, Listen: own, Peers: []netip.AddrPort{own},
-		Kept: kept, Link: datagram.New(nobody, datagram.Options{}), News: func([]byte) {}, Log: slog.New(slog.DiscardHandler)})
+	f, err := Open(context.Background(), Options{Settings: settings, Name: "s0", Zone: "a", PersistentState: true, Listen: own, Peers: []netip.AddrPort{own},
+		Snapshot: kept, Transport: datagram.New(nobody, datagram.Options{}), OnGossip: func([]byte) {}, Logger: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,23 +102,23 @@
 	if !on {
 		t.Fatal("no status")
 	}
-	status.SettledSince = goldenTime
+	status.StableSince = goldenTime
 	for i := range status.Members {
-		status.Members[i].Since, status.Members[i].Start = goldenTime, goldenTime
+		status.Members[i].Since, status.Members[i].StartTime = goldenTime, goldenTime
 	}
 	for channel, traffic := range status.Traffic { // what it sends before it is asked is by its clock
-		traffic.SentPerS, traffic.SentBytesPerS, traffic.Sent, traffic.SentBytes = 0, 0, 0, 0
+		traffic.SentPerSecond, traffic.SentBytesPerSecond, traffic.Sent, traffic.SentBytes = 0, 0, 0, 0
 		status.Traffic[channel] = traffic
 	}
 	compareGolden(t, "status_alone.json", asJSON(t, status))
-	if text := compareGolden(t, "kept.json", append(f.Keep(), '\n')); !bytes.Equal(text, append(kept, '\n')) {
+	if text := compareGolden(t, "kept.json", append(f.Snapshot(), '\n')); !bytes.Equal(text, append(kept, '\n')) {
 		t.Errorf("kept is %s, begun with %s", text, kept)
 	}
 }
 
 // The configuration's table is read and written as the golden file has it.
 func TestGoldenSettings(t *testing.T) {
-	all := Settings{On: true, Advertise: "10.0.0.1:7946", QuietS: 2.5, ProbeMS: 300, Members: 50, DatagramsPerS: 80}
+	all := Settings{Enabled: true, Advertise: "10.0.0.1:7946", StabilizationSeconds: 2.5, ProbeIntervalMillis: 300, MaxMembers: 50, MaxDatagramsPerSecond: 80}
 	text := compareGolden(t, "settings.json", asJSON(t, all))
 	if got, err := ParseSettings(text); err != nil || got != all {
 		t.Errorf("read as %+v, %v", got, err)
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -162,7 +162,7 @@
 		}
 		s := sidecar.Surroundings{Network: c, Discovery: &caller{client: c, agent: agent, handler: answers}, Log: slog.New(slog.DiscardHandler)}
 		if f.known != nil {
-			s.Link = func(o datagram.Options) *datagram.Link {
+			s.Transport = func(o datagram.Options) *datagram.Transport {
 				l := datagram.New(func(data []byte, to netip.AddrPort) error { return f.net.send(m.station, data, to) }, o)
 				m.station.link.Store(l)
 				return l
--- a/internal/lab/scale/network.go
+++ b/internal/lab/scale/network.go
@@ -279,7 +279,7 @@
 	zone    int
 	address netip.AddrPort
 	sent    *tally
-	link    atomic.Pointer[datagram.Link] // nil while it does not run
+	link    atomic.Pointer[datagram.Transport] // nil while it does not run
 }
 
 // hub reaches all stations.
@@ -292,7 +292,7 @@
 // send carries one datagram from a station.
 func (n *network) send(from *station, data []byte, to netip.AddrPort) error {
 	own, ownBytes := viewSent, viewSentBytes
-	if datagram.Channel(data[0]) == datagram.News {
+	if datagram.Channel(data[0]) == datagram.ChannelGossip {
 		own, ownBytes = newsSent, newsSentBytes
 	}
 	from.sent[own].Add(1) // to the hub too it is one
@@ -321,7 +321,7 @@
 				continue
 			}
 			borne, borneBytes := viewBorne, viewBorneBytes
-			if datagram.Channel(held[0]) == datagram.News {
+			if datagram.Channel(held[0]) == datagram.ChannelGossip {
 				borne, borneBytes = newsBorne, newsBorneBytes
 			}
 			s.sent[borne].Add(1)
--- a/internal/lab/views_test.go
+++ b/internal/lab/views_test.go
@@ -32,7 +32,7 @@
 	r.await(what, func() bool {
 		for _, i := range sidecars {
 			s := r.view(i)
-			if last = fmt.Sprintf("s%d: %v, cut off %v", i, s.Settled, s.CutOff); strings.Join(s.Settled, " ") != names || s.CutOff != cutOff {
+			if last = fmt.Sprintf("s%d: %v, cut off %v", i, s.StableMembers, s.Isolated); strings.Join(s.StableMembers, " ") != names || s.Isolated != cutOff {
 				return false
 			}
 		}
@@ -49,7 +49,7 @@
 	everyone := []int{0, 1, 2, 3}
 	r.see("the start", false, all, everyone...)
 	if s := r.view(2); s.Digest != r.view(3).Digest || len(s.Members) != 4 || s.Members[1].Zone != "a" || s.Members[1].State != "alive" ||
-		s.Traffic["packets"].Sent == 0 || s.Members[1].HeardMS < 0 {
+		s.Traffic["packets"].Sent == 0 || s.Members[1].LastContactMillis < 0 {
 		t.Errorf("the status %+v", s)
 	}
 
@@ -70,11 +70,11 @@
 	heal()
 	r.see("it to hear again", false, all, everyone...)
 
-	start := r.view(0).Members[1].Start
+	start := r.view(0).Members[1].StartTime
 	r.fault(Fault{Kind: "upgrade", Sidecars: []int{1}})
 	r.await("the new process of an upgrade to be the member", func() bool {
 		m := r.view(0).Members
-		return len(m) == 4 && m[1].Start.After(start) && m[1].State == "alive"
+		return len(m) == 4 && m[1].StartTime.After(start) && m[1].State == "alive"
 	})
 	r.see("an upgrade's end", false, all, everyone...)
 
--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -39,7 +39,7 @@
 	streamTimeout = 5 * time.Second
 	hearWithin    = 6  // probe intervals without a word from anybody: it is cut off
 	probedWithin  = 10 // probe intervals without a probe by anybody: the others do not know it
-	packetBytes   = datagram.DatagramMost - 1 - crcHead
+	packetBytes   = datagram.MaxSize - 1 - crcHead
 	goodbyeWait   = 500 * time.Millisecond
 
 	verifyPings = 4  // to a member that is said to be dead, over its quiet period, until it answers
@@ -58,38 +58,38 @@
 
 // Options of a View.
 type Options struct {
-	Self  Member
-	Seeds []netip.AddrPort // others that may be there, perhaps oneself among them
-	Kept  Kept             // what an earlier process knew; zero for nothing
-	Quiet time.Duration    // that a change must last, and between views
-	Probe time.Duration    // interval of the failure detector's probes
-	Most  int              // members known at once, the dead included
-	// Changed is told of each settled view and of being cut off, one at a time. It must not wait for the View.
-	Changed func(Settled)
-	Log     *slog.Logger
+	Self                Member
+	Seeds               []netip.AddrPort // others that may be there, perhaps oneself among them
+	Snapshot            Snapshot         // what an earlier process knew; zero for nothing
+	StabilizationPeriod time.Duration    // that a change must last, and between views
+	ProbeInterval       time.Duration    // interval of the failure detector's probes
+	MaxMembers          int              // members known at once, the dead included
+	// OnChange is told of each settled view and of being cut off, one at a time. It must not wait for the View.
+	OnChange func(StableView)
+	Logger   *slog.Logger
 
 	staysApart bool // wrong on purpose, for tests: it never looks for who is lost
 }
 
-// Kept is what outlives a process: the last settled view.
-type Kept struct {
-	Epoch   uint64       `json:"epoch"`
-	Members []KeptMember `json:"members"`
+// Snapshot is what outlives a process: the last settled view.
+type Snapshot struct {
+	Epoch   uint64           `json:"epoch"`
+	Members []SnapshotMember `json:"members"`
 }
 
-// KeptMember is a member's name and address.
-type KeptMember struct {
-	Name string         `json:"name"`
-	Addr netip.AddrPort `json:"addr"`
+// SnapshotMember is a member's name and address.
+type SnapshotMember struct {
+	Name    string         `json:"name"`
+	Address netip.AddrPort `json:"addr"`
 }
 
-// Settled is a view that all that depends on the fleet may use.
-type Settled struct {
-	Epoch  uint64    // of this sidecar's; moves only when the set of names does
-	Digest uint64    // the same at two sidecars with the same names
-	Names  []string  // sorted, the own among them
-	Since  time.Time // when the set last changed
-	CutOff bool      // it hears almost nobody, and this is what it believed before
+// StableView is a view that all that depends on the fleet may use.
+type StableView struct {
+	Epoch     uint64    // of this sidecar's; moves only when the set of names does
+	Digest    uint64    // the same at two sidecars with the same names
+	Names     []string  // sorted, the own among them
+	ChangedAt time.Time // when the set last changed
+	Isolated  bool      // it hears almost nobody, and this is what it believed before
 }
 
 // State of a member.
@@ -97,21 +97,21 @@
 
 // The states.
 const (
-	Alive  State = "alive" // or suspected, and not given up
-	Failed State = "failed"
-	Left   State = "left" // said goodbye
+	StateAlive  State = "alive" // or suspected, and not given up
+	StateFailed State = "failed"
+	StateLeft   State = "left" // said goodbye
 )
 
-// Known is a member and what is known of it.
-type Known struct {
+// MemberStatus is a member and what is known of it.
+type MemberStatus struct {
 	Member
-	State   State
-	Changed time.Time // when it came into this state here
-	Heard   time.Time // when a datagram of its address last came; zero for never
+	State       State
+	StateSince  time.Time // when it came into this state here
+	LastContact time.Time // when a datagram of its address last came; zero for never
 }
 
-// View is one sidecar's list of the fleet.
-type View struct {
+// Agent is one sidecar's list of the fleet.
+type Agent struct {
 	o     Options
 	way   *transport
 	list  *memberlist.Memberlist
@@ -119,9 +119,9 @@
 	stop  chan struct{}
 	ended chan struct{}
 
-	settled atomic.Pointer[Settled]
+	settled atomic.Pointer[StableView]
 	mu      sync.Mutex
-	members map[string]*Known
+	members map[string]*MemberStatus
 	heard   map[netip.AddrPort]heard // of addresses that are members'
 	words   map[string]word          // what members were last said to be
 	heardAt time.Time                // when anybody of the view's was last heard
@@ -151,41 +151,41 @@
 }
 
 // Open begins a view over l, whose channels of the view it takes. It is found by others, and finds them, from then on.
-func Open(l *datagram.Link, o Options) (*View, error) {
+func Open(l *datagram.Transport, o Options) (*Agent, error) {
 	if err := o.Self.Validate(); err != nil {
 		return nil, err
 	}
-	if o.Log == nil {
-		o.Log = slog.New(slog.DiscardHandler)
+	if o.Logger == nil {
+		o.Logger = slog.New(slog.DiscardHandler)
 	}
-	if o.Changed == nil {
-		o.Changed = func(Settled) {}
+	if o.OnChange == nil {
+		o.OnChange = func(StableView) {}
 	}
 	now := time.Now()
 	var kept []string
-	o.Kept.Members = slices.DeleteFunc(slices.Clone(o.Kept.Members), func(m KeptMember) bool {
-		err := checkText(m.Name, 1, NameMost)
+	o.Snapshot.Members = slices.DeleteFunc(slices.Clone(o.Snapshot.Members), func(m SnapshotMember) bool {
+		err := checkText(m.Name, 1, MaxNameLength)
 		if err != nil {
-			o.Log.Warn("view: a kept member is not used", "name", m.Name, "error", err)
+			o.Logger.Warn("view: a kept member is not used", "name", m.Name, "error", err)
 		} else {
 			kept = append(kept, m.Name)
 		}
 		return err != nil
 	})
-	v := &View{o: o, wake: make(chan struct{}, 1), stop: make(chan struct{}), ended: make(chan struct{}),
-		members: map[string]*Known{}, heard: map[netip.AddrPort]heard{}, words: map[string]word{}, heardAt: now, probed: now, asked: map[netip.AddrPort]*ask{},
+	v := &Agent{o: o, wake: make(chan struct{}, 1), stop: make(chan struct{}), ended: make(chan struct{}),
+		members: map[string]*MemberStatus{}, heard: map[netip.AddrPort]heard{}, words: map[string]word{}, heardAt: now, probed: now, asked: map[netip.AddrPort]*ask{},
 		verifying: make(chan struct{}, verifyMost)}
-	s := newSettler(o.Self.Name, o.Quiet, kept, o.Kept.Epoch, len(v.seeds(nil)) == 0, now)
+	s := newSettler(o.Self.Name, o.StabilizationPeriod, kept, o.Snapshot.Epoch, len(v.seeds(nil)) == 0, now)
 	v.publish(s)
-	v.way = newTransport(l, o.Self.Addr, o.Most, v.said, v.hear, v.refused)
+	v.way = newTransport(l, o.Self.Address, o.MaxMembers, v.said, v.hear, v.refused)
 	c := memberlist.DefaultLANConfig()
-	c.Name, c.Transport, c.Logger = o.Self.Name, v.way, stdlog.New(logLines{o.Log}, "", 0)
-	c.AdvertisePort, c.BindPort = int(o.Self.Addr.Port()), int(o.Self.Addr.Port())
+	c.Name, c.Transport, c.Logger = o.Self.Name, v.way, stdlog.New(logLines{o.Logger}, "", 0)
+	c.AdvertisePort, c.BindPort = int(o.Self.Address.Port()), int(o.Self.Address.Port())
 	c.UDPBufferSize, c.EnableCompression, c.DisableTcpPings = packetBytes, false, true
-	c.ProbeInterval, c.ProbeTimeout = o.Probe, o.Probe/probeTimeout
+	c.ProbeInterval, c.ProbeTimeout = o.ProbeInterval, o.ProbeInterval/probeTimeout
 	c.SuspicionMult = suspicionMult
 	c.GossipInterval, c.GossipNodes, c.GossipToTheDeadTime = gossipEvery, gossipTo, deadKept
-	c.PushPullInterval, c.TCPTimeout = pushPullEvery*o.Probe, streamTimeout
+	c.PushPullInterval, c.TCPTimeout = pushPullEvery*o.ProbeInterval, streamTimeout
 	c.DeadNodeReclaimTime = 1 // a dead member may come back at another address at once
 	c.Events, c.Alive, c.Conflict, c.Delegate = events{v}, events{v}, events{v}, events{v}
 	var err error
@@ -198,7 +198,7 @@
 }
 
 // Close ends the view: with a goodbye where the sidecar goes, without one where another process of it takes over.
-func (v *View) Close(goodbye bool) {
+func (v *Agent) Close(goodbye bool) {
 	v.mu.Lock()
 	v.closing = true
 	v.mu.Unlock()
@@ -207,55 +207,55 @@
 	v.pending.Wait()
 	if goodbye {
 		if err := v.list.Leave(goodbyeWait); err != nil {
-			v.o.Log.Debug("view: goodbye", "error", err)
+			v.o.Logger.Debug("view: goodbye", "error", err)
 		}
 	}
 	v.list.Shutdown()
 }
 
-// Settled is the last settled view.
-func (v *View) Settled() Settled { return *v.settled.Load() }
+// StableView is the last settled view.
+func (v *Agent) StableView() StableView { return *v.settled.Load() }
 
 // Members lists all that is known of members, by name: the living and, for a while, the others.
-func (v *View) Members() []Known {
+func (v *Agent) Members() []MemberStatus {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	list := make([]Known, 0, len(v.members))
+	list := make([]MemberStatus, 0, len(v.members))
 	for _, name := range slices.Sorted(maps.Keys(v.members)) {
 		k := *v.members[name]
-		k.Heard = v.heard[k.Addr].any
+		k.LastContact = v.heard[k.Address].any
 		list = append(list, k)
 	}
 	return list
 }
 
-// Keep is what outlives this process: the settled view, with the addresses known of it.
-func (v *View) Keep() Kept {
-	s := v.Settled()
-	k := Kept{Epoch: s.Epoch}
+// Snapshot is what outlives this process: the settled view, with the addresses known of it.
+func (v *Agent) Snapshot() Snapshot {
+	s := v.StableView()
+	k := Snapshot{Epoch: s.Epoch}
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, name := range s.Names {
-		m := KeptMember{Name: name}
+		m := SnapshotMember{Name: name}
 		if known := v.members[name]; known != nil {
-			m.Addr = known.Addr
-		} else if i := slices.IndexFunc(v.o.Kept.Members, func(o KeptMember) bool { return o.Name == name }); i >= 0 {
-			m.Addr = v.o.Kept.Members[i].Addr
+			m.Address = known.Address
+		} else if i := slices.IndexFunc(v.o.Snapshot.Members, func(o SnapshotMember) bool { return o.Name == name }); i >= 0 {
+			m.Address = v.o.Snapshot.Members[i].Address
 		}
 		k.Members = append(k.Members, m)
 	}
 	return k
 }
 
-// Troubles counts what operators should look into: members of one name at two
+// Counters counts what operators should look into: members of one name at two
 // addresses, members refused for want of room, messages that cannot be a
 // member's, packets dropped as too many came at once.
-func (v *View) Troubles() (conflicts, full, improper, dropped uint64) {
+func (v *Agent) Counters() (conflicts, full, improper, dropped uint64) {
 	return v.conflicts.Load(), v.full.Load(), v.improper.Load(), v.way.dropped.Load()
 }
 
 // run steps the settler and looks for lost members, until the view is closed.
-func (v *View) run(s *settler) {
+func (v *Agent) run(s *settler) {
 	defer close(v.ended)
 	step := time.NewTimer(0)
 	rejoin := time.NewTimer(0)
@@ -290,44 +290,44 @@
 	}
 }
 
-func (v *View) step(s *settler) time.Duration {
+func (v *Agent) step(s *settler) time.Duration {
 	now := time.Now()
 	v.mu.Lock()
 	living, left := map[string]bool{}, map[string]bool{}
 	for name, k := range v.members {
-		left[name] = k.State == Left
-		if k.State == Alive || v.answers(k) {
+		left[name] = k.State == StateLeft
+		if k.State == StateAlive || v.answers(k) {
 			living[name] = true
-		} else if now.Sub(k.Changed) > lostKept {
+		} else if now.Sub(k.StateSince) > lostKept {
 			delete(v.members, name)
-			delete(v.heard, k.Addr)
+			delete(v.heard, k.Address)
 		}
 	}
 	living[v.o.Self.Name] = true
 
-	hears := now.Sub(v.heardAt) < hearWithin*v.o.Probe
+	hears := now.Sub(v.heardAt) < hearWithin*v.o.ProbeInterval
 	v.mu.Unlock()
 	changed, again := s.step(now, living, func(name string) bool { return left[name] }, hears)
 	if changed {
 		v.publish(s)
-		settled := v.Settled()
-		v.o.Log.Info("view", "epoch", settled.Epoch, "members", len(settled.Names), "digest", fmt.Sprintf("%016x", settled.Digest), "cut_off", settled.CutOff)
-		v.o.Changed(settled)
+		settled := v.StableView()
+		v.o.Logger.Info("view", "epoch", settled.Epoch, "members", len(settled.Names), "digest", fmt.Sprintf("%016x", settled.Digest), "cut_off", settled.Isolated)
+		v.o.OnChange(settled)
 	}
 	return max(again, time.Millisecond)
 }
 
-func (v *View) publish(s *settler) {
+func (v *Agent) publish(s *settler) {
 	names := s.sorted()
-	v.settled.Store(&Settled{Epoch: s.epoch, Digest: Digest(names), Names: names, Since: s.since, CutOff: s.cutOff})
+	v.settled.Store(&StableView{Epoch: s.epoch, Digest: Digest(names), Names: names, ChangedAt: s.since, Isolated: s.cutOff})
 }
 
 // said takes what a message says of a member, before memberlist does.
-func (v *View) said(name string, incarnation uint32, goodbye bool) {
+func (v *Agent) said(name string, incarnation uint32, goodbye bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	w, known := v.words[name]
-	if !known && len(v.words) >= 2*v.o.Most {
+	if !known && len(v.words) >= 2*v.o.MaxMembers {
 		clear(v.words)
 	}
 	if incarnation >= w.incarnation {
@@ -337,19 +337,19 @@
 
 // answers tells whether a member that was said to be dead has answered since, and so lives: it will refute what is
 // said of it. It holds the view's lock.
-func (v *View) answers(k *Known) bool {
-	if k.State != Failed || !v.heard[k.Addr].ack.After(k.Changed) {
+func (v *Agent) answers(k *MemberStatus) bool {
+	if k.State != StateFailed || !v.heard[k.Address].ack.After(k.StateSince) {
 		return false
 	}
-	if v.aliveAt(k.Addr) { // another sidecar has its address
+	if v.aliveAt(k.Address) { // another sidecar has its address
 		return false
 	}
-	return time.Since(v.heard[k.Addr].ack) < v.o.Quiet+2*rejoinMost
+	return time.Since(v.heard[k.Address].ack) < v.o.StabilizationPeriod+2*rejoinMost
 }
 
 // verify asks a member that was said to be dead itself, before the settled view goes by it: on a bad network
 // its refutation may be late.
-func (v *View) verify(m Member) {
+func (v *Agent) verify(m Member) {
 	defer v.pending.Done()
 	select {
 	case v.verifying <- struct{}{}:
@@ -360,7 +360,7 @@
 	for range verifyPings {
 		v.mu.Lock()
 		k := v.members[m.Name]
-		done := k == nil || k.State != Failed || v.answers(k)
+		done := k == nil || k.State != StateFailed || v.answers(k)
 		v.mu.Unlock()
 		if done {
 			return
@@ -368,10 +368,10 @@
 		v.pending.Add(1)
 		go func() {
 			defer v.pending.Done()
-			v.list.Ping(m.Name, net.UDPAddrFromAddrPort(m.Addr)) // its answer is heard, also a late one
+			v.list.Ping(m.Name, net.UDPAddrFromAddrPort(m.Address)) // its answer is heard, also a late one
 		}()
 		select {
-		case <-time.After(v.o.Quiet / (verifyPings + 1)):
+		case <-time.After(v.o.StabilizationPeriod / (verifyPings + 1)):
 		case <-v.stop:
 			return
 		}
@@ -379,7 +379,7 @@
 }
 
 // hear notes that a datagram of the view came from an address, and what was in it.
-func (v *View) hear(from netip.AddrPort, what contents) {
+func (v *Agent) hear(from netip.AddrPort, what contents) {
 	now := time.Now()
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -395,29 +395,29 @@
 }
 
 // refused counts what cannot be a member's message, and logs the 1st, 2nd, 4th ...
-func (v *View) refused(from net.Addr, err error) {
+func (v *Agent) refused(from net.Addr, err error) {
 	if n := v.improper.Add(1); n&(n-1) == 0 {
-		v.o.Log.Warn("view: message refused", "from", from, "error", err, "refused", n)
+		v.o.Logger.Warn("view: message refused", "from", from, "error", err, "refused", n)
 	}
 }
 
 // seeds lists where others may be that are none of the living, each address once, oneself left out.
-func (v *View) seeds(living map[netip.AddrPort]bool) []netip.AddrPort {
+func (v *Agent) seeds(living map[netip.AddrPort]bool) []netip.AddrPort {
 	var all []netip.AddrPort
 	add := func(a netip.AddrPort) {
-		if a.IsValid() && a != v.o.Self.Addr && !living[a] && !slices.Contains(all, a) {
+		if a.IsValid() && a != v.o.Self.Address && !living[a] && !slices.Contains(all, a) {
 			all = append(all, a)
 		}
 	}
 	for _, a := range v.o.Seeds {
 		add(a)
 	}
-	for _, m := range v.o.Kept.Members {
-		add(m.Addr)
+	for _, m := range v.o.Snapshot.Members {
+		add(m.Address)
 	}
 	for _, k := range v.members {
-		if k.State == Failed {
-			add(k.Addr)
+		if k.State == StateFailed {
+			add(k.Address)
 		}
 	}
 	return all
@@ -425,21 +425,21 @@
 
 // rejoin asks a few addresses at which others may be, and joins those that
 // answer: after a start, a partition or a pause nobody else would.
-func (v *View) rejoin() {
+func (v *Agent) rejoin() {
 	now := time.Now()
 	v.mu.Lock()
 	living, were := map[netip.AddrPort]bool{}, map[netip.AddrPort]bool{}
 	for _, k := range v.members {
-		if k.State == Alive {
-			living[k.Addr] = true
+		if k.State == StateAlive {
+			living[k.Address] = true
 		}
-		were[k.Addr] = k.State == Failed
+		were[k.Address] = k.State == StateFailed
 	}
 	var ready []netip.AddrPort
 	seeds := v.seeds(living)
 	for _, k := range v.members {
-		if k.State == Failed && v.asked[k.Addr] == nil { // gossip to the dead and verify come first
-			v.asked[k.Addr] = &ask{at: k.Changed.Add(rejoinLost + rand.N(rejoinMost)), wait: rejoinLeast}
+		if k.State == StateFailed && v.asked[k.Address] == nil { // gossip to the dead and verify come first
+			v.asked[k.Address] = &ask{at: k.StateSince.Add(rejoinLost + rand.N(rejoinMost)), wait: rejoinLeast}
 		}
 	}
 	for _, a := range seeds {
@@ -455,10 +455,10 @@
 	rand.Shuffle(len(ready), func(i, j int) { ready[i], ready[j] = ready[j], ready[i] })
 	ready = ready[:min(len(ready), rejoinPings)]
 	unknown := netip.AddrPort{} // a member to tell of oneself: back at another address before its death was known, nobody probes it
-	if now.Sub(v.probed) > probedWithin*v.o.Probe {
+	if now.Sub(v.probed) > probedWithin*v.o.ProbeInterval {
 		v.probed = now // else it would ask at each turn
 		for a := range living {
-			if a != v.o.Self.Addr {
+			if a != v.o.Self.Address {
 				unknown = a
 				break
 			}
@@ -499,7 +499,7 @@
 			continue
 		}
 		if _, err := v.list.Join([]string{a.String()}); err != nil {
-			v.o.Log.Debug("view: join", "address", a, "error", err)
+			v.o.Logger.Debug("view: join", "address", a, "error", err)
 			continue
 		}
 		v.mu.Lock()
@@ -511,13 +511,13 @@
 }
 
 // ping asks whoever is at an address, and tells whether an answer came, be it a little late.
-func (v *View) ping(a netip.AddrPort) bool {
+func (v *Agent) ping(a netip.AddrPort) bool {
 	asked := time.Now()
 	if _, err := v.list.Ping("", net.UDPAddrFromAddrPort(a)); err == nil {
 		return true
 	}
 	select {
-	case <-time.After(v.o.Probe):
+	case <-time.After(v.o.ProbeInterval):
 	case <-v.stop:
 	}
 	v.mu.Lock()
@@ -526,9 +526,9 @@
 }
 
 // aliveAt tells whether a living member is at an address. It holds the view's lock.
-func (v *View) aliveAt(a netip.AddrPort) bool {
+func (v *Agent) aliveAt(a netip.AddrPort) bool {
 	for _, k := range v.members {
-		if k.State == Alive && k.Addr == a {
+		if k.State == StateAlive && k.Address == a {
 			return true
 		}
 	}
@@ -536,45 +536,45 @@
 }
 
 // events takes what memberlist tells and asks.
-type events struct{ v *View }
+type events struct{ v *Agent }
 
 // NotifyJoin takes a member that came.
-func (e events) NotifyJoin(n *memberlist.Node) { e.become(n, Alive) }
+func (e events) NotifyJoin(n *memberlist.Node) { e.become(n, StateAlive) }
 
 // NotifyUpdate takes a member that tells otherwise of itself.
-func (e events) NotifyUpdate(n *memberlist.Node) { e.become(n, Alive) }
+func (e events) NotifyUpdate(n *memberlist.Node) { e.become(n, StateAlive) }
 
 // NotifyLeave takes a member that went.
-func (e events) NotifyLeave(n *memberlist.Node) { e.become(n, Failed) }
+func (e events) NotifyLeave(n *memberlist.Node) { e.become(n, StateFailed) }
 
 func (e events) become(n *memberlist.Node, state State) {
 	m, err := readMember(n.Name, n.Addr, n.Port, n.Meta)
 	if err != nil { // memberlist was given nothing of the kind
-		e.v.o.Log.Error("view: member", "name", n.Name, "error", err)
+		e.v.o.Logger.Error("view: member", "name", n.Name, "error", err)
 		return
 	}
 	e.v.mu.Lock()
 	k := e.v.members[m.Name]
 	if k == nil {
-		k = &Known{}
+		k = &MemberStatus{}
 		e.v.members[m.Name] = k
-	} else if k.Addr != m.Addr {
-		delete(e.v.heard, k.Addr)
+	} else if k.Address != m.Address {
+		delete(e.v.heard, k.Address)
 	}
-	if state == Failed && e.v.words[m.Name].goodbye {
-		state = Left
+	if state == StateFailed && e.v.words[m.Name].goodbye {
+		state = StateLeft
 	}
 	k.Member = m
 	if k.State != state {
-		k.State, k.Changed = state, time.Now()
-		if state == Failed && !e.v.closing {
+		k.State, k.StateSince = state, time.Now()
+		if state == StateFailed && !e.v.closing {
 			e.v.pending.Add(1)
 			go e.v.verify(m)
 		}
 	}
 	if m.Name == e.v.o.Self.Name {
-	} else if _, ok := e.v.heard[m.Addr]; !ok {
-		e.v.heard[m.Addr] = heard{}
+	} else if _, ok := e.v.heard[m.Address]; !ok {
+		e.v.heard[m.Address] = heard{}
 	}
 	e.v.mu.Unlock()
 	select {
@@ -590,17 +590,17 @@
 	e.v.mu.Lock()
 	defer e.v.mu.Unlock()
 	k := e.v.members[n.Name]
-	if k != nil && k.State == Failed && time.Since(k.Changed) > rejoinNews {
+	if k != nil && k.State == StateFailed && time.Since(k.StateSince) > rejoinNews {
 		// Somebody thinks that it lives. If it does and this is no news to memberlist, it must hear that it is
 		// thought dead here, to say otherwise.
-		if soon := time.Now().Add(rand.N(rejoinEvery)); e.v.asked[k.Addr] != nil && e.v.asked[k.Addr].at.After(soon) {
-			e.v.asked[k.Addr].at = soon
+		if soon := time.Now().Add(rand.N(rejoinEvery)); e.v.asked[k.Address] != nil && e.v.asked[k.Address].at.After(soon) {
+			e.v.asked[k.Address].at = soon
 		}
 	}
-	if k == nil && len(e.v.members) >= e.v.o.Most && n.Name != e.v.o.Self.Name {
+	if k == nil && len(e.v.members) >= e.v.o.MaxMembers && n.Name != e.v.o.Self.Name {
 		if !e.forgetOne() {
 			if c := e.v.full.Add(1); c&(c-1) == 0 {
-				e.v.o.Log.Warn("view: member refused", "name", n.Name, "error", errFull, "refused", c)
+				e.v.o.Logger.Warn("view: member refused", "name", n.Name, "error", errFull, "refused", c)
 			}
 			return errFull
 		}
@@ -610,9 +610,9 @@
 
 // forgetOne forgets the member that is gone the longest, if there is one. It holds the view's lock.
 func (e events) forgetOne() bool {
-	var oldest *Known
+	var oldest *MemberStatus
 	for _, k := range e.v.members {
-		if k.State != Alive && (oldest == nil || k.Changed.Before(oldest.Changed)) {
+		if k.State != StateAlive && (oldest == nil || k.StateSince.Before(oldest.StateSince)) {
 			oldest = k
 		}
 	}
@@ -620,14 +620,14 @@
 		return false
 	}
 	delete(e.v.members, oldest.Name)
-	delete(e.v.heard, oldest.Addr)
+	delete(e.v.heard, oldest.Address)
 	return true
 }
 
 // NotifyConflict counts two members of one name: the one that was there first stays.
 func (e events) NotifyConflict(existing, other *memberlist.Node) {
 	if n := e.v.conflicts.Add(1); n&(n-1) == 0 {
-		e.v.o.Log.Warn("view: two members of one name", "name", existing.Name, "at", existing.Address(), "other", other.Address(), "times", n)
+		e.v.o.Logger.Warn("view: two members of one name", "name", existing.Name, "at", existing.Address(), "other", other.Address(), "times", n)
 	}
 }
 
--- a/internal/membership/agent_test.go
+++ b/internal/membership/agent_test.go
@@ -19,11 +19,11 @@
 	s.t.Helper()
 	before := map[int]uint64{}
 	for _, n := range nodes {
-		before[n.number] = n.view.Settled().Epoch
+		before[n.number] = n.view.StableView().Epoch
 	}
 	for end := time.Now().Add(lasts); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for _, n := range nodes {
-			if settled := n.view.Settled(); settled.Epoch != before[n.number] {
+			if settled := n.view.StableView(); settled.Epoch != before[n.number] {
 				s.t.Errorf("%s: the view of %s moved to %v", what, n.view.o.Self.Name, settled.Names)
 				return
 			}
@@ -52,7 +52,7 @@
 		s.nodes[3].end(false)
 		s.nodes[4].end(true)
 		s.settles("one crashed, one left", s.running(nil), settleMost)
-		if a, b := state(7, "s3"), state(7, "s4"); a != Failed || b != Left {
+		if a, b := state(7, "s3"), state(7, "s4"); a != StateFailed || b != StateLeft {
 			t.Errorf("the crashed is %v, the one that left %v", a, b)
 		}
 		s.nodes[3].addr, s.nodes[4].addr = s.nodes[4].addr, s.nodes[3].addr
@@ -64,7 +64,9 @@
 		s.nodes[5].start(Options{}) // before anybody knows that it was gone
 		s.settles("back at once, elsewhere", s.running(nil), settleMost)
 		moved := func(n *simNode) bool {
-			return slices.ContainsFunc(n.view.Members(), func(k Known) bool { return k.Name == "s5" && k.State == Alive && k.Addr == s.nodes[5].addr })
+			return slices.ContainsFunc(n.view.Members(), func(k MemberStatus) bool {
+				return k.Name == "s5" && k.State == StateAlive && k.Address == s.nodes[5].addr
+			})
 		}
 		for end := time.Now().Add(settleMost); !moved(s.nodes[8]); time.Sleep(100 * time.Millisecond) {
 			if time.Now().After(end) {
@@ -102,7 +104,7 @@
 					s.settles(fmt.Sprintf("healed after %v", lasts), s.running(nil), settleMost)
 				case lasts > time.Minute: // the check bites: without rejoining the halves never meet
 					time.Sleep(settleMost)
-					if n := len(s.nodes[0].view.Settled().Names); n != 5 {
+					if n := len(s.nodes[0].view.StableView().Names); n != 5 {
 						t.Errorf("without rejoining a view came to %d members", n)
 					}
 				}
@@ -141,7 +143,7 @@
 		others := s.running(func(i int) bool { return i != 4 })
 		s.set(func(a, b int) bool { return a == 4 || b == 4 }, s.bad)
 		s.kept("alone", []*simNode{alone}, 5*time.Minute)
-		if !alone.view.Settled().CutOff {
+		if !alone.view.StableView().Isolated {
 			t.Error("it does not say that it is cut off")
 		}
 		s.settles("the others", others, settleMost)
@@ -158,14 +160,14 @@
 	inSim(t, 5, 6, func(s *sim) {
 		s.startAll()
 		s.settles("start", s.running(nil), settleMost)
-		kept := make([]Kept, len(s.nodes))
+		kept := make([]Snapshot, len(s.nodes))
 		for i, n := range s.nodes {
-			kept[i] = n.view.Keep()
+			kept[i] = n.view.Snapshot()
 			n.end(false)
 		}
 		for i, n := range s.nodes {
-			n.start(Options{Kept: kept[i], Seeds: []netip.AddrPort{n.addr}})
-			if settled := n.view.Settled(); len(settled.Names) != 6 || settled.Epoch != kept[i].Epoch || !settled.CutOff {
+			n.start(Options{Snapshot: kept[i], Seeds: []netip.AddrPort{n.addr}})
+			if settled := n.view.StableView(); len(settled.Names) != 6 || settled.Epoch != kept[i].Epoch || !settled.Isolated {
 				t.Errorf("it begins with %+v, kept %+v", settled, kept[i])
 			}
 		}
@@ -205,7 +207,7 @@
 		double.start(Options{})
 		double.number = 5
 		s.kept("a second s2", s.running(func(i int) bool { return i != 5 && i != 2 }), time.Minute)
-		if conflicts, _, _, _ := s.nodes[0].view.Troubles(); conflicts == 0 {
+		if conflicts, _, _, _ := s.nodes[0].view.Counters(); conflicts == 0 {
 			t.Error("nobody noticed")
 		}
 	})
@@ -215,15 +217,15 @@
 func TestBounds(t *testing.T) {
 	inSim(t, 7, 8, func(s *sim) {
 		s.most = 6
-		s.name = func(i int) string { return fmt.Sprintf("%0*d", NameMost, i) }
-		s.zone = strings.Repeat("z", ZoneMost)
+		s.name = func(i int) string { return fmt.Sprintf("%0*d", MaxNameLength, i) }
+		s.zone = strings.Repeat("z", MaxZoneLength)
 		for _, n := range s.nodes[:6] {
 			n.start(Options{})
 		}
 		s.settles("start", s.running(nil), settleMost)
 		s.nodes[6].start(Options{})
 		s.kept("one too many", s.running(func(i int) bool { return i < 6 }), time.Minute)
-		if _, full, _, _ := s.nodes[0].view.Troubles(); full == 0 {
+		if _, full, _, _ := s.nodes[0].view.Counters(); full == 0 {
 			t.Error("a member beyond the bound was not counted")
 		}
 		s.nodes[1].end(true)
@@ -248,7 +250,7 @@
 		}
 		s.mu.Unlock()
 		s.kept("rubbish", s.running(nil), 2*time.Minute)
-		if _, _, improper, _ := s.nodes[0].view.Troubles(); improper == 0 {
+		if _, _, improper, _ := s.nodes[0].view.Counters(); improper == 0 {
 			t.Error("nothing was refused")
 		}
 	})
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -59,12 +59,12 @@
 }
 
 var goldenMembers = []Member{
-	{Name: "s0", Zone: "a", Version: "21.0", Start: time.UnixMilli(1_800_000_000_123).UTC(), Features: FeatureNews | FeatureState,
-		Addr: netip.MustParseAddrPort("10.0.0.1:7946")},
-	{Name: "s1", Start: time.UnixMilli(0).UTC(), Addr: netip.MustParseAddrPort("10.0.0.2:1")},
-	{Name: "s2", Zone: "zone of 16 bytes", Version: "sixteen letters!", Start: time.UnixMilli(1).UTC(), Features: FeatureNews | 1<<40,
-		Addr: netip.MustParseAddrPort("10.0.0.3:65535")},
-	{Name: "s3", Zone: "Zürich", Version: "1", Start: time.UnixMilli(1 << 52).UTC(), Features: FeatureState, Addr: netip.MustParseAddrPort("10.0.0.4:9")},
+	{Name: "s0", Zone: "a", Version: "21.0", StartTime: time.UnixMilli(1_800_000_000_123).UTC(), Features: FeatureGossip | FeaturePersistentState,
+		Address: netip.MustParseAddrPort("10.0.0.1:7946")},
+	{Name: "s1", StartTime: time.UnixMilli(0).UTC(), Address: netip.MustParseAddrPort("10.0.0.2:1")},
+	{Name: "s2", Zone: "zone of 16 bytes", Version: "sixteen letters!", StartTime: time.UnixMilli(1).UTC(), Features: FeatureGossip | 1<<40,
+		Address: netip.MustParseAddrPort("10.0.0.3:65535")},
+	{Name: "s3", Zone: "Zürich", Version: "1", StartTime: time.UnixMilli(1 << 52).UTC(), Features: FeaturePersistentState, Address: netip.MustParseAddrPort("10.0.0.4:9")},
 }
 
 // goldenMeta is what one member tells beside its name and address.
@@ -81,7 +81,7 @@
 func TestGoldenMeta(t *testing.T) {
 	var list []goldenMeta
 	for _, m := range goldenMembers {
-		list = append(list, goldenMeta{m.Name, m.Zone, m.Version, m.Start.UnixMilli(), m.Features.Names(), hex.EncodeToString(m.meta())})
+		list = append(list, goldenMeta{m.Name, m.Zone, m.Version, m.StartTime.UnixMilli(), m.Features.Names(), hex.EncodeToString(m.meta())})
 	}
 	compareGolden(t, "meta.json", list)
 	if err := json.Unmarshal(readGolden(t, "meta.json"), &list); err != nil {
@@ -90,8 +90,8 @@
 	for i, g := range list {
 		m := goldenMembers[i]
 		for _, later := range []string{"", "0102"} { // a later version's fields are passed over
-			ip := m.Addr.Addr().As4()
-			got, err := readMember(m.Name, ip[:], m.Addr.Port(), unhex(t, g.Hex+later))
+			ip := m.Address.Addr().As4()
+			got, err := readMember(m.Name, ip[:], m.Address.Port(), unhex(t, g.Hex+later))
 			if err != nil || got != m {
 				t.Errorf("%s is read as %+v, %v, want %+v", g.Name, got, err, m)
 			}
@@ -185,9 +185,9 @@
 			{"suspect from nobody", message(msgSuspect, fields{"Node": "s1"})},
 			{"dead", message(msgDead, fields{"Incarnation": 4, "Node": "s1", "From": "s2"})},
 			{"dead, told by itself", dead},
-			{"dead of a name too long", message(msgDead, fields{"Node": string(bytes.Repeat([]byte("n"), NameMost+1)), "From": "s2"})},
+			{"dead of a name too long", message(msgDead, fields{"Node": string(bytes.Repeat([]byte("n"), MaxNameLength+1)), "From": "s2"})},
 			{"alive", message(msgAlive, state("", nil))},
-			{"alive of the longest name", message(msgAlive, state("Node", string(bytes.Repeat([]byte("n"), NameMost))))},
+			{"alive of the longest name", message(msgAlive, state("Node", string(bytes.Repeat([]byte("n"), MaxNameLength))))},
 			{"alive of a later meta", message(msgAlive, state("Meta", append(bytes.Clone(goodMeta), 7)))},
 			{"alive without a name", message(msgAlive, state("Node", ""))},
 			{"alive with a name to log", message(msgAlive, state("Node", "s1\nfake"))},
@@ -261,7 +261,7 @@
 	inSim(t, 33, 5, func(s *sim) {
 		s.spy = func(data []byte) []byte { // called under the sim's lock
 			kind := fmt.Sprint(data[0])
-			if data[0] == byte(datagram.Packets) {
+			if data[0] == byte(datagram.ChannelPackets) {
 				parts := data[1:]
 				if parts[0] == msgHasCRC {
 					parts = parts[crcHead:]
@@ -322,15 +322,15 @@
 
 // What is kept for a next process is written and read as the golden file has it, and begun with.
 func TestGoldenKept(t *testing.T) {
-	kept := Kept{Epoch: 1 << 40, Members: []KeptMember{{"s0", netip.MustParseAddrPort("10.0.0.1:7946")}, {"s1", netip.AddrPort{}},
+	kept := Snapshot{Epoch: 1 << 40, Members: []SnapshotMember{{"s0", netip.MustParseAddrPort("10.0.0.1:7946")}, {"s1", netip.AddrPort{}},
 		{"Zürich", netip.MustParseAddrPort("10.0.0.3:1")}}}
 	compareGolden(t, "kept.json", kept)
-	var got Kept
+	var got Snapshot
 	if err := json.Unmarshal(readGolden(t, "kept.json"), &got); err != nil || got.Epoch != kept.Epoch || !slices.Equal(got.Members, kept.Members) {
 		t.Errorf("read as %+v, %v, want %+v", got, err, kept)
 	}
 	inSim(t, 1, 1, func(s *sim) {
-		s.nodes[0].start(Options{Kept: got})
-		compareGolden(t, "kept_again.json", s.nodes[0].view.Keep())
+		s.nodes[0].start(Options{Snapshot: got})
+		compareGolden(t, "kept_again.json", s.nodes[0].view.Snapshot())
 	})
 }
--- a/internal/membership/measure_test.go
+++ b/internal/membership/measure_test.go
@@ -53,7 +53,7 @@
 	for _, n := range s.running(nil) {
 		counts, _ := n.link.Counts()
 		for _, c := range counts {
-			datagrams, bytes, held = datagrams+float64(c.SentDatagrams), bytes+float64(c.SentBytes), held+float64(c.HeldBack)
+			datagrams, bytes, held = datagrams+float64(c.SentDatagrams), bytes+float64(c.SentBytes), held+float64(c.RateLimited)
 		}
 	}
 	return
@@ -100,12 +100,12 @@
 	time.Sleep(20 * time.Second)
 	before := map[int]uint64{}
 	for _, n := range s.nodes {
-		before[n.number] = n.view.Settled().Epoch
+		before[n.number] = n.view.StableView().Epoch
 	}
 	time.Sleep(lasts)
 	moves := 0.0
 	for _, n := range s.nodes {
-		moves += float64(n.view.Settled().Epoch - before[n.number])
+		moves += float64(n.view.StableView().Epoch - before[n.number])
 	}
 	f.add(name+" view_moves_per_member_hour", moves/float64(len(s.nodes))/lasts.Hours())
 	f.add(name+" member_minutes", float64(len(s.nodes))*lasts.Minutes())
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -15,9 +15,9 @@
 // The bounds on what a member tells of itself, in bytes: with all of them the
 // longest message still fits one datagram.
 const (
-	NameMost    = 63
-	ZoneMost    = 16
-	VersionMost = 16
+	MaxNameLength    = 63
+	MaxZoneLength    = 16
+	MaxVersionLength = 16
 
 	metaVersion = 1
 	metaMost    = 64
@@ -28,8 +28,8 @@
 
 // The features.
 const (
-	FeatureNews  Features = 1 << iota // tells and hears the module's news
-	FeatureState                      // keeps state on a disk
+	FeatureGossip          Features = 1 << iota // tells and hears the module's news
+	FeaturePersistentState                      // keeps state on a disk
 )
 
 // Names gives the features as words, and how many more there are that this version does not know.
@@ -48,12 +48,12 @@
 
 // Member is one sidecar as it tells of itself.
 type Member struct {
-	Name     string
-	Zone     string
-	Version  string // of its program
-	Start    time.Time
-	Features Features
-	Addr     netip.AddrPort // where the others reach it
+	Name      string
+	Zone      string
+	Version   string // of its program
+	StartTime time.Time
+	Features  Features
+	Address   netip.AddrPort // where the others reach it
 }
 
 // Validate says what of a member cannot be told, naming the field.
@@ -61,13 +61,13 @@
 	for _, f := range []struct {
 		field, text string
 		least, most int
-	}{{"name", m.Name, 1, NameMost}, {"zone", m.Zone, 0, ZoneMost}, {"version", m.Version, 0, VersionMost}} {
+	}{{"name", m.Name, 1, MaxNameLength}, {"zone", m.Zone, 0, MaxZoneLength}, {"version", m.Version, 0, MaxVersionLength}} {
 		if err := checkText(f.text, f.least, f.most); err != nil {
 			return fmt.Errorf("%s: %q %w", f.field, f.text, err)
 		}
 	}
-	if !m.Addr.IsValid() || !m.Addr.Addr().Is4() || m.Addr.Port() == 0 {
-		return fmt.Errorf("address: %v is not an IPv4 address and port", m.Addr)
+	if !m.Address.IsValid() || !m.Address.Addr().Is4() || m.Address.Port() == 0 {
+		return fmt.Errorf("address: %v is not an IPv4 address and port", m.Address)
 	}
 	return nil
 }
@@ -87,7 +87,7 @@
 // zone and program version, each after its length. What follows is of a later version, and passed over.
 func (m Member) meta() []byte {
 	b := []byte{metaVersion}
-	b = binary.AppendUvarint(b, uint64(max(0, m.Start.UnixMilli())))
+	b = binary.AppendUvarint(b, uint64(max(0, m.StartTime.UnixMilli())))
 	b = binary.AppendUvarint(b, uint64(m.Features))
 	for _, text := range []string{m.Zone, m.Version} {
 		b = append(append(b, byte(len(text))), text...)
@@ -99,7 +99,7 @@
 func readMember(name string, ip net.IP, port uint16, meta []byte) (Member, error) {
 	m := Member{Name: name}
 	addr, _ := netip.AddrFromSlice(ip)
-	m.Addr = netip.AddrPortFrom(addr.Unmap(), port)
+	m.Address = netip.AddrPortFrom(addr.Unmap(), port)
 	if len(meta) == 0 || len(meta) > metaMost || meta[0] != metaVersion {
 		return m, fmt.Errorf("meta: %d bytes are none of version %d", len(meta), metaVersion)
 	}
@@ -125,6 +125,6 @@
 	if start > 1<<52 {
 		return m, errors.New("meta: the start is no time")
 	}
-	m.Start = time.UnixMilli(int64(start)).UTC()
+	m.StartTime = time.UnixMilli(int64(start)).UTC()
 	return m, m.Validate()
 }
--- a/internal/membership/message_check.go
+++ b/internal/membership/message_check.go
@@ -151,7 +151,7 @@
 }
 
 func checkName(field, text string, least int) error {
-	if err := checkText(text, least, NameMost); err != nil {
+	if err := checkText(text, least, MaxNameLength); err != nil {
 		return fmt.Errorf("%s: %.80q %w", field, text, err)
 	}
 	return nil
--- a/internal/membership/message_check_test.go
+++ b/internal/membership/message_check_test.go
@@ -28,7 +28,7 @@
 	return append(out, bytes.Join(parts, nil)...)
 }
 
-var goodMeta = Member{Start: time.Unix(1, 0)}.meta()
+var goodMeta = Member{StartTime: time.Unix(1, 0)}.meta()
 
 // state is a member's as alive messages (by Node) and push/pulls (by Name) have it, with one field changed.
 func state(field string, value any) map[string]any {
@@ -123,7 +123,7 @@
 	f.Add(goodMeta)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		note := func(name string, _ uint32, _ bool) {
-			if err := checkText(name, 1, NameMost); err != nil {
+			if err := checkText(name, 1, MaxNameLength); err != nil {
 				t.Errorf("%q passed: %v", name, err)
 			}
 		}
@@ -139,14 +139,14 @@
 }
 
 func TestMemberValidate(t *testing.T) {
-	good := Member{Name: "s1", Zone: "a", Addr: netip.MustParseAddrPort("10.0.0.1:1")}
+	good := Member{Name: "s1", Zone: "a", Address: netip.MustParseAddrPort("10.0.0.1:1")}
 	if err := good.Validate(); err != nil {
 		t.Error(err)
 	}
 	for field, m := range map[string]Member{
-		"name":    {Name: "a/b", Addr: good.Addr},
-		"zone":    {Name: "a", Zone: "seventeen letters", Addr: good.Addr},
-		"address": {Name: "a", Addr: netip.MustParseAddrPort("[::1]:1")},
+		"name":    {Name: "a/b", Address: good.Address},
+		"zone":    {Name: "a", Zone: "seventeen letters", Address: good.Address},
+		"address": {Name: "a", Address: netip.MustParseAddrPort("[::1]:1")},
 	} {
 		if err := m.Validate(); err == nil || !strings.HasPrefix(err.Error(), field+":") {
 			t.Errorf("%s: %v", field, err)
--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -22,7 +22,7 @@
 	t      testing.TB
 	mu     sync.Mutex
 	random *rand.Rand
-	links  map[netip.AddrPort]*datagram.Link
+	links  map[netip.AddrPort]*datagram.Transport
 	nodes  []*simNode
 	cut    func(from, to int) bool // nil for nothing
 	bad    impairment
@@ -43,8 +43,8 @@
 	sim    *sim
 	number int
 	addr   netip.AddrPort
-	link   *datagram.Link
-	view   *View // nil while it does not run
+	link   *datagram.Transport
+	view   *Agent // nil while it does not run
 	life   int
 }
 
@@ -54,7 +54,7 @@
 )
 
 func newSim(t testing.TB, seed uint64, n int) *sim {
-	s := &sim{t: t, random: rand.New(rand.NewPCG(seed, 21)), links: map[netip.AddrPort]*datagram.Link{}, bad: impairment{delay: time.Millisecond},
+	s := &sim{t: t, random: rand.New(rand.NewPCG(seed, 21)), links: map[netip.AddrPort]*datagram.Transport{}, bad: impairment{delay: time.Millisecond},
 		most: 1000, zone: "a", name: func(i int) string { return fmt.Sprintf("s%d", i) }}
 	for i := range n {
 		s.nodes = append(s.nodes, &simNode{sim: s, number: i, addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7946)})
@@ -66,7 +66,7 @@
 func (s *sim) carry(from *simNode, data []byte, to netip.AddrPort) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(data) > datagram.DatagramMost {
+	if len(data) > datagram.MaxSize {
 		s.long++
 	}
 	l := s.links[to]
@@ -102,9 +102,9 @@
 func (n *simNode) start(o Options) {
 	n.sim.t.Helper()
 	n.life++
-	n.link = datagram.New(func(data []byte, to netip.AddrPort) error { return n.sim.carry(n, data, to) }, datagram.Options{Budget: 100})
-	o.Self = Member{Name: n.sim.name(n.number), Zone: n.sim.zone, Version: "sixteen letters!", Start: time.Now(), Addr: n.addr}
-	o.Quiet, o.Probe, o.Most = simQuiet, simProbe, n.sim.most
+	n.link = datagram.New(func(data []byte, to netip.AddrPort) error { return n.sim.carry(n, data, to) }, datagram.Options{MaxRate: 100})
+	o.Self = Member{Name: n.sim.name(n.number), Zone: n.sim.zone, Version: "sixteen letters!", StartTime: time.Now(), Address: n.addr}
+	o.StabilizationPeriod, o.ProbeInterval, o.MaxMembers = simQuiet, simProbe, n.sim.most
 	if o.Seeds == nil {
 		for _, other := range n.sim.nodes {
 			o.Seeds = append(o.Seeds, other.addr)
@@ -173,16 +173,16 @@
 	began := time.Now()
 	for {
 		bad := slices.IndexFunc(nodes, func(n *simNode) bool {
-			settled := n.view.Settled()
-			return settled.CutOff || !slices.Equal(settled.Names, names)
+			settled := n.view.StableView()
+			return settled.Isolated || !slices.Equal(settled.Names, names)
 		})
 		if bad < 0 {
 			return time.Since(began)
 		}
 		if time.Since(began) > most {
-			settled := nodes[bad].view.Settled()
+			settled := nodes[bad].view.StableView()
 			s.t.Errorf("%s: after %v %s sees %d of %d, cut off %v: %v", what, most, nodes[bad].view.o.Self.Name,
-				len(settled.Names), len(names), settled.CutOff, settled.Names)
+				len(settled.Names), len(names), settled.Isolated, settled.Names)
 			return most
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -197,7 +197,7 @@
 		defer s.close()
 		f(s)
 		if s.long > 0 {
-			t.Errorf("%d datagrams over %d bytes", s.long, datagram.DatagramMost)
+			t.Errorf("%d datagrams over %d bytes", s.long, datagram.MaxSize)
 		}
 	})
 }
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -19,7 +19,7 @@
 
 // transport is memberlist's way onto the link: packets as they are, streams by KCP.
 type transport struct {
-	link    *datagram.Link
+	link    *datagram.Transport
 	streams *datagram.Streams
 	addr    netip.AddrPort // the own, as the others know it
 	most    int            // states in a push/pull
@@ -34,10 +34,10 @@
 	once    sync.Once
 }
 
-func newTransport(l *datagram.Link, addr netip.AddrPort, most int, note said, heard func(netip.AddrPort, contents), refused func(net.Addr, error)) *transport {
+func newTransport(l *datagram.Transport, addr netip.AddrPort, most int, note said, heard func(netip.AddrPort, contents), refused func(net.Addr, error)) *transport {
 	t := &transport{link: l, addr: addr, most: most, note: note, heard: heard, refused: refused,
 		packets: make(chan *memberlist.Packet, packetsMost), conns: make(chan net.Conn), done: make(chan struct{})}
-	l.Handle(datagram.Packets, t.packet)
+	l.Handle(datagram.ChannelPackets, t.packet)
 	t.streams = datagram.NewStreams(l)
 	go t.accept()
 	return t
@@ -85,8 +85,8 @@
 	if err != nil {
 		return time.Time{}, err
 	}
-	err = t.link.Send(to, append([]byte{byte(datagram.Packets)}, b...))
-	if errors.Is(err, datagram.ErrBudget) {
+	err = t.link.Send(to, append([]byte{byte(datagram.ChannelPackets)}, b...))
+	if errors.Is(err, datagram.ErrRateLimited) {
 		err = nil // as if lost on the way, and counted there
 	}
 	return time.Now(), err
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -585,7 +585,7 @@
 }
 
 // datagramCounts returns the datagrams by channel since the start, nil where there is no transport yet.
-func (l *loop) datagramCounts() map[datagram.Channel]datagram.Count {
+func (l *loop) datagramCounts() map[datagram.Channel]datagram.ChannelCounts {
 	if f := l.fleet.Load(); f != nil {
 		return f.Counts()
 	}
--- a/internal/sidecar/ops.go
+++ b/internal/sidecar/ops.go
@@ -110,7 +110,7 @@
 // fleet answers with the fleet's view as JSON, or as text where format=text is asked for; brief=1 leaves out members
 // and traffic. 404 where the view is off, 503 where another process of this sidecar keeps it.
 func (o *operators) fleet(w http.ResponseWriter, in *http.Request) {
-	if !o.server.loop.cfg.Fleet.On {
+	if !o.server.loop.cfg.Fleet.Enabled {
 		http.Error(w, "the view of the fleet is off (fleet.on)", http.StatusNotFound)
 		return
 	}
--- a/internal/sidecar/ops_golden_test.go
+++ b/internal/sidecar/ops_golden_test.go
@@ -100,7 +100,7 @@
 	w := &world{t: t, dir: newDirectory(t, hosts...)}
 	cfg := configure(t, w.dir.address, nil, hosts...)
 	cfg.Ops = "127.0.0.1:0" // control is counted
-	cfg.Fleet = fleet.Settings{On: true, QuietS: 1, ProbeMS: 400, Members: 10, DatagramsPerS: 100}
+	cfg.Fleet = fleet.Settings{Enabled: true, StabilizationSeconds: 1, ProbeIntervalMillis: 400, MaxMembers: 10, MaxDatagramsPerSecond: 100}
 	peers, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -176,7 +176,7 @@
 			return false
 		}
 		status, on := f.Status(false)
-		return on && len(status.Settled) == 1 && len(status.Members) == 1
+		return on && len(status.StableMembers) == 1 && len(status.Members) == 1
 	})
 	tr.call("GET", "/fleet", "")
 	tr.call("GET", "/fleet?brief=1", "")
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -14,13 +14,13 @@
 
 // fleetOptions is this sidecar's part in the fleet, by its configuration.
 func (c *Config) fleetOptions() fleet.Options {
-	o := fleet.Options{Settings: c.Fleet, Name: c.Name, State: c.StateDir != "", Listen: c.peerListen, Peers: c.peers,
-		Position: c.Settings.Index, All: c.peersAll}
+	o := fleet.Options{Settings: c.Fleet, Name: c.Name, PersistentState: c.StateDir != "", Listen: c.peerListen, Peers: c.peers,
+		PeerIndex: c.Settings.Index, PeerBroadcast: c.peersAll}
 	if c.Settings.Zone < len(c.zones) {
 		o.Zone = c.zones[c.Settings.Zone]
 	}
 	if c.Ops != "" {
-		o.Control = sharePort
+		o.ControlSocket = sharePort
 	}
 	return o
 }
@@ -28,13 +28,13 @@
 // fleetOptions is the configuration's, with what takes the fleet's events.
 func (l *loop) fleetOptions() fleet.Options {
 	o := l.cfg.fleetOptions()
-	o.Kept, o.Log = l.keptView, l.log
-	if o.All.IsValid() && l.cfg.Settings.Limits.AllowGossip {
-		o.News = func(data []byte) {
+	o.Snapshot, o.Logger = l.keptView, l.log
+	if o.PeerBroadcast.IsValid() && l.cfg.Settings.Limits.AllowGossip {
+		o.OnGossip = func(data []byte) {
 			l.post(func(now balancer.Micros) { l.balancer.ReceiveGossip(now, data) })
 		}
 	}
-	o.Changed = func(living int) {
+	o.OnMemberCount = func(living int) {
 		l.post(func(balancer.Micros) { l.balancer.SetFleetSize(living) })
 	}
 	return o
@@ -43,7 +43,7 @@
 // listen starts to take what peers tell, where the view is off: then both processes of an upgrade may.
 func (l *loop) listen(ctx context.Context) error {
 	o := l.fleetOptions()
-	if l.cfg.Fleet.On || !o.Listen.IsValid() || o.News == nil {
+	if l.cfg.Fleet.Enabled || !o.Listen.IsValid() || o.OnGossip == nil {
 		return nil
 	}
 	f, err := fleet.Open(ctx, o)
@@ -57,14 +57,14 @@
 // SendGossip sends data to all other sidecars.
 func (l *loop) SendGossip(data []byte) {
 	if f := l.fleet.Load(); f != nil {
-		f.Tell(data)
+		f.SendGossip(data)
 	}
 }
 
 // keepView is the fleet's view as it should be kept: the latest, or what an earlier process kept.
 func (l *loop) keepView() json.RawMessage {
 	if f := l.fleet.Load(); f != nil {
-		if kept := f.Keep(); kept != nil {
+		if kept := f.Snapshot(); kept != nil {
 			return kept
 		}
 	}
@@ -92,7 +92,7 @@
 	}
 	o := l.fleetOptions()
 	if s.handover != nil { // a process of an earlier release may still have a socket of this address
-		o.Opened = func(socket syscall.Conn) {
+		o.OnSocket = func(socket syscall.Conn) {
 			if err := steer(socket); err != nil {
 				l.log.Warn("datagrams are not steered to this process", "error", err)
 			}
@@ -115,7 +115,7 @@
 
 // validateFleet says what of the fleet's table cannot be, given the rest of the configuration.
 func (c *Config) validateFleet() error {
-	if !c.Fleet.On {
+	if !c.Fleet.Enabled {
 		return nil
 	}
 	if !c.peerListen.IsValid() {
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -106,7 +106,7 @@
 		go l.run()
 	}
 	go l.follow(reloads)
-	if cfg.Fleet.On {
+	if cfg.Fleet.Enabled {
 		go s.join(ctx)
 	}
 	if paired && !s.awaitList(ctx) { // the other process serves as yet
