--- a/internal/datagram/golden_test.go
+++ b/internal/datagram/golden_test.go
@@ -113,9 +113,9 @@
 // withoutClock sets to zero what the sender's clock wrote into a datagram's segments; the rest has one form.
 func withoutClock(data []byte) []byte {
 	data = bytes.Clone(data)
-	for segment := data[1:]; len(segment) >= headMost; {
+	for segment := data[1:]; len(segment) >= segmentHeaderSize; {
 		clear(segment[stampAt : stampAt+4])
-		segment = segment[headMost+int(binary.LittleEndian.Uint32(segment[sizeAt:])):]
+		segment = segment[segmentHeaderSize+int(binary.LittleEndian.Uint32(segment[sizeAt:])):]
 	}
 	return data
 }
@@ -123,24 +123,24 @@
 // goldenSide is one side of a stream, whose datagrams are kept instead of sent.
 type goldenSide struct {
 	*Streams
-	link *Transport
-	sent [][]byte
+	transport *Transport
+	sent      [][]byte
 }
 
 func newGoldenSide() *goldenSide {
 	s := &goldenSide{}
-	s.link = New(func(data []byte, _ netip.AddrPort) error {
+	s.transport = New(func(data []byte, _ netip.AddrPort) error {
 		s.sent = append(s.sent, withoutClock(data))
 		return nil
 	}, Options{})
-	s.Streams = NewStreams(s.link)
+	s.Streams = NewStreams(s.transport)
 	return s
 }
 
-// due gives what the side sends within a few intervals.
-func (s *goldenSide) due() [][]byte {
+// takeSent gives what the side sends within a few intervals.
+func (s *goldenSide) takeSent() [][]byte {
 	s.sent = nil
-	time.Sleep(3 * kcpInterval * time.Millisecond)
+	time.Sleep(3 * flushIntervalMillis * time.Millisecond)
 	synctest.Wait()
 	return s.sent
 }
@@ -153,10 +153,10 @@
 		dialer, listener := newGoldenSide(), newGoldenSide()
 		var all []goldenDatagram
 		pass := func(name string, from, to *goldenSide, at netip.AddrPort) {
-			for _, data := range from.due() {
+			for _, data := range from.takeSent() {
 				all = append(all, goldenDatagram{name, Channel(data[0]), hex.EncodeToString(data)})
 				if to != nil {
-					to.link.Deliver(at, bytes.Clone(data))
+					to.transport.Deliver(at, bytes.Clone(data))
 				}
 			}
 		}
@@ -190,7 +190,7 @@
 		for _, g := range compareGolden(t, "stream.json", all) {
 			switch g.Name {
 			case "question":
-				again.link.Deliver(here, g.bytes(t))
+				again.transport.Deliver(here, g.bytes(t))
 			case "acknowledgement of the question":
 				acknowledged = append(acknowledged, g.Hex)
 			}
@@ -201,7 +201,7 @@
 			t.Errorf("the golden question is read as %q, %v", got, err)
 		}
 		var sent []string
-		for _, data := range again.due() {
+		for _, data := range again.takeSent() {
 			sent = append(sent, hex.EncodeToString(data))
 		}
 		if !slices.Equal(sent, acknowledged) {
--- a/internal/datagram/transport.go
+++ b/internal/datagram/transport.go
@@ -31,13 +31,13 @@
 	ChannelPackets    Channel = 2 // of the view
 	ChannelToListener Channel = 3 // segments of streams, to the side that accepted
 	ChannelToDialer   Channel = 4
-	channels                  = 5
+	channelCount              = 5
 )
 
 const (
-	tellTimeout = 10 * time.Millisecond // a datagram that does not leave at once is as good as lost
-	pause       = 100 * time.Millisecond
-	burst       = 4 * time.Second // of the budget, which a start or a healing spends at once
+	sendTimeout    = 10 * time.Millisecond // a datagram that does not leave at once is as good as lost
+	readErrorPause = 100 * time.Millisecond
+	burstDuration  = 4 * time.Second // of the budget, which a start or a healing spends at once
 )
 
 // ChannelCounts is what passed on one channel since the start, in datagrams and bytes
@@ -49,7 +49,7 @@
 	Rejected                         uint64 // received and dropped: too long, from a stranger, improper
 }
 
-type counter struct{ sent, sentBytes, received, receivedBytes, held, refused atomic.Uint64 }
+type channelCounters struct{ sent, sentBytes, received, receivedBytes, rateLimited, rejected atomic.Uint64 }
 
 // Options of a Link. Zero values are usable.
 type Options struct {
@@ -61,29 +61,29 @@
 
 // Transport is one sidecar's end of the path. It is safe for concurrent use.
 type Transport struct {
-	send    func(data []byte, to netip.AddrPort) error
-	budget  [channels]*rate.Limiter // nil for no bound
-	counts  [channels]counter
-	unknown atomic.Uint64 // datagrams too long, empty or of no known channel
-	handle  [channels]func(from netip.AddrPort, data []byte) bool
-	log     *slog.Logger
-	conn    *net.UDPConn // nil where others carry the datagrams
+	send             func(data []byte, to netip.AddrPort) error
+	limiters         [channelCount]*rate.Limiter // nil for no bound
+	counters         [channelCount]channelCounters
+	unknownDatagrams atomic.Uint64 // datagrams too long, empty or of no known channel
+	handlers         [channelCount]func(from netip.AddrPort, data []byte) bool
+	logger           *slog.Logger
+	conn             *net.UDPConn // nil where others carry the datagrams
 }
 
 // New makes a link whose datagrams send carries, without keeping data; what
 // comes in is handed to Deliver. Handlers are set before the first Deliver.
 func New(send func(data []byte, to netip.AddrPort) error, o Options) *Transport {
-	l := &Transport{send: send, log: o.Logger}
-	if l.log == nil {
-		l.log = slog.New(slog.DiscardHandler)
+	l := &Transport{send: send, logger: o.Logger}
+	if l.logger == nil {
+		l.logger = slog.New(slog.DiscardHandler)
 	}
 	if o.MaxRate > 0 {
 		half := func() *rate.Limiter {
-			return rate.NewLimiter(rate.Limit(o.MaxRate/2), max(1, int(o.MaxRate/2*burst.Seconds())))
+			return rate.NewLimiter(rate.Limit(o.MaxRate/2), max(1, int(o.MaxRate/2*burstDuration.Seconds())))
 		}
-		l.budget[ChannelPackets] = half() // so that lists sent to many leave room to answer pings
-		l.budget[ChannelToListener] = half()
-		l.budget[ChannelToDialer] = l.budget[ChannelToListener]
+		l.limiters[ChannelPackets] = half() // so that lists sent to many leave room to answer pings
+		l.limiters[ChannelToListener] = half()
+		l.limiters[ChannelToDialer] = l.limiters[ChannelToListener]
 	}
 	return l
 }
@@ -97,7 +97,7 @@
 	}
 	conn := packets.(*net.UDPConn)
 	l := New(func(data []byte, to netip.AddrPort) error {
-		conn.SetWriteDeadline(time.Now().Add(tellTimeout))
+		conn.SetWriteDeadline(time.Now().Add(sendTimeout))
 		_, err := conn.WriteToUDPAddrPort(data, to)
 		return err
 	}, o)
@@ -111,7 +111,9 @@
 
 // Handle has f take what comes on a channel: the whole datagram, which f may
 // keep, and where it came from. f returns false for one that it refuses.
-func (l *Transport) Handle(c Channel, f func(from netip.AddrPort, data []byte) bool) { l.handle[c] = f }
+func (l *Transport) Handle(c Channel, f func(from netip.AddrPort, data []byte) bool) {
+	l.handlers[c] = f
+}
 
 // Serve passes on what comes to the socket until it is closed.
 func (l *Transport) Serve() {
@@ -122,8 +124,8 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
-			l.log.Warn("peers", "error", err)
-			time.Sleep(pause) // else a socket in trouble would fill the log
+			l.logger.Warn("peers", "error", err)
+			time.Sleep(readErrorPause) // else a socket in trouble would fill the log
 		default:
 			l.Deliver(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), append([]byte(nil), buf[:n]...))
 		}
@@ -132,22 +134,22 @@
 
 // Deliver hands in one datagram; it takes data over.
 func (l *Transport) Deliver(from netip.AddrPort, data []byte) {
-	if len(data) == 0 || len(data) > MaxSize || data[0] >= channels || l.handle[data[0]] == nil {
-		l.refused(&l.unknown, from, data)
+	if len(data) == 0 || len(data) > MaxSize || data[0] >= channelCount || l.handlers[data[0]] == nil {
+		l.countDropped(&l.unknownDatagrams, from, data)
 		return
 	}
-	c := &l.counts[data[0]]
+	c := &l.counters[data[0]]
 	c.received.Add(1)
 	c.receivedBytes.Add(uint64(len(data)))
-	if !l.handle[data[0]](from, data) {
-		l.refused(&c.refused, from, data)
+	if !l.handlers[data[0]](from, data) {
+		l.countDropped(&c.rejected, from, data)
 	}
 }
 
-// refused counts and, the 1st, 2nd, 4th, 8th ... time, logs a datagram dropped.
-func (l *Transport) refused(count *atomic.Uint64, from netip.AddrPort, data []byte) {
+// countDropped counts and, the 1st, 2nd, 4th, 8th ... time, logs a datagram dropped.
+func (l *Transport) countDropped(count *atomic.Uint64, from netip.AddrPort, data []byte) {
 	if n := count.Add(1); n&(n-1) == 0 {
-		l.log.Warn("datagram dropped", "from", from, "bytes", len(data), "dropped", n)
+		l.logger.Warn("datagram dropped", "from", from, "bytes", len(data), "dropped", n)
 	}
 }
 
@@ -156,12 +158,12 @@
 
 // Send sends one datagram, whose first byte is its channel. An error is as if it was lost on the way.
 func (l *Transport) Send(to netip.AddrPort, data []byte) error {
-	if len(data) == 0 || len(data) > MaxSize || data[0] >= channels {
+	if len(data) == 0 || len(data) > MaxSize || data[0] >= channelCount {
 		return fmt.Errorf("a datagram of %d bytes is not sent", len(data))
 	}
-	c := &l.counts[data[0]]
-	if b := l.budget[data[0]]; b != nil && !b.Allow() {
-		c.held.Add(1)
+	c := &l.counters[data[0]]
+	if b := l.limiters[data[0]]; b != nil && !b.Allow() {
+		c.rateLimited.Add(1)
 		return ErrRateLimited
 	}
 	if err := l.send(data, to); err != nil {
@@ -175,10 +177,10 @@
 // Counts gives what passed on each channel, and how many datagrams came that were of none.
 func (l *Transport) Counts() (by map[Channel]ChannelCounts, unknown uint64) {
 	by = map[Channel]ChannelCounts{}
-	for i := range l.counts {
-		if c := &l.counts[i]; i > 0 {
-			by[Channel(i)] = ChannelCounts{c.sent.Load(), c.sentBytes.Load(), c.received.Load(), c.receivedBytes.Load(), c.held.Load(), c.refused.Load()}
+	for i := range l.counters {
+		if c := &l.counters[i]; i > 0 {
+			by[Channel(i)] = ChannelCounts{c.sent.Load(), c.sentBytes.Load(), c.received.Load(), c.receivedBytes.Load(), c.rateLimited.Load(), c.rejected.Load()}
 		}
 	}
-	return by, l.unknown.Load()
+	return by, l.unknownDatagrams.Load()
 }
--- a/internal/datagram/transport_test.go
+++ b/internal/datagram/transport_test.go
@@ -43,11 +43,11 @@
 	return a, b, long
 }
 
-// left counts the streams that are there, and those that count as open though they are not.
-func (s *Streams) left() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return max(len(s.streams), s.open)
+// streamCount counts the streams that are there, and those that count as open though they are not.
+func (s *Streams) streamCount() int {
+	s.streamsMu.Lock()
+	defer s.streamsMu.Unlock()
+	return max(len(s.streams), s.openCount)
 }
 
 // What is written to a stream arrives whole and in order, both ways, over a bad network, also after its writer closed it.
@@ -82,9 +82,9 @@
 				t.Errorf("loss %v: the answer came as another, %v", loss, err)
 			}
 			conn.Close()
-			time.Sleep(2 * lingerMost)
-			if dialer.left()+listener.left() > 0 || len(listener.accept) > 0 || *long > 0 {
-				t.Errorf("left over: %d and %d streams, %d opened anew; %d datagrams too long", dialer.left(), listener.left(), len(listener.accept), *long)
+			time.Sleep(2 * maxDrainPeriod)
+			if dialer.streamCount()+listener.streamCount() > 0 || len(listener.accepted) > 0 || *long > 0 {
+				t.Errorf("left over: %d and %d streams, %d opened anew; %d datagrams too long", dialer.streamCount(), listener.streamCount(), len(listener.accepted), *long)
 			}
 		})
 	}
@@ -96,7 +96,7 @@
 		a, b, _ := pair(1, 0, 0, Options{})
 		dialer := NewStreams(a)
 		NewStreams(b)
-		for range streamsMost {
+		for range maxOpenStreams {
 			conn, err := dialer.Dial(there)
 			if err != nil {
 				t.Fatal(err)
@@ -106,16 +106,16 @@
 		if _, err := dialer.Dial(there); !errors.Is(err, ErrTooManyStreams) {
 			t.Errorf("one stream more: %v", err)
 		}
-		time.Sleep(lifeMost + lingerMost)
+		time.Sleep(maxStreamLifetime + maxDrainPeriod)
 		conn, err := dialer.Dial(there)
-		if err != nil || dialer.left() != 1 {
-			t.Errorf("%d streams outlive their time, %v", dialer.left()-1, err)
+		if err != nil || dialer.streamCount() != 1 {
+			t.Errorf("%d streams outlive their time, %v", dialer.streamCount()-1, err)
 		}
 		conn.SetDeadline(time.Now().Add(time.Second))
 		if _, err := conn.Read(make([]byte, 1)); err == nil {
 			t.Error("a read with nothing to come ended well")
 		}
-		if _, err := conn.Write(make([]byte, 2*queueMost)); err == nil {
+		if _, err := conn.Write(make([]byte, 2*maxQueuedBytes)); err == nil {
 			t.Error("more was written than a stream holds")
 		}
 		dialer.Close()
@@ -168,8 +168,8 @@
 		if len(data) > 0 {
 			l.Deliver(there, data)
 		}
-		for len(s.accept) > 0 {
-			(<-s.accept).Close()
+		for len(s.accepted) > 0 {
+			(<-s.accepted).Close()
 		}
 	})
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -105,26 +105,26 @@
 
 // Fleet is one process's part in the fleet.
 type Fleet struct {
-	o    Options
-	link *datagram.Transport
-	view *membership.Agent // nil where it is off
-	stop context.CancelFunc
+	options      Options
+	transport    *datagram.Transport
+	agent        *membership.Agent // nil where it is off
+	stopSampling context.CancelFunc
 
-	mu     sync.Mutex
-	sample [2]sample // of the counts, the older one first
+	samplesMu sync.Mutex
+	samples   [2]trafficSample // of the counts, the older one first
 }
 
-type sample struct {
+type trafficSample struct {
 	at     time.Time
 	counts map[datagram.Channel]datagram.ChannelCounts
 }
 
-const sampleEvery = 5 * time.Second
+const sampleInterval = 5 * time.Second
 
 // Open opens the socket and, where it is on, the view, which Close ends. The socket ends with ctx: news goes on until then, also after a Close
 // with a goodbye.
 func Open(ctx context.Context, o Options) (*Fleet, error) {
-	f := &Fleet{o: o, stop: func() {}}
+	f := &Fleet{options: o, stopSampling: func() {}}
 	var kept membership.Snapshot
 	if len(o.Snapshot) > 0 && o.Enabled {
 		if err := json.Unmarshal(o.Snapshot, &kept); err != nil {
@@ -133,12 +133,12 @@
 		}
 	}
 	var err error
-	if f.link = o.Transport; f.link == nil {
-		if f.link, err = datagram.Listen(ctx, o.Listen, datagram.Options{MaxRate: o.MaxDatagramsPerSecond, ControlSocket: o.ControlSocket, Logger: o.Logger}); err != nil {
+	if f.transport = o.Transport; f.transport == nil {
+		if f.transport, err = datagram.Listen(ctx, o.Listen, datagram.Options{MaxRate: o.MaxDatagramsPerSecond, ControlSocket: o.ControlSocket, Logger: o.Logger}); err != nil {
 			return nil, err
 		}
 		if o.OnSocket != nil {
-			o.OnSocket(f.link.Conn())
+			o.OnSocket(f.transport.Conn())
 		}
 	}
 	if o.OnGossip != nil {
@@ -146,7 +146,7 @@
 		for _, a := range o.Peers {
 			from[a] = a != o.Listen
 		}
-		f.link.Handle(datagram.ChannelGossip, func(a netip.AddrPort, data []byte) bool {
+		f.transport.Handle(datagram.ChannelGossip, func(a netip.AddrPort, data []byte) bool {
 			if from[a] {
 				o.OnGossip(data)
 			}
@@ -159,7 +159,7 @@
 			f.closeSocket()
 			return nil, fmt.Errorf("fleet: %w", err)
 		}
-		f.view, err = membership.Open(f.link, membership.Options{Self: self, Seeds: o.Peers, Snapshot: kept, MaxMembers: o.MaxMembers, Logger: o.Logger,
+		f.agent, err = membership.Open(f.transport, membership.Options{Self: self, Seeds: o.Peers, Snapshot: kept, MaxMembers: o.MaxMembers, Logger: o.Logger,
 			StabilizationPeriod: time.Duration(o.StabilizationSeconds * float64(time.Second)), ProbeInterval: time.Duration(o.ProbeIntervalMillis * float64(time.Millisecond)),
 			OnChange: func(s membership.StableView) {
 				if o.OnMemberCount != nil && !s.Isolated {
@@ -171,29 +171,29 @@
 			return nil, err
 		}
 		var sampling context.Context
-		sampling, f.stop = context.WithCancel(ctx)
-		f.keepSamples()
-		go f.sampleUntil(sampling)
+		sampling, f.stopSampling = context.WithCancel(ctx)
+		f.takeSample()
+		go f.sampleTraffic(sampling)
 	}
 	if o.Transport == nil {
-		go f.link.Serve()
+		go f.transport.Serve()
 	}
 	return f, nil
 }
 
 // closeSocket ends the link where it is of our own making.
 func (f *Fleet) closeSocket() {
-	if f.o.Transport == nil {
-		f.link.Conn().Close()
+	if f.options.Transport == nil {
+		f.transport.Conn().Close()
 	}
 }
 
 // Close ends the view, with a goodbye unless another process of this sidecar goes on as the same member. In
 // that case the socket goes, too, so that the other has all that comes.
 func (f *Fleet) Close(goodbye bool) {
-	f.stop()
-	if f.view != nil {
-		f.view.Close(goodbye)
+	f.stopSampling()
+	if f.agent != nil {
+		f.agent.Close(goodbye)
 	}
 	if !goodbye {
 		f.closeSocket()
@@ -202,48 +202,48 @@
 
 // SendGossip sends news of the module to all the others.
 func (f *Fleet) SendGossip(data []byte) {
-	if err := f.link.Send(f.o.PeerBroadcast, data); err != nil {
-		f.o.Logger.Debug("peers", "error", err) // as if lost on the way
+	if err := f.transport.Send(f.options.PeerBroadcast, data); err != nil {
+		f.options.Logger.Debug("peers", "error", err) // as if lost on the way
 	}
 }
 
 // Counts gives what passed on each channel since the start.
 func (f *Fleet) Counts() map[datagram.Channel]datagram.ChannelCounts {
-	counts, _ := f.link.Counts()
+	counts, _ := f.transport.Counts()
 	return counts
 }
 
 // Snapshot is what a next process of this sidecar should be given; nil where the view is off.
 func (f *Fleet) Snapshot() json.RawMessage {
-	if f.view == nil {
+	if f.agent == nil {
 		return nil
 	}
-	data, err := json.Marshal(f.view.Snapshot())
+	data, err := json.Marshal(f.agent.Snapshot())
 	if err != nil {
 		return nil
 	}
 	return data
 }
 
-func (f *Fleet) sampleUntil(ctx context.Context) {
-	tick := time.NewTicker(sampleEvery)
+func (f *Fleet) sampleTraffic(ctx context.Context) {
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			f.keepSamples()
+			f.takeSample()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (f *Fleet) keepSamples() {
-	counts, _ := f.link.Counts()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.sample[0] = f.sample[1]
-	f.sample[1] = sample{time.Now(), counts}
+func (f *Fleet) takeSample() {
+	counts, _ := f.transport.Counts()
+	f.samplesMu.Lock()
+	defer f.samplesMu.Unlock()
+	f.samples[0] = f.samples[1]
+	f.samples[1] = trafficSample{time.Now(), counts}
 }
 
 // Status is what operators are told of the view, as JSON.
@@ -290,17 +290,17 @@
 
 // Status gives the view, false where it is off; brief leaves out members, traffic and counts.
 func (f *Fleet) Status(brief bool) (Status, bool) {
-	if f.view == nil {
+	if f.agent == nil {
 		return Status{}, false
 	}
-	settled := f.view.StableView()
-	s := Status{Name: f.o.Name, Epoch: settled.Epoch, Digest: fmt.Sprintf("%016x", settled.Digest), StableSince: settled.ChangedAt,
+	settled := f.agent.StableView()
+	s := Status{Name: f.options.Name, Epoch: settled.Epoch, Digest: fmt.Sprintf("%016x", settled.Digest), StableSince: settled.ChangedAt,
 		Isolated: settled.Isolated, StableMembers: settled.Names}
 	if brief {
 		return s, true
 	}
 	now := time.Now()
-	for _, m := range f.view.Members() {
+	for _, m := range f.agent.Members() {
 		ms := MemberStatus{Name: m.Name, State: string(m.State), Since: m.StateSince, Zone: m.Zone, Version: m.Version, Features: m.Features.Names(),
 			Address: m.Address.String(), StartTime: m.StartTime, LastContactMillis: -1}
 		if !m.LastContact.IsZero() {
@@ -308,13 +308,13 @@
 		}
 		s.Members = append(s.Members, ms)
 	}
-	counts, unknown := f.link.Counts()
-	f.mu.Lock()
-	old := f.sample[0]
+	counts, unknown := f.transport.Counts()
+	f.samplesMu.Lock()
+	old := f.samples[0]
 	if old.counts == nil {
-		old = f.sample[1]
+		old = f.samples[1]
 	}
-	f.mu.Unlock()
+	f.samplesMu.Unlock()
 	seconds := max(now.Sub(old.at).Seconds(), 1e-3)
 	perS := func(now, then uint64) float64 { return math.Round(float64(now-then)/seconds*100) / 100 }
 	s.Traffic = map[string]Traffic{}
@@ -324,7 +324,7 @@
 			perS(c.ReceivedDatagrams, was.ReceivedDatagrams), perS(c.ReceivedBytes, was.ReceivedBytes),
 			c.SentDatagrams, c.SentBytes, c.ReceivedDatagrams, c.RateLimited, c.Rejected}
 	}
-	conflicts, full, improper, dropped := f.view.Counters()
+	conflicts, full, improper, dropped := f.agent.Counters()
 	s.Counters = map[string]uint64{"name_conflicts": conflicts, "refused_members": full, "improper_messages": improper,
 		"dropped_packets": dropped, "unknown_datagrams": unknown}
 	return s, true
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -61,7 +61,7 @@
 	if len(got) != 0 {
 		t.Errorf("%d more datagrams passed on", len(got))
 	}
-	if counts, unknown := f.link.Counts(); unknown != 3 || counts[datagram.ChannelGossip].Rejected != 1 || counts[datagram.ChannelGossip].SentDatagrams != 1 {
+	if counts, unknown := f.transport.Counts(); unknown != 3 || counts[datagram.ChannelGossip].Rejected != 1 || counts[datagram.ChannelGossip].SentDatagrams != 1 {
 		t.Errorf("counts %v, %d unknown", counts, unknown)
 	}
 	if _, on := f.Status(false); on || f.Snapshot() != nil {
--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -30,30 +30,30 @@
 // about a probe's interval, the suspicion (2 x log10(members) x
 // interval) and a few turns of gossip.
 const (
-	probeTimeout  = 2 // part of the interval after which others are asked to ping
-	gossipEvery   = 100 * time.Millisecond
-	gossipTo      = 3
-	suspicionMult = 2
-	pushPullEvery = 75 // probe intervals between exchanges of the whole list (longer beyond 32 members)
-	deadKept      = 30 * time.Second
-	streamTimeout = 5 * time.Second
-	hearWithin    = 6  // probe intervals without a word from anybody: it is cut off
-	probedWithin  = 10 // probe intervals without a probe by anybody: the others do not know it
-	packetBytes   = datagram.MaxSize - 1 - crcHead
-	goodbyeWait   = 500 * time.Millisecond
-
-	verifyPings = 4  // to a member that is said to be dead, over its quiet period, until it answers
-	verifyMost  = 16 // members verified at a time
-
-	rejoinEvery  = 500 * time.Millisecond
-	rejoinPings  = 4                // addresses asked at a time
-	rejoinLeast  = rejoinEvery      // between two asks of one address,
-	rejoinMost   = 4 * time.Second  // doubled up to this, for one that was a member,
-	rejoinSeeds  = 16 * time.Second // or to this for others: they may have no view
-	rejoinLost   = 2 * time.Second  // from a loss to the first ask
-	rejoinNews   = 5 * time.Second  // after a loss, one that others say lives is asked soon
-	rejoinInVain = time.Minute      // after a join of an address that is no member's: an alias, perhaps one's own
-	lostKept     = time.Hour        // a lost member is asked for so long
+	probeTimeoutDivisor = 2 // part of the interval after which others are asked to ping
+	gossipInterval      = 100 * time.Millisecond
+	gossipNodes         = 3
+	suspicionMultiplier = 2
+	pushPullProbes      = 75 // probe intervals between exchanges of the whole list (longer beyond 32 members)
+	gossipToDeadPeriod  = 30 * time.Second
+	streamTimeout       = 5 * time.Second
+	isolationProbes     = 6  // probe intervals without a word from anybody: it is cut off
+	unprobedProbes      = 10 // probe intervals without a probe by anybody: the others do not know it
+	maxPacketSize       = datagram.MaxSize - 1 - crcHeaderSize
+	leaveTimeout        = 500 * time.Millisecond
+
+	maxVerifyPings   = 4  // to a member that is said to be dead, over its quiet period, until it answers
+	maxVerifications = 16 // members verified at a time
+
+	rejoinInterval      = 500 * time.Millisecond
+	maxRejoinPings      = 4                // addresses asked at a time
+	minRejoinBackoff    = rejoinInterval   // between two asks of one address,
+	maxMemberBackoff    = 4 * time.Second  // doubled up to this, for one that was a member,
+	maxSeedBackoff      = 16 * time.Second // or to this for others: they may have no view
+	lostMemberDelay     = 2 * time.Second  // from a loss to the first ask
+	aliveReportDelay    = 5 * time.Second  // after a loss, one that others say lives is asked soon
+	aliasBackoff        = time.Minute      // after a join of an address that is no member's: an alias, perhaps one's own
+	lostMemberRetention = time.Hour        // a lost member is asked for so long
 )
 
 // Options of a View.
@@ -68,7 +68,7 @@
 	OnChange func(StableView)
 	Logger   *slog.Logger
 
-	staysApart bool // wrong on purpose, for tests: it never looks for who is lost
+	rejoinDisabled bool // wrong on purpose, for tests: it never looks for who is lost
 }
 
 // Snapshot is what outlives a process: the last settled view.
@@ -112,42 +112,42 @@
 
 // Agent is one sidecar's list of the fleet.
 type Agent struct {
-	o     Options
-	way   *transport
-	list  *memberlist.Memberlist
-	wake  chan struct{}
-	stop  chan struct{}
-	ended chan struct{}
-
-	settled atomic.Pointer[StableView]
-	mu      sync.Mutex
-	members map[string]*MemberStatus
-	heard   map[netip.AddrPort]heard // of addresses that are members'
-	words   map[string]word          // what members were last said to be
-	heardAt time.Time                // when anybody of the view's was last heard
-	probed  time.Time                // when anybody last probed this sidecar by its name
-	asked   map[netip.AddrPort]*ask
-
-	verifying chan struct{} // a place each
-	pending   sync.WaitGroup
-	closing   bool // nothing more is to become pending
-
-	conflicts, full, improper atomic.Uint64
+	options    Options
+	transport  *transport
+	memberlist *memberlist.Memberlist
+	wakeup     chan struct{}
+	stopping   chan struct{}
+	stopped    chan struct{}
+
+	stableView     atomic.Pointer[StableView]
+	membersMu      sync.Mutex
+	members        map[string]*MemberStatus
+	contacts       map[netip.AddrPort]contact // of addresses that are members'
+	reports        map[string]statusReport    // what members were last said to be
+	lastContact    time.Time                  // when anybody of the view's was last heard
+	lastProbed     time.Time                  // when anybody last probed this sidecar by its name
+	rejoinAttempts map[netip.AddrPort]*rejoinAttempt
+
+	verifySlots chan struct{} // a place each
+	background  sync.WaitGroup
+	closing     bool // nothing more is to become pending
+
+	nameConflicts, rejectedMembers, rejectedMessages atomic.Uint64
 }
 
-// heard is when an address was last heard at all, and when it last answered.
-type heard struct{ any, ack time.Time }
+// contact is when an address was last heard at all, and when it last answered.
+type contact struct{ last, lastAck time.Time }
 
-// word is the latest incarnation told of a member, and whether it said goodbye in it.
-type word struct {
+// statusReport is the latest incarnation told of a member, and whether it said goodbye in it.
+type statusReport struct {
 	incarnation uint32
-	goodbye     bool
+	left        bool
 }
 
-// ask is the next time to ask an address, and how long to wait after it.
-type ask struct {
-	at   time.Time
-	wait time.Duration
+// rejoinAttempt is the next time to ask an address, and how long to wait after it.
+type rejoinAttempt struct {
+	next    time.Time
+	backoff time.Duration
 }
 
 // Open begins a view over l, whose channels of the view it takes. It is found by others, and finds them, from then on.
@@ -164,7 +164,7 @@
 	now := time.Now()
 	var kept []string
 	o.Snapshot.Members = slices.DeleteFunc(slices.Clone(o.Snapshot.Members), func(m SnapshotMember) bool {
-		err := checkText(m.Name, 1, MaxNameLength)
+		err := validateText(m.Name, 1, MaxNameLength)
 		if err != nil {
 			o.Logger.Warn("view: a kept member is not used", "name", m.Name, "error", err)
 		} else {
@@ -172,25 +172,25 @@
 		}
 		return err != nil
 	})
-	v := &Agent{o: o, wake: make(chan struct{}, 1), stop: make(chan struct{}), ended: make(chan struct{}),
-		members: map[string]*MemberStatus{}, heard: map[netip.AddrPort]heard{}, words: map[string]word{}, heardAt: now, probed: now, asked: map[netip.AddrPort]*ask{},
-		verifying: make(chan struct{}, verifyMost)}
-	s := newSettler(o.Self.Name, o.StabilizationPeriod, kept, o.Snapshot.Epoch, len(v.seeds(nil)) == 0, now)
+	v := &Agent{options: o, wakeup: make(chan struct{}, 1), stopping: make(chan struct{}), stopped: make(chan struct{}),
+		members: map[string]*MemberStatus{}, contacts: map[netip.AddrPort]contact{}, reports: map[string]statusReport{}, lastContact: now, lastProbed: now, rejoinAttempts: map[netip.AddrPort]*rejoinAttempt{},
+		verifySlots: make(chan struct{}, maxVerifications)}
+	s := newStabilizer(o.Self.Name, o.StabilizationPeriod, kept, o.Snapshot.Epoch, len(v.rejoinCandidates(nil)) == 0, now)
 	v.publish(s)
-	v.way = newTransport(l, o.Self.Address, o.MaxMembers, v.said, v.hear, v.refused)
+	v.transport = newTransport(l, o.Self.Address, o.MaxMembers, v.recordReport, v.recordContact, v.countRejected)
 	c := memberlist.DefaultLANConfig()
-	c.Name, c.Transport, c.Logger = o.Self.Name, v.way, stdlog.New(logLines{o.Logger}, "", 0)
+	c.Name, c.Transport, c.Logger = o.Self.Name, v.transport, stdlog.New(logWriter{o.Logger}, "", 0)
 	c.AdvertisePort, c.BindPort = int(o.Self.Address.Port()), int(o.Self.Address.Port())
-	c.UDPBufferSize, c.EnableCompression, c.DisableTcpPings = packetBytes, false, true
-	c.ProbeInterval, c.ProbeTimeout = o.ProbeInterval, o.ProbeInterval/probeTimeout
-	c.SuspicionMult = suspicionMult
-	c.GossipInterval, c.GossipNodes, c.GossipToTheDeadTime = gossipEvery, gossipTo, deadKept
-	c.PushPullInterval, c.TCPTimeout = pushPullEvery*o.ProbeInterval, streamTimeout
+	c.UDPBufferSize, c.EnableCompression, c.DisableTcpPings = maxPacketSize, false, true
+	c.ProbeInterval, c.ProbeTimeout = o.ProbeInterval, o.ProbeInterval/probeTimeoutDivisor
+	c.SuspicionMult = suspicionMultiplier
+	c.GossipInterval, c.GossipNodes, c.GossipToTheDeadTime = gossipInterval, gossipNodes, gossipToDeadPeriod
+	c.PushPullInterval, c.TCPTimeout = pushPullProbes*o.ProbeInterval, streamTimeout
 	c.DeadNodeReclaimTime = 1 // a dead member may come back at another address at once
-	c.Events, c.Alive, c.Conflict, c.Delegate = events{v}, events{v}, events{v}, events{v}
+	c.Events, c.Alive, c.Conflict, c.Delegate = delegate{v}, delegate{v}, delegate{v}, delegate{v}
 	var err error
-	if v.list, err = memberlist.Create(c); err != nil {
-		v.way.Shutdown()
+	if v.memberlist, err = memberlist.Create(c); err != nil {
+		v.transport.Shutdown()
 		return nil, fmt.Errorf("view: %w", err)
 	}
 	go v.run(s)
@@ -199,31 +199,31 @@
 
 // Close ends the view: with a goodbye where the sidecar goes, without one where another process of it takes over.
 func (v *Agent) Close(goodbye bool) {
-	v.mu.Lock()
+	v.membersMu.Lock()
 	v.closing = true
-	v.mu.Unlock()
-	close(v.stop)
-	<-v.ended
-	v.pending.Wait()
+	v.membersMu.Unlock()
+	close(v.stopping)
+	<-v.stopped
+	v.background.Wait()
 	if goodbye {
-		if err := v.list.Leave(goodbyeWait); err != nil {
-			v.o.Logger.Debug("view: goodbye", "error", err)
+		if err := v.memberlist.Leave(leaveTimeout); err != nil {
+			v.options.Logger.Debug("view: goodbye", "error", err)
 		}
 	}
-	v.list.Shutdown()
+	v.memberlist.Shutdown()
 }
 
 // StableView is the last settled view.
-func (v *Agent) StableView() StableView { return *v.settled.Load() }
+func (v *Agent) StableView() StableView { return *v.stableView.Load() }
 
 // Members lists all that is known of members, by name: the living and, for a while, the others.
 func (v *Agent) Members() []MemberStatus {
-	v.mu.Lock()
-	defer v.mu.Unlock()
+	v.membersMu.Lock()
+	defer v.membersMu.Unlock()
 	list := make([]MemberStatus, 0, len(v.members))
 	for _, name := range slices.Sorted(maps.Keys(v.members)) {
 		k := *v.members[name]
-		k.LastContact = v.heard[k.Address].any
+		k.LastContact = v.contacts[k.Address].last
 		list = append(list, k)
 	}
 	return list
@@ -233,14 +233,14 @@
 func (v *Agent) Snapshot() Snapshot {
 	s := v.StableView()
 	k := Snapshot{Epoch: s.Epoch}
-	v.mu.Lock()
-	defer v.mu.Unlock()
+	v.membersMu.Lock()
+	defer v.membersMu.Unlock()
 	for _, name := range s.Names {
 		m := SnapshotMember{Name: name}
 		if known := v.members[name]; known != nil {
 			m.Address = known.Address
-		} else if i := slices.IndexFunc(v.o.Snapshot.Members, func(o SnapshotMember) bool { return o.Name == name }); i >= 0 {
-			m.Address = v.o.Snapshot.Members[i].Address
+		} else if i := slices.IndexFunc(v.options.Snapshot.Members, func(o SnapshotMember) bool { return o.Name == name }); i >= 0 {
+			m.Address = v.options.Snapshot.Members[i].Address
 		}
 		k.Members = append(k.Members, m)
 	}
@@ -251,12 +251,12 @@
 // addresses, members refused for want of room, messages that cannot be a
 // member's, packets dropped as too many came at once.
 func (v *Agent) Counters() (conflicts, full, improper, dropped uint64) {
-	return v.conflicts.Load(), v.full.Load(), v.improper.Load(), v.way.dropped.Load()
+	return v.nameConflicts.Load(), v.rejectedMembers.Load(), v.rejectedMessages.Load(), v.transport.dropped.Load()
 }
 
 // run steps the settler and looks for lost members, until the view is closed.
-func (v *Agent) run(s *settler) {
-	defer close(v.ended)
+func (v *Agent) run(s *stabilizer) {
+	defer close(v.stopped)
 	step := time.NewTimer(0)
 	rejoin := time.NewTimer(0)
 	defer step.Stop()
@@ -265,154 +265,154 @@
 
 	for {
 		select {
-		case <-v.stop:
+		case <-v.stopping:
 			return
-		case <-v.wake:
+		case <-v.wakeup:
 		case <-step.C:
 		case <-rejoin.C:
-			if v.o.staysApart {
+			if v.options.rejoinDisabled {
 				continue
 			}
 			select {
 			case joining <- struct{}{}:
-				v.pending.Add(1)
+				v.background.Add(1)
 				go func() {
-					defer v.pending.Done()
+					defer v.background.Done()
 					v.rejoin()
 					<-joining
 				}()
 			default:
 			}
-			rejoin.Reset(rejoinEvery/2 + rand.N(rejoinEvery))
+			rejoin.Reset(rejoinInterval/2 + rand.N(rejoinInterval))
 			continue
 		}
-		step.Reset(v.step(s))
+		step.Reset(v.updateStableView(s))
 	}
 }
 
-func (v *Agent) step(s *settler) time.Duration {
+func (v *Agent) updateStableView(s *stabilizer) time.Duration {
 	now := time.Now()
-	v.mu.Lock()
+	v.membersMu.Lock()
 	living, left := map[string]bool{}, map[string]bool{}
 	for name, k := range v.members {
 		left[name] = k.State == StateLeft
-		if k.State == StateAlive || v.answers(k) {
+		if k.State == StateAlive || v.answeredSinceFailure(k) {
 			living[name] = true
-		} else if now.Sub(k.StateSince) > lostKept {
+		} else if now.Sub(k.StateSince) > lostMemberRetention {
 			delete(v.members, name)
-			delete(v.heard, k.Address)
+			delete(v.contacts, k.Address)
 		}
 	}
-	living[v.o.Self.Name] = true
+	living[v.options.Self.Name] = true
 
-	hears := now.Sub(v.heardAt) < hearWithin*v.o.ProbeInterval
-	v.mu.Unlock()
+	hears := now.Sub(v.lastContact) < isolationProbes*v.options.ProbeInterval
+	v.membersMu.Unlock()
 	changed, again := s.step(now, living, func(name string) bool { return left[name] }, hears)
 	if changed {
 		v.publish(s)
 		settled := v.StableView()
-		v.o.Logger.Info("view", "epoch", settled.Epoch, "members", len(settled.Names), "digest", fmt.Sprintf("%016x", settled.Digest), "cut_off", settled.Isolated)
-		v.o.OnChange(settled)
+		v.options.Logger.Info("view", "epoch", settled.Epoch, "members", len(settled.Names), "digest", fmt.Sprintf("%016x", settled.Digest), "cut_off", settled.Isolated)
+		v.options.OnChange(settled)
 	}
 	return max(again, time.Millisecond)
 }
 
-func (v *Agent) publish(s *settler) {
-	names := s.sorted()
-	v.settled.Store(&StableView{Epoch: s.epoch, Digest: Digest(names), Names: names, ChangedAt: s.since, Isolated: s.cutOff})
+func (v *Agent) publish(s *stabilizer) {
+	names := s.sortedNames()
+	v.stableView.Store(&StableView{Epoch: s.epoch, Digest: Digest(names), Names: names, ChangedAt: s.changedAt, Isolated: s.isolated})
 }
 
-// said takes what a message says of a member, before memberlist does.
-func (v *Agent) said(name string, incarnation uint32, goodbye bool) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	w, known := v.words[name]
-	if !known && len(v.words) >= 2*v.o.MaxMembers {
-		clear(v.words)
+// recordReport takes what a message says of a member, before memberlist does.
+func (v *Agent) recordReport(name string, incarnation uint32, goodbye bool) {
+	v.membersMu.Lock()
+	defer v.membersMu.Unlock()
+	w, known := v.reports[name]
+	if !known && len(v.reports) >= 2*v.options.MaxMembers {
+		clear(v.reports)
 	}
 	if incarnation >= w.incarnation {
-		v.words[name] = word{incarnation, goodbye}
+		v.reports[name] = statusReport{incarnation, goodbye}
 	}
 }
 
-// answers tells whether a member that was said to be dead has answered since, and so lives: it will refute what is
+// answeredSinceFailure tells whether a member that was said to be dead has answered since, and so lives: it will refute what is
 // said of it. It holds the view's lock.
-func (v *Agent) answers(k *MemberStatus) bool {
-	if k.State != StateFailed || !v.heard[k.Address].ack.After(k.StateSince) {
+func (v *Agent) answeredSinceFailure(k *MemberStatus) bool {
+	if k.State != StateFailed || !v.contacts[k.Address].lastAck.After(k.StateSince) {
 		return false
 	}
 	if v.aliveAt(k.Address) { // another sidecar has its address
 		return false
 	}
-	return time.Since(v.heard[k.Address].ack) < v.o.StabilizationPeriod+2*rejoinMost
+	return time.Since(v.contacts[k.Address].lastAck) < v.options.StabilizationPeriod+2*maxMemberBackoff
 }
 
-// verify asks a member that was said to be dead itself, before the settled view goes by it: on a bad network
+// verifyFailure asks a member that was said to be dead itself, before the settled view goes by it: on a bad network
 // its refutation may be late.
-func (v *Agent) verify(m Member) {
-	defer v.pending.Done()
+func (v *Agent) verifyFailure(m Member) {
+	defer v.background.Done()
 	select {
-	case v.verifying <- struct{}{}:
-		defer func() { <-v.verifying }()
+	case v.verifySlots <- struct{}{}:
+		defer func() { <-v.verifySlots }()
 	default:
 		return
 	}
-	for range verifyPings {
-		v.mu.Lock()
+	for range maxVerifyPings {
+		v.membersMu.Lock()
 		k := v.members[m.Name]
-		done := k == nil || k.State != StateFailed || v.answers(k)
-		v.mu.Unlock()
+		done := k == nil || k.State != StateFailed || v.answeredSinceFailure(k)
+		v.membersMu.Unlock()
 		if done {
 			return
 		}
-		v.pending.Add(1)
+		v.background.Add(1)
 		go func() {
-			defer v.pending.Done()
-			v.list.Ping(m.Name, net.UDPAddrFromAddrPort(m.Address)) // its answer is heard, also a late one
+			defer v.background.Done()
+			v.memberlist.Ping(m.Name, net.UDPAddrFromAddrPort(m.Address)) // its answer is heard, also a late one
 		}()
 		select {
-		case <-time.After(v.o.StabilizationPeriod / (verifyPings + 1)):
-		case <-v.stop:
+		case <-time.After(v.options.StabilizationPeriod / (maxVerifyPings + 1)):
+		case <-v.stopping:
 			return
 		}
 	}
 }
 
-// hear notes that a datagram of the view came from an address, and what was in it.
-func (v *Agent) hear(from netip.AddrPort, what contents) {
+// recordContact notes that a datagram of the view came from an address, and what was in it.
+func (v *Agent) recordContact(from netip.AddrPort, what packetContents) {
 	now := time.Now()
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if what.probe {
-		v.probed = now
-	}
-	if h, ok := v.heard[from]; ok {
-		if h.any = now; what.ack {
-			h.ack = now
+	v.membersMu.Lock()
+	defer v.membersMu.Unlock()
+	if what.hasProbe {
+		v.lastProbed = now
+	}
+	if h, ok := v.contacts[from]; ok {
+		if h.last = now; what.hasAck {
+			h.lastAck = now
 		}
-		v.heard[from], v.heardAt = h, now
+		v.contacts[from], v.lastContact = h, now
 	}
 }
 
-// refused counts what cannot be a member's message, and logs the 1st, 2nd, 4th ...
-func (v *Agent) refused(from net.Addr, err error) {
-	if n := v.improper.Add(1); n&(n-1) == 0 {
-		v.o.Logger.Warn("view: message refused", "from", from, "error", err, "refused", n)
+// countRejected counts what cannot be a member's message, and logs the 1st, 2nd, 4th ...
+func (v *Agent) countRejected(from net.Addr, err error) {
+	if n := v.rejectedMessages.Add(1); n&(n-1) == 0 {
+		v.options.Logger.Warn("view: message refused", "from", from, "error", err, "refused", n)
 	}
 }
 
-// seeds lists where others may be that are none of the living, each address once, oneself left out.
-func (v *Agent) seeds(living map[netip.AddrPort]bool) []netip.AddrPort {
+// rejoinCandidates lists where others may be that are none of the living, each address once, oneself left out.
+func (v *Agent) rejoinCandidates(living map[netip.AddrPort]bool) []netip.AddrPort {
 	var all []netip.AddrPort
 	add := func(a netip.AddrPort) {
-		if a.IsValid() && a != v.o.Self.Address && !living[a] && !slices.Contains(all, a) {
+		if a.IsValid() && a != v.options.Self.Address && !living[a] && !slices.Contains(all, a) {
 			all = append(all, a)
 		}
 	}
-	for _, a := range v.o.Seeds {
+	for _, a := range v.options.Seeds {
 		add(a)
 	}
-	for _, m := range v.o.Snapshot.Members {
+	for _, m := range v.options.Snapshot.Members {
 		add(m.Address)
 	}
 	for _, k := range v.members {
@@ -427,7 +427,7 @@
 // answer: after a start, a partition or a pause nobody else would.
 func (v *Agent) rejoin() {
 	now := time.Now()
-	v.mu.Lock()
+	v.membersMu.Lock()
 	living, were := map[netip.AddrPort]bool{}, map[netip.AddrPort]bool{}
 	for _, k := range v.members {
 		if k.State == StateAlive {
@@ -436,50 +436,50 @@
 		were[k.Address] = k.State == StateFailed
 	}
 	var ready []netip.AddrPort
-	seeds := v.seeds(living)
+	seeds := v.rejoinCandidates(living)
 	for _, k := range v.members {
-		if k.State == StateFailed && v.asked[k.Address] == nil { // gossip to the dead and verify come first
-			v.asked[k.Address] = &ask{at: k.StateSince.Add(rejoinLost + rand.N(rejoinMost)), wait: rejoinLeast}
+		if k.State == StateFailed && v.rejoinAttempts[k.Address] == nil { // gossip to the dead and verify come first
+			v.rejoinAttempts[k.Address] = &rejoinAttempt{next: k.StateSince.Add(lostMemberDelay + rand.N(maxMemberBackoff)), backoff: minRejoinBackoff}
 		}
 	}
 	for _, a := range seeds {
-		if v.asked[a] == nil || !v.asked[a].at.After(now) {
+		if v.rejoinAttempts[a] == nil || !v.rejoinAttempts[a].next.After(now) {
 			ready = append(ready, a)
 		}
 	}
-	for a := range v.asked {
+	for a := range v.rejoinAttempts {
 		if !slices.Contains(seeds, a) { // it lives, or is forgotten
-			delete(v.asked, a)
+			delete(v.rejoinAttempts, a)
 		}
 	}
 	rand.Shuffle(len(ready), func(i, j int) { ready[i], ready[j] = ready[j], ready[i] })
-	ready = ready[:min(len(ready), rejoinPings)]
+	ready = ready[:min(len(ready), maxRejoinPings)]
 	unknown := netip.AddrPort{} // a member to tell of oneself: back at another address before its death was known, nobody probes it
-	if now.Sub(v.probed) > probedWithin*v.o.ProbeInterval {
-		v.probed = now // else it would ask at each turn
+	if now.Sub(v.lastProbed) > unprobedProbes*v.options.ProbeInterval {
+		v.lastProbed = now // else it would ask at each turn
 		for a := range living {
-			if a != v.o.Self.Address {
+			if a != v.options.Self.Address {
 				unknown = a
 				break
 			}
 		}
 	}
 	for _, a := range ready {
-		k := v.asked[a]
+		k := v.rejoinAttempts[a]
 		if k == nil {
-			k = &ask{wait: rejoinLeast}
-			v.asked[a] = k
+			k = &rejoinAttempt{backoff: minRejoinBackoff}
+			v.rejoinAttempts[a] = k
 		}
-		k.at = now.Add(k.wait/2 + rand.N(k.wait))
-		most := rejoinSeeds
+		k.next = now.Add(k.backoff/2 + rand.N(k.backoff))
+		most := maxSeedBackoff
 		if were[a] {
-			most = rejoinMost
+			most = maxMemberBackoff
 		}
-		k.wait = min(2*k.wait, most)
+		k.backoff = min(2*k.backoff, most)
 	}
-	v.mu.Unlock()
+	v.membersMu.Unlock()
 	if unknown.IsValid() {
-		v.list.Join([]string{unknown.String()})
+		v.memberlist.Join([]string{unknown.String()})
 	}
 	answered := make(chan netip.AddrPort, len(ready))
 	for _, a := range ready {
@@ -492,37 +492,37 @@
 	}
 	for range ready {
 		a := <-answered
-		v.mu.Lock()
+		v.membersMu.Lock()
 		joined := v.aliveAt(a)
-		v.mu.Unlock()
+		v.membersMu.Unlock()
 		if !a.IsValid() || joined {
 			continue
 		}
-		if _, err := v.list.Join([]string{a.String()}); err != nil {
-			v.o.Logger.Debug("view: join", "address", a, "error", err)
+		if _, err := v.memberlist.Join([]string{a.String()}); err != nil {
+			v.options.Logger.Debug("view: join", "address", a, "error", err)
 			continue
 		}
-		v.mu.Lock()
-		if k := v.asked[a]; k != nil && !v.aliveAt(a) {
-			k.at = now.Add(rejoinInVain/2 + rand.N(rejoinInVain))
+		v.membersMu.Lock()
+		if k := v.rejoinAttempts[a]; k != nil && !v.aliveAt(a) {
+			k.next = now.Add(aliasBackoff/2 + rand.N(aliasBackoff))
 		}
-		v.mu.Unlock()
+		v.membersMu.Unlock()
 	}
 }
 
 // ping asks whoever is at an address, and tells whether an answer came, be it a little late.
 func (v *Agent) ping(a netip.AddrPort) bool {
 	asked := time.Now()
-	if _, err := v.list.Ping("", net.UDPAddrFromAddrPort(a)); err == nil {
+	if _, err := v.memberlist.Ping("", net.UDPAddrFromAddrPort(a)); err == nil {
 		return true
 	}
 	select {
-	case <-time.After(v.o.ProbeInterval):
-	case <-v.stop:
+	case <-time.After(v.options.ProbeInterval):
+	case <-v.stopping:
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.heard[a].ack.After(asked)
+	v.membersMu.Lock()
+	defer v.membersMu.Unlock()
+	return v.contacts[a].lastAck.After(asked)
 }
 
 // aliveAt tells whether a living member is at an address. It holds the view's lock.
@@ -535,83 +535,83 @@
 	return false
 }
 
-// events takes what memberlist tells and asks.
-type events struct{ v *Agent }
+// delegate takes what memberlist tells and asks.
+type delegate struct{ agent *Agent }
 
 // NotifyJoin takes a member that came.
-func (e events) NotifyJoin(n *memberlist.Node) { e.become(n, StateAlive) }
+func (e delegate) NotifyJoin(n *memberlist.Node) { e.setState(n, StateAlive) }
 
 // NotifyUpdate takes a member that tells otherwise of itself.
-func (e events) NotifyUpdate(n *memberlist.Node) { e.become(n, StateAlive) }
+func (e delegate) NotifyUpdate(n *memberlist.Node) { e.setState(n, StateAlive) }
 
 // NotifyLeave takes a member that went.
-func (e events) NotifyLeave(n *memberlist.Node) { e.become(n, StateFailed) }
+func (e delegate) NotifyLeave(n *memberlist.Node) { e.setState(n, StateFailed) }
 
-func (e events) become(n *memberlist.Node, state State) {
-	m, err := readMember(n.Name, n.Addr, n.Port, n.Meta)
+func (e delegate) setState(n *memberlist.Node, state State) {
+	m, err := decodeMember(n.Name, n.Addr, n.Port, n.Meta)
 	if err != nil { // memberlist was given nothing of the kind
-		e.v.o.Logger.Error("view: member", "name", n.Name, "error", err)
+		e.agent.options.Logger.Error("view: member", "name", n.Name, "error", err)
 		return
 	}
-	e.v.mu.Lock()
-	k := e.v.members[m.Name]
+	e.agent.membersMu.Lock()
+	k := e.agent.members[m.Name]
 	if k == nil {
 		k = &MemberStatus{}
-		e.v.members[m.Name] = k
+		e.agent.members[m.Name] = k
 	} else if k.Address != m.Address {
-		delete(e.v.heard, k.Address)
+		delete(e.agent.contacts, k.Address)
 	}
-	if state == StateFailed && e.v.words[m.Name].goodbye {
+	if state == StateFailed && e.agent.reports[m.Name].left {
 		state = StateLeft
 	}
 	k.Member = m
 	if k.State != state {
 		k.State, k.StateSince = state, time.Now()
-		if state == StateFailed && !e.v.closing {
-			e.v.pending.Add(1)
-			go e.v.verify(m)
+		if state == StateFailed && !e.agent.closing {
+			e.agent.background.Add(1)
+			go e.agent.verifyFailure(m)
 		}
 	}
-	if m.Name == e.v.o.Self.Name {
-	} else if _, ok := e.v.heard[m.Address]; !ok {
-		e.v.heard[m.Address] = heard{}
+	if m.Name == e.agent.options.Self.Name {
+	} else if _, ok := e.agent.contacts[m.Address]; !ok {
+		e.agent.contacts[m.Address] = contact{}
 	}
-	e.v.mu.Unlock()
+	e.agent.membersMu.Unlock()
 	select {
-	case e.v.wake <- struct{}{}:
+	case e.agent.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-var errFull = errors.New("more members than fleet.members")
+var errTooManyMembers = errors.New("more members than fleet.members")
 
 // NotifyAlive refuses a member beyond the bound.
-func (e events) NotifyAlive(n *memberlist.Node) error {
-	e.v.mu.Lock()
-	defer e.v.mu.Unlock()
-	k := e.v.members[n.Name]
-	if k != nil && k.State == StateFailed && time.Since(k.StateSince) > rejoinNews {
+func (e delegate) NotifyAlive(n *memberlist.Node) error {
+	e.agent.membersMu.Lock()
+	defer e.agent.membersMu.Unlock()
+	k := e.agent.members[n.Name]
+	if k != nil && k.State == StateFailed && time.Since(k.StateSince) > aliveReportDelay {
 		// Somebody thinks that it lives. If it does and this is no news to memberlist, it must hear that it is
 		// thought dead here, to say otherwise.
-		if soon := time.Now().Add(rand.N(rejoinEvery)); e.v.asked[k.Address] != nil && e.v.asked[k.Address].at.After(soon) {
-			e.v.asked[k.Address].at = soon
+		if soon := time.Now().Add(rand.N(rejoinInterval)); e.agent.rejoinAttempts[k.Address] != nil && e.agent.rejoinAttempts[k.Address].next.After(soon) {
+			e.agent.rejoinAttempts[k.Address].next = soon
 		}
 	}
-	if k == nil && len(e.v.members) >= e.v.o.MaxMembers && n.Name != e.v.o.Self.Name {
-		if !e.forgetOne() {
-			if c := e.v.full.Add(1); c&(c-1) == 0 {
-				e.v.o.Logger.Warn("view: member refused", "name", n.Name, "error", errFull, "refused", c)
+	if k == nil && len(e.agent.members) >= e.agent.options.MaxMembers && n.Name != e.agent.options.Self.Name {
+		if !e.evictOldest() {
+			if c := e.agent.rejectedMembers.Add(1); c&(c-1) == 0 {
+				e.agent.options.Logger.Warn("view: member refused", "name", n.Name, "error", errTooManyMembers, "refused", c)
 			}
-			return errFull
+			return errTooManyMembers
 		}
 	}
 	return nil
 }
 
-// forgetOne forgets the member that is gone the longest, if there is one. It holds the view's lock.
-func (e events) forgetOne() bool {
+// evictOldest forgets the member that is gone the longest, if there is one. It holds the view's lock.
+func (e delegate) evictOldest() bool {
 	var oldest *MemberStatus
-	for _, k := range e.v.members {
+	for _, k := range e.agent.members {
 		if k.State != StateAlive && (oldest == nil || k.StateSince.Before(oldest.StateSince)) {
 			oldest = k
 		}
@@ -619,36 +619,36 @@
 	if oldest == nil {
 		return false
 	}
-	delete(e.v.members, oldest.Name)
-	delete(e.v.heard, oldest.Address)
+	delete(e.agent.members, oldest.Name)
+	delete(e.agent.contacts, oldest.Address)
 	return true
 }
 
 // NotifyConflict counts two members of one name: the one that was there first stays.
-func (e events) NotifyConflict(existing, other *memberlist.Node) {
-	if n := e.v.conflicts.Add(1); n&(n-1) == 0 {
-		e.v.o.Logger.Warn("view: two members of one name", "name", existing.Name, "at", existing.Address(), "other", other.Address(), "times", n)
+func (e delegate) NotifyConflict(existing, other *memberlist.Node) {
+	if n := e.agent.nameConflicts.Add(1); n&(n-1) == 0 {
+		e.agent.options.Logger.Warn("view: two members of one name", "name", existing.Name, "at", existing.Address(), "other", other.Address(), "times", n)
 	}
 }
 
 // NodeMeta is what this sidecar tells of itself.
-func (e events) NodeMeta(int) []byte { return e.v.o.Self.meta() }
+func (e delegate) NodeMeta(int) []byte { return e.agent.options.Self.encodeMeta() }
 
 // NotifyMsg, GetBroadcasts, LocalState and MergeRemoteState are of no use here.
-func (e events) NotifyMsg([]byte)                  {}
-func (e events) GetBroadcasts(int, int) [][]byte   { return nil }
-func (e events) LocalState(bool) []byte            { return nil }
-func (e events) MergeRemoteState(_ []byte, _ bool) {}
+func (e delegate) NotifyMsg([]byte)                  {}
+func (e delegate) GetBroadcasts(int, int) [][]byte   { return nil }
+func (e delegate) LocalState(bool) []byte            { return nil }
+func (e delegate) MergeRemoteState(_ []byte, _ bool) {}
 
-// logLines passes memberlist's lines on, as its levels say; what it calls information is debugging here.
-type logLines struct{ log *slog.Logger }
+// logWriter passes memberlist's lines on, as its levels say; what it calls information is debugging here.
+type logWriter struct{ logger *slog.Logger }
 
-func (l logLines) Write(line []byte) (int, error) {
+func (l logWriter) Write(line []byte) (int, error) {
 	text := strings.TrimSpace(string(line))
 	if strings.HasPrefix(text, "[ERR]") {
-		l.log.Warn(text)
+		l.logger.Warn(text)
 	} else {
-		l.log.Debug(text)
+		l.logger.Debug(text)
 	}
 	return len(line), nil
 }
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -81,7 +81,7 @@
 func TestGoldenMeta(t *testing.T) {
 	var list []goldenMeta
 	for _, m := range goldenMembers {
-		list = append(list, goldenMeta{m.Name, m.Zone, m.Version, m.StartTime.UnixMilli(), m.Features.Names(), hex.EncodeToString(m.meta())})
+		list = append(list, goldenMeta{m.Name, m.Zone, m.Version, m.StartTime.UnixMilli(), m.Features.Names(), hex.EncodeToString(m.encodeMeta())})
 	}
 	compareGolden(t, "meta.json", list)
 	if err := json.Unmarshal(readGolden(t, "meta.json"), &list); err != nil {
@@ -91,7 +91,7 @@
 		m := goldenMembers[i]
 		for _, later := range []string{"", "0102"} { // a later version's fields are passed over
 			ip := m.Address.Addr().As4()
-			got, err := readMember(m.Name, ip[:], m.Address.Port(), unhex(t, g.Hex+later))
+			got, err := decodeMember(m.Name, ip[:], m.Address.Port(), unhex(t, g.Hex+later))
 			if err != nil || got != m {
 				t.Errorf("%s is read as %+v, %v, want %+v", g.Name, got, err, m)
 			}
@@ -101,8 +101,8 @@
 
 const goldenMost = 5 // members in a push/pull
 
-// verdict is how a message is judged: why it is refused is told, but no part of the form.
-type verdict struct {
+// checkResult is how a message is judged: why it is refused is told, but no part of the form.
+type checkResult struct {
 	Name     string   `json:"name"`
 	Hex      string   `json:"hex"`
 	Accepted bool     `json:"accepted"`
@@ -111,25 +111,25 @@
 	Probe    bool     `json:"probe,omitempty"`
 }
 
-func judge(name string, data []byte, stream bool) verdict {
-	v := verdict{Name: name, Hex: hex.EncodeToString(data)}
+func check(name string, data []byte, stream bool) checkResult {
+	v := checkResult{Name: name, Hex: hex.EncodeToString(data)}
 	note := func(name string, incarnation uint32, goodbye bool) {
 		v.Says = append(v.Says, fmt.Sprintf("%s %d %v", name, incarnation, goodbye))
 	}
 	if stream {
-		whole, err := vetStream(bytes.NewReader(data), goldenMost, note)
+		whole, err := readStreamMessage(bytes.NewReader(data), goldenMost, note)
 		v.Accepted = err == nil && bytes.Equal(whole, data)
 		return v
 	}
-	what, err := vetPacket(data, note)
-	v.Accepted, v.Ack, v.Probe = err == nil, what.ack, what.probe
+	what, err := checkPacket(data, note)
+	v.Accepted, v.Ack, v.Probe = err == nil, what.hasAck, what.hasProbe
 	return v
 }
 
-// judgeAgain judges a golden file's messages again, each as the file says.
-func judgeAgain(t *testing.T, file string, stream bool) []verdict {
+// recheckGolden judges a golden file's messages again, each as the file says.
+func recheckGolden(t *testing.T, file string, stream bool) []checkResult {
 	t.Helper()
-	var list []verdict
+	var list []checkResult
 	if err := json.Unmarshal(readGolden(t, file), &list); err != nil {
 		t.Fatal(err)
 	}
@@ -137,7 +137,7 @@
 		t.Fatalf("%s: no messages", file)
 	}
 	for _, g := range list {
-		if got := judge(g.Name, unhex(t, g.Hex), stream); fmt.Sprint(got) != fmt.Sprint(g) {
+		if got := check(g.Name, unhex(t, g.Hex), stream); fmt.Sprint(got) != fmt.Sprint(g) {
 			t.Errorf("%s: judged %+v, want %+v", file, got, g)
 		}
 	}
@@ -149,28 +149,28 @@
 // Messages of every kind, good ones and others, are judged as the golden file has them. Their bytes are what msgpack
 // makes of the fields, which come in any order: they are made once.
 func TestGoldenPackets(t *testing.T) {
-	dead := message(msgDead, fields{"Incarnation": 4, "Node": "s1", "From": "s1"})
-	ack := message(msgAck, fields{"SeqNo": 7})
+	dead := encodeMessage(msgDead, fields{"Incarnation": 4, "Node": "s1", "From": "s1"})
+	ack := encodeMessage(msgAck, fields{"SeqNo": 7})
 	address := []byte{10, 0, 0, 1}
 	indirect := func(field string, value any) []byte {
 		m := fields{"SeqNo": 7, "Node": "s1", "Target": address, "Port": 7946, "Nack": true, "SourceAddr": address, "SourcePort": 1, "SourceNode": "s2"}
 		m[field] = value
-		return message(msgIndirectPing, m)
+		return encodeMessage(msgIndirectPing, m)
 	}
 	ping := func(field string, value any) []byte {
 		m := fields{"SeqNo": 7, "Node": "s1", "SourceAddr": address, "SourcePort": 7946, "SourceNode": "s2"}
 		m[field] = value
-		return message(msgPing, m)
+		return encodeMessage(msgPing, m)
 	}
 	if *updateGolden {
-		var list []verdict
+		var list []checkResult
 		for _, c := range []struct {
 			name string
 			data []byte
 		}{
 			{"ping", ping("SeqNo", 8)},
 			{"ping of nobody by name", ping("Node", "")},
-			{"ping without a source", message(msgPing, fields{"SeqNo": 7, "Node": "s1"})},
+			{"ping without a source", encodeMessage(msgPing, fields{"SeqNo": 7, "Node": "s1"})},
 			{"ping of a name with a slash", ping("Node", "a/b")},
 			{"ping from an IPv6 address", ping("SourceAddr", make([]byte, 16))},
 			{"ping, truncated", ping("SeqNo", 8)[:20]},
@@ -178,93 +178,93 @@
 			{"indirect ping to nowhere", indirect("Target", []byte{1})},
 			{"indirect ping from a name to log", indirect("SourceNode", "s\n2")},
 			{"ack", ack},
-			{"ack with a payload", message(msgAck, fields{"SeqNo": 7, "Payload": []byte("x")})},
-			{"nack", message(msgNack, fields{"SeqNo": 7})},
-			{"suspect", message(msgSuspect, fields{"Incarnation": 4, "Node": "s1", "From": "s2"})},
-			{"suspect of nobody", message(msgSuspect, fields{"Node": "", "From": "s2"})},
-			{"suspect from nobody", message(msgSuspect, fields{"Node": "s1"})},
-			{"dead", message(msgDead, fields{"Incarnation": 4, "Node": "s1", "From": "s2"})},
+			{"ack with a payload", encodeMessage(msgAck, fields{"SeqNo": 7, "Payload": []byte("x")})},
+			{"nack", encodeMessage(msgNack, fields{"SeqNo": 7})},
+			{"suspect", encodeMessage(msgSuspect, fields{"Incarnation": 4, "Node": "s1", "From": "s2"})},
+			{"suspect of nobody", encodeMessage(msgSuspect, fields{"Node": "", "From": "s2"})},
+			{"suspect from nobody", encodeMessage(msgSuspect, fields{"Node": "s1"})},
+			{"dead", encodeMessage(msgDead, fields{"Incarnation": 4, "Node": "s1", "From": "s2"})},
 			{"dead, told by itself", dead},
-			{"dead of a name too long", message(msgDead, fields{"Node": string(bytes.Repeat([]byte("n"), MaxNameLength+1)), "From": "s2"})},
-			{"alive", message(msgAlive, state("", nil))},
-			{"alive of the longest name", message(msgAlive, state("Node", string(bytes.Repeat([]byte("n"), MaxNameLength))))},
-			{"alive of a later meta", message(msgAlive, state("Meta", append(bytes.Clone(goodMeta), 7)))},
-			{"alive without a name", message(msgAlive, state("Node", ""))},
-			{"alive with a name to log", message(msgAlive, state("Node", "s1\nfake"))},
-			{"alive at no address", message(msgAlive, state("Addr", []byte{}))},
-			{"alive at an IPv6 address", message(msgAlive, state("Addr", make([]byte, 16)))},
-			{"alive at port 0", message(msgAlive, state("Port", 0))},
-			{"alive with fewer versions", message(msgAlive, state("Vsn", []byte{1, 5}))},
-			{"alive of another protocol", message(msgAlive, state("Vsn", []byte{4, 5, 5, 0, 0, 0}))},
-			{"alive of another delegate", message(msgAlive, state("Vsn", []byte{1, 5, 2, 1, 1, 1}))},
-			{"alive with torn meta", message(msgAlive, state("Meta", goodMeta[:4]))},
-			{"alive with meta of another version", message(msgAlive, state("Meta", append([]byte{2}, goodMeta[1:]...)))},
-			{"alive with meta too long", message(msgAlive, state("Meta", append(bytes.Clone(goodMeta), make([]byte, metaMost)...)))},
-			{"compound", compound(ack, dead)},
-			{"compound of nothing", compound()},
-			{"compound in compound", compound(compound(dead))},
-			{"compound with one that is not good", compound(ack, []byte{8, 1, 2})},
-			{"compound, truncated", compound(dead)[:20]},
+			{"dead of a name too long", encodeMessage(msgDead, fields{"Node": string(bytes.Repeat([]byte("n"), MaxNameLength+1)), "From": "s2"})},
+			{"alive", encodeMessage(msgAlive, memberState("", nil))},
+			{"alive of the longest name", encodeMessage(msgAlive, memberState("Node", string(bytes.Repeat([]byte("n"), MaxNameLength))))},
+			{"alive of a later meta", encodeMessage(msgAlive, memberState("Meta", append(bytes.Clone(validMeta), 7)))},
+			{"alive without a name", encodeMessage(msgAlive, memberState("Node", ""))},
+			{"alive with a name to log", encodeMessage(msgAlive, memberState("Node", "s1\nfake"))},
+			{"alive at no address", encodeMessage(msgAlive, memberState("Addr", []byte{}))},
+			{"alive at an IPv6 address", encodeMessage(msgAlive, memberState("Addr", make([]byte, 16)))},
+			{"alive at port 0", encodeMessage(msgAlive, memberState("Port", 0))},
+			{"alive with fewer versions", encodeMessage(msgAlive, memberState("Vsn", []byte{1, 5}))},
+			{"alive of another protocol", encodeMessage(msgAlive, memberState("Vsn", []byte{4, 5, 5, 0, 0, 0}))},
+			{"alive of another delegate", encodeMessage(msgAlive, memberState("Vsn", []byte{1, 5, 2, 1, 1, 1}))},
+			{"alive with torn meta", encodeMessage(msgAlive, memberState("Meta", validMeta[:4]))},
+			{"alive with meta of another version", encodeMessage(msgAlive, memberState("Meta", append([]byte{2}, validMeta[1:]...)))},
+			{"alive with meta too long", encodeMessage(msgAlive, memberState("Meta", append(bytes.Clone(validMeta), make([]byte, maxMetaSize)...)))},
+			{"compound", encodeCompound(ack, dead)},
+			{"compound of nothing", encodeCompound()},
+			{"compound in compound", encodeCompound(encodeCompound(dead))},
+			{"compound with one that is not good", encodeCompound(ack, []byte{8, 1, 2})},
+			{"compound, truncated", encodeCompound(dead)[:20]},
 			{"compound of nothing said", []byte{msgCompound, 9, 0}},
 			{"checksum that is wrong", append([]byte{msgHasCRC, 0, 0, 0, 0}, dead...)},
-			{"push/pull as a packet", message(msgPushPull, fields{"Nodes": 1})},
+			{"push/pull as a packet", encodeMessage(msgPushPull, fields{"Nodes": 1})},
 			{"user message", []byte{8, 1, 2}},
-			{"compressed", message(9, fields{"Algo": 0})},
+			{"compressed", encodeMessage(9, fields{"Algo": 0})},
 			{"encrypted", []byte{10, 1, 2}},
-			{"error as a packet", message(msgErr, fields{"Error": "e"})},
+			{"error as a packet", encodeMessage(msgErr, fields{"Error": "e"})},
 			{"of no kind", []byte{200, 0x80}},
 			{"empty", nil},
 		} {
-			list = append(list, judge(c.name, c.data, false))
+			list = append(list, check(c.name, c.data, false))
 		}
 		compareGolden(t, "packets.json", list)
 	}
-	judgeAgain(t, "packets.json", false)
+	recheckGolden(t, "packets.json", false)
 }
 
 // Streams' messages are judged, at most goldenMost members each, as the golden file has them.
 func TestGoldenStreams(t *testing.T) {
 	if *updateGolden {
-		var list []verdict
+		var list []checkResult
 		for _, c := range []struct {
 			name string
 			data []byte
 		}{
-			{"push/pull", pushPull(2, state("", nil), state("Name", "s2"))},
-			{"push/pull with one that left", pushPull(2, state("State", 3), state("Name", "s2"))},
-			{"push/pull with one suspected, one dead", pushPull(2, state("State", 1), state("State", 2))},
-			{"push/pull of nobody", pushPull(0)},
-			{"more than the bound", pushPull(goldenMost+1, slices.Repeat([]fields{state("", nil)}, goldenMost+1)...)},
-			{"a count below nothing", pushPull(-1)},
-			{"fewer than it says", pushPull(2, state("", nil))},
-			{"a state that is none", pushPull(1, state("State", 9))},
-			{"a state below nothing", pushPull(1, state("State", -1))},
-			{"a member without a name", pushPull(1, state("Name", ""))},
-			{"user state", message(msgPushPull, fields{"Nodes": 0, "UserStateLen": 1 << 30})},
-			{"error", message(msgErr, fields{"Error": "why"})},
-			{"error, truncated", message(msgErr, fields{"Error": "why"})[:4]},
+			{"push/pull", encodePushPull(2, memberState("", nil), memberState("Name", "s2"))},
+			{"push/pull with one that left", encodePushPull(2, memberState("State", 3), memberState("Name", "s2"))},
+			{"push/pull with one suspected, one dead", encodePushPull(2, memberState("State", 1), memberState("State", 2))},
+			{"push/pull of nobody", encodePushPull(0)},
+			{"more than the bound", encodePushPull(goldenMost+1, slices.Repeat([]fields{memberState("", nil)}, goldenMost+1)...)},
+			{"a count below nothing", encodePushPull(-1)},
+			{"fewer than it says", encodePushPull(2, memberState("", nil))},
+			{"a state that is none", encodePushPull(1, memberState("State", 9))},
+			{"a state below nothing", encodePushPull(1, memberState("State", -1))},
+			{"a member without a name", encodePushPull(1, memberState("Name", ""))},
+			{"user state", encodeMessage(msgPushPull, fields{"Nodes": 0, "UserStateLen": 1 << 30})},
+			{"error", encodeMessage(msgErr, fields{"Error": "why"})},
+			{"error, truncated", encodeMessage(msgErr, fields{"Error": "why"})[:4]},
 			{"a user message", []byte{8, 1}},
-			{"a ping", message(msgPing, fields{"SeqNo": 1})},
+			{"a ping", encodeMessage(msgPing, fields{"SeqNo": 1})},
 			{"nothing", nil},
 		} {
-			list = append(list, judge(c.name, c.data, true))
+			list = append(list, check(c.name, c.data, true))
 		}
 		compareGolden(t, "streams.json", list)
 	}
-	judgeAgain(t, "streams.json", true)
+	recheckGolden(t, "streams.json", true)
 }
 
 // recordFleet gives what members of a fleet really send: of each packet's kinds the first few, and a push/pull.
-func recordFleet(t *testing.T) (packets, streams []verdict) {
+func recordFleet(t *testing.T) (packets, streams []checkResult) {
 	t.Helper()
 	seen := map[string]int{}
-	inSim(t, 33, 5, func(s *sim) {
-		s.spy = func(data []byte) []byte { // called under the sim's lock
+	inSimulation(t, 33, 5, func(s *simulation) {
+		s.forge = func(data []byte) []byte { // called under the sim's lock
 			kind := fmt.Sprint(data[0])
 			if data[0] == byte(datagram.ChannelPackets) {
 				parts := data[1:]
 				if parts[0] == msgHasCRC {
-					parts = parts[crcHead:]
+					parts = parts[crcHeaderSize:]
 				}
 				kind = fmt.Sprintf("packet of type %d", parts[0])
 				if parts[0] == msgCompound {
@@ -274,32 +274,32 @@
 					}
 				}
 				if seen[kind]++; seen[kind] <= 2 {
-					packets = append(packets, judge(kind, data[1:], false))
+					packets = append(packets, check(kind, data[1:], false))
 				}
 			}
 			return []byte{0}
 		}
 		s.startAll()
-		s.settles("start", s.running(nil), settleMost)
-		s.nodes[3].end(false)
-		s.nodes[4].end(true)
-		s.settles("one crashed, one left", s.running(nil), settleMost)
-		s.set(func(a, b int) bool { return a == 0 && b == 1 || b == 0 && a == 1 }, s.bad)
+		s.awaitStable("start", s.runningNodes(nil), stableTimeout)
+		s.nodes[3].stop(false)
+		s.nodes[4].stop(true)
+		s.awaitStable("one crashed, one left", s.runningNodes(nil), stableTimeout)
+		s.setNetwork(func(a, b int) bool { return a == 0 && b == 1 || b == 0 && a == 1 }, s.impairment)
 		time.Sleep(10 * time.Second)
-		s.set(nil, s.bad)
+		s.setNetwork(nil, s.impairment)
 
-		stranger := &simNode{sim: s, number: -1, addr: netip.MustParseAddrPort("10.7.7.7:7")}
-		stranger.link = datagram.New(func(data []byte, to netip.AddrPort) error { return s.carry(stranger, data, to) }, datagram.Options{})
-		accepts := datagram.NewStreams(stranger.link)
-		s.mu.Lock()
-		s.links[stranger.addr] = stranger.link
-		s.mu.Unlock()
-		go s.nodes[0].view.list.Join([]string{stranger.addr.String()})
+		stranger := &simNode{simulation: s, number: -1, address: netip.MustParseAddrPort("10.7.7.7:7")}
+		stranger.transport = datagram.New(func(data []byte, to netip.AddrPort) error { return s.carry(stranger, data, to) }, datagram.Options{})
+		accepts := datagram.NewStreams(stranger.transport)
+		s.networkMu.Lock()
+		s.transports[stranger.address] = stranger.transport
+		s.networkMu.Unlock()
+		go s.nodes[0].agent.memberlist.Join([]string{stranger.address.String()})
 		conn := <-accepts.Accepted()
 		conn.SetDeadline(time.Now().Add(time.Second))
 		whole, _ := io.ReadAll(conn)
 		conn.Close()
-		streams = append(streams, judge("push/pull of a member's", whole, true))
+		streams = append(streams, check("push/pull of a member's", whole, true))
 		time.Sleep(10 * time.Second)
 		accepts.Close()
 	})
@@ -313,7 +313,7 @@
 		compareGolden(t, "fleet_packets.json", packets)
 		compareGolden(t, "fleet_streams.json", streams)
 	}
-	for _, g := range slices.Concat(judgeAgain(t, "fleet_packets.json", false), judgeAgain(t, "fleet_streams.json", true)) {
+	for _, g := range slices.Concat(recheckGolden(t, "fleet_packets.json", false), recheckGolden(t, "fleet_streams.json", true)) {
 		if !g.Accepted {
 			t.Errorf("%s: a member's message is refused", g.Name)
 		}
@@ -329,8 +329,8 @@
 	if err := json.Unmarshal(readGolden(t, "kept.json"), &got); err != nil || got.Epoch != kept.Epoch || !slices.Equal(got.Members, kept.Members) {
 		t.Errorf("read as %+v, %v, want %+v", got, err, kept)
 	}
-	inSim(t, 1, 1, func(s *sim) {
+	inSimulation(t, 1, 1, func(s *simulation) {
 		s.nodes[0].start(Options{Snapshot: got})
-		compareGolden(t, "kept_again.json", s.nodes[0].view.Snapshot())
+		compareGolden(t, "kept_again.json", s.nodes[0].agent.Snapshot())
 	})
 }
--- a/internal/membership/measure_test.go
+++ b/internal/membership/measure_test.go
@@ -49,9 +49,9 @@
 }
 
 // sent is what all links sent, in datagrams and bytes, over all channels.
-func (s *sim) sent() (datagrams, bytes, held float64) {
-	for _, n := range s.running(nil) {
-		counts, _ := n.link.Counts()
+func (s *simulation) sent() (datagrams, bytes, held float64) {
+	for _, n := range s.runningNodes(nil) {
+		counts, _ := n.transport.Counts()
 		for _, c := range counts {
 			datagrams, bytes, held = datagrams+float64(c.SentDatagrams), bytes+float64(c.SentBytes), held+float64(c.RateLimited)
 		}
@@ -59,15 +59,15 @@
 	return
 }
 
-const measurePatience = 10 * time.Minute
+const measureTimeout = 10 * time.Minute
 
 // measure plays one seed: cold start, calm, a crash, a return, half against
 // half for a minute, healed. Losses are on from the start.
-func measure(s *sim, f *figures, name string) {
+func measure(s *simulation, f *figures, name string) {
 	n := len(s.nodes)
 	took := func(what string, d time.Duration) { f.add(name+" "+what+"_s", d.Seconds()) }
 	s.startAll()
-	took("cold_start", s.settles("cold start", s.running(nil), measurePatience))
+	took("cold_start", s.awaitStable("cold start", s.runningNodes(nil), measureTimeout))
 	time.Sleep(30 * time.Second) // what it began with is told to all
 	d0, b0, _ := s.sent()
 	time.Sleep(time.Minute)
@@ -75,37 +75,37 @@
 	f.add(name+" calm_datagrams_per_s", (d1-d0)/float64(n)/60)
 	f.add(name+" calm_bytes_per_s", (b1-b0)/float64(n)/60)
 	last := s.nodes[n-1]
-	last.end(false)
-	took("crash_known", s.settles("crash", s.running(nil), measurePatience))
+	last.stop(false)
+	took("crash_known", s.awaitStable("crash", s.runningNodes(nil), measureTimeout))
 	last.start(Options{})
-	took("return", s.settles("return", s.running(nil), measurePatience))
+	took("return", s.awaitStable("return", s.runningNodes(nil), measureTimeout))
 	if n > 5 {
-		s.set(func(a, b int) bool { return a < n/2 != (b < n/2) }, s.bad)
-		both := s.settles("half", s.running(func(i int) bool { return i < n/2 }), measurePatience)
-		both += s.settles("other half", s.running(func(i int) bool { return i >= n/2 }), measurePatience)
+		s.setNetwork(func(a, b int) bool { return a < n/2 != (b < n/2) }, s.impairment)
+		both := s.awaitStable("half", s.runningNodes(func(i int) bool { return i < n/2 }), measureTimeout)
+		both += s.awaitStable("other half", s.runningNodes(func(i int) bool { return i >= n/2 }), measureTimeout)
 		took("split", both)
 		time.Sleep(max(0, time.Minute-both))
-		s.set(nil, s.bad)
-		took("healed", s.settles("healed", s.running(nil), measurePatience))
+		s.setNetwork(nil, s.impairment)
+		took("healed", s.awaitStable("healed", s.runningNodes(nil), measureTimeout))
 	}
 	_, _, held := s.sent()
 	f.add(name+" held_back_datagrams_per_member", held/float64(n))
 }
 
 // falseRemovals counts removals of living members from settled views in the given time, at a loss and delays to 200 ms.
-func falseRemovals(s *sim, f *figures, name string, loss float64, lasts time.Duration) {
-	s.bad = impairment{loss: loss, delay: 200 * time.Millisecond}
+func falseRemovals(s *simulation, f *figures, name string, loss float64, lasts time.Duration) {
+	s.impairment = impairment{loss: loss, delay: 200 * time.Millisecond}
 	s.startAll()
-	s.settles("cold start", s.running(nil), measurePatience)
+	s.awaitStable("cold start", s.runningNodes(nil), measureTimeout)
 	time.Sleep(20 * time.Second)
 	before := map[int]uint64{}
 	for _, n := range s.nodes {
-		before[n.number] = n.view.StableView().Epoch
+		before[n.number] = n.agent.StableView().Epoch
 	}
 	time.Sleep(lasts)
 	moves := 0.0
 	for _, n := range s.nodes {
-		moves += float64(n.view.StableView().Epoch - before[n.number])
+		moves += float64(n.agent.StableView().Epoch - before[n.number])
 	}
 	f.add(name+" view_moves_per_member_hour", moves/float64(len(s.nodes))/lasts.Hours())
 	f.add(name+" member_minutes", float64(len(s.nodes))*lasts.Minutes())
@@ -130,8 +130,8 @@
 					name := fmt.Sprintf("%d members, loss %v:", n, loss)
 					t.Run(fmt.Sprint(name, seed), func(t *testing.T) {
 						t.Parallel()
-						inSim(t, seed, n, func(s *sim) {
-							s.bad = impairment{loss: loss, delay: 2 * time.Millisecond}
+						inSimulation(t, seed, n, func(s *simulation) {
+							s.impairment = impairment{loss: loss, delay: 2 * time.Millisecond}
 							measure(s, f, name)
 						})
 					})
@@ -144,7 +144,7 @@
 				name := fmt.Sprintf("50 members, loss %v, delays to 200ms:", loss)
 				t.Run(fmt.Sprint(name, seed), func(t *testing.T) {
 					t.Parallel()
-					inSim(t, seed, 50, func(s *sim) { falseRemovals(s, f, name, loss, 5*time.Minute) })
+					inSimulation(t, seed, 50, func(s *simulation) { falseRemovals(s, f, name, loss, 5*time.Minute) })
 				})
 			}
 		}
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -20,7 +20,7 @@
 	MaxVersionLength = 16
 
 	metaVersion = 1
-	metaMost    = 64
+	maxMetaSize = 64
 )
 
 // Features are a bit for each part that a member has switched on.
@@ -62,7 +62,7 @@
 		field, text string
 		least, most int
 	}{{"name", m.Name, 1, MaxNameLength}, {"zone", m.Zone, 0, MaxZoneLength}, {"version", m.Version, 0, MaxVersionLength}} {
-		if err := checkText(f.text, f.least, f.most); err != nil {
+		if err := validateText(f.text, f.least, f.most); err != nil {
 			return fmt.Errorf("%s: %q %w", f.field, f.text, err)
 		}
 	}
@@ -72,7 +72,7 @@
 	return nil
 }
 
-func checkText(text string, least, most int) error {
+func validateText(text string, least, most int) error {
 	switch {
 	case len(text) < least || len(text) > most:
 		return fmt.Errorf("is not of %d to %d bytes", least, most)
@@ -82,10 +82,10 @@
 	return nil
 }
 
-// meta is what a member tells beside its name and address: the format's
+// encodeMeta is what a member tells beside its name and address: the format's
 // version, the start in Unix milliseconds and the features as varints, then
 // zone and program version, each after its length. What follows is of a later version, and passed over.
-func (m Member) meta() []byte {
+func (m Member) encodeMeta() []byte {
 	b := []byte{metaVersion}
 	b = binary.AppendUvarint(b, uint64(max(0, m.StartTime.UnixMilli())))
 	b = binary.AppendUvarint(b, uint64(m.Features))
@@ -95,12 +95,12 @@
 	return b
 }
 
-// readMember reads a member from its name, address and meta.
-func readMember(name string, ip net.IP, port uint16, meta []byte) (Member, error) {
+// decodeMember reads a member from its name, address and meta.
+func decodeMember(name string, ip net.IP, port uint16, meta []byte) (Member, error) {
 	m := Member{Name: name}
 	addr, _ := netip.AddrFromSlice(ip)
 	m.Address = netip.AddrPortFrom(addr.Unmap(), port)
-	if len(meta) == 0 || len(meta) > metaMost || meta[0] != metaVersion {
+	if len(meta) == 0 || len(meta) > maxMetaSize || meta[0] != metaVersion {
 		return m, fmt.Errorf("meta: %d bytes are none of version %d", len(meta), metaVersion)
 	}
 	rest := meta[1:]
--- a/internal/membership/message_check.go
+++ b/internal/membership/message_check.go
@@ -26,19 +26,19 @@
 	msgDead
 	msgPushPull
 	msgCompound
-	msgNack    byte = 11
-	msgHasCRC  byte = 12
-	msgErr     byte = 13
-	versions        = 6 // protocol and delegate: least, most and spoken
-	speaks          = 2 // the protocol version that all of this program speak
-	stateLeft       = 3
-	crcHead         = 5
-	statesHead      = 256 // bytes of a push/pull before its states, at most
-	stateBytes      = 400 // of one state, at most
+	msgNack               byte = 11
+	msgHasCRC             byte = 12
+	msgErr                byte = 13
+	versionCount               = 6 // protocol and delegate: least, most and spoken
+	protocolVersion            = 2 // the protocol version that all of this program speak
+	stateLeft                  = 3
+	crcHeaderSize              = 5
+	maxPushPullHeaderSize      = 256 // bytes of a push/pull before its states, at most
+	maxStateSize               = 400 // of one state, at most
 )
 
-// wire is any message: each kind uses some of the fields.
-type wire struct {
+// wireMessage is any message: each kind uses some of the fields.
+type wireMessage struct {
 	SeqNo       uint32
 	Node        string
 	From        string
@@ -57,26 +57,26 @@
 	Nack        bool
 }
 
-// said is what the library does not pass on of a message: who was told alive, or said goodbye, in which incarnation.
-type said func(name string, incarnation uint32, goodbye bool)
+// reportFunc is what the library does not pass on of a message: who was told alive, or said goodbye, in which incarnation.
+type reportFunc func(name string, incarnation uint32, goodbye bool)
 
 func decode(r io.Reader, into any) error {
 	return codec.NewDecoder(r, &codec.MsgpackHandle{}).Decode(into)
 }
 
-// contents is what a packet holds: an answer, a probe of a member by its name.
-type contents struct{ ack, probe bool }
+// packetContents is what a packet holds: an answer, a probe of a member by its name.
+type packetContents struct{ hasAck, hasProbe bool }
 
-// vetPacket says why a packet cannot be one of memberlist's, and what it holds; note is told of what it says of members.
-func vetPacket(data []byte, note said) (what contents, err error) {
-	if len(data) >= crcHead && data[0] == msgHasCRC {
-		if crc32.ChecksumIEEE(data[crcHead:]) != binary.BigEndian.Uint32(data[1:]) {
+// checkPacket says why a packet cannot be one of memberlist's, and what it holds; note is told of what it says of members.
+func checkPacket(data []byte, note reportFunc) (what packetContents, err error) {
+	if len(data) >= crcHeaderSize && data[0] == msgHasCRC {
+		if crc32.ChecksumIEEE(data[crcHeaderSize:]) != binary.BigEndian.Uint32(data[1:]) {
 			return what, errors.New("checksum does not match")
 		}
-		data = data[crcHead:]
+		data = data[crcHeaderSize:]
 	}
 	if len(data) < 2 || data[0] != msgCompound {
-		err = vetMessage(data, note, &what)
+		err = checkMessage(data, note, &what)
 		return what, err
 	}
 	parts := int(data[1])
@@ -89,7 +89,7 @@
 		if n > len(rest) {
 			return what, errors.New("compound: truncated")
 		}
-		if err := vetMessage(rest[:n], note, &what); err != nil {
+		if err := checkMessage(rest[:n], note, &what); err != nil {
 			return what, err
 		}
 		rest = rest[n:]
@@ -97,23 +97,23 @@
 	return what, nil
 }
 
-func vetMessage(data []byte, note said, what *contents) error {
+func checkMessage(data []byte, note reportFunc, what *packetContents) error {
 	if len(data) == 0 {
 		return errors.New("empty")
 	}
-	var m wire
+	var m wireMessage
 	if err := decode(bytes.NewReader(data[1:]), &m); err != nil {
 		return fmt.Errorf("type %d: %w", data[0], err)
 	}
 	switch data[0] {
 	case msgPing:
-		what.probe = what.probe || m.Node != ""
+		what.hasProbe = what.hasProbe || m.Node != ""
 		return errors.Join(checkName("Node", m.Node, 0), checkName("SourceNode", m.SourceNode, 0), checkIP("SourceAddr", m.SourceAddr, true))
 	case msgIndirectPing:
 		return errors.Join(checkName("Node", m.Node, 0), checkName("SourceNode", m.SourceNode, 0), checkIP("SourceAddr", m.SourceAddr, true),
 			checkIP("Target", m.Target, false))
 	case msgAck:
-		what.ack = true
+		what.hasAck = true
 		if len(m.Payload) > 0 {
 			return errors.New("ack: has a payload")
 		}
@@ -126,23 +126,23 @@
 			note(m.Node, m.Incarnation, true)
 		}
 	case msgAlive:
-		return vetState(m, m.Node, note)
+		return checkMemberState(m, m.Node, note)
 	default:
 		return fmt.Errorf("type %d is none of the view's", data[0])
 	}
 	return nil
 }
 
-// vetState checks what is told of a member that lives, or of one in a push/pull.
-func vetState(m wire, name string, note said) error {
-	if _, err := readMember(name, net.IP(m.Addr), m.Port, m.Meta); err != nil {
+// checkMemberState checks what is told of a member that lives, or of one in a push/pull.
+func checkMemberState(m wireMessage, name string, note reportFunc) error {
+	if _, err := decodeMember(name, net.IP(m.Addr), m.Port, m.Meta); err != nil {
 		return err
 	}
 	switch v := m.Vsn; {
-	case len(v) != versions:
-		return fmt.Errorf("Vsn: %d versions are not %d", len(v), versions)
-	case v[0] < 1 || v[0] > speaks || v[1] < speaks || v[2] < v[0] || v[2] > v[1] || v[3] != 0 || v[5] != 0:
-		return fmt.Errorf("Vsn: %v leaves out protocol %d", v, speaks)
+	case len(v) != versionCount:
+		return fmt.Errorf("Vsn: %d versions are not %d", len(v), versionCount)
+	case v[0] < 1 || v[0] > protocolVersion || v[1] < protocolVersion || v[2] < v[0] || v[2] > v[1] || v[3] != 0 || v[5] != 0:
+		return fmt.Errorf("Vsn: %v leaves out protocol %d", v, protocolVersion)
 	case m.State < 0 || m.State > stateLeft:
 		return fmt.Errorf("State: %d is none", m.State)
 	}
@@ -151,7 +151,7 @@
 }
 
 func checkName(field, text string, least int) error {
-	if err := checkText(text, least, MaxNameLength); err != nil {
+	if err := validateText(text, least, MaxNameLength); err != nil {
 		return fmt.Errorf("%s: %.80q %w", field, text, err)
 	}
 	return nil
@@ -164,11 +164,11 @@
 	return nil
 }
 
-// vetStream reads one whole message of a stream, a push/pull of at most most
+// readStreamMessage reads one whole message of a stream, a push/pull of at most most
 // states or an error's text, and returns its bytes.
-func vetStream(r io.Reader, most int, note said) ([]byte, error) {
+func readStreamMessage(r io.Reader, most int, note reportFunc) ([]byte, error) {
 	var whole bytes.Buffer
-	in := bufio.NewReader(io.TeeReader(io.LimitReader(r, int64(statesHead+most*stateBytes)), &whole))
+	in := bufio.NewReader(io.TeeReader(io.LimitReader(r, int64(maxPushPullHeaderSize+most*maxStateSize)), &whole))
 	kind, err := in.ReadByte()
 	if err != nil {
 		return nil, err
@@ -196,11 +196,11 @@
 		return nil, fmt.Errorf("push/pull: %d states (at most %d) and %d bytes more (at most 0)", head.Nodes, most, head.UserStateLen)
 	}
 	for i := range head.Nodes {
-		var m wire
+		var m wireMessage
 		if err := dec.Decode(&m); err != nil {
 			return nil, fmt.Errorf("push/pull: state %d: %w", i, err)
 		}
-		if err := vetState(m, m.Name, note); err != nil {
+		if err := checkMemberState(m, m.Name, note); err != nil {
 			return nil, fmt.Errorf("push/pull: state %d: %w", i, err)
 		}
 	}
--- a/internal/membership/message_check_test.go
+++ b/internal/membership/message_check_test.go
@@ -10,8 +10,8 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// message builds one of memberlist's.
-func message(kind byte, fields map[string]any) []byte {
+// encodeMessage builds one of memberlist's.
+func encodeMessage(kind byte, fields map[string]any) []byte {
 	var b bytes.Buffer
 	b.WriteByte(kind)
 	if err := codec.NewEncoder(&b, &codec.MsgpackHandle{}).Encode(fields); err != nil {
@@ -20,7 +20,7 @@
 	return b.Bytes()
 }
 
-func compound(parts ...[]byte) []byte {
+func encodeCompound(parts ...[]byte) []byte {
 	out := []byte{msgCompound, byte(len(parts))}
 	for _, p := range parts {
 		out = append(out, byte(len(p)>>8), byte(len(p)))
@@ -28,11 +28,11 @@
 	return append(out, bytes.Join(parts, nil)...)
 }
 
-var goodMeta = Member{StartTime: time.Unix(1, 0)}.meta()
+var validMeta = Member{StartTime: time.Unix(1, 0)}.encodeMeta()
 
-// state is a member's as alive messages (by Node) and push/pulls (by Name) have it, with one field changed.
-func state(field string, value any) map[string]any {
-	m := map[string]any{"Incarnation": 3, "Node": "s1", "Name": "s1", "Addr": []byte{10, 0, 0, 1}, "Port": 7946, "Meta": goodMeta,
+// memberState is a member's as alive messages (by Node) and push/pulls (by Name) have it, with one field changed.
+func memberState(field string, value any) map[string]any {
+	m := map[string]any{"Incarnation": 3, "Node": "s1", "Name": "s1", "Addr": []byte{10, 0, 0, 1}, "Port": 7946, "Meta": validMeta,
 		"Vsn": []byte{1, 5, 2, 0, 0, 0}, "State": 0}
 	if field != "" {
 		m[field] = value
@@ -42,40 +42,40 @@
 
 func TestVetPacket(t *testing.T) {
 	none := func(string, uint32, bool) {}
-	dead := message(msgDead, map[string]any{"Incarnation": 4, "Node": "s1", "From": "s1"})
+	dead := encodeMessage(msgDead, map[string]any{"Incarnation": 4, "Node": "s1", "From": "s1"})
 	for name, c := range map[string]struct {
 		data []byte
 		good bool
 	}{
-		"alive":                     {message(msgAlive, state("", nil)), true},
-		"compound":                  {compound(message(msgAck, map[string]any{"SeqNo": 1}), dead), true},
+		"alive":                     {encodeMessage(msgAlive, memberState("", nil)), true},
+		"compound":                  {encodeCompound(encodeMessage(msgAck, map[string]any{"SeqNo": 1}), dead), true},
 		"empty":                     {nil, false},
-		"compound in compound":      {compound(compound(dead)), false},
-		"compound, truncated":       {compound(dead)[:20], false},
+		"compound in compound":      {encodeCompound(encodeCompound(dead)), false},
+		"compound, truncated":       {encodeCompound(dead)[:20], false},
 		"compound of nothing said":  {[]byte{msgCompound, 9, 0}, false},
-		"push/pull as a packet":     {message(msgPushPull, map[string]any{"Nodes": 1}), false},
-		"compressed":                {message(9, map[string]any{"Algo": 0}), false},
+		"push/pull as a packet":     {encodeMessage(msgPushPull, map[string]any{"Nodes": 1}), false},
+		"compressed":                {encodeMessage(9, map[string]any{"Algo": 0}), false},
 		"user message":              {[]byte{8, 1, 2}, false},
 		"checksum that is wrong":    {append([]byte{msgHasCRC, 0, 0, 0, 0}, dead...), false},
-		"alive without a name":      {message(msgAlive, state("Node", "")), false},
-		"alive with a name to log":  {message(msgAlive, state("Node", "s1\nfake")), false},
-		"alive at no address":       {message(msgAlive, state("Addr", []byte{})), false},
-		"alive at an IPv6 address":  {message(msgAlive, state("Addr", make([]byte, 16))), false},
-		"alive at port 0":           {message(msgAlive, state("Port", 0)), false},
-		"alive with fewer versions": {message(msgAlive, state("Vsn", []byte{1, 5})), false},
-		"alive of another protocol": {message(msgAlive, state("Vsn", []byte{4, 5, 5, 0, 0, 0})), false},
-		"alive with torn meta":      {message(msgAlive, state("Meta", goodMeta[:4])), false},
-		"alive of a later meta":     {message(msgAlive, state("Meta", append(bytes.Clone(goodMeta), 7))), true},
-		"ack with a payload":        {message(msgAck, map[string]any{"SeqNo": 1, "Payload": []byte("x")}), false},
-		"suspect of nobody":         {message(msgSuspect, map[string]any{"Node": "", "From": "s1"}), false},
-		"indirect ping to nowhere":  {message(msgIndirectPing, map[string]any{"Target": []byte{1}}), false},
+		"alive without a name":      {encodeMessage(msgAlive, memberState("Node", "")), false},
+		"alive with a name to log":  {encodeMessage(msgAlive, memberState("Node", "s1\nfake")), false},
+		"alive at no address":       {encodeMessage(msgAlive, memberState("Addr", []byte{})), false},
+		"alive at an IPv6 address":  {encodeMessage(msgAlive, memberState("Addr", make([]byte, 16))), false},
+		"alive at port 0":           {encodeMessage(msgAlive, memberState("Port", 0)), false},
+		"alive with fewer versions": {encodeMessage(msgAlive, memberState("Vsn", []byte{1, 5})), false},
+		"alive of another protocol": {encodeMessage(msgAlive, memberState("Vsn", []byte{4, 5, 5, 0, 0, 0})), false},
+		"alive with torn meta":      {encodeMessage(msgAlive, memberState("Meta", validMeta[:4])), false},
+		"alive of a later meta":     {encodeMessage(msgAlive, memberState("Meta", append(bytes.Clone(validMeta), 7))), true},
+		"ack with a payload":        {encodeMessage(msgAck, map[string]any{"SeqNo": 1, "Payload": []byte("x")}), false},
+		"suspect of nobody":         {encodeMessage(msgSuspect, map[string]any{"Node": "", "From": "s1"}), false},
+		"indirect ping to nowhere":  {encodeMessage(msgIndirectPing, map[string]any{"Target": []byte{1}}), false},
 	} {
-		if _, err := vetPacket(c.data, none); (err == nil) != c.good {
+		if _, err := checkPacket(c.data, none); (err == nil) != c.good {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	var goodbyes []string
-	vetPacket(compound(dead, message(msgDead, map[string]any{"Incarnation": 4, "Node": "s2", "From": "s1"})), func(name string, _ uint32, goodbye bool) {
+	checkPacket(encodeCompound(dead, encodeMessage(msgDead, map[string]any{"Incarnation": 4, "Node": "s2", "From": "s1"})), func(name string, _ uint32, goodbye bool) {
 		if goodbye {
 			goodbyes = append(goodbyes, name)
 		}
@@ -85,31 +85,31 @@
 	}
 }
 
-// pushPull builds a push/pull that says that it has so many states.
-func pushPull(says int, states ...map[string]any) []byte {
-	b := message(msgPushPull, map[string]any{"Nodes": says, "UserStateLen": 0, "Join": true})
+// encodePushPull builds a push/pull that says that it has so many states.
+func encodePushPull(says int, states ...map[string]any) []byte {
+	b := encodeMessage(msgPushPull, map[string]any{"Nodes": says, "UserStateLen": 0, "Join": true})
 	for _, s := range states {
-		b = append(b, message(0, s)[1:]...)
+		b = append(b, encodeMessage(0, s)[1:]...)
 	}
 	return b
 }
 
 func TestVetStream(t *testing.T) {
 	none := func(string, uint32, bool) {}
-	whole := pushPull(2, state("", nil), state("Name", "s2"))
-	if got, err := vetStream(bytes.NewReader(whole), 2, none); err != nil || !bytes.Equal(got, whole) {
+	whole := encodePushPull(2, memberState("", nil), memberState("Name", "s2"))
+	if got, err := readStreamMessage(bytes.NewReader(whole), 2, none); err != nil || !bytes.Equal(got, whole) {
 		t.Errorf("a good one: %v", err)
 	}
 	for name, data := range map[string][]byte{
-		"more than the bound":   pushPull(3, state("", nil)),
-		"a count below nothing": pushPull(-1),
-		"fewer than it says":    pushPull(2, state("", nil)),
-		"a state that is none":  pushPull(1, state("State", 9)),
-		"user state":            message(msgPushPull, map[string]any{"Nodes": 0, "UserStateLen": 1 << 30}),
+		"more than the bound":   encodePushPull(3, memberState("", nil)),
+		"a count below nothing": encodePushPull(-1),
+		"fewer than it says":    encodePushPull(2, memberState("", nil)),
+		"a state that is none":  encodePushPull(1, memberState("State", 9)),
+		"user state":            encodeMessage(msgPushPull, map[string]any{"Nodes": 0, "UserStateLen": 1 << 30}),
 		"a user message":        {8, 1},
 		"nothing":               {},
 	} {
-		if _, err := vetStream(bytes.NewReader(data), 2, none); err == nil {
+		if _, err := readStreamMessage(bytes.NewReader(data), 2, none); err == nil {
 			t.Errorf("%s: passed", name)
 		}
 	}
@@ -117,20 +117,20 @@
 
 // FuzzVet: nothing that a stranger sends harms the checks, and what they pass as a member can be told again.
 func FuzzVet(f *testing.F) {
-	f.Add(message(msgAlive, state("", nil)))
-	f.Add(compound(message(msgPing, map[string]any{"SeqNo": 1, "Node": "s1"}), message(msgAck, map[string]any{"SeqNo": 1})))
-	f.Add(pushPull(1, state("", nil)))
-	f.Add(goodMeta)
+	f.Add(encodeMessage(msgAlive, memberState("", nil)))
+	f.Add(encodeCompound(encodeMessage(msgPing, map[string]any{"SeqNo": 1, "Node": "s1"}), encodeMessage(msgAck, map[string]any{"SeqNo": 1})))
+	f.Add(encodePushPull(1, memberState("", nil)))
+	f.Add(validMeta)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		note := func(name string, _ uint32, _ bool) {
-			if err := checkText(name, 1, MaxNameLength); err != nil {
+			if err := validateText(name, 1, MaxNameLength); err != nil {
 				t.Errorf("%q passed: %v", name, err)
 			}
 		}
-		vetPacket(data, note)
-		vetStream(bytes.NewReader(data), 10, note)
-		if m, err := readMember("s1", []byte{10, 0, 0, 1}, 1, data); err == nil {
-			again, err := readMember("s1", []byte{10, 0, 0, 1}, 1, m.meta())
+		checkPacket(data, note)
+		readStreamMessage(bytes.NewReader(data), 10, note)
+		if m, err := decodeMember("s1", []byte{10, 0, 0, 1}, 1, data); err == nil {
+			again, err := decodeMember("s1", []byte{10, 0, 0, 1}, 1, m.encodeMeta())
 			if err != nil || again != m {
 				t.Errorf("%+v told again is %+v, %v", m, again, err)
 			}
--- a/internal/membership/stabilizer_test.go
+++ b/internal/membership/stabilizer_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// script steps a settler through seconds: "s1 s2" live with the sidecar itself, "-s2" said goodbye, "deaf" nobody is heard.
-func script(s *settler, start time.Time, seconds []string) (views []string) {
+// runScript steps a settler through seconds: "s1 s2" live with the sidecar itself, "-s2" said goodbye, "deaf" nobody is heard.
+func runScript(s *stabilizer, start time.Time, seconds []string) (views []string) {
 	goodbyes := map[string]bool{}
 	for i, line := range seconds {
 		living, hears := map[string]bool{s.self: true}, true
@@ -26,8 +26,8 @@
 		for tenth := range 10 {
 			s.step(start.Add(time.Duration(i)*time.Second+time.Duration(tenth)*100*time.Millisecond), living, func(name string) bool { return goodbyes[name] }, hears)
 		}
-		view := strings.Join(s.sorted(), " ")
-		if s.cutOff {
+		view := strings.Join(s.sortedNames(), " ")
+		if s.isolated {
 			view += " cut off"
 		}
 		if len(views) == 0 || views[len(views)-1] != view {
@@ -59,8 +59,8 @@
 		"one of two may be the last": {"b", []string{"b", "", "", ""}, []string{"a b", "a"}, 1},
 	} {
 		start := time.Unix(1_800_000_000, 0)
-		s := newSettler("a", time.Second, strings.Fields(c.kept), 0, false, start.Add(-10*time.Second))
-		if got := script(s, start, c.seconds); !slices.Equal(got, c.views) || s.epoch != c.epoch {
+		s := newStabilizer("a", time.Second, strings.Fields(c.kept), 0, false, start.Add(-10*time.Second))
+		if got := runScript(s, start, c.seconds); !slices.Equal(got, c.views) || s.epoch != c.epoch {
 			t.Errorf("%s: epoch %d, views\n%s\nwant epoch %d,\n%s", name, s.epoch, strings.Join(got, "\n"), c.epoch, strings.Join(c.views, "\n"))
 		}
 	}
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -15,43 +15,43 @@
 	"bramblestand/internal/datagram"
 )
 
-const packetsMost = 256 // received and not yet looked at
+const maxQueuedPackets = 256 // received and not yet looked at
 
 // transport is memberlist's way onto the link: packets as they are, streams by KCP.
 type transport struct {
-	link    *datagram.Transport
-	streams *datagram.Streams
-	addr    netip.AddrPort // the own, as the others know it
-	most    int            // states in a push/pull
-	note    said
-	heard   func(from netip.AddrPort, what contents)
-	refused func(from net.Addr, err error)
-
-	packets chan *memberlist.Packet
-	conns   chan net.Conn
-	dropped atomic.Uint64 // packets for want of room
-	done    chan struct{}
-	once    sync.Once
+	datagrams  *datagram.Transport
+	streams    *datagram.Streams
+	address    netip.AddrPort // the own, as the others know it
+	maxMembers int            // states in a push/pull
+	onReport   reportFunc
+	onContact  func(from netip.AddrPort, what packetContents)
+	onRejected func(from net.Addr, err error)
+
+	packetQueue chan *memberlist.Packet
+	streamQueue chan net.Conn
+	dropped     atomic.Uint64 // packets for want of room
+	done        chan struct{}
+	once        sync.Once
 }
 
-func newTransport(l *datagram.Transport, addr netip.AddrPort, most int, note said, heard func(netip.AddrPort, contents), refused func(net.Addr, error)) *transport {
-	t := &transport{link: l, addr: addr, most: most, note: note, heard: heard, refused: refused,
-		packets: make(chan *memberlist.Packet, packetsMost), conns: make(chan net.Conn), done: make(chan struct{})}
-	l.Handle(datagram.ChannelPackets, t.packet)
+func newTransport(l *datagram.Transport, addr netip.AddrPort, most int, note reportFunc, heard func(netip.AddrPort, packetContents), refused func(net.Addr, error)) *transport {
+	t := &transport{datagrams: l, address: addr, maxMembers: most, onReport: note, onContact: heard, onRejected: refused,
+		packetQueue: make(chan *memberlist.Packet, maxQueuedPackets), streamQueue: make(chan net.Conn), done: make(chan struct{})}
+	l.Handle(datagram.ChannelPackets, t.receivePacket)
 	t.streams = datagram.NewStreams(l)
-	go t.accept()
+	go t.acceptStreams()
 	return t
 }
 
-func (t *transport) packet(from netip.AddrPort, data []byte) bool {
-	what, err := vetPacket(data[1:], t.note)
+func (t *transport) receivePacket(from netip.AddrPort, data []byte) bool {
+	what, err := checkPacket(data[1:], t.onReport)
 	if err != nil {
-		t.refused(net.UDPAddrFromAddrPort(from), err)
+		t.onRejected(net.UDPAddrFromAddrPort(from), err)
 		return false
 	}
-	t.heard(from, what)
+	t.onContact(from, what)
 	select {
-	case t.packets <- &memberlist.Packet{Buf: data[1:], From: net.UDPAddrFromAddrPort(from), Timestamp: time.Now()}:
+	case t.packetQueue <- &memberlist.Packet{Buf: data[1:], From: net.UDPAddrFromAddrPort(from), Timestamp: time.Now()}:
 	case <-t.done:
 	default:
 		t.dropped.Add(1)
@@ -59,12 +59,12 @@
 	return true
 }
 
-func (t *transport) accept() {
+func (t *transport) acceptStreams() {
 	for {
 		select {
 		case conn := <-t.streams.Accepted():
 			select {
-			case t.conns <- &vetted{Conn: conn, transport: t}:
+			case t.streamQueue <- &checkedStream{Conn: conn, transport: t}:
 			case <-t.done:
 				return
 			}
@@ -76,8 +76,8 @@
 
 // FinalAdvertiseAddr gives the own address, whatever memberlist is configured with.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	ip := t.addr.Addr().As4()
-	return ip[:], int(t.addr.Port()), nil
+	ip := t.address.Addr().As4()
+	return ip[:], int(t.address.Port()), nil
 }
 
 func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
@@ -85,7 +85,7 @@
 	if err != nil {
 		return time.Time{}, err
 	}
-	err = t.link.Send(to, append([]byte{byte(datagram.ChannelPackets)}, b...))
+	err = t.datagrams.Send(to, append([]byte{byte(datagram.ChannelPackets)}, b...))
 	if errors.Is(err, datagram.ErrRateLimited) {
 		err = nil // as if lost on the way, and counted there
 	}
@@ -96,7 +96,7 @@
 	return t.WriteTo(b, addr.Addr)
 }
 
-func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
+func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packetQueue }
 
 func (t *transport) DialTimeout(addr string, _ time.Duration) (net.Conn, error) {
 	to, err := netip.ParseAddrPort(addr)
@@ -107,14 +107,14 @@
 	if err != nil {
 		return nil, err
 	}
-	return &vetted{Conn: conn, transport: t}, nil
+	return &checkedStream{Conn: conn, transport: t}, nil
 }
 
 func (t *transport) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return t.DialTimeout(addr.Addr, timeout)
 }
 
-func (t *transport) StreamCh() <-chan net.Conn { return t.conns }
+func (t *transport) StreamCh() <-chan net.Conn { return t.streamQueue }
 
 func (t *transport) Shutdown() error {
 	t.once.Do(func() {
@@ -124,21 +124,21 @@
 	return nil
 }
 
-// vetted is a stream whose one message is read and looked through whole before any of it is passed on.
-type vetted struct {
+// checkedStream is a stream whose one message is read and looked through whole before any of it is passed on.
+type checkedStream struct {
 	net.Conn
 	transport *transport
 	message   *bytes.Reader
 	err       error
 }
 
-func (v *vetted) Read(b []byte) (int, error) {
+func (v *checkedStream) Read(b []byte) (int, error) {
 	if v.message == nil && v.err == nil {
-		whole, err := vetStream(v.Conn, v.transport.most, v.transport.note)
+		whole, err := readStreamMessage(v.Conn, v.transport.maxMembers, v.transport.onReport)
 		if v.err = err; err == nil {
 			v.message = bytes.NewReader(whole)
 		} else if !errors.Is(err, net.ErrClosed) {
-			v.transport.refused(v.RemoteAddr(), fmt.Errorf("stream: %w", err))
+			v.transport.onRejected(v.RemoteAddr(), fmt.Errorf("stream: %w", err))
 		}
 	}
 	if v.err != nil {
