--- a/internal/datagram/golden_test.go
+++ b/internal/datagram/golden_test.go
@@ -13,12 +13,13 @@
 	"os"
 	"path/filepath"
 	"slices"
+	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
 )
 
-var updateGolden = flag.Bool("update-golden", false, "write the golden files anew; only for a form that is new on the wire")
+var updateGolden = flag.Bool("update-golden", false, "write the golden files again; only for a form that is new on the wire")
 
 // goldenDatagram is one datagram as it is on the wire.
 type goldenDatagram struct {
@@ -55,7 +56,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(text, want) {
-		t.Errorf("%s: other bytes on the wire:\n%s\nwant\n%s", path, text, want)
+		t.Errorf("%s: differs on the wire:\n%s\nwant\n%s", path, text, want)
 	}
 	var list []goldenDatagram
 	if err := json.Unmarshal(want, &list); err != nil {
@@ -64,7 +65,7 @@
 	return list
 }
 
-// Datagrams of every channel leave as the golden file has them, and come in as what they were.
+// Datagrams of every channel are sent as the golden file has them, and received as what they were.
 func TestGoldenDatagrams(t *testing.T) {
 	payloads := []struct {
 		name    string
@@ -97,7 +98,7 @@
 		})
 		in.Deliver(here, g.bytes(t))
 		if len(got) == 0 || !bytes.Equal(got[1:], payloads[i].payload) {
-			t.Errorf("%s: came in as %x", g.Name, got)
+			t.Errorf("%s: received as %x", g.Name, got)
 		}
 		if counts, unknown := in.Counts(); unknown != 0 || counts[g.Channel].ReceivedDatagrams != 1 || counts[g.Channel].Rejected != 0 {
 			t.Errorf("%s: counted as %+v, %d unknown", g.Name, counts, unknown)
@@ -107,56 +108,64 @@
 
 const (
 	goldenConversation = 0x01020304
-	stampAt, sizeAt    = 8, 20 // of a segment's header: where the sender's clock and the length of its data stand
+	timestampOffset    = 8  // of a segment's header: the sender's clock
+	lengthOffset       = 20 // the length of its data
 )
 
-// withoutClock sets to zero what the sender's clock wrote into a datagram's segments; the rest has one form.
-func withoutClock(data []byte) []byte {
+// withoutTimestamps zeroes the sender's clock in a datagram's segments; the rest has one form.
+func withoutTimestamps(data []byte) []byte {
 	data = bytes.Clone(data)
 	for segment := data[1:]; len(segment) >= segmentHeaderSize; {
-		clear(segment[stampAt : stampAt+4])
-		segment = segment[segmentHeaderSize+int(binary.LittleEndian.Uint32(segment[sizeAt:])):]
+		clear(segment[timestampOffset : timestampOffset+4])
+		segment = segment[segmentHeaderSize+int(binary.LittleEndian.Uint32(segment[lengthOffset:])):]
 	}
 	return data
 }
 
-// goldenSide is one side of a stream, whose datagrams are kept instead of sent.
+// goldenSide is one side of a stream, which records its datagrams instead of sending them.
 type goldenSide struct {
 	*Streams
 	transport *Transport
-	sent      [][]byte
+
+	sentMu sync.Mutex // a stream's timers send
+	sent   [][]byte
 }
 
 func newGoldenSide() *goldenSide {
 	s := &goldenSide{}
 	s.transport = New(func(data []byte, _ netip.AddrPort) error {
-		s.sent = append(s.sent, withoutClock(data))
+		s.sentMu.Lock()
+		defer s.sentMu.Unlock()
+		s.sent = append(s.sent, withoutTimestamps(data))
 		return nil
 	}, Options{})
 	s.Streams = NewStreams(s.transport)
 	return s
 }
 
-// takeSent gives what the side sends within a few intervals.
+// takeSent returns what the side sends within a few flush intervals.
 func (s *goldenSide) takeSent() [][]byte {
-	s.sent = nil
-	time.Sleep(3 * flushIntervalMillis * time.Millisecond)
+	time.Sleep(3 * flushInterval)
 	synctest.Wait()
-	return s.sent
+	s.sentMu.Lock()
+	defer s.sentMu.Unlock()
+	sent := s.sent
+	s.sent = nil
+	return sent
 }
 
-// A stream's first segments, their acknowledgements and the answer are on the wire as the golden file has them (the
-// sender's clock aside), and a stream is read from the golden file's.
+// A stream's first segments, their acknowledgements and the answer are on the wire as the golden file has them (but for
+// the sender's clock), and the golden file's segments are read and acknowledged.
 func TestGoldenStream(t *testing.T) {
 	question, answer := bytes.Repeat([]byte("question "), 60), []byte("answer")
 	synctest.Test(t, func(t *testing.T) {
 		dialer, listener := newGoldenSide(), newGoldenSide()
 		var all []goldenDatagram
-		pass := func(name string, from, to *goldenSide, at netip.AddrPort) {
+		forward := func(name string, from, to *goldenSide, address netip.AddrPort) {
 			for _, data := range from.takeSent() {
 				all = append(all, goldenDatagram{name, Channel(data[0]), hex.EncodeToString(data)})
 				if to != nil {
-					to.transport.Deliver(at, bytes.Clone(data))
+					to.transport.Deliver(address, bytes.Clone(data))
 				}
 			}
 		}
@@ -167,49 +176,56 @@
 		if _, err := dialed.Write(question); err != nil {
 			t.Fatal(err)
 		}
-		pass("question", dialer, listener, here)
+		forward("question", dialer, listener, here)
 		accepted := <-listener.Accepted()
 		got := make([]byte, len(question))
 		if _, err := io.ReadFull(accepted, got); err != nil || !bytes.Equal(got, question) {
-			t.Fatalf("the question came as %q, %v", got, err)
+			t.Fatalf("the question was read as %q, %v", got, err)
 		}
-		pass("acknowledgement of the question", listener, dialer, there)
+		forward("acknowledgement of the question", listener, dialer, there)
 		if _, err := accepted.Write(answer); err != nil {
 			t.Fatal(err)
 		}
-		pass("answer", listener, dialer, there)
+		forward("answer", listener, dialer, there)
 		got = make([]byte, len(answer))
 		if _, err := io.ReadFull(dialed, got); err != nil || !bytes.Equal(got, answer) {
-			t.Fatalf("the answer came as %q, %v", got, err)
-		}
-		pass("acknowledgement of the answer", dialer, nil, here)
-
-		// The listener's side alone, from the file: it reads the question and acknowledges it with the same bytes.
-		again := newGoldenSide()
-		var acknowledged []string
-		for _, g := range compareGolden(t, "stream.json", all) {
-			switch g.Name {
-			case "question":
-				again.transport.Deliver(here, g.bytes(t))
-			case "acknowledgement of the question":
-				acknowledged = append(acknowledged, g.Hex)
-			}
+			t.Fatalf("the answer was read as %q, %v", got, err)
 		}
-		other := <-again.Accepted()
-		got = make([]byte, len(question))
-		if _, err := io.ReadFull(other, got); err != nil || !bytes.Equal(got, question) {
-			t.Errorf("the golden question is read as %q, %v", got, err)
-		}
-		var sent []string
-		for _, data := range again.takeSent() {
-			sent = append(sent, hex.EncodeToString(data))
-		}
-		if !slices.Equal(sent, acknowledged) {
-			t.Errorf("the golden question is acknowledged by %v, want %v", sent, acknowledged)
-		}
-		for _, side := range []*goldenSide{dialer, listener, again} {
+		forward("acknowledgement of the answer", dialer, nil, here)
+
+		replay := replayQuestion(t, question, compareGolden(t, "stream.json", all))
+		for _, side := range []*goldenSide{dialer, listener, replay} {
 			side.Close()
 		}
 		time.Sleep(time.Minute)
 	})
 }
+
+// replayQuestion gives the golden file's question to a new listening side, which has to read it and to acknowledge it
+// with the same bytes.
+func replayQuestion(t *testing.T, question []byte, segments []goldenDatagram) *goldenSide {
+	t.Helper()
+	replay := newGoldenSide()
+	var acknowledged []string
+	for _, g := range segments {
+		switch g.Name {
+		case "question":
+			replay.transport.Deliver(here, g.bytes(t))
+		case "acknowledgement of the question":
+			acknowledged = append(acknowledged, g.Hex)
+		}
+	}
+	accepted := <-replay.Accepted()
+	got := make([]byte, len(question))
+	if _, err := io.ReadFull(accepted, got); err != nil || !bytes.Equal(got, question) {
+		t.Errorf("the golden question is read as %q, %v", got, err)
+	}
+	var sent []string
+	for _, data := range replay.takeSent() {
+		sent = append(sent, hex.EncodeToString(data))
+	}
+	if !slices.Equal(sent, acknowledged) {
+		t.Errorf("the golden question is acknowledged by %v, want %v", sent, acknowledged)
+	}
+	return replay
+}
--- a/internal/datagram/streams.go
+++ b/internal/datagram/streams.go
@@ -4,11 +4,9 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
-	"io"
 	"math/rand/v2"
 	"net"
 	"net/netip"
-	"os"
 	"sync"
 	"time"
 
@@ -16,80 +14,95 @@
 )
 
 func init() {
-	// kcp-go starts goroutines for its own sockets when it is imported. The streams here drive its protocol
-	// themselves; off must mean no goroutine.
+	// kcp-go starts goroutines for its own sockets when it is imported. The streams here drive its state machine
+	// with timers of their own, and a sidecar without streams must not pay for any goroutine.
 	kcp.SystemTimedSched.Close()
 }
 
+// Limits of the streams of one transport.
 const (
-	maxSegmentSize      = MaxSize - 1 // bytes of a datagram after the channel's
-	segmentHeaderSize   = kcp.IKCP_OVERHEAD
-	windowSegments      = 32                 // segments in flight, and taken out of order
-	flushIntervalMillis = 20                 // ms between a stream's looks at what is due
-	drainPeriod         = 2 * time.Second    // a closed stream goes on acknowledging for so long, so that no late segment opens it anew,
-	maxDrainPeriod      = 10 * time.Second   // and sending what is not acknowledged
-	maxQueuedBytes      = 1 << 20            // bytes written and not yet acknowledged, and received and not yet read
-	maxStreamLifetime   = 30 * time.Second   // a stream that nobody closes ends after
-	maxOpenStreams      = 64                 // open at once, dialed and accepted, those that linger not counted
-	maxStreams          = 4 * maxOpenStreams // those that linger counted
+	maxOpenStreams = 64                 // dialed and accepted, not counting closed ones that still drain
+	maxStreams     = 4 * maxOpenStreams // counting those
 )
 
-// streamKey tells streams apart: the other's address, the conversation's number, and which side dialed.
+// The fields of a KCP segment's header that are read here.
+const (
+	segmentHeaderSize     = kcp.IKCP_OVERHEAD
+	segmentCommandOffset  = 4
+	segmentSequenceOffset = 12
+)
+
+// ErrTooManyStreams is returned by Dial when the limit of open streams is reached.
+var ErrTooManyStreams = fmt.Errorf("more than %d streams", maxOpenStreams)
+
+// errStreamExists is returned by add for a key that is in use.
+var errStreamExists = errors.New("stream exists")
+
+// streamKey identifies a stream: the peer's address, KCP's conversation number, and whether this side dialed.
 type streamKey struct {
 	peer         netip.AddrPort
 	conversation uint32
 	dialed       bool
 }
 
-// Streams are reliable byte streams by KCP on a link's datagrams. There is no
-// handshake: a stream begins with its first segment.
+// Streams are reliable byte streams (KCP) on a transport's two stream
+// channels. There is no handshake: a stream begins with its first segment.
+//
+// Streams are safe for concurrent use and have no goroutine: they run on
+// Deliver's caller and on timers that end with each stream.
 type Streams struct {
 	transport *Transport
 	accepted  chan net.Conn
 
+	// streamsMu guards the fields below. It may be taken while a stream's stateMu is held, never the other way round.
 	streamsMu sync.Mutex
-	streams   map[streamKey]*stream
-	openCount int
+	streams   map[streamKey]*stream // by key, closed ones that still drain included
+	openCount int                   // streams that their user has not closed
 	closed    bool
 }
 
-// NewStreams takes over the link's channels of streams.
-func NewStreams(l *Transport) *Streams {
-	s := &Streams{transport: l, accepted: make(chan net.Conn, maxOpenStreams), streams: map[streamKey]*stream{}}
-	l.Handle(ChannelToListener, func(from netip.AddrPort, data []byte) bool { return s.deliver(from, data[1:], false) })
-	l.Handle(ChannelToDialer, func(from netip.AddrPort, data []byte) bool { return s.deliver(from, data[1:], true) })
+// NewStreams sets the handlers of the transport's stream channels.
+func NewStreams(t *Transport) *Streams {
+	s := &Streams{transport: t, accepted: make(chan net.Conn, maxOpenStreams), streams: map[streamKey]*stream{}}
+	t.Handle(ChannelToListener, func(from netip.AddrPort, data []byte) bool {
+		return s.deliver(from, data[1:], false)
+	})
+	t.Handle(ChannelToDialer, func(from netip.AddrPort, data []byte) bool {
+		return s.deliver(from, data[1:], true)
+	})
 	return s
 }
 
-// Accepted gives the streams that others open.
+// Accepted returns the channel of streams that peers opened.
 func (s *Streams) Accepted() <-chan net.Conn { return s.accepted }
 
-// Close ends all streams at once.
+// Close ends all streams at once; what they have not sent is lost.
 func (s *Streams) Close() {
 	s.streamsMu.Lock()
 	s.closed = true
-	all := s.streams
+	streams := s.streams
 	s.streams = map[streamKey]*stream{}
 	s.streamsMu.Unlock()
-	for _, st := range all {
+	for _, st := range streams {
 		st.terminate(net.ErrClosed)
 	}
 }
 
-// Dial opens a stream. Nothing is sent before the first Write.
+// Dial opens a stream to a peer. Nothing is sent before the first Write. Its
+// error is ErrTooManyStreams, or net.ErrClosed after Close.
 func (s *Streams) Dial(to netip.AddrPort) (net.Conn, error) {
 	for {
 		st, err := s.add(streamKey{to, rand.Uint32(), true})
-		if st != nil || err != nil {
-			return st, err
+		switch {
+		case err == nil:
+			return st, nil
+		case !errors.Is(err, errStreamExists):
+			return nil, err
 		}
 	}
 }
 
-// ErrTooManyStreams says that too many streams are open.
-var ErrTooManyStreams = fmt.Errorf("more than %d streams", maxOpenStreams)
-
-// add makes a stream; nil without an error where there is one of that key.
+// add registers a new stream. Its error is net.ErrClosed, errStreamExists or ErrTooManyStreams.
 func (s *Streams) add(key streamKey) (*stream, error) {
 	s.streamsMu.Lock()
 	defer s.streamsMu.Unlock()
@@ -97,274 +110,91 @@
 	case s.closed:
 		return nil, net.ErrClosed
 	case s.streams[key] != nil:
-		return nil, nil
+		return nil, errStreamExists
 	case s.openCount >= maxOpenStreams || len(s.streams) >= maxStreams:
 		return nil, ErrTooManyStreams
 	}
-	st := &stream{streams: s, key: key, readable: make(chan struct{})}
-	out := [MaxSize]byte{byte(ChannelToListener)}
-	if !key.dialed {
-		out[0] = byte(ChannelToDialer)
-	}
-	st.kcp = kcp.NewKCP(key.conversation, func(segments []byte, size int) {
-		if size > maxSegmentSize || size < segmentHeaderSize { // KCP flushes nothing, too
-			return
-		}
-		s.transport.Send(key.peer, out[:1+copy(out[1:], segments[:size])]) // what is held back or lost is sent again
-	})
-	st.kcp.SetMtu(maxSegmentSize)
-	st.kcp.NoDelay(1, flushIntervalMillis, 2, 1)
-	st.kcp.WndSize(windowSegments, windowSegments)
-	st.flushTimer = time.AfterFunc(maxStreamLifetime, st.flush)
-	st.lifetimeTimer = time.AfterFunc(maxStreamLifetime, st.expire)
+	st := newStream(s, key)
 	s.streams[key] = st
 	s.openCount++
 	return st, nil
 }
 
+// remove forgets a stream: a segment of it that comes later is rejected.
 func (s *Streams) remove(key streamKey) {
 	s.streamsMu.Lock()
 	defer s.streamsMu.Unlock()
 	delete(s.streams, key)
 }
 
-// deliver takes segments of a stream; one that begins a stream opens it.
-func (s *Streams) deliver(from netip.AddrPort, data []byte, dialed bool) bool {
-	if len(data) < segmentHeaderSize {
+// releaseOpen makes room for another open stream. It may be called with a stream's stateMu held.
+func (s *Streams) releaseOpen() {
+	s.streamsMu.Lock()
+	defer s.streamsMu.Unlock()
+	s.openCount--
+}
+
+// deliver takes the segments of one datagram. A segment that begins a stream
+// opens it. It returns false for segments that are rejected.
+func (s *Streams) deliver(from netip.AddrPort, segments []byte, dialed bool) bool {
+	if len(segments) < segmentHeaderSize {
 		return false
 	}
-	key := streamKey{from, binary.LittleEndian.Uint32(data), dialed}
+	key := streamKey{from, binary.LittleEndian.Uint32(segments), dialed}
 	s.streamsMu.Lock()
 	st := s.streams[key]
 	s.streamsMu.Unlock()
-	if st == nil {
-		// Only data among a stream's first segments begins one; a late segment of one forgotten does not.
-		if dialed || data[4] != kcp.IKCP_CMD_PUSH || binary.LittleEndian.Uint32(data[12:]) >= windowSegments {
-			return false
-		}
-		var err error
-		if st, err = s.add(key); err != nil || st == nil {
-			return false
-		}
-		select {
-		case s.accepted <- st:
-		default:
-			st.terminate(net.ErrClosed)
-			s.remove(key)
-			return false
-		}
+	if st != nil {
+		return st.input(segments)
 	}
-	return st.input(data)
-}
-
-// stream is one KCP conversation as a net.Conn.
-type stream struct {
-	streams *Streams
-	key     streamKey
-
-	stateMu          sync.Mutex
-	kcp              *kcp.KCP
-	flushTimer       *time.Timer // the next look at what is due
-	remainingFlushes int         // still to come though all is acknowledged: KCP acknowledges by them
-	flushScheduled   bool
-	lifetimeTimer    *time.Timer // its end, however it goes
-	unread           []byte      // received and not yet read
-	closed           bool
-	closedAt         time.Time
-	endErr           error // why it ended
-	deadline         time.Time
-	readable         chan struct{} // closed when reads may go on
-}
-
-// wakeReaders wakes the readers. It holds st.mu.
-func (st *stream) wakeReaders() {
-	close(st.readable)
-	st.readable = make(chan struct{})
-}
-
-func (st *stream) input(data []byte) bool {
-	st.stateMu.Lock()
-	defer st.stateMu.Unlock()
-	if st.endErr != nil {
+	if dialed || !beginsStream(segments) {
 		return false
 	}
-	if st.kcp.Input(data, true, false) < 0 {
+	st, err := s.add(key)
+	if err != nil {
 		return false
 	}
-	for size := st.kcp.PeekSize(); size >= 0; size = st.kcp.PeekSize() {
-		buf := make([]byte, size)
-		st.kcp.Recv(buf)
-		if !st.closed && len(st.unread) < maxQueuedBytes {
-			st.unread = append(st.unread, buf...)
-			st.wakeReaders()
-		}
-	}
-	st.scheduleFlush()
-	return true
-}
-
-// scheduleFlush has update look at what is due, twice: KCP sends at most once an interval. It holds st.mu.
-func (st *stream) scheduleFlush() {
-	st.remainingFlushes = 2
-	if !st.flushScheduled {
-		st.flushScheduled = true
-		st.flushTimer.Reset(flushIntervalMillis * time.Millisecond / 2)
-	}
-}
-
-// flush sends what is due, and comes again while anything is unacknowledged.
-func (st *stream) flush() {
-	st.stateMu.Lock()
-	defer st.stateMu.Unlock()
-	st.flushScheduled = false
-	if st.endErr != nil {
-		return
-	}
-	st.kcp.Update()
-	st.remainingFlushes--
-	if st.remainingFlushes > 0 || st.kcp.WaitSnd() > 0 {
-		st.flushScheduled = true
-		st.flushTimer.Reset(flushIntervalMillis * time.Millisecond)
-	}
-}
-
-// expire ends the stream for good, unless it is closed and has something left to send.
-func (st *stream) expire() {
-	st.stateMu.Lock()
-	if st.closed && st.endErr == nil && st.kcp.WaitSnd() > 0 && time.Since(st.closedAt) < maxDrainPeriod {
-		st.lifetimeTimer.Reset(drainPeriod)
-		st.stateMu.Unlock()
-		return
-	}
-	st.stateMu.Unlock()
-	st.terminate(os.ErrDeadlineExceeded)
-	st.streams.remove(st.key)
-}
-
-// terminate ends a stream for its user, at once.
-func (st *stream) terminate(err error) {
-	st.stateMu.Lock()
-	defer st.stateMu.Unlock()
-	if st.endErr != nil {
-		return
-	}
-	st.endErr = err
-	st.flushTimer.Stop()
-	st.lifetimeTimer.Stop()
-	st.wakeReaders()
-	if !st.closed {
-		st.closed = true
-		st.streams.releaseOpen()
+	select {
+	case s.accepted <- st:
+		return st.input(segments)
+	default: // nobody accepts
+		st.terminate(net.ErrClosed)
+		s.remove(key)
+		return false
 	}
 }
 
-// releaseOpen counts one open stream less. It may be called with a stream's lock held, never the other way round.
-func (s *Streams) releaseOpen() {
-	s.streamsMu.Lock()
-	defer s.streamsMu.Unlock()
-	s.openCount--
-}
-
-// Read reads what has come.
-func (st *stream) Read(b []byte) (int, error) {
-	for {
-		st.stateMu.Lock()
-		if len(st.unread) > 0 {
-			n := copy(b, st.unread)
-			st.unread = st.unread[n:]
-			st.stateMu.Unlock()
-			return n, nil
-		}
-		changed, err, deadline := st.readable, st.endErr, st.deadline
-		if st.closed && err == nil {
-			err = net.ErrClosed
-		}
-		st.stateMu.Unlock()
-		if err != nil {
-			return 0, err
-		}
-		var expired <-chan time.Time
-		if !deadline.IsZero() {
-			left := time.Until(deadline)
-			if left <= 0 {
-				return 0, os.ErrDeadlineExceeded
-			}
-			timer := time.NewTimer(left)
-			defer timer.Stop()
-			expired = timer.C
-		}
-		select {
-		case <-changed:
-		case <-expired:
-			return 0, os.ErrDeadlineExceeded
-		}
-	}
+// beginsStream reports whether the first segment has data from a stream's
+// first window. Others are late segments of a stream that is forgotten.
+func beginsStream(segments []byte) bool {
+	return segments[segmentCommandOffset] == kcp.IKCP_CMD_PUSH &&
+		binary.LittleEndian.Uint32(segments[segmentSequenceOffset:]) < windowSegments
 }
 
-// errQueueFull says that a stream holds too much that is not acknowledged.
-var errQueueFull = errors.New("too many bytes not acknowledged")
-
-// Write queues b whole, or nothing of it.
-func (st *stream) Write(b []byte) (int, error) {
-	st.stateMu.Lock()
-	defer st.stateMu.Unlock()
-	switch {
-	case st.endErr != nil:
-		return 0, st.endErr
-	case st.closed:
-		return 0, io.ErrClosedPipe
-	case st.kcp.WaitSnd()*maxSegmentSize+len(b) > maxQueuedBytes:
-		return 0, errQueueFull
+// writeSegments returns KCP's output for one stream: it puts the channel byte before the segments and sends them.
+// KCP calls it under the stream's stateMu.
+func (s *Streams) writeSegments(key streamKey) func(segments []byte, size int) {
+	buffer := [MaxSize]byte{byte(ChannelToListener)}
+	if !key.dialed {
+		buffer[0] = byte(ChannelToDialer)
 	}
-	const most = maxSegmentSize - segmentHeaderSize
-	for rest := b; len(rest) > 0; {
-		n := min(len(rest), most)
-		if st.kcp.Send(rest[:n]) < 0 {
-			return len(b) - len(rest), errQueueFull
+	return func(segments []byte, size int) {
+		if size > maxSegmentSize || size < segmentHeaderSize { // KCP also flushes nothing
+			return
 		}
-		rest = rest[n:]
+		length := 1 + copy(buffer[1:], segments[:size])
+		s.transport.Send(key.peer, buffer[:length]) // a datagram that is not sent is retransmitted
 	}
-	st.scheduleFlush()
-	return len(b), nil
 }
 
-// Close ends the stream for its user. What is not yet acknowledged is sent for a while longer.
-func (st *stream) Close() error {
-	st.stateMu.Lock()
-	defer st.stateMu.Unlock()
-	if st.closed {
-		return nil
-	}
-	st.closed, st.closedAt = true, time.Now()
-	st.wakeReaders()
-	st.lifetimeTimer.Reset(drainPeriod)
-	st.streams.releaseOpen()
-	return nil
-}
-
-func (st *stream) LocalAddr() net.Addr  { return streamAddress{} }
-func (st *stream) RemoteAddr() net.Addr { return streamAddress{st.key.peer} }
-
-// SetDeadline bounds reads; writes never wait.
-func (st *stream) SetDeadline(t time.Time) error {
-	st.stateMu.Lock()
-	defer st.stateMu.Unlock()
-	st.deadline = t
-	st.wakeReaders()
-	return nil
-}
-
-func (st *stream) SetReadDeadline(t time.Time) error  { return st.SetDeadline(t) }
-func (st *stream) SetWriteDeadline(t time.Time) error { return nil }
-
-// streamAddress is a net.Addr.
-type streamAddress struct{ netip.AddrPort }
-
-func (a streamAddress) Network() string { return "udp" }
-
-func (a streamAddress) String() string {
-	if !a.IsValid() {
-		return "peers"
-	}
-	return a.AddrPort.String()
+// newStream makes a stream that ends after maxStreamLifetime at the latest.
+func newStream(s *Streams, key streamKey) *stream {
+	st := &stream{streams: s, key: key, readable: make(chan struct{})}
+	st.kcp = kcp.NewKCP(key.conversation, s.writeSegments(key))
+	st.kcp.SetMtu(maxSegmentSize)
+	st.kcp.NoDelay(1, flushIntervalMillis, fastResendAcks, 1)
+	st.kcp.WndSize(windowSegments, windowSegments)
+	st.flushTimer = time.AfterFunc(maxStreamLifetime, st.flush)
+	st.lifetimeTimer = time.AfterFunc(maxStreamLifetime, st.expire)
+	return st
 }
--- a/internal/datagram/transport.go
+++ b/internal/datagram/transport.go
@@ -1,7 +1,3 @@
-// Package datagram is the one path between sidecars: UDP datagrams of at most 256
-// bytes that may be lost (PROTOCOL, Between sidecars). The first byte of each
-// is its channel. A Link carries packets and, by KCP, streams on it, counts
-// what passes, and keeps the view's share to a budget.
 package datagram
 
 import (
@@ -18,169 +14,208 @@
 	"golang.org/x/time/rate"
 )
 
-// MaxSize is the protocol's bound on a datagram, in bytes, its channel's byte included.
+// MaxSize is the protocol's limit on a datagram, in bytes, its channel byte included.
 const MaxSize = 256
 
-// Channel is the first byte of a datagram.
+// Channel is the first byte of a datagram. It says which part of the sidecar the datagram is for.
 type Channel byte
 
-// The channels. News is the module's messages, whose version is their first
-// byte, so that they are on the wire as they were before there were others.
+// The channels. The version of a gossip message is its first byte, so that
+// gossip looks on the wire as it did before there were other channels.
 const (
-	ChannelGossip     Channel = 1
-	ChannelPackets    Channel = 2 // of the view
-	ChannelToListener Channel = 3 // segments of streams, to the side that accepted
-	ChannelToDialer   Channel = 4
-	channelCount              = 5
+	ChannelGossip     Channel = 1 // the balancer's messages
+	ChannelPackets    Channel = 2 // memberlist packets
+	ChannelToListener Channel = 3 // stream segments to the side that accepted the stream
+	ChannelToDialer   Channel = 4 // stream segments to the side that dialed it
+
+	channelCount = 5 // channel 0 is not used
 )
 
 const (
-	sendTimeout    = 10 * time.Millisecond // a datagram that does not leave at once is as good as lost
-	readErrorPause = 100 * time.Millisecond
-	burstDuration  = 4 * time.Second // of the budget, which a start or a healing spends at once
+	sendTimeout    = 10 * time.Millisecond  // a datagram that the socket does not take in this time counts as lost
+	readErrorPause = 100 * time.Millisecond // keeps a failing socket from filling the log
+	burstDuration  = 4 * time.Second        // of the rate limit, which a start or a healed partition may spend at once
 )
 
-// ChannelCounts is what passed on one channel since the start, in datagrams and bytes
-// of payload (UDP and IP headers not counted).
+// ErrRateLimited is returned by Send for a datagram over the rate limit.
+var ErrRateLimited = errors.New("over the rate limit of datagrams")
+
+// ErrInvalidDatagram is wrapped by Send's error for a datagram that is empty, too long or of no known channel.
+var ErrInvalidDatagram = errors.New("invalid datagram")
+
+// ChannelCounts counts the datagrams of one channel since the start. Bytes are
+// payload: UDP and IP headers are not counted.
 type ChannelCounts struct {
 	SentDatagrams, SentBytes         uint64
 	ReceivedDatagrams, ReceivedBytes uint64
-	RateLimited                      uint64 // not sent for want of budget
-	Rejected                         uint64 // received and dropped: too long, from a stranger, improper
+	RateLimited                      uint64 // not sent because of the rate limit
+	Rejected                         uint64 // received, and not accepted by the channel's handler
 }
 
-type channelCounters struct{ sent, sentBytes, received, receivedBytes, rateLimited, rejected atomic.Uint64 }
+// channelCounters is ChannelCounts while they are counted.
+type channelCounters struct {
+	sent, sentBytes, received, receivedBytes, rateLimited, rejected atomic.Uint64
+}
 
-// Options of a Link. Zero values are usable.
+func (c *channelCounters) snapshot() ChannelCounts {
+	return ChannelCounts{
+		SentDatagrams:     c.sent.Load(),
+		SentBytes:         c.sentBytes.Load(),
+		ReceivedDatagrams: c.received.Load(),
+		ReceivedBytes:     c.receivedBytes.Load(),
+		RateLimited:       c.rateLimited.Load(),
+		Rejected:          c.rejected.Load(),
+	}
+}
+
+// Options of a Transport. The zero value is usable.
 type Options struct {
-	MaxRate float64 // datagrams a second of all channels but News, half for packets and half for streams; 0 for no bound
-	// ControlSocket sets options of the socket before it is bound.
+	// MaxRate limits all channels but ChannelGossip, in datagrams per second:
+	// half for packets, half for streams. 0 means no limit.
+	MaxRate float64
+	// ControlSocket sets options of the socket before it is bound; nil for none.
 	ControlSocket func(network, address string, raw syscall.RawConn) error
-	Logger        *slog.Logger
+	Logger        *slog.Logger // nil discards
 }
 
-// Transport is one sidecar's end of the path. It is safe for concurrent use.
+// SendFunc carries one datagram to an address. It must not keep data.
+type SendFunc func(data []byte, to netip.AddrPort) error
+
+// Handler takes a received datagram, channel byte included. It may keep data,
+// and returns false for a datagram that it rejects.
+type Handler func(from netip.AddrPort, data []byte) bool
+
+// Transport is one sidecar's end of the path. All methods but Handle are safe for concurrent use.
 type Transport struct {
-	send             func(data []byte, to netip.AddrPort) error
-	limiters         [channelCount]*rate.Limiter // nil for no bound
+	send             SendFunc
+	limiters         [channelCount]*rate.Limiter // nil for no limit
 	counters         [channelCount]channelCounters
-	unknownDatagrams atomic.Uint64 // datagrams too long, empty or of no known channel
-	handlers         [channelCount]func(from netip.AddrPort, data []byte) bool
+	unknownDatagrams atomic.Uint64         // received with an invalid size or no handler for the channel
+	handlers         [channelCount]Handler // written by Handle, before the first Deliver
 	logger           *slog.Logger
-	conn             *net.UDPConn // nil where others carry the datagrams
+	conn             *net.UDPConn // nil for a transport made by New
 }
 
-// New makes a link whose datagrams send carries, without keeping data; what
-// comes in is handed to Deliver. Handlers are set before the first Deliver.
-func New(send func(data []byte, to netip.AddrPort) error, o Options) *Transport {
-	l := &Transport{send: send, logger: o.Logger}
-	if l.logger == nil {
-		l.logger = slog.New(slog.DiscardHandler)
+// New returns a transport without a socket: send carries its datagrams, and
+// its owner hands received ones to Deliver.
+func New(send SendFunc, o Options) *Transport {
+	t := &Transport{send: send, logger: o.Logger}
+	if t.logger == nil {
+		t.logger = slog.New(slog.DiscardHandler)
 	}
 	if o.MaxRate > 0 {
-		half := func() *rate.Limiter {
-			return rate.NewLimiter(rate.Limit(o.MaxRate/2), max(1, int(o.MaxRate/2*burstDuration.Seconds())))
-		}
-		l.limiters[ChannelPackets] = half() // so that lists sent to many leave room to answer pings
-		l.limiters[ChannelToListener] = half()
-		l.limiters[ChannelToDialer] = l.limiters[ChannelToListener]
+		// Two limiters, so that membership lists sent to many members leave room for answering pings.
+		t.limiters[ChannelPackets] = newLimiter(o.MaxRate / 2)
+		streams := newLimiter(o.MaxRate / 2)
+		t.limiters[ChannelToListener] = streams
+		t.limiters[ChannelToDialer] = streams
 	}
-	return l
+	return t
+}
+
+// newLimiter allows perSecond datagrams per second, with a burst of burstDuration.
+func newLimiter(perSecond float64) *rate.Limiter {
+	burst := max(1, int(perSecond*burstDuration.Seconds()))
+	return rate.NewLimiter(rate.Limit(perSecond), burst)
 }
 
-// Listen makes a link on a UDP socket of its own. Serve reads it, until ctx ends and with it the socket.
-func Listen(ctx context.Context, listen netip.AddrPort, o Options) (*Transport, error) {
+// Listen returns a transport on a UDP socket bound to address. The socket is
+// closed when ctx ends. The owner sets the handlers and then runs Serve.
+func Listen(ctx context.Context, address netip.AddrPort, o Options) (*Transport, error) {
 	config := net.ListenConfig{Control: o.ControlSocket}
-	packets, err := config.ListenPacket(ctx, "udp4", listen.String())
+	packetConn, err := config.ListenPacket(ctx, "udp4", address.String())
 	if err != nil {
-		return nil, fmt.Errorf("listen to peers: %w", err)
+		return nil, fmt.Errorf("listen for datagrams on %v: %w", address, err)
 	}
-	conn := packets.(*net.UDPConn)
-	l := New(func(data []byte, to netip.AddrPort) error {
+	conn := packetConn.(*net.UDPConn)
+	t := New(func(data []byte, to netip.AddrPort) error {
 		conn.SetWriteDeadline(time.Now().Add(sendTimeout))
 		_, err := conn.WriteToUDPAddrPort(data, to)
 		return err
 	}, o)
-	l.conn = conn
+	t.conn = conn
 	context.AfterFunc(ctx, func() { conn.Close() })
-	return l, nil
+	return t, nil
 }
 
-// Conn is the link's socket.
-func (l *Transport) Conn() *net.UDPConn { return l.conn }
+// Conn returns the transport's socket, nil for a transport made by New.
+func (t *Transport) Conn() *net.UDPConn { return t.conn }
 
-// Handle has f take what comes on a channel: the whole datagram, which f may
-// keep, and where it came from. f returns false for one that it refuses.
-func (l *Transport) Handle(c Channel, f func(from netip.AddrPort, data []byte) bool) {
-	l.handlers[c] = f
-}
+// Handle sets the handler of a channel. It is called before Serve and before the first Deliver.
+func (t *Transport) Handle(channel Channel, handler Handler) { t.handlers[channel] = handler }
 
-// Serve passes on what comes to the socket until it is closed.
-func (l *Transport) Serve() {
-	buf := make([]byte, MaxSize+1) // a byte more tells that one is too long
+// Serve reads datagrams from the socket and delivers them until the socket is
+// closed. It runs in a goroutine of the transport's owner.
+func (t *Transport) Serve() {
+	buffer := make([]byte, MaxSize+1) // one byte more shows that a datagram is too long
 	for {
-		n, from, err := l.conn.ReadFromUDPAddrPort(buf)
+		size, from, err := t.conn.ReadFromUDPAddrPort(buffer)
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
-			l.logger.Warn("peers", "error", err)
-			time.Sleep(readErrorPause) // else a socket in trouble would fill the log
+			t.logger.Warn("cannot read datagram", "error", err)
+			time.Sleep(readErrorPause)
 		default:
-			l.Deliver(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), append([]byte(nil), buf[:n]...))
+			sender := netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
+			t.Deliver(sender, append([]byte(nil), buffer[:size]...))
 		}
 	}
 }
 
-// Deliver hands in one datagram; it takes data over.
-func (l *Transport) Deliver(from netip.AddrPort, data []byte) {
-	if len(data) == 0 || len(data) > MaxSize || data[0] >= channelCount || l.handlers[data[0]] == nil {
-		l.countDropped(&l.unknownDatagrams, from, data)
+// Deliver passes one received datagram to the handler of its channel. It takes ownership of data.
+func (t *Transport) Deliver(from netip.AddrPort, data []byte) {
+	if !isValid(data) || t.handlers[data[0]] == nil {
+		t.countDropped(&t.unknownDatagrams, from, data)
 		return
 	}
-	c := &l.counters[data[0]]
-	c.received.Add(1)
-	c.receivedBytes.Add(uint64(len(data)))
-	if !l.handlers[data[0]](from, data) {
-		l.countDropped(&c.rejected, from, data)
+	channel := data[0]
+	counters := &t.counters[channel]
+	counters.received.Add(1)
+	counters.receivedBytes.Add(uint64(len(data)))
+	if !t.handlers[channel](from, data) {
+		t.countDropped(&counters.rejected, from, data)
 	}
 }
 
-// countDropped counts and, the 1st, 2nd, 4th, 8th ... time, logs a datagram dropped.
-func (l *Transport) countDropped(count *atomic.Uint64, from netip.AddrPort, data []byte) {
+// isValid reports whether data has the size of a datagram and a known channel.
+func isValid(data []byte) bool {
+	return len(data) > 0 && len(data) <= MaxSize && data[0] < channelCount
+}
+
+// countDropped counts a received datagram that was dropped, and logs the 1st, 2nd, 4th, 8th ... of its counter.
+func (t *Transport) countDropped(count *atomic.Uint64, from netip.AddrPort, data []byte) {
 	if n := count.Add(1); n&(n-1) == 0 {
-		l.logger.Warn("datagram dropped", "from", from, "bytes", len(data), "dropped", n)
+		t.logger.Warn("datagram dropped", "from", from, "bytes", len(data), "dropped", n)
 	}
 }
 
-// ErrRateLimited says that a datagram was held back.
-var ErrRateLimited = errors.New("over the budget of datagrams")
-
-// Send sends one datagram, whose first byte is its channel. An error is as if it was lost on the way.
-func (l *Transport) Send(to netip.AddrPort, data []byte) error {
-	if len(data) == 0 || len(data) > MaxSize || data[0] >= channelCount {
-		return fmt.Errorf("a datagram of %d bytes is not sent", len(data))
+// Send sends one datagram, channel byte included. Its error is ErrRateLimited,
+// wraps ErrInvalidDatagram, or is the socket's; callers may treat each as a lost datagram.
+func (t *Transport) Send(to netip.AddrPort, data []byte) error {
+	if !isValid(data) {
+		return fmt.Errorf("send %d bytes to %v: %w", len(data), to, ErrInvalidDatagram)
 	}
-	c := &l.counters[data[0]]
-	if b := l.limiters[data[0]]; b != nil && !b.Allow() {
-		c.rateLimited.Add(1)
+	channel := data[0]
+	counters := &t.counters[channel]
+	if limiter := t.limiters[channel]; limiter != nil && !limiter.Allow() {
+		counters.rateLimited.Add(1)
 		return ErrRateLimited
 	}
-	if err := l.send(data, to); err != nil {
+	if err := t.send(data, to); err != nil {
 		return err
 	}
-	c.sent.Add(1)
-	c.sentBytes.Add(uint64(len(data)))
+	counters.sent.Add(1)
+	counters.sentBytes.Add(uint64(len(data)))
 	return nil
 }
 
-// Counts gives what passed on each channel, and how many datagrams came that were of none.
-func (l *Transport) Counts() (by map[Channel]ChannelCounts, unknown uint64) {
-	by = map[Channel]ChannelCounts{}
-	for i := range l.counters {
-		if c := &l.counters[i]; i > 0 {
-			by[Channel(i)] = ChannelCounts{c.sent.Load(), c.sentBytes.Load(), c.received.Load(), c.receivedBytes.Load(), c.rateLimited.Load(), c.rejected.Load()}
-		}
+// Counts returns the counts of each channel, and the number of received
+// datagrams that were empty, too long or of a channel without a handler.
+func (t *Transport) Counts() (byChannel map[Channel]ChannelCounts, unknown uint64) {
+	byChannel = map[Channel]ChannelCounts{}
+	for channel := ChannelGossip; channel < channelCount; channel++ {
+		byChannel[channel] = t.counters[channel].snapshot()
 	}
-	return by, l.unknownDatagrams.Load()
+	return byChannel, t.unknownDatagrams.Load()
 }
--- a/internal/datagram/transport_test.go
+++ b/internal/datagram/transport_test.go
@@ -14,47 +14,48 @@
 	"time"
 )
 
+// Addresses of the two transports of a pair.
 var here, there = netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1")
 
-// pair joins two links by a network that loses, doubles and reorders; long counts datagrams over the bound.
-func pair(seed uint64, loss float64, delay time.Duration, o Options) (a, b *Transport, long *int) {
+// newPair connects two transports by a network that loses, duplicates and reorders; oversized counts datagrams over MaxSize.
+func newPair(seed uint64, loss float64, delay time.Duration, o Options) (a, b *Transport, oversized *int) {
 	random := rand.New(rand.NewPCG(seed, 1))
-	var mu sync.Mutex
-	long = new(int)
-	carry := func(from netip.AddrPort, to **Transport) func([]byte, netip.AddrPort) error {
+	var randomMu sync.Mutex
+	oversized = new(int)
+	carry := func(from netip.AddrPort, to **Transport) SendFunc {
 		return func(data []byte, _ netip.AddrPort) error {
-			mu.Lock()
-			defer mu.Unlock()
+			randomMu.Lock()
+			defer randomMu.Unlock()
 			if len(data) > MaxSize {
-				*long++
+				*oversized++
 			}
 			copies := 1
 			if random.Float64() < loss {
-				copies = 2 * random.IntN(2) // lost, or doubled
+				copies = 2 * random.IntN(2) // lost, or duplicated
 			}
 			for range copies {
-				held := bytes.Clone(data)
-				time.AfterFunc(time.Duration(random.Int64N(int64(delay)+1)), func() { (*to).Deliver(from, held) })
+				received := bytes.Clone(data)
+				time.AfterFunc(time.Duration(random.Int64N(int64(delay)+1)), func() { (*to).Deliver(from, received) })
 			}
 			return nil
 		}
 	}
 	a, b = New(carry(here, &b), o), New(carry(there, &a), o)
-	return a, b, long
+	return a, b, oversized
 }
 
-// streamCount counts the streams that are there, and those that count as open though they are not.
+// streamCount returns how many streams are registered, or counted as open where that is more.
 func (s *Streams) streamCount() int {
 	s.streamsMu.Lock()
 	defer s.streamsMu.Unlock()
 	return max(len(s.streams), s.openCount)
 }
 
-// What is written to a stream arrives whole and in order, both ways, over a bad network, also after its writer closed it.
-func TestStreamsOverABadNetwork(t *testing.T) {
+// Written data arrives complete and in order, both ways, over a lossy network, also after its writer closed the stream.
+func TestStreamsDeliverInOrderOverLossyNetwork(t *testing.T) {
 	for _, loss := range []float64{0, 0.05, 0.2, 0.4} {
 		synctest.Test(t, func(t *testing.T) {
-			a, b, long := pair(7, loss, 50*time.Millisecond, Options{})
+			a, b, oversized := newPair(7, loss, 50*time.Millisecond, Options{})
 			dialer, listener := NewStreams(a), NewStreams(b)
 			question, answer := make([]byte, 30_000), make([]byte, 50_000)
 			for i := range question {
@@ -68,32 +69,32 @@
 			if n, err := conn.Write(question); n != len(question) || err != nil {
 				t.Fatal(n, err)
 			}
-			other := <-listener.Accepted()
-			other.SetDeadline(time.Now().Add(20 * time.Second))
+			accepted := <-listener.Accepted()
+			accepted.SetDeadline(time.Now().Add(20 * time.Second))
 			got := make([]byte, len(question))
-			if _, err := io.ReadFull(other, got); err != nil || !bytes.Equal(got, question) {
-				t.Fatalf("loss %v: the question came as another, %v", loss, err)
+			if _, err := io.ReadFull(accepted, got); err != nil || !bytes.Equal(got, question) {
+				t.Fatalf("loss %v: the question is not what was written, %v", loss, err)
 			}
-			other.Write(answer)
-			other.Close() // what is not yet acknowledged goes on
+			accepted.Write(answer)
+			accepted.Close() // what is not acknowledged is still sent
 			got = make([]byte, len(answer))
 			conn.SetDeadline(time.Now().Add(20 * time.Second))
 			if _, err := io.ReadFull(conn, got); err != nil || !bytes.Equal(got, answer) {
-				t.Errorf("loss %v: the answer came as another, %v", loss, err)
+				t.Errorf("loss %v: the answer is not what was written, %v", loss, err)
 			}
 			conn.Close()
 			time.Sleep(2 * maxDrainPeriod)
-			if dialer.streamCount()+listener.streamCount() > 0 || len(listener.accepted) > 0 || *long > 0 {
-				t.Errorf("left over: %d and %d streams, %d opened anew; %d datagrams too long", dialer.streamCount(), listener.streamCount(), len(listener.accepted), *long)
+			if dialer.streamCount()+listener.streamCount() > 0 || len(listener.accepted) > 0 || *oversized > 0 {
+				t.Errorf("remaining: %d and %d streams, %d opened anew; %d datagrams over the size limit", dialer.streamCount(), listener.streamCount(), len(listener.accepted), *oversized)
 			}
 		})
 	}
 }
 
-// Streams that nobody answers or reads end, and there are no more than so many.
-func TestStreamsAreBounded(t *testing.T) {
+// Streams that nobody answers or reads end after their lifetime, and their number is limited.
+func TestStreamsExpireAndAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, b, _ := pair(1, 0, 0, Options{})
+		a, b, _ := newPair(1, 0, 0, Options{})
 		dialer := NewStreams(a)
 		NewStreams(b)
 		for range maxOpenStreams {
@@ -104,58 +105,61 @@
 			conn.Write([]byte("a"))
 		}
 		if _, err := dialer.Dial(there); !errors.Is(err, ErrTooManyStreams) {
-			t.Errorf("one stream more: %v", err)
+			t.Errorf("a stream over the limit: %v", err)
 		}
 		time.Sleep(maxStreamLifetime + maxDrainPeriod)
 		conn, err := dialer.Dial(there)
 		if err != nil || dialer.streamCount() != 1 {
-			t.Errorf("%d streams outlive their time, %v", dialer.streamCount()-1, err)
+			t.Errorf("%d streams outlive their lifetime, %v", dialer.streamCount()-1, err)
 		}
 		conn.SetDeadline(time.Now().Add(time.Second))
 		if _, err := conn.Read(make([]byte, 1)); err == nil {
-			t.Error("a read with nothing to come ended well")
+			t.Error("a read without data before its deadline succeeded")
 		}
 		if _, err := conn.Write(make([]byte, 2*maxQueuedBytes)); err == nil {
-			t.Error("more was written than a stream holds")
+			t.Error("a write larger than the queue succeeded")
 		}
 		dialer.Close()
 		time.Sleep(time.Minute)
 	})
 }
 
-// Over the budget datagrams are held back and counted, news never; what is too long is not sent.
-func TestBudget(t *testing.T) {
+// Datagrams over the rate limit are not sent and counted, except gossip; datagrams of an invalid size are not sent.
+func TestRateLimitExceptsGossip(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, _, _ := pair(1, 0, 0, Options{MaxRate: 10})
+		a, _, _ := newPair(1, 0, 0, Options{MaxRate: 10})
 		for range 100 {
 			a.Send(there, []byte{byte(ChannelPackets), 1})
 			a.Send(there, []byte{byte(ChannelGossip), 1})
 		}
 		counts, _ := a.Counts()
-		if p, n := counts[ChannelPackets], counts[ChannelGossip]; p.SentDatagrams != 20 || p.RateLimited != 80 || n.SentDatagrams != 100 || n.RateLimited != 0 {
-			t.Errorf("at once, with 10 a second, half of it, and 4 s of that: %+v, news %+v", p, n)
+		packets, gossip := counts[ChannelPackets], counts[ChannelGossip]
+		if packets.SentDatagrams != 20 || packets.RateLimited != 80 || gossip.SentDatagrams != 100 || gossip.RateLimited != 0 {
+			t.Errorf("a burst of 4 s at half of 10 per second: packets %+v, gossip %+v", packets, gossip)
 		}
 		time.Sleep(time.Second)
-		if a.Send(there, []byte{byte(ChannelPackets)}) != nil {
-			t.Error("held back with budget left")
+		if err := a.Send(there, []byte{byte(ChannelPackets)}); err != nil {
+			t.Errorf("limited a second later: %v", err)
 		}
-		if a.Send(there, make([]byte, MaxSize+1)) == nil || a.Send(there, nil) == nil {
-			t.Error("a datagram was sent that must not be")
+		for _, data := range [][]byte{make([]byte, MaxSize+1), nil, {channelCount}} {
+			if err := a.Send(there, data); !errors.Is(err, ErrInvalidDatagram) {
+				t.Errorf("a datagram of %d bytes: %v", len(data), err)
+			}
 		}
-		time.Sleep(time.Second) // what is under way arrives
+		time.Sleep(time.Second) // the last ones arrive
 	})
 }
 
-// FuzzDeliver: nothing that a stranger sends harms a link and its streams.
+// FuzzDeliver: nothing that a stranger sends harms a transport and its streams.
 func FuzzDeliver(f *testing.F) {
 	var once sync.Once
 	first := make(chan []byte, 1)
-	l := New(func(data []byte, _ netip.AddrPort) error {
+	transport := New(func(data []byte, _ netip.AddrPort) error {
 		once.Do(func() { first <- bytes.Clone(data) })
 		return nil
 	}, Options{})
-	s := NewStreams(l)
-	conn, err := s.Dial(there)
+	streams := NewStreams(transport)
+	conn, err := streams.Dial(there)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -166,10 +170,10 @@
 	f.Add([]byte{1, 2, 3})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if len(data) > 0 {
-			l.Deliver(there, data)
+			transport.Deliver(there, data)
 		}
-		for len(s.accepted) > 0 {
-			(<-s.accepted).Close()
+		for len(streams.accepted) > 0 {
+			(<-streams.accepted).Close()
 		}
 	})
 }
