--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,16 +1,10 @@
-// Package fleet is what a sidecar has to do with the others: the datagrams'
-// path (link) with the module's news on it and, where it is switched on, a
-// view of the fleet kept by the sidecars themselves (view). It knows neither
-// HTTP nor the module. See docs/design-fleet.md.
 package fleet
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
 	"fmt"
 	"log/slog"
-	"math"
 	"net/netip"
 	"sync"
 	"syscall"
@@ -23,67 +17,36 @@
 // Version is the program's, as members tell it to each other.
 const Version = "21.0"
 
-// Settings is the configuration's table "fleet".
-type Settings struct {
-	Enabled               bool    `json:"on"`              // keep a view of the fleet; off by default
-	Advertise             string  `json:"advertise"`       // address:port at which the others reach this sidecar; by default its entry in peers, else peer_listen
-	StabilizationSeconds  float64 `json:"quiet_s"`         // seconds that a change must last, and between views; 1
-	ProbeIntervalMillis   float64 `json:"probe_ms"`        // milliseconds between probes of the failure detector; 400
-	MaxMembers            int     `json:"members"`         // known at once, the gone included; 1000
-	MaxDatagramsPerSecond float64 `json:"datagrams_per_s"` // a second, of the view, with a burst of 4 s; 100
-}
-
-// ParseSettings reads the table from JSON; none or null is the defaults. Errors name the key.
-func ParseSettings(raw json.RawMessage) (Settings, error) {
-	s := Settings{StabilizationSeconds: 1, ProbeIntervalMillis: 400, MaxMembers: 1000, MaxDatagramsPerSecond: 100}
-	if len(raw) == 0 {
-		return s, nil
-	}
-	decoder := json.NewDecoder(bytes.NewReader(raw))
-	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(&s); err != nil {
-		return s, err
-	}
-	for _, c := range []struct {
-		key                string
-		value, least, most float64
-	}{{"quiet_s", s.StabilizationSeconds, 0.1, 60}, {"probe_ms", s.ProbeIntervalMillis, 50, 10_000}, {"members", float64(s.MaxMembers), 2, 10_000},
-		{"datagrams_per_s", s.MaxDatagramsPerSecond, 10, 10_000}} {
-		if !(c.value >= c.least && c.value <= c.most) {
-			return s, fmt.Errorf("%s: %v is not within %v to %v", c.key, c.value, c.least, c.most)
-		}
-	}
-	if s.Advertise != "" {
-		if a, err := netip.ParseAddrPort(s.Advertise); err != nil || !a.Addr().Is4() || a.Port() == 0 {
-			return s, fmt.Errorf("advertise: %q is not an IPv4 address:port", s.Advertise)
-		}
-	}
-	return s, nil
-}
-
 // Options of a Fleet.
 type Options struct {
 	Settings
 	Name, Zone      string
-	PersistentState bool             // this sidecar keeps state on a disk
-	Listen          netip.AddrPort   // where datagrams come in
-	Peers           []netip.AddrPort // of the whole tier, by their numbers; news is taken from them alone, and they are the view's seeds
+	PersistentState bool             // this sidecar persists its state on a disk
+	Listen          netip.AddrPort   // where datagrams are received
+	Peers           []netip.AddrPort // all sidecars of the tier, by their numbers: gossip is accepted from them alone, and they are the membership's seeds
 	PeerIndex       int              // the own number among Peers
-	PeerBroadcast   netip.AddrPort   // reaches all of them
-	Snapshot        json.RawMessage  // what Keep gave an earlier process
-	// ControlSocket sets options of the socket before it is bound; Opened has it afterwards.
+	PeerBroadcast   netip.AddrPort   // reaches all peers
+	Snapshot        json.RawMessage  // of an earlier process; nil for none
+
+	// Transport carries the datagrams in place of a socket: its owner delivers to it and ends it. nil for a socket.
+	Transport *datagram.Transport
+	// ControlSocket sets options of the socket before it is bound, OnSocket gets the bound one. nil for neither.
 	ControlSocket func(network, address string, raw syscall.RawConn) error
-	Transport     *datagram.Transport // carries the datagrams in place of a socket: who made it delivers, and ends that; nil for a socket
 	OnSocket      func(socket syscall.Conn)
-	OnGossip      func(data []byte) // takes news of the module; nil for none
-	OnMemberCount func(living int)  // is told how many sidecars there are, whenever that is settled anew and not cut off
-	Logger        *slog.Logger
+
+	// OnGossip takes a peer's gossip, in the goroutine that receives; nil where gossip is not used.
+	OnGossip func(data []byte)
+	// OnMemberCount gets the number of sidecars with each new stable view, while this one is not isolated. It is called
+	// by the membership's goroutine and must not wait for the Fleet. nil for none.
+	OnMemberCount func(members int)
+
+	Logger *slog.Logger
 }
 
-// advertise is the own address as the others know it.
-func (o *Options) advertise() netip.AddrPort {
+// advertisedAddress returns the own address as the others know it.
+func (o *Options) advertisedAddress() netip.AddrPort {
 	if o.Advertise != "" {
-		return netip.MustParseAddrPort(o.Advertise)
+		return netip.MustParseAddrPort(o.Advertise) // ParseSettings validated it
 	}
 	if o.PeerIndex >= 0 && o.PeerIndex < len(o.Peers) {
 		return o.Peers[o.PeerIndex]
@@ -91,9 +54,16 @@
 	return o.Listen
 }
 
-// Self is what this sidecar tells the others of itself; its error names what cannot be told.
+// Self returns what this sidecar tells the others of itself. Its error is a
+// membership.InvalidMemberError.
 func (o *Options) Self() (membership.Member, error) {
-	m := membership.Member{Name: o.Name, Zone: o.Zone, Version: Version, StartTime: time.Now(), Address: o.advertise()}
+	m := membership.Member{
+		Name:      o.Name,
+		Zone:      o.Zone,
+		Version:   Version,
+		StartTime: time.Now(),
+		Address:   o.advertisedAddress(),
+	}
 	if o.OnGossip != nil {
 		m.Features |= membership.FeatureGossip
 	}
@@ -103,77 +73,36 @@
 	return m, m.Validate()
 }
 
-// Fleet is one process's part in the fleet.
+// Fleet is one process's part in the fleet. It is safe for concurrent use.
+//
+// It owns two goroutines: one receives from the socket until that is closed,
+// one samples the traffic until Close. The membership agent has its own.
 type Fleet struct {
 	options      Options
 	transport    *datagram.Transport
-	agent        *membership.Agent // nil where it is off
+	agent        *membership.Agent // nil where the membership is disabled
 	stopSampling context.CancelFunc
 
-	samplesMu sync.Mutex
-	samples   [2]trafficSample // of the counts, the older one first
-}
-
-type trafficSample struct {
-	at     time.Time
-	counts map[datagram.Channel]datagram.ChannelCounts
+	samplesMu sync.Mutex // guards samples
+	samples   [2]trafficSample
 }
 
-const sampleInterval = 5 * time.Second
-
-// Open opens the socket and, where it is on, the view, which Close ends. The socket ends with ctx: news goes on until then, also after a Close
-// with a goodbye.
+// Open opens the socket and, where it is enabled, joins the membership, which
+// Close ends. The socket is closed when ctx ends: gossip goes on until then,
+// also after a Close with a leave.
 func Open(ctx context.Context, o Options) (*Fleet, error) {
 	f := &Fleet{options: o, stopSampling: func() {}}
-	var kept membership.Snapshot
-	if len(o.Snapshot) > 0 && o.Enabled {
-		if err := json.Unmarshal(o.Snapshot, &kept); err != nil {
-			o.Logger.Error("view: what was kept cannot be read; it is not used", "error", err)
-			kept = membership.Snapshot{}
-		}
-	}
-	var err error
-	if f.transport = o.Transport; f.transport == nil {
-		if f.transport, err = datagram.Listen(ctx, o.Listen, datagram.Options{MaxRate: o.MaxDatagramsPerSecond, ControlSocket: o.ControlSocket, Logger: o.Logger}); err != nil {
-			return nil, err
-		}
-		if o.OnSocket != nil {
-			o.OnSocket(f.transport.Conn())
-		}
+	if err := f.openTransport(ctx); err != nil {
+		return nil, err
 	}
 	if o.OnGossip != nil {
-		from := map[netip.AddrPort]bool{}
-		for _, a := range o.Peers {
-			from[a] = a != o.Listen
-		}
-		f.transport.Handle(datagram.ChannelGossip, func(a netip.AddrPort, data []byte) bool {
-			if from[a] {
-				o.OnGossip(data)
-			}
-			return from[a]
-		})
+		f.transport.Handle(datagram.ChannelGossip, f.gossipHandler())
 	}
 	if o.Enabled {
-		self, err := o.Self()
-		if err != nil {
+		if err := f.openMembership(ctx); err != nil {
 			f.closeSocket()
 			return nil, fmt.Errorf("fleet: %w", err)
 		}
-		f.agent, err = membership.Open(f.transport, membership.Options{Self: self, Seeds: o.Peers, Snapshot: kept, MaxMembers: o.MaxMembers, Logger: o.Logger,
-			StabilizationPeriod: time.Duration(o.StabilizationSeconds * float64(time.Second)), ProbeInterval: time.Duration(o.ProbeIntervalMillis * float64(time.Millisecond)),
-			OnChange: func(s membership.StableView) {
-				if o.OnMemberCount != nil && !s.Isolated {
-					o.OnMemberCount(len(s.Names))
-				}
-			}})
-		if err != nil {
-			f.closeSocket()
-			return nil, err
-		}
-		var sampling context.Context
-		sampling, f.stopSampling = context.WithCancel(ctx)
-		f.takeSample()
-		go f.sampleTraffic(sampling)
 	}
 	if o.Transport == nil {
 		go f.transport.Serve()
@@ -181,165 +110,133 @@
 	return f, nil
 }
 
-// closeSocket ends the link where it is of our own making.
+// openTransport takes the options' transport, or binds a socket.
+func (f *Fleet) openTransport(ctx context.Context) error {
+	o := &f.options
+	if o.Transport != nil {
+		f.transport = o.Transport
+		return nil
+	}
+	transport, err := datagram.Listen(ctx, o.Listen, datagram.Options{
+		MaxRate:       o.MaxDatagramsPerSecond,
+		ControlSocket: o.ControlSocket,
+		Logger:        o.Logger,
+	})
+	if err != nil {
+		return fmt.Errorf("fleet: %w", err)
+	}
+	f.transport = transport
+	if o.OnSocket != nil {
+		o.OnSocket(transport.Conn())
+	}
+	return nil
+}
+
+// gossipHandler passes on the gossip of the other peers, and rejects anybody else's.
+func (f *Fleet) gossipHandler() datagram.Handler {
+	o := &f.options
+	isPeer := map[netip.AddrPort]bool{}
+	for _, address := range o.Peers {
+		isPeer[address] = address != o.Listen
+	}
+	return func(from netip.AddrPort, data []byte) bool {
+		if !isPeer[from] {
+			return false
+		}
+		o.OnGossip(data)
+		return true
+	}
+}
+
+// openMembership starts the agent and the sampling of traffic.
+func (f *Fleet) openMembership(ctx context.Context) error {
+	o := &f.options
+	self, err := o.Self()
+	if err != nil {
+		return err
+	}
+	f.agent, err = membership.Open(f.transport, membership.Options{
+		Self:                self,
+		Seeds:               o.Peers,
+		Snapshot:            o.decodeSnapshot(),
+		StabilizationPeriod: time.Duration(o.StabilizationSeconds * float64(time.Second)),
+		ProbeInterval:       time.Duration(o.ProbeIntervalMillis * float64(time.Millisecond)),
+		MaxMembers:          o.MaxMembers,
+		OnChange:            f.onStableView,
+		Logger:              o.Logger,
+	})
+	if err != nil {
+		return err
+	}
+	sampling, stop := context.WithCancel(ctx)
+	f.stopSampling = stop
+	f.takeSample()
+	go f.sampleTraffic(sampling)
+	return nil
+}
+
+// onStableView passes on the number of members.
+func (f *Fleet) onStableView(view membership.StableView) {
+	if f.options.OnMemberCount != nil && !view.Isolated {
+		f.options.OnMemberCount(len(view.Names))
+	}
+}
+
+// decodeSnapshot returns an earlier process's view, an empty one where it cannot be read.
+func (o *Options) decodeSnapshot() membership.Snapshot {
+	if len(o.Snapshot) == 0 {
+		return membership.Snapshot{}
+	}
+	var snapshot membership.Snapshot
+	if err := json.Unmarshal(o.Snapshot, &snapshot); err != nil {
+		o.Logger.Error("persisted membership view not used", "error", err)
+		return membership.Snapshot{}
+	}
+	return snapshot
+}
+
+// closeSocket closes the socket, if it is the Fleet's own.
 func (f *Fleet) closeSocket() {
 	if f.options.Transport == nil {
 		f.transport.Conn().Close()
 	}
 }
 
-// Close ends the view, with a goodbye unless another process of this sidecar goes on as the same member. In
-// that case the socket goes, too, so that the other has all that comes.
-func (f *Fleet) Close(goodbye bool) {
+// Close ends the membership: with a leave, or without one where another process
+// of this sidecar goes on as the same member. Then the socket is closed, too,
+// so that the other process receives everything.
+func (f *Fleet) Close(leave bool) {
 	f.stopSampling()
 	if f.agent != nil {
-		f.agent.Close(goodbye)
+		f.agent.Close(leave)
 	}
-	if !goodbye {
+	if !leave {
 		f.closeSocket()
 	}
 }
 
-// SendGossip sends news of the module to all the others.
+// SendGossip sends the balancer's gossip to all peers. An error counts as a loss on the way.
 func (f *Fleet) SendGossip(data []byte) {
 	if err := f.transport.Send(f.options.PeerBroadcast, data); err != nil {
-		f.options.Logger.Debug("peers", "error", err) // as if lost on the way
+		f.options.Logger.Debug("gossip not sent", "error", err)
 	}
 }
 
-// Counts gives what passed on each channel since the start.
+// Counts returns the datagrams of each channel since the start.
 func (f *Fleet) Counts() map[datagram.Channel]datagram.ChannelCounts {
 	counts, _ := f.transport.Counts()
 	return counts
 }
 
-// Snapshot is what a next process of this sidecar should be given; nil where the view is off.
+// Snapshot returns what the next process of this sidecar should be given; nil
+// where the membership is disabled.
 func (f *Fleet) Snapshot() json.RawMessage {
 	if f.agent == nil {
 		return nil
 	}
 	data, err := json.Marshal(f.agent.Snapshot())
-	if err != nil {
+	if err != nil { // strings, numbers and addresses have no error
 		return nil
 	}
 	return data
 }
-
-func (f *Fleet) sampleTraffic(ctx context.Context) {
-	tick := time.NewTicker(sampleInterval)
-	defer tick.Stop()
-	for {
-		select {
-		case <-tick.C:
-			f.takeSample()
-		case <-ctx.Done():
-			return
-		}
-	}
-}
-
-func (f *Fleet) takeSample() {
-	counts, _ := f.transport.Counts()
-	f.samplesMu.Lock()
-	defer f.samplesMu.Unlock()
-	f.samples[0] = f.samples[1]
-	f.samples[1] = trafficSample{time.Now(), counts}
-}
-
-// Status is what operators are told of the view, as JSON.
-type Status struct {
-	Name          string    `json:"name"`
-	Epoch         uint64    `json:"epoch"`         // of this sidecar's; moves when the set of members does
-	Digest        string    `json:"digest"`        // the same at two sidecars that see the same members
-	StableSince   time.Time `json:"settled_since"` // when the set last changed
-	Isolated      bool      `json:"cut_off"`       // it hears almost nobody, and goes on with what it knew
-	StableMembers []string  `json:"settled"`       // the members, sorted
-
-	Members  []MemberStatus     `json:"members,omitempty"`
-	Traffic  map[string]Traffic `json:"traffic,omitempty"` // by channel
-	Counters map[string]uint64  `json:"counts,omitempty"`
-}
-
-// MemberStatus is one member as operators see it.
-type MemberStatus struct {
-	Name              string    `json:"name"`
-	State             string    `json:"state"` // alive, failed, left
-	Since             time.Time `json:"since"`
-	Zone              string    `json:"zone"`
-	Version           string    `json:"version"`
-	Features          []string  `json:"features"`
-	Address           string    `json:"address"`
-	StartTime         time.Time `json:"start"`
-	LastContactMillis float64   `json:"heard_ms"` // since a datagram of its last came; -1 for never, and for oneself
-}
-
-// Traffic of one channel: a second, over the last 5 to 10 s, and whole counts since the start.
-type Traffic struct {
-	SentPerSecond          float64 `json:"sent_per_s"`
-	SentBytesPerSecond     float64 `json:"sent_bytes_per_s"`
-	ReceivedPerSecond      float64 `json:"received_per_s"`
-	ReceivedBytesPerSecond float64 `json:"received_bytes_per_s"`
-	Sent                   uint64  `json:"sent"`
-	SentBytes              uint64  `json:"sent_bytes"`
-	Received               uint64  `json:"received"`
-	RateLimited            uint64  `json:"held_back"` // over the budget
-	Rejected               uint64  `json:"refused"`
-}
-
-var channelNames = map[datagram.Channel]string{datagram.ChannelGossip: "news", datagram.ChannelPackets: "packets", datagram.ChannelToListener: "streams_out", datagram.ChannelToDialer: "streams_in"}
-
-// Status gives the view, false where it is off; brief leaves out members, traffic and counts.
-func (f *Fleet) Status(brief bool) (Status, bool) {
-	if f.agent == nil {
-		return Status{}, false
-	}
-	settled := f.agent.StableView()
-	s := Status{Name: f.options.Name, Epoch: settled.Epoch, Digest: fmt.Sprintf("%016x", settled.Digest), StableSince: settled.ChangedAt,
-		Isolated: settled.Isolated, StableMembers: settled.Names}
-	if brief {
-		return s, true
-	}
-	now := time.Now()
-	for _, m := range f.agent.Members() {
-		ms := MemberStatus{Name: m.Name, State: string(m.State), Since: m.StateSince, Zone: m.Zone, Version: m.Version, Features: m.Features.Names(),
-			Address: m.Address.String(), StartTime: m.StartTime, LastContactMillis: -1}
-		if !m.LastContact.IsZero() {
-			ms.LastContactMillis = math.Round(now.Sub(m.LastContact).Seconds()*1e6) / 1e3
-		}
-		s.Members = append(s.Members, ms)
-	}
-	counts, unknown := f.transport.Counts()
-	f.samplesMu.Lock()
-	old := f.samples[0]
-	if old.counts == nil {
-		old = f.samples[1]
-	}
-	f.samplesMu.Unlock()
-	seconds := max(now.Sub(old.at).Seconds(), 1e-3)
-	perS := func(now, then uint64) float64 { return math.Round(float64(now-then)/seconds*100) / 100 }
-	s.Traffic = map[string]Traffic{}
-	for channel, c := range counts {
-		was := old.counts[channel]
-		s.Traffic[channelNames[channel]] = Traffic{perS(c.SentDatagrams, was.SentDatagrams), perS(c.SentBytes, was.SentBytes),
-			perS(c.ReceivedDatagrams, was.ReceivedDatagrams), perS(c.ReceivedBytes, was.ReceivedBytes),
-			c.SentDatagrams, c.SentBytes, c.ReceivedDatagrams, c.RateLimited, c.Rejected}
-	}
-	conflicts, full, improper, dropped := f.agent.Counters()
-	s.Counters = map[string]uint64{"name_conflicts": conflicts, "refused_members": full, "improper_messages": improper,
-		"dropped_packets": dropped, "unknown_datagrams": unknown}
-	return s, true
-}
-
-// Text is the status for people: a line of the view, then one a member.
-func (s Status) Text() string {
-	var b bytes.Buffer
-	fmt.Fprintf(&b, "%s: %d members, epoch %d, digest %s, settled since %s", s.Name, len(s.StableMembers), s.Epoch, s.Digest, s.StableSince.Format(time.RFC3339))
-	if s.Isolated {
-		b.WriteString(", CUT OFF")
-	}
-	b.WriteByte('\n')
-	for _, m := range s.Members {
-		fmt.Fprintf(&b, "%-20s %-7s %-8s %-8s %-21s heard %.0f ms ago, since %s\n", m.Name, m.State, m.Zone, m.Version, m.Address, m.LastContactMillis, m.Since.Format(time.RFC3339))
-	}
-	return b.String()
-}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -12,7 +12,8 @@
 	"bramblestand/internal/datagram"
 )
 
-func udp(t *testing.T) *net.UDPConn {
+// listenUDP returns a socket on a free port, closed at the test's end.
+func listenUDP(t *testing.T) *net.UDPConn {
 	t.Helper()
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -24,18 +25,18 @@
 
 func addressOf(conn *net.UDPConn) netip.AddrPort { return conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// News of peers is passed on as it came; that of strangers, what is too long and what is of no channel is not, and
-// with the view off no other channel is there.
-func TestNews(t *testing.T) {
-	friend, stranger := udp(t), udp(t)
-	free := udp(t)
+// Gossip of peers is passed on unchanged; that of strangers, datagrams over the size limit and of other channels are not,
+// and with the membership disabled there is no other channel.
+func TestGossipIsAcceptedFromPeersAlone(t *testing.T) {
+	peer, stranger := listenUDP(t), listenUDP(t)
+	free := listenUDP(t)
 	own := addressOf(free)
 	free.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	got := make(chan []byte, 8)
-	f, err := Open(ctx, Options{Listen: own, Peers: []netip.AddrPort{own, addressOf(friend)}, PeerBroadcast: addressOf(friend),
-		OnGossip: func(data []byte) { got <- data }, Logger: slog.New(slog.DiscardHandler)})
+	received := make(chan []byte, 8)
+	f, err := Open(ctx, Options{Listen: own, Peers: []netip.AddrPort{own, addressOf(peer)}, PeerBroadcast: addressOf(peer),
+		OnGossip: func(data []byte) { received <- data }, Logger: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,32 +46,32 @@
 			t.Fatal(err)
 		}
 	}
-	send(stranger, []byte("\x01strange"))
-	send(friend, bytes.Repeat([]byte{1}, datagram.MaxSize+1))
-	send(friend, []byte("\x02view"))
-	send(friend, []byte("\x09later"))
-	send(friend, []byte("\x01news")) // loopback keeps the order
-	if data := <-got; string(data) != "\x01news" {
-		t.Errorf("%d bytes passed on, %.10q", len(data), data)
+	send(stranger, []byte("\x01forged"))
+	send(peer, bytes.Repeat([]byte{1}, datagram.MaxSize+1))
+	send(peer, []byte("\x02packet"))
+	send(peer, []byte("\x09later"))
+	send(peer, []byte("\x01news")) // loopback keeps the order
+	if data := <-received; string(data) != "\x01news" {
+		t.Errorf("%d bytes received, %.10q", len(data), data)
 	}
 	f.SendGossip([]byte("\x01ours"))
 	buf := make([]byte, 10)
-	if n, from, err := friend.ReadFromUDPAddrPort(buf); err != nil || string(buf[:n]) != "\x01ours" || from != own {
+	if n, from, err := peer.ReadFromUDPAddrPort(buf); err != nil || string(buf[:n]) != "\x01ours" || from != own {
 		t.Errorf("%q from %v, %v", buf[:n], from, err)
 	}
-	if len(got) != 0 {
-		t.Errorf("%d more datagrams passed on", len(got))
+	if len(received) != 0 {
+		t.Errorf("%d more datagrams received", len(received))
 	}
 	if counts, unknown := f.transport.Counts(); unknown != 3 || counts[datagram.ChannelGossip].Rejected != 1 || counts[datagram.ChannelGossip].SentDatagrams != 1 {
 		t.Errorf("counts %v, %d unknown", counts, unknown)
 	}
-	if _, on := f.Status(false); on || f.Snapshot() != nil {
-		t.Error("a view that is off tells something")
+	if _, isEnabled := f.Status(false); isEnabled || f.Snapshot() != nil {
+		t.Error("a disabled membership has a status or a snapshot")
 	}
 }
 
-// Errors of the table name the key.
-func TestSettings(t *testing.T) {
+// Errors of the settings name the key.
+func TestSettingsErrorsNameTheKey(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"on":true,"quiet_s":0}`: "quiet_s",
 		`{"probe_ms":1e9}`:        "probe_ms",
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -16,7 +16,7 @@
 	"bramblestand/internal/membership"
 )
 
-var updateGolden = flag.Bool("update-golden", false, "write the golden files anew; only for a form that is new to operators or on the disk")
+var updateGolden = flag.Bool("update-golden", false, "write the golden files again; only for a form that is new to operators or on the disk")
 
 // compareGolden compares text with a golden file, byte for byte, and returns the file's.
 func compareGolden(t *testing.T, file string, text []byte) []byte {
@@ -64,7 +64,7 @@
 	}
 }
 
-// The status is told to operators as the golden files have it: whole, brief and as text.
+// The status has the form of the golden files: full, brief and as text.
 func TestGoldenStatus(t *testing.T) {
 	status := goldenStatus()
 	text := compareGolden(t, "status.json", asJSON(t, status))
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	if again := asJSON(t, read); !bytes.Equal(again, text) {
-		t.Errorf("read and told again it is\n%s", again)
+		t.Errorf("read and written again it is\n%s", again)
 	}
 	compareGolden(t, "status.txt", []byte(status.Text()))
 	status.Members, status.Traffic, status.Counters = nil, nil, nil
@@ -82,41 +82,41 @@
 	compareGolden(t, "status_brief.txt", []byte(status.Text()))
 }
 
-// A sidecar that begins alone with what an earlier process kept tells a status with the golden file's keys and values
-// (its clock's aside), and keeps the same again.
-func TestGoldenKeptAndTold(t *testing.T) {
-	kept := json.RawMessage(`{"epoch":41,"members":[{"name":"s0","addr":"10.0.0.1:7946"},{"name":"s1","addr":"10.0.0.2:7946"},{"name":"s2","addr":""}]}`)
-	nobody := func([]byte, netip.AddrPort) error { return nil }
+// A sidecar that starts alone with a snapshot has a status with the golden file's keys and values (but for its clock's),
+// and the same snapshot again.
+func TestGoldenSnapshotAndStatus(t *testing.T) {
+	snapshot := json.RawMessage(`{"epoch":41,"members":[{"name":"s0","addr":"10.0.0.1:7946"},{"name":"s1","addr":"10.0.0.2:7946"},{"name":"s2","addr":""}]}`)
+	discard := func([]byte, netip.AddrPort) error { return nil }
 	settings, err := ParseSettings([]byte(`{"on":true}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	own := netip.MustParseAddrPort("10.0.0.1:7946")
 	f, err := Open(context.Background(), Options{Settings: settings, Name: "s0", Zone: "a", PersistentState: true, Listen: own, Peers: []netip.AddrPort{own},
-		Snapshot: kept, Transport: datagram.New(nobody, datagram.Options{}), OnGossip: func([]byte) {}, Logger: slog.New(slog.DiscardHandler)})
+		Snapshot: snapshot, Transport: datagram.New(discard, datagram.Options{}), OnGossip: func([]byte) {}, Logger: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close(false)
-	status, on := f.Status(false)
-	if !on {
+	status, isEnabled := f.Status(false)
+	if !isEnabled {
 		t.Fatal("no status")
 	}
 	status.StableSince = goldenTime
 	for i := range status.Members {
 		status.Members[i].Since, status.Members[i].StartTime = goldenTime, goldenTime
 	}
-	for channel, traffic := range status.Traffic { // what it sends before it is asked is by its clock
+	for channel, traffic := range status.Traffic { // what it has sent by now depends on its clock
 		traffic.SentPerSecond, traffic.SentBytesPerSecond, traffic.Sent, traffic.SentBytes = 0, 0, 0, 0
 		status.Traffic[channel] = traffic
 	}
 	compareGolden(t, "status_alone.json", asJSON(t, status))
-	if text := compareGolden(t, "kept.json", append(f.Snapshot(), '\n')); !bytes.Equal(text, append(kept, '\n')) {
-		t.Errorf("kept is %s, begun with %s", text, kept)
+	if text := compareGolden(t, "kept.json", append(f.Snapshot(), '\n')); !bytes.Equal(text, append(snapshot, '\n')) {
+		t.Errorf("the snapshot is %s, started with %s", text, snapshot)
 	}
 }
 
-// The configuration's table is read and written as the golden file has it.
+// The settings are read and written as the golden file has them.
 func TestGoldenSettings(t *testing.T) {
 	all := Settings{Enabled: true, Advertise: "10.0.0.1:7946", StabilizationSeconds: 2.5, ProbeIntervalMillis: 300, MaxMembers: 50, MaxDatagramsPerSecond: 80}
 	text := compareGolden(t, "settings.json", asJSON(t, all))
--- a/internal/membership/agent_test.go
+++ b/internal/membership/agent_test.go
@@ -14,17 +14,17 @@
 	"pgregory.net/rapid"
 )
 
-// expectUnchanged waits for a while in which the nodes' views must not move.
-func (s *simulation) expectUnchanged(what string, nodes []*simNode, lasts time.Duration) {
+// expectUnchanged fails the test if a stable view of the nodes changes within a duration.
+func (s *simulation) expectUnchanged(situation string, nodes []*simulatedNode, duration time.Duration) {
 	s.t.Helper()
 	before := map[int]uint64{}
 	for _, n := range nodes {
 		before[n.number] = n.agent.StableView().Epoch
 	}
-	for end := time.Now().Add(lasts); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for _, n := range nodes {
-			if settled := n.agent.StableView(); settled.Epoch != before[n.number] {
-				s.t.Errorf("%s: the view of %s moved to %v", what, n.agent.options.Self.Name, settled.Names)
+			if view := n.agent.StableView(); view.Epoch != before[n.number] {
+				s.t.Errorf("%s: the view of %s changed to %v", situation, n.agent.options.Self.Name, view.Names)
 				return
 			}
 		}
@@ -33,18 +33,18 @@
 
 const stableTimeout = 30 * time.Second
 
-// A fleet finds itself by one seed, tells a crash from a goodbye, and takes back who returns with an empty disk, also
-// at another address and where that one's former address is another's.
-func TestJoinCrashGoodbyeReturn(t *testing.T) {
+// A fleet joins by one seed, distinguishes a crash from a leave, and readmits a member that returns without a snapshot,
+// also at another address and where its former address is now another member's.
+func TestMembersJoinFailLeaveAndReturn(t *testing.T) {
 	inSimulation(t, 1, 12, func(s *simulation) {
 		for _, n := range s.nodes {
-			n.start(Options{Seeds: []netip.AddrPort{s.nodes[0].address}}) // the rest is in nobody's list
+			n.start(Options{Seeds: []netip.AddrPort{s.nodes[0].address}}) // nobody lists the others
 		}
 		s.awaitStable("by one seed", s.runningNodes(nil), stableTimeout)
-		state := func(at int, name string) State {
-			for _, k := range s.nodes[at].agent.Members() {
-				if k.Name == name {
-					return k.State
+		stateAt := func(node int, name string) State {
+			for _, m := range s.nodes[node].agent.Members() {
+				if m.Name == name {
+					return m.State
 				}
 			}
 			return ""
@@ -52,23 +52,23 @@
 		s.nodes[3].stop(false)
 		s.nodes[4].stop(true)
 		s.awaitStable("one crashed, one left", s.runningNodes(nil), stableTimeout)
-		if a, b := state(7, "s3"), state(7, "s4"); a != StateFailed || b != StateLeft {
-			t.Errorf("the crashed is %v, the one that left %v", a, b)
+		if crashed, left := stateAt(7, "s3"), stateAt(7, "s4"); crashed != StateFailed || left != StateLeft {
+			t.Errorf("the crashed member is %v, the one that left is %v", crashed, left)
 		}
 		s.nodes[3].address, s.nodes[4].address = s.nodes[4].address, s.nodes[3].address
 		s.nodes[3].start(Options{})
 		s.nodes[4].start(Options{})
-		s.awaitStable("both are back, each at the other's address", s.runningNodes(nil), stableTimeout)
+		s.awaitStable("both returned, each at the other's address", s.runningNodes(nil), stableTimeout)
 		s.nodes[5].stop(false)
 		s.nodes[5].address = netip.MustParseAddrPort("10.9.9.9:1")
-		s.nodes[5].start(Options{}) // before anybody knows that it was gone
-		s.awaitStable("back at once, elsewhere", s.runningNodes(nil), stableTimeout)
-		moved := func(n *simNode) bool {
-			return slices.ContainsFunc(n.agent.Members(), func(k MemberStatus) bool {
-				return k.Name == "s5" && k.State == StateAlive && k.Address == s.nodes[5].address
+		s.nodes[5].start(Options{}) // before any member knows of the crash
+		s.awaitStable("returned at once at another address", s.runningNodes(nil), stableTimeout)
+		knowsNewAddress := func(n *simulatedNode) bool {
+			return slices.ContainsFunc(n.agent.Members(), func(m MemberStatus) bool {
+				return m.Name == "s5" && m.State == StateAlive && m.Address == s.nodes[5].address
 			})
 		}
-		for end := time.Now().Add(stableTimeout); !moved(s.nodes[8]); time.Sleep(100 * time.Millisecond) {
+		for end := time.Now().Add(stableTimeout); !knowsNewAddress(s.nodes[8]); time.Sleep(100 * time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("s5 is not known at its new address: %+v", s.nodes[8].agent.Members())
 			}
@@ -77,35 +77,36 @@
 	})
 }
 
-// Half against half both settle, and again after the partition, be it shorter or longer than the dead are remembered; the rejoining is what does it.
-func TestPartition(t *testing.T) {
-	for _, lasts := range []time.Duration{10 * time.Second, 3 * time.Minute} {
-		for _, stays := range []bool{false, true} {
+// Both halves of a partitioned fleet become stable, and the whole fleet does after it, be the partition shorter or longer
+// than memberlist gossips to the dead. Without rejoining the halves never meet.
+func TestPartitionHealsByRejoining(t *testing.T) {
+	for _, duration := range []time.Duration{10 * time.Second, 3 * time.Minute} {
+		for _, rejoinDisabled := range []bool{false, true} {
 			inSimulation(t, 2, 10, func(s *simulation) {
 				for _, n := range s.nodes {
-					n.start(Options{rejoinDisabled: stays})
+					n.start(Options{rejoinDisabled: rejoinDisabled})
 				}
-				left := func(i int) bool { return i < 5 }
-				if stays { // nobody would ever find another
+				inFirstHalf := func(i int) bool { return i < 5 }
+				if rejoinDisabled { // no member would find another
 					for _, n := range s.runningNodes(nil) {
 						n.agent.memberlist.Join([]string{s.nodes[0].address.String()})
 					}
 				}
 				s.awaitStable("start", s.runningNodes(nil), stableTimeout)
-				s.setNetwork(func(a, b int) bool { return left(a) != left(b) }, s.impairment)
-				time.Sleep(lasts)
-				if lasts > time.Minute {
-					s.awaitStable("one half", s.runningNodes(left), stableTimeout)
-					s.awaitStable("other half", s.runningNodes(func(i int) bool { return !left(i) }), stableTimeout)
+				s.setNetwork(func(a, b int) bool { return inFirstHalf(a) != inFirstHalf(b) }, s.impairment)
+				time.Sleep(duration)
+				if duration > time.Minute {
+					s.awaitStable("one half", s.runningNodes(inFirstHalf), stableTimeout)
+					s.awaitStable("other half", s.runningNodes(func(i int) bool { return !inFirstHalf(i) }), stableTimeout)
 				}
 				s.setNetwork(nil, s.impairment)
 				switch {
-				case !stays:
-					s.awaitStable(fmt.Sprintf("healed after %v", lasts), s.runningNodes(nil), stableTimeout)
-				case lasts > time.Minute: // the check bites: without rejoining the halves never meet
+				case !rejoinDisabled:
+					s.awaitStable(fmt.Sprintf("healed after %v", duration), s.runningNodes(nil), stableTimeout)
+				case duration > time.Minute:
 					time.Sleep(stableTimeout)
 					if n := len(s.nodes[0].agent.StableView().Names); n != 5 {
-						t.Errorf("without rejoining a view came to %d members", n)
+						t.Errorf("without rejoining a view has %d members, want 5", n)
 					}
 				}
 			})
@@ -113,41 +114,42 @@
 	}
 }
 
-// Nobody is dropped for a link that is cut while others hear both ends, for one direction of it, or for a doubled, reordered and lossy network.
-func TestOthersHearThem(t *testing.T) {
+// No member is removed because a link between two is cut, in both directions or in one, while the others reach both; nor
+// on a network that duplicates, reorders and loses.
+func TestLinkFaultsRemoveNobody(t *testing.T) {
 	for name, c := range map[string]struct {
-		cut func(a, b int) bool
-		bad impairment
+		isCut      func(a, b int) bool
+		impairment impairment
 	}{
-		"two do not hear each other": {func(a, b int) bool { return a+b == 1 }, impairment{delay: time.Millisecond}},
-		"one does not hear another":  {func(a, b int) bool { return a == 0 && b == 1 }, impairment{delay: time.Millisecond}},
-		"a bad network":              {nil, impairment{loss: 0.05, duplicate: 0.1, delay: 100 * time.Millisecond}},
+		"link cut in both directions": {func(a, b int) bool { return a+b == 1 }, impairment{delay: time.Millisecond}},
+		"link cut in one direction":   {func(a, b int) bool { return a == 0 && b == 1 }, impairment{delay: time.Millisecond}},
+		"lossy network":               {nil, impairment{loss: 0.05, duplicate: 0.1, delay: 100 * time.Millisecond}},
 	} {
 		inSimulation(t, 3, 6, func(s *simulation) {
 			s.startAll()
 			s.awaitStable(name, s.runningNodes(nil), stableTimeout)
 			time.Sleep(5 * time.Second)
-			s.setNetwork(c.cut, c.bad)
+			s.setNetwork(c.isCut, c.impairment)
 			s.expectUnchanged(name, s.runningNodes(nil), 3*time.Minute)
 		})
 	}
 }
 
-// One that is alone says that it is cut off and goes on with what it knew, for however long; its old news afterwards
-// brings back nobody who is gone, and the others never move but for it.
-func TestCutOff(t *testing.T) {
+// An isolated sidecar says so and keeps its view for however long; afterwards its old lists bring back no member that
+// is gone, and the others' views change for nothing else.
+func TestIsolatedSidecarKeepsItsView(t *testing.T) {
 	inSimulation(t, 4, 9, func(s *simulation) {
 		s.startAll()
 		s.awaitStable("start", s.runningNodes(nil), stableTimeout)
-		alone := s.nodes[4]
+		isolated := s.nodes[4]
 		others := s.runningNodes(func(i int) bool { return i != 4 })
 		s.setNetwork(func(a, b int) bool { return a == 4 || b == 4 }, s.impairment)
-		s.expectUnchanged("alone", []*simNode{alone}, 5*time.Minute)
-		if !alone.agent.StableView().Isolated {
-			t.Error("it does not say that it is cut off")
+		s.expectUnchanged("isolated", []*simulatedNode{isolated}, 5*time.Minute)
+		if !isolated.agent.StableView().Isolated {
+			t.Error("it does not say that it is isolated")
 		}
 		s.awaitStable("the others", others, stableTimeout)
-		s.nodes[8].stop(false) // unheard of by the one alone
+		s.nodes[8].stop(false) // which the isolated one does not learn
 		others = others[:len(others)-1]
 		s.awaitStable("the others, one fewer", others, stableTimeout)
 		s.setNetwork(nil, s.impairment)
@@ -155,28 +157,28 @@
 	})
 }
 
-// After a crash of all, those that kept a view find each other by it, without any other seed; the epoch goes on.
-func TestKeptView(t *testing.T) {
+// After all crash, those with a snapshot find each other by it, without any other seed, and continue their epochs.
+func TestSnapshotIsUsedAsViewAndSeeds(t *testing.T) {
 	inSimulation(t, 5, 6, func(s *simulation) {
 		s.startAll()
 		s.awaitStable("start", s.runningNodes(nil), stableTimeout)
-		kept := make([]Snapshot, len(s.nodes))
+		snapshots := make([]Snapshot, len(s.nodes))
 		for i, n := range s.nodes {
-			kept[i] = n.agent.Snapshot()
+			snapshots[i] = n.agent.Snapshot()
 			n.stop(false)
 		}
 		for i, n := range s.nodes {
-			n.start(Options{Snapshot: kept[i], Seeds: []netip.AddrPort{n.address}})
-			if settled := n.agent.StableView(); len(settled.Names) != 6 || settled.Epoch != kept[i].Epoch || !settled.Isolated {
-				t.Errorf("it begins with %+v, kept %+v", settled, kept[i])
+			n.start(Options{Snapshot: snapshots[i], Seeds: []netip.AddrPort{n.address}})
+			if view := n.agent.StableView(); len(view.Names) != 6 || view.Epoch != snapshots[i].Epoch || !view.Isolated {
+				t.Errorf("it starts with %+v, snapshot %+v", view, snapshots[i])
 			}
 		}
 		s.awaitStable("again", s.runningNodes(nil), stableTimeout)
 	})
 }
 
-// All restarted at once, and in waves, with empty disks: one view follows, and those not restarted stay in it.
-func TestAllRestart(t *testing.T) {
+// All restart at once, and in waves, without snapshots: one view follows.
+func TestRestartOfAllEndsInOneView(t *testing.T) {
 	inSimulation(t, 9, 20, func(s *simulation) {
 		s.startAll()
 		s.awaitStable("start", s.runningNodes(nil), stableTimeout)
@@ -195,98 +197,103 @@
 	})
 }
 
-// Two sidecars of one name: the first stays, the trouble is counted, and the rest of the fleet does not move.
-func TestTwoOfOneName(t *testing.T) {
+// Of two sidecars with one name the first stays; the conflict is counted, and the views of the others do not change.
+func TestNameConflictIsCounted(t *testing.T) {
 	inSimulation(t, 6, 6, func(s *simulation) {
 		for _, n := range s.nodes[:5] {
 			n.start(Options{})
 		}
 		s.awaitStable("start", s.runningNodes(nil), stableTimeout)
-		double := s.nodes[5]
-		double.number = 2
-		double.start(Options{})
-		double.number = 5
+		duplicate := s.nodes[5]
+		duplicate.number = 2
+		duplicate.start(Options{})
+		duplicate.number = 5
 		s.expectUnchanged("a second s2", s.runningNodes(func(i int) bool { return i != 5 && i != 2 }), time.Minute)
-		if conflicts, _, _, _ := s.nodes[0].agent.Counters(); conflicts == 0 {
-			t.Error("nobody noticed")
+		if s.nodes[0].agent.Counters().NameConflicts == 0 {
+			t.Error("the conflict was not counted")
 		}
 	})
 }
 
-// The longest names, zones and versions fit the datagrams; members beyond the bound are refused and counted.
-func TestBounds(t *testing.T) {
+// The longest names, zones and versions fit the datagrams; members beyond the limit are rejected and counted.
+func TestMembersAreLimited(t *testing.T) {
 	inSimulation(t, 7, 8, func(s *simulation) {
 		s.maxMembers = 6
-		s.name = func(i int) string { return fmt.Sprintf("%0*d", MaxNameLength, i) }
+		s.nodeName = func(i int) string { return fmt.Sprintf("%0*d", MaxNameLength, i) }
 		s.zone = strings.Repeat("z", MaxZoneLength)
 		for _, n := range s.nodes[:6] {
 			n.start(Options{})
 		}
 		s.awaitStable("start", s.runningNodes(nil), stableTimeout)
 		s.nodes[6].start(Options{})
-		s.expectUnchanged("one too many", s.runningNodes(func(i int) bool { return i < 6 }), time.Minute)
-		if _, full, _, _ := s.nodes[0].agent.Counters(); full == 0 {
-			t.Error("a member beyond the bound was not counted")
+		s.expectUnchanged("one over the limit", s.runningNodes(func(i int) bool { return i < 6 }), time.Minute)
+		if s.nodes[0].agent.Counters().RejectedMembers == 0 {
+			t.Error("a member beyond the limit was not counted")
 		}
 		s.nodes[1].stop(true)
-		s.awaitStable("room again", s.runningNodes(nil), time.Minute)
+		s.awaitStable("after one left", s.runningNodes(nil), time.Minute)
 	})
 }
 
-// Datagrams of strangers, torn ones and ones of other versions are refused and counted, and the fleet does not move.
-func TestRubbish(t *testing.T) {
+// Truncated and changed datagrams of strangers are rejected and counted, and the views do not change.
+func TestForgedDatagramsAreRejected(t *testing.T) {
 	inSimulation(t, 8, 4, func(s *simulation) {
 		s.startAll()
 		s.awaitStable("start", s.runningNodes(nil), stableTimeout)
 		random := rand.New(rand.NewPCG(8, 8))
 		time.Sleep(5 * time.Second)
 		s.networkMu.Lock()
-		s.forge = func(data []byte) []byte { // a torn or changed copy of what is said, sent to all
-			torn := slices.Clone(data[:1+random.IntN(len(data))])
+		s.forge = func(data []byte) []byte { // a truncated and changed copy
+			forged := slices.Clone(data[:1+random.IntN(len(data))])
 			for range 1 + random.IntN(3) {
-				torn[random.IntN(len(torn))] = byte(random.Uint32())
+				forged[random.IntN(len(forged))] = byte(random.Uint32())
 			}
-			return torn
+			return forged
 		}
 		s.networkMu.Unlock()
-		s.expectUnchanged("rubbish", s.runningNodes(nil), 2*time.Minute)
-		if _, _, improper, _ := s.nodes[0].agent.Counters(); improper == 0 {
-			t.Error("nothing was refused")
+		s.expectUnchanged("forged datagrams", s.runningNodes(nil), 2*time.Minute)
+		if s.nodes[0].agent.Counters().RejectedMessages == 0 {
+			t.Error("nothing was rejected")
 		}
 	})
 }
 
-// Whatever joins, leaves, crashes, cuts and losses come, one digest follows once they end.
+// After any joins, leaves, crashes, cuts and losses one view follows once they end.
 func TestAnyFaultsEndInOneView(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(2, 9).Draw(rt, "sidecars")
 		seed := rapid.Uint64().Draw(rt, "seed")
-		type move struct{ kind, who, other, wait int }
-		moves := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) move {
-			return move{rapid.IntRange(0, 6).Draw(rt, "kind"), rapid.IntRange(0, n-1).Draw(rt, "who"), rapid.IntRange(0, n-1).Draw(rt, "other"), rapid.IntRange(0, 12).Draw(rt, "wait")}
-		}), 1, 12).Draw(rt, "moves")
+		type step struct{ kind, node, other, seconds int }
+		steps := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) step {
+			return step{
+				kind:    rapid.IntRange(0, 6).Draw(rt, "kind"),
+				node:    rapid.IntRange(0, n-1).Draw(rt, "node"),
+				other:   rapid.IntRange(0, n-1).Draw(rt, "other"),
+				seconds: rapid.IntRange(0, 12).Draw(rt, "seconds"),
+			}
+		}), 1, 12).Draw(rt, "steps")
 		failed := false
 		inSimulation(t, seed, n, func(s *simulation) {
 			s.startAll()
-			for _, m := range moves {
-				node := s.nodes[m.who]
+			for _, step := range steps {
+				node := s.nodes[step.node]
 				switch {
-				case m.kind <= 1 && node.agent == nil:
+				case step.kind <= 1 && node.agent == nil:
 					node.start(Options{})
-				case m.kind <= 1:
-					node.stop(m.kind == 0)
-				case m.kind == 2:
-					s.setNetwork(func(a, b int) bool { return a == m.who }, s.impairment) // one way
-				case m.kind == 3:
-					s.setNetwork(func(a, b int) bool { return a <= m.who != (b <= m.who) }, s.impairment)
-				case m.kind == 4:
-					s.setNetwork(func(a, b int) bool { return a == m.who && b == m.other || a == m.other && b == m.who }, s.impairment)
-				case m.kind == 5:
+				case step.kind <= 1:
+					node.stop(step.kind == 0)
+				case step.kind == 2:
+					s.setNetwork(func(a, b int) bool { return a == step.node }, s.impairment) // in one direction
+				case step.kind == 3:
+					s.setNetwork(func(a, b int) bool { return a <= step.node != (b <= step.node) }, s.impairment)
+				case step.kind == 4:
+					s.setNetwork(func(a, b int) bool { return a == step.node && b == step.other || a == step.other && b == step.node }, s.impairment)
+				case step.kind == 5:
 					s.setNetwork(nil, impairment{loss: 0.3, duplicate: 0.1, delay: 200 * time.Millisecond})
 				default:
 					s.setNetwork(nil, impairment{delay: time.Millisecond})
 				}
-				time.Sleep(time.Duration(m.wait) * time.Second)
+				time.Sleep(time.Duration(step.seconds) * time.Second)
 			}
 			s.setNetwork(nil, impairment{delay: time.Millisecond})
 			for _, node := range s.nodes {
@@ -294,11 +301,11 @@
 					node.start(Options{})
 				}
 			}
-			s.awaitStable(fmt.Sprint("after ", moves), s.runningNodes(nil), 2*time.Minute)
+			s.awaitStable(fmt.Sprint("after ", steps), s.runningNodes(nil), 2*time.Minute)
 			failed = t.Failed()
 		})
 		if failed {
-			rt.Fatal("no one view")
+			rt.Fatal("the fleet has no one view")
 		}
 	})
 }
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -19,7 +19,7 @@
 	"bramblestand/internal/datagram"
 )
 
-var updateGolden = flag.Bool("update-golden", false, "write the golden files anew; only for a form that is new on the wire or on the disk")
+var updateGolden = flag.Bool("update-golden", false, "write the golden files again; only for a form that is new on the wire or on the disk")
 
 // compareGolden compares got as JSON with a golden file, byte for byte.
 func compareGolden(t *testing.T, file string, got any) {
@@ -67,7 +67,7 @@
 	{Name: "s3", Zone: "Zürich", Version: "1", StartTime: time.UnixMilli(1 << 52).UTC(), Features: FeaturePersistentState, Address: netip.MustParseAddrPort("10.0.0.4:9")},
 }
 
-// goldenMeta is what one member tells beside its name and address.
+// goldenMeta is one member's metadata.
 type goldenMeta struct {
 	Name     string   `json:"name"`
 	Zone     string   `json:"zone"`
@@ -77,7 +77,7 @@
 	Hex      string   `json:"hex"`
 }
 
-// What members tell of themselves is written and read as the golden file has it.
+// Members' metadata is encoded and decoded as the golden file has it.
 func TestGoldenMeta(t *testing.T) {
 	var list []goldenMeta
 	for _, m := range goldenMembers {
@@ -89,45 +89,45 @@
 	}
 	for i, g := range list {
 		m := goldenMembers[i]
-		for _, later := range []string{"", "0102"} { // a later version's fields are passed over
+		for _, later := range []string{"", "0102"} { // a later version's fields are ignored
 			ip := m.Address.Addr().As4()
 			got, err := decodeMember(m.Name, ip[:], m.Address.Port(), unhex(t, g.Hex+later))
 			if err != nil || got != m {
-				t.Errorf("%s is read as %+v, %v, want %+v", g.Name, got, err, m)
+				t.Errorf("%s is decoded as %+v, %v, want %+v", g.Name, got, err, m)
 			}
 		}
 	}
 }
 
-const goldenMost = 5 // members in a push/pull
+const goldenMaxMembers = 5 // in a push/pull
 
-// checkResult is how a message is judged: why it is refused is told, but no part of the form.
+// checkResult is a message and what the checks make of it; the text of an error is no part of it.
 type checkResult struct {
 	Name     string   `json:"name"`
 	Hex      string   `json:"hex"`
 	Accepted bool     `json:"accepted"`
-	Says     []string `json:"says,omitempty"` // of whom, in which incarnation, whether it is a goodbye
+	Reports  []string `json:"says,omitempty"` // name, incarnation and whether it left
 	Ack      bool     `json:"ack,omitempty"`
 	Probe    bool     `json:"probe,omitempty"`
 }
 
-func check(name string, data []byte, stream bool) checkResult {
-	v := checkResult{Name: name, Hex: hex.EncodeToString(data)}
-	note := func(name string, incarnation uint32, goodbye bool) {
-		v.Says = append(v.Says, fmt.Sprintf("%s %d %v", name, incarnation, goodbye))
+func check(name string, data []byte, isStream bool) checkResult {
+	result := checkResult{Name: name, Hex: hex.EncodeToString(data)}
+	report := func(r memberReport) {
+		result.Reports = append(result.Reports, fmt.Sprintf("%s %d %v", r.name, r.incarnation, r.left))
 	}
-	if stream {
-		whole, err := readStreamMessage(bytes.NewReader(data), goldenMost, note)
-		v.Accepted = err == nil && bytes.Equal(whole, data)
-		return v
+	if isStream {
+		message, err := readStreamMessage(bytes.NewReader(data), goldenMaxMembers, report)
+		result.Accepted = err == nil && bytes.Equal(message, data)
+		return result
 	}
-	what, err := checkPacket(data, note)
-	v.Accepted, v.Ack, v.Probe = err == nil, what.hasAck, what.hasProbe
-	return v
+	contents, err := checkPacket(data, report)
+	result.Accepted, result.Ack, result.Probe = err == nil, contents.hasAck, contents.hasProbe
+	return result
 }
 
-// recheckGolden judges a golden file's messages again, each as the file says.
-func recheckGolden(t *testing.T, file string, stream bool) []checkResult {
+// recheckGolden checks a golden file's messages again: each result has to be the file's.
+func recheckGolden(t *testing.T, file string, isStream bool) []checkResult {
 	t.Helper()
 	var list []checkResult
 	if err := json.Unmarshal(readGolden(t, file), &list); err != nil {
@@ -137,8 +137,8 @@
 		t.Fatalf("%s: no messages", file)
 	}
 	for _, g := range list {
-		if got := check(g.Name, unhex(t, g.Hex), stream); fmt.Sprint(got) != fmt.Sprint(g) {
-			t.Errorf("%s: judged %+v, want %+v", file, got, g)
+		if got := check(g.Name, unhex(t, g.Hex), isStream); fmt.Sprint(got) != fmt.Sprint(g) {
+			t.Errorf("%s: checked as %+v, want %+v", file, got, g)
 		}
 	}
 	return list
@@ -146,8 +146,8 @@
 
 type fields = map[string]any
 
-// Messages of every kind, good ones and others, are judged as the golden file has them. Their bytes are what msgpack
-// makes of the fields, which come in any order: they are made once.
+// Messages of every kind, valid and invalid ones, are checked as the golden file has them. Msgpack writes their fields in
+// any order, so that the bytes are made once.
 func TestGoldenPackets(t *testing.T) {
 	dead := encodeMessage(msgDead, fields{"Incarnation": 4, "Node": "s1", "From": "s1"})
 	ack := encodeMessage(msgAck, fields{"SeqNo": 7})
@@ -222,7 +222,7 @@
 	recheckGolden(t, "packets.json", false)
 }
 
-// Streams' messages are judged, at most goldenMost members each, as the golden file has them.
+// Messages of streams are checked, with goldenMaxMembers members at most, as the golden file has them.
 func TestGoldenStreams(t *testing.T) {
 	if *updateGolden {
 		var list []checkResult
@@ -234,7 +234,7 @@
 			{"push/pull with one that left", encodePushPull(2, memberState("State", 3), memberState("Name", "s2"))},
 			{"push/pull with one suspected, one dead", encodePushPull(2, memberState("State", 1), memberState("State", 2))},
 			{"push/pull of nobody", encodePushPull(0)},
-			{"more than the bound", encodePushPull(goldenMost+1, slices.Repeat([]fields{memberState("", nil)}, goldenMost+1)...)},
+			{"more than the bound", encodePushPull(goldenMaxMembers+1, slices.Repeat([]fields{memberState("", nil)}, goldenMaxMembers+1)...)},
 			{"a count below nothing", encodePushPull(-1)},
 			{"fewer than it says", encodePushPull(2, memberState("", nil))},
 			{"a state that is none", encodePushPull(1, memberState("State", 9))},
@@ -254,25 +254,33 @@
 	recheckGolden(t, "streams.json", true)
 }
 
-// recordFleet gives what members of a fleet really send: of each packet's kinds the first few, and a push/pull.
+// composition names the type of a packet and of its parts.
+func composition(packet []byte) string {
+	if packet[0] == msgHasCRC {
+		packet = packet[crcHeaderSize:]
+	}
+	name := fmt.Sprintf("packet of type %d", packet[0])
+	if packet[0] != msgCompound {
+		return name
+	}
+	parts, err := splitCompound(packet)
+	if err != nil {
+		return name + ", truncated"
+	}
+	for part, ok := parts.next(); ok; part, ok = parts.next() {
+		name += fmt.Sprint(" ", part[0])
+	}
+	return name
+}
+
+// recordFleet returns what members of a simulated fleet send: the first two packets of each composition, and a push/pull.
 func recordFleet(t *testing.T) (packets, streams []checkResult) {
 	t.Helper()
 	seen := map[string]int{}
 	inSimulation(t, 33, 5, func(s *simulation) {
-		s.forge = func(data []byte) []byte { // called under the sim's lock
-			kind := fmt.Sprint(data[0])
+		s.forge = func(data []byte) []byte { // called under networkMu
 			if data[0] == byte(datagram.ChannelPackets) {
-				parts := data[1:]
-				if parts[0] == msgHasCRC {
-					parts = parts[crcHeaderSize:]
-				}
-				kind = fmt.Sprintf("packet of type %d", parts[0])
-				if parts[0] == msgCompound {
-					for n, rest := 0, parts[2+2*int(parts[1]):]; n < int(parts[1]); n++ {
-						kind += fmt.Sprint(" ", rest[0])
-						rest = rest[int(parts[2+2*n])<<8|int(parts[3+2*n]):]
-					}
-				}
+				kind := composition(data[1:])
 				if seen[kind]++; seen[kind] <= 2 {
 					packets = append(packets, check(kind, data[1:], false))
 				}
@@ -288,25 +296,25 @@
 		time.Sleep(10 * time.Second)
 		s.setNetwork(nil, s.impairment)
 
-		stranger := &simNode{simulation: s, number: -1, address: netip.MustParseAddrPort("10.7.7.7:7")}
+		stranger := &simulatedNode{simulation: s, number: -1, address: netip.MustParseAddrPort("10.7.7.7:7")}
 		stranger.transport = datagram.New(func(data []byte, to netip.AddrPort) error { return s.carry(stranger, data, to) }, datagram.Options{})
-		accepts := datagram.NewStreams(stranger.transport)
+		strangersStreams := datagram.NewStreams(stranger.transport)
 		s.networkMu.Lock()
 		s.transports[stranger.address] = stranger.transport
 		s.networkMu.Unlock()
 		go s.nodes[0].agent.memberlist.Join([]string{stranger.address.String()})
-		conn := <-accepts.Accepted()
+		conn := <-strangersStreams.Accepted()
 		conn.SetDeadline(time.Now().Add(time.Second))
-		whole, _ := io.ReadAll(conn)
+		message, _ := io.ReadAll(conn)
 		conn.Close()
-		streams = append(streams, check("push/pull of a member's", whole, true))
+		streams = append(streams, check("push/pull of a member's", message, true))
 		time.Sleep(10 * time.Second)
-		accepts.Close()
+		strangersStreams.Close()
 	})
 	return packets, streams
 }
 
-// What members of a fleet really sent, as recorded, is accepted, and says the same of members.
+// What members of a simulated fleet sent, as recorded, is accepted with the same reports.
 func TestGoldenFleet(t *testing.T) {
 	if *updateGolden {
 		packets, streams := recordFleet(t)
@@ -315,19 +323,19 @@
 	}
 	for _, g := range slices.Concat(recheckGolden(t, "fleet_packets.json", false), recheckGolden(t, "fleet_streams.json", true)) {
 		if !g.Accepted {
-			t.Errorf("%s: a member's message is refused", g.Name)
+			t.Errorf("%s: a member's message is rejected", g.Name)
 		}
 	}
 }
 
-// What is kept for a next process is written and read as the golden file has it, and begun with.
+// A snapshot is written and read as the golden file has it, and is an agent's first view.
 func TestGoldenKept(t *testing.T) {
-	kept := Snapshot{Epoch: 1 << 40, Members: []SnapshotMember{{"s0", netip.MustParseAddrPort("10.0.0.1:7946")}, {"s1", netip.AddrPort{}},
+	snapshot := Snapshot{Epoch: 1 << 40, Members: []SnapshotMember{{"s0", netip.MustParseAddrPort("10.0.0.1:7946")}, {"s1", netip.AddrPort{}},
 		{"Zürich", netip.MustParseAddrPort("10.0.0.3:1")}}}
-	compareGolden(t, "kept.json", kept)
+	compareGolden(t, "kept.json", snapshot)
 	var got Snapshot
-	if err := json.Unmarshal(readGolden(t, "kept.json"), &got); err != nil || got.Epoch != kept.Epoch || !slices.Equal(got.Members, kept.Members) {
-		t.Errorf("read as %+v, %v, want %+v", got, err, kept)
+	if err := json.Unmarshal(readGolden(t, "kept.json"), &got); err != nil || got.Epoch != snapshot.Epoch || !slices.Equal(got.Members, snapshot.Members) {
+		t.Errorf("read as %+v, %v, want %+v", got, err, snapshot)
 	}
 	inSimulation(t, 1, 1, func(s *simulation) {
 		s.nodes[0].start(Options{Snapshot: got})
--- a/internal/membership/measure_test.go
+++ b/internal/membership/measurement_test.go
@@ -21,13 +21,13 @@
 
 // figures are values over seeds, by name.
 type figures struct {
-	mu     sync.Mutex
-	values map[string][]float64
+	valuesMu sync.Mutex
+	values   map[string][]float64
 }
 
 func (f *figures) add(name string, v float64) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+	f.valuesMu.Lock()
+	defer f.valuesMu.Unlock()
 	f.values[name] = append(f.values[name], v)
 }
 
@@ -48,32 +48,38 @@
 	return all
 }
 
-// sent is what all links sent, in datagrams and bytes, over all channels.
-func (s *simulation) sent() (datagrams, bytes, held float64) {
+// traffic is what transports sent and did not send, over all channels.
+type traffic struct{ datagrams, bytes, rateLimited float64 }
+
+// sent returns what the running nodes' transports sent.
+func (s *simulation) sent() traffic {
+	var sum traffic
 	for _, n := range s.runningNodes(nil) {
 		counts, _ := n.transport.Counts()
 		for _, c := range counts {
-			datagrams, bytes, held = datagrams+float64(c.SentDatagrams), bytes+float64(c.SentBytes), held+float64(c.RateLimited)
+			sum.datagrams += float64(c.SentDatagrams)
+			sum.bytes += float64(c.SentBytes)
+			sum.rateLimited += float64(c.RateLimited)
 		}
 	}
-	return
+	return sum
 }
 
 const measureTimeout = 10 * time.Minute
 
-// measure plays one seed: cold start, calm, a crash, a return, half against
-// half for a minute, healed. Losses are on from the start.
+// measure runs one seed: cold start, calm, a crash, a return, a partition of a
+// minute, healed. Losses are on from the start.
 func measure(s *simulation, f *figures, name string) {
 	n := len(s.nodes)
 	took := func(what string, d time.Duration) { f.add(name+" "+what+"_s", d.Seconds()) }
 	s.startAll()
 	took("cold_start", s.awaitStable("cold start", s.runningNodes(nil), measureTimeout))
-	time.Sleep(30 * time.Second) // what it began with is told to all
-	d0, b0, _ := s.sent()
+	time.Sleep(30 * time.Second) // gossip of the start ends
+	before := s.sent()
 	time.Sleep(time.Minute)
-	d1, b1, _ := s.sent()
-	f.add(name+" calm_datagrams_per_s", (d1-d0)/float64(n)/60)
-	f.add(name+" calm_bytes_per_s", (b1-b0)/float64(n)/60)
+	after := s.sent()
+	f.add(name+" calm_datagrams_per_s", (after.datagrams-before.datagrams)/float64(n)/60)
+	f.add(name+" calm_bytes_per_s", (after.bytes-before.bytes)/float64(n)/60)
 	last := s.nodes[n-1]
 	last.stop(false)
 	took("crash_known", s.awaitStable("crash", s.runningNodes(nil), measureTimeout))
@@ -88,12 +94,11 @@
 		s.setNetwork(nil, s.impairment)
 		took("healed", s.awaitStable("healed", s.runningNodes(nil), measureTimeout))
 	}
-	_, _, held := s.sent()
-	f.add(name+" held_back_datagrams_per_member", held/float64(n))
+	f.add(name+" held_back_datagrams_per_member", s.sent().rateLimited/float64(n))
 }
 
-// falseRemovals counts removals of living members from settled views in the given time, at a loss and delays to 200 ms.
-func falseRemovals(s *simulation, f *figures, name string, loss float64, lasts time.Duration) {
+// falseRemovals counts the removals of living members from stable views within a duration, at a loss and delays to 200 ms.
+func falseRemovals(s *simulation, f *figures, name string, loss float64, duration time.Duration) {
 	s.impairment = impairment{loss: loss, delay: 200 * time.Millisecond}
 	s.startAll()
 	s.awaitStable("cold start", s.runningNodes(nil), measureTimeout)
@@ -102,16 +107,16 @@
 	for _, n := range s.nodes {
 		before[n.number] = n.agent.StableView().Epoch
 	}
-	time.Sleep(lasts)
-	moves := 0.0
+	time.Sleep(duration)
+	changes := 0.0
 	for _, n := range s.nodes {
-		moves += float64(n.agent.StableView().Epoch - before[n.number])
+		changes += float64(n.agent.StableView().Epoch - before[n.number])
 	}
-	f.add(name+" view_moves_per_member_hour", moves/float64(len(s.nodes))/lasts.Hours())
-	f.add(name+" member_minutes", float64(len(s.nodes))*lasts.Minutes())
+	f.add(name+" view_moves_per_member_hour", changes/float64(len(s.nodes))/duration.Hours())
+	f.add(name+" member_minutes", float64(len(s.nodes))*duration.Minutes())
 }
 
-// TestMeasure records distributions over seeds; it judges nothing but that fleets settle.
+// TestMeasure records distributions over seeds; it only requires that fleets become stable.
 func TestMeasure(t *testing.T) {
 	if *measureTo == "" {
 		t.Skip("without -measure")
--- a/internal/membership/message_check.go
+++ b/internal/membership/message_check.go
@@ -1,7 +1,6 @@
 package membership
 
 import (
-	"bufio"
 	"bytes"
 	"encoding/binary"
 	"errors"
@@ -13,10 +12,10 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// What memberlist is sent is looked through before the library sees it: it
-// allocates by a count that it was told, indexes versions unchecked, and takes
-// one strange version as reason to refuse whole lists. The messages' forms are
-// those of memberlist v0.5 (net.go), each by one type byte and msgpack.
+// Messages are checked before memberlist gets them: it allocates by a count
+// that it was sent, indexes versions unchecked, and rejects a whole list for
+// one member of an unknown version. The forms are those of memberlist v0.5
+// (net.go): one type byte, then msgpack.
 const (
 	msgPing byte = iota
 	msgIndirectPing
@@ -26,18 +25,24 @@
 	msgDead
 	msgPushPull
 	msgCompound
-	msgNack               byte = 11
-	msgHasCRC             byte = 12
-	msgErr                byte = 13
-	versionCount               = 6 // protocol and delegate: least, most and spoken
-	protocolVersion            = 2 // the protocol version that all of this program speak
-	stateLeft                  = 3
-	crcHeaderSize              = 5
-	maxPushPullHeaderSize      = 256 // bytes of a push/pull before its states, at most
-	maxStateSize               = 400 // of one state, at most
+
+	msgNack   byte = 11
+	msgHasCRC byte = 12
+	msgErr    byte = 13
+)
+
+// Parts of the messages.
+const (
+	crcHeaderSize      = 5 // type byte and checksum
+	compoundHeaderSize = 2 // type byte and number of parts
+	partLengthSize     = 2 // of each part of a compound
+	versionCount       = 6 // of protocol and delegate: minimum, maximum, spoken
+	protocolVersion    = 2 // which all sidecars speak
+	stateLeft          = 3 // the largest state of a member in a push/pull
 )
 
-// wireMessage is any message: each kind uses some of the fields.
+// wireMessage has the fields of all messages, with the names that memberlist
+// encodes; each kind has some of them.
 type wireMessage struct {
 	SeqNo       uint32
 	Node        string
@@ -57,152 +62,182 @@
 	Nack        bool
 }
 
-// reportFunc is what the library does not pass on of a message: who was told alive, or said goodbye, in which incarnation.
-type reportFunc func(name string, incarnation uint32, goodbye bool)
-
-func decode(r io.Reader, into any) error {
-	return codec.NewDecoder(r, &codec.MsgpackHandle{}).Decode(into)
+// memberReport is what a message reports of a member and memberlist does not pass on.
+type memberReport struct {
+	name        string
+	incarnation uint32
+	left        bool // gracefully
 }
 
-// packetContents is what a packet holds: an answer, a probe of a member by its name.
-type packetContents struct{ hasAck, hasProbe bool }
+// reportFunc takes the reports of valid messages.
+type reportFunc func(memberReport)
 
-// checkPacket says why a packet cannot be one of memberlist's, and what it holds; note is told of what it says of members.
-func checkPacket(data []byte, note reportFunc) (what packetContents, err error) {
-	if len(data) >= crcHeaderSize && data[0] == msgHasCRC {
-		if crc32.ChecksumIEEE(data[crcHeaderSize:]) != binary.BigEndian.Uint32(data[1:]) {
-			return what, errors.New("checksum does not match")
-		}
-		data = data[crcHeaderSize:]
+// packetContents is what a packet's messages are for.
+type packetContents struct {
+	hasAck   bool
+	hasProbe bool // a ping of a member by its name
+}
+
+// checkPacket returns an error for a packet that no memberlist can have sent, else what it contains.
+func checkPacket(data []byte, report reportFunc) (packetContents, error) {
+	var contents packetContents
+	data, err := checkCRC(data)
+	if err != nil {
+		return contents, err
 	}
-	if len(data) < 2 || data[0] != msgCompound {
-		err = checkMessage(data, note, &what)
-		return what, err
+	if len(data) < compoundHeaderSize || data[0] != msgCompound {
+		return contents, checkMessage(data, report, &contents)
 	}
-	parts := int(data[1])
-	if len(data) < 2+2*parts {
-		return what, errors.New("compound: truncated")
+	parts, err := splitCompound(data)
+	if err != nil {
+		return contents, err
 	}
-	lengths, rest := data[2:2+2*parts], data[2+2*parts:]
-	for ; len(lengths) > 0; lengths = lengths[2:] {
-		n := int(binary.BigEndian.Uint16(lengths))
-		if n > len(rest) {
-			return what, errors.New("compound: truncated")
-		}
-		if err := checkMessage(rest[:n], note, &what); err != nil {
-			return what, err
+	for part, ok := parts.next(); ok; part, ok = parts.next() {
+		if err := checkMessage(part, report, &contents); err != nil {
+			return contents, err
 		}
-		rest = rest[n:]
 	}
-	return what, nil
+	return contents, parts.err
+}
+
+// checkCRC returns what follows a checksum that matches; a packet may have none.
+func checkCRC(data []byte) ([]byte, error) {
+	if len(data) < crcHeaderSize || data[0] != msgHasCRC {
+		return data, nil
+	}
+	checksum, content := binary.BigEndian.Uint32(data[1:]), data[crcHeaderSize:]
+	if crc32.ChecksumIEEE(content) != checksum {
+		return nil, errors.New("checksum does not match")
+	}
+	return content, nil
+}
+
+var errCompoundTooShort = errors.New("compound: truncated")
+
+// compoundParts reads the messages of a compound one after the other.
+type compoundParts struct {
+	lengths []byte
+	data    []byte
+	err     error
+}
+
+// splitCompound reads the head of a compound: the number of parts, then their lengths.
+func splitCompound(data []byte) (*compoundParts, error) {
+	end := compoundHeaderSize + partLengthSize*int(data[1])
+	if len(data) < end {
+		return nil, errCompoundTooShort
+	}
+	return &compoundParts{lengths: data[compoundHeaderSize:end], data: data[end:]}, nil
+}
+
+// next returns the next part; false at the end, or with err set where a part is truncated.
+func (p *compoundParts) next() ([]byte, bool) {
+	if len(p.lengths) == 0 {
+		return nil, false
+	}
+	length := int(binary.BigEndian.Uint16(p.lengths))
+	if length > len(p.data) {
+		p.err = errCompoundTooShort
+		return nil, false
+	}
+	part := p.data[:length]
+	p.lengths, p.data = p.lengths[partLengthSize:], p.data[length:]
+	return part, true
 }
 
-func checkMessage(data []byte, note reportFunc, what *packetContents) error {
+// checkMessage checks one message, reports the members in it and adds to contents.
+func checkMessage(data []byte, report reportFunc, contents *packetContents) error {
 	if len(data) == 0 {
-		return errors.New("empty")
+		return errors.New("empty message")
 	}
+	kind := data[0]
 	var m wireMessage
-	if err := decode(bytes.NewReader(data[1:]), &m); err != nil {
-		return fmt.Errorf("type %d: %w", data[0], err)
+	if err := decodeMessage(bytes.NewReader(data[1:]), &m); err != nil {
+		return fmt.Errorf("type %d: %w", kind, err)
 	}
-	switch data[0] {
+	switch kind {
 	case msgPing:
-		what.hasProbe = what.hasProbe || m.Node != ""
-		return errors.Join(checkName("Node", m.Node, 0), checkName("SourceNode", m.SourceNode, 0), checkIP("SourceAddr", m.SourceAddr, true))
+		contents.hasProbe = contents.hasProbe || m.Node != ""
+		return checkPing(m)
 	case msgIndirectPing:
-		return errors.Join(checkName("Node", m.Node, 0), checkName("SourceNode", m.SourceNode, 0), checkIP("SourceAddr", m.SourceAddr, true),
-			checkIP("Target", m.Target, false))
+		return errors.Join(checkPing(m), checkIP("Target", m.Target, false))
 	case msgAck:
-		what.hasAck = true
+		contents.hasAck = true
 		if len(m.Payload) > 0 {
 			return errors.New("ack: has a payload")
 		}
 	case msgNack:
-	case msgSuspect, msgDead:
-		if err := errors.Join(checkName("Node", m.Node, 1), checkName("From", m.From, 1)); err != nil {
+	case msgSuspect:
+		return checkAccusation(m)
+	case msgDead:
+		if err := checkAccusation(m); err != nil {
 			return err
 		}
-		if data[0] == msgDead && m.Node == m.From {
-			note(m.Node, m.Incarnation, true)
+		if m.Node == m.From { // a member that leaves declares itself dead
+			report(memberReport{name: m.Node, incarnation: m.Incarnation, left: true})
 		}
 	case msgAlive:
-		return checkMemberState(m, m.Node, note)
+		return checkMemberState(m, m.Node, report)
 	default:
-		return fmt.Errorf("type %d is none of the view's", data[0])
+		return fmt.Errorf("type %d is not a membership message", kind)
 	}
 	return nil
 }
 
-// checkMemberState checks what is told of a member that lives, or of one in a push/pull.
-func checkMemberState(m wireMessage, name string, note reportFunc) error {
+func decodeMessage(r io.Reader, into any) error {
+	return codec.NewDecoder(r, &codec.MsgpackHandle{}).Decode(into)
+}
+
+// checkPing checks what direct and indirect pings have in common.
+func checkPing(m wireMessage) error {
+	return errors.Join(checkName("Node", m.Node, 0), checkName("SourceNode", m.SourceNode, 0),
+		checkIP("SourceAddr", m.SourceAddr, true))
+}
+
+// checkAccusation checks what names a member (Node) and who suspects it or declares it dead (From).
+func checkAccusation(m wireMessage) error {
+	return errors.Join(checkName("Node", m.Node, 1), checkName("From", m.From, 1))
+}
+
+// checkMemberState checks and reports a member of an alive message, or of a push/pull.
+func checkMemberState(m wireMessage, name string, report reportFunc) error {
 	if _, err := decodeMember(name, net.IP(m.Addr), m.Port, m.Meta); err != nil {
 		return err
 	}
-	switch v := m.Vsn; {
-	case len(v) != versionCount:
-		return fmt.Errorf("Vsn: %d versions are not %d", len(v), versionCount)
-	case v[0] < 1 || v[0] > protocolVersion || v[1] < protocolVersion || v[2] < v[0] || v[2] > v[1] || v[3] != 0 || v[5] != 0:
-		return fmt.Errorf("Vsn: %v leaves out protocol %d", v, protocolVersion)
-	case m.State < 0 || m.State > stateLeft:
-		return fmt.Errorf("State: %d is none", m.State)
+	if err := checkVersions(m.Vsn); err != nil {
+		return err
+	}
+	if m.State < 0 || m.State > stateLeft {
+		return fmt.Errorf("State: %d is not a member's", m.State)
 	}
-	note(name, m.Incarnation, m.State == stateLeft)
+	report(memberReport{name: name, incarnation: m.Incarnation, left: m.State == stateLeft})
 	return nil
 }
 
-func checkName(field, text string, least int) error {
-	if err := validateText(text, least, MaxNameLength); err != nil {
-		return fmt.Errorf("%s: %.80q %w", field, text, err)
+// checkVersions checks the versions of the protocol (minimum, maximum, spoken) and of the delegate (the same; all unused).
+func checkVersions(versions []byte) error {
+	if len(versions) != versionCount {
+		return fmt.Errorf("Vsn: %d versions are not %d", len(versions), versionCount)
+	}
+	minimum, maximum, spoken := versions[0], versions[1], versions[2]
+	isSpoken := minimum >= 1 && minimum <= protocolVersion && maximum >= protocolVersion &&
+		spoken >= minimum && spoken <= maximum
+	if !isSpoken || versions[3] != 0 || versions[5] != 0 {
+		return fmt.Errorf("Vsn: %v does not include protocol %d", versions, protocolVersion)
 	}
 	return nil
 }
 
-func checkIP(field string, ip []byte, optional bool) error {
-	if len(ip) != net.IPv4len && !(optional && len(ip) == 0) {
-		return fmt.Errorf("%s: %d bytes are no IPv4 address", field, len(ip))
+func checkName(field, name string, minLength int) error {
+	if err := validateText(name, minLength, MaxNameLength); err != nil {
+		return fmt.Errorf("%s: %.80q %w", field, name, err)
 	}
 	return nil
 }
 
-// readStreamMessage reads one whole message of a stream, a push/pull of at most most
-// states or an error's text, and returns its bytes.
-func readStreamMessage(r io.Reader, most int, note reportFunc) ([]byte, error) {
-	var whole bytes.Buffer
-	in := bufio.NewReader(io.TeeReader(io.LimitReader(r, int64(maxPushPullHeaderSize+most*maxStateSize)), &whole))
-	kind, err := in.ReadByte()
-	if err != nil {
-		return nil, err
+func checkIP(field string, ip []byte, isOptional bool) error {
+	if len(ip) != net.IPv4len && !(isOptional && len(ip) == 0) {
+		return fmt.Errorf("%s: %d bytes are not an IPv4 address", field, len(ip))
 	}
-	dec := codec.NewDecoder(in, &codec.MsgpackHandle{})
-	switch kind {
-	case msgErr:
-		var text struct{ Error string }
-		if err := dec.Decode(&text); err != nil {
-			return nil, fmt.Errorf("error: %w", err)
-		}
-		return whole.Bytes(), nil
-	case msgPushPull:
-	default:
-		return nil, fmt.Errorf("stream: type %d is no push/pull", kind)
-	}
-	var head struct {
-		Nodes, UserStateLen int
-		Join                bool
-	}
-	if err := dec.Decode(&head); err != nil {
-		return nil, fmt.Errorf("push/pull: %w", err)
-	}
-	if head.Nodes < 0 || head.Nodes > most || head.UserStateLen != 0 {
-		return nil, fmt.Errorf("push/pull: %d states (at most %d) and %d bytes more (at most 0)", head.Nodes, most, head.UserStateLen)
-	}
-	for i := range head.Nodes {
-		var m wireMessage
-		if err := dec.Decode(&m); err != nil {
-			return nil, fmt.Errorf("push/pull: state %d: %w", i, err)
-		}
-		if err := checkMemberState(m, m.Name, note); err != nil {
-			return nil, fmt.Errorf("push/pull: state %d: %w", i, err)
-		}
-	}
-	return whole.Bytes(), nil
+	return nil
 }
--- a/internal/membership/message_check_test.go
+++ b/internal/membership/message_check_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"net/netip"
 	"strings"
 	"testing"
@@ -10,7 +11,7 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// encodeMessage builds one of memberlist's.
+// encodeMessage returns one of memberlist's messages.
 func encodeMessage(kind byte, fields map[string]any) []byte {
 	var b bytes.Buffer
 	b.WriteByte(kind)
@@ -30,7 +31,7 @@
 
 var validMeta = Member{StartTime: time.Unix(1, 0)}.encodeMeta()
 
-// memberState is a member's as alive messages (by Node) and push/pulls (by Name) have it, with one field changed.
+// memberState returns a member's fields as alive messages (by Node) and push/pulls (by Name) have them, one of them changed.
 func memberState(field string, value any) map[string]any {
 	m := map[string]any{"Incarnation": 3, "Node": "s1", "Name": "s1", "Addr": []byte{10, 0, 0, 1}, "Port": 7946, "Meta": validMeta,
 		"Vsn": []byte{1, 5, 2, 0, 0, 0}, "State": 0}
@@ -40,115 +41,117 @@
 	return m
 }
 
-func TestVetPacket(t *testing.T) {
-	none := func(string, uint32, bool) {}
+func TestCheckPacket(t *testing.T) {
+	ignore := func(memberReport) {}
 	dead := encodeMessage(msgDead, map[string]any{"Incarnation": 4, "Node": "s1", "From": "s1"})
 	for name, c := range map[string]struct {
-		data []byte
-		good bool
+		data    []byte
+		isValid bool
 	}{
-		"alive":                     {encodeMessage(msgAlive, memberState("", nil)), true},
-		"compound":                  {encodeCompound(encodeMessage(msgAck, map[string]any{"SeqNo": 1}), dead), true},
-		"empty":                     {nil, false},
-		"compound in compound":      {encodeCompound(encodeCompound(dead)), false},
-		"compound, truncated":       {encodeCompound(dead)[:20], false},
-		"compound of nothing said":  {[]byte{msgCompound, 9, 0}, false},
-		"push/pull as a packet":     {encodeMessage(msgPushPull, map[string]any{"Nodes": 1}), false},
-		"compressed":                {encodeMessage(9, map[string]any{"Algo": 0}), false},
-		"user message":              {[]byte{8, 1, 2}, false},
-		"checksum that is wrong":    {append([]byte{msgHasCRC, 0, 0, 0, 0}, dead...), false},
-		"alive without a name":      {encodeMessage(msgAlive, memberState("Node", "")), false},
-		"alive with a name to log":  {encodeMessage(msgAlive, memberState("Node", "s1\nfake")), false},
-		"alive at no address":       {encodeMessage(msgAlive, memberState("Addr", []byte{})), false},
-		"alive at an IPv6 address":  {encodeMessage(msgAlive, memberState("Addr", make([]byte, 16))), false},
-		"alive at port 0":           {encodeMessage(msgAlive, memberState("Port", 0)), false},
-		"alive with fewer versions": {encodeMessage(msgAlive, memberState("Vsn", []byte{1, 5})), false},
-		"alive of another protocol": {encodeMessage(msgAlive, memberState("Vsn", []byte{4, 5, 5, 0, 0, 0})), false},
-		"alive with torn meta":      {encodeMessage(msgAlive, memberState("Meta", validMeta[:4])), false},
-		"alive of a later meta":     {encodeMessage(msgAlive, memberState("Meta", append(bytes.Clone(validMeta), 7))), true},
-		"ack with a payload":        {encodeMessage(msgAck, map[string]any{"SeqNo": 1, "Payload": []byte("x")}), false},
-		"suspect of nobody":         {encodeMessage(msgSuspect, map[string]any{"Node": "", "From": "s1"}), false},
-		"indirect ping to nowhere":  {encodeMessage(msgIndirectPing, map[string]any{"Target": []byte{1}}), false},
+		"alive":                                  {encodeMessage(msgAlive, memberState("", nil)), true},
+		"compound":                               {encodeCompound(encodeMessage(msgAck, map[string]any{"SeqNo": 1}), dead), true},
+		"empty":                                  {nil, false},
+		"compound in compound":                   {encodeCompound(encodeCompound(dead)), false},
+		"compound, truncated":                    {encodeCompound(dead)[:20], false},
+		"compound without its parts":             {[]byte{msgCompound, 9, 0}, false},
+		"push/pull as a packet":                  {encodeMessage(msgPushPull, map[string]any{"Nodes": 1}), false},
+		"compressed":                             {encodeMessage(9, map[string]any{"Algo": 0}), false},
+		"user message":                           {[]byte{8, 1, 2}, false},
+		"wrong checksum":                         {append([]byte{msgHasCRC, 0, 0, 0, 0}, dead...), false},
+		"alive without a name":                   {encodeMessage(msgAlive, memberState("Node", "")), false},
+		"alive with a line break in the name":    {encodeMessage(msgAlive, memberState("Node", "s1\nfake")), false},
+		"alive without an address":               {encodeMessage(msgAlive, memberState("Addr", []byte{})), false},
+		"alive at an IPv6 address":               {encodeMessage(msgAlive, memberState("Addr", make([]byte, 16))), false},
+		"alive at port 0":                        {encodeMessage(msgAlive, memberState("Port", 0)), false},
+		"alive with fewer versions":              {encodeMessage(msgAlive, memberState("Vsn", []byte{1, 5})), false},
+		"alive of another protocol":              {encodeMessage(msgAlive, memberState("Vsn", []byte{4, 5, 5, 0, 0, 0})), false},
+		"alive with truncated metadata":          {encodeMessage(msgAlive, memberState("Meta", validMeta[:4])), false},
+		"alive with metadata of a later version": {encodeMessage(msgAlive, memberState("Meta", append(bytes.Clone(validMeta), 7))), true},
+		"ack with a payload":                     {encodeMessage(msgAck, map[string]any{"SeqNo": 1, "Payload": []byte("x")}), false},
+		"suspect without a member":               {encodeMessage(msgSuspect, map[string]any{"Node": "", "From": "s1"}), false},
+		"indirect ping without an address":       {encodeMessage(msgIndirectPing, map[string]any{"Target": []byte{1}}), false},
 	} {
-		if _, err := checkPacket(c.data, none); (err == nil) != c.good {
+		if _, err := checkPacket(c.data, ignore); (err == nil) != c.isValid {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	var goodbyes []string
-	checkPacket(encodeCompound(dead, encodeMessage(msgDead, map[string]any{"Incarnation": 4, "Node": "s2", "From": "s1"})), func(name string, _ uint32, goodbye bool) {
-		if goodbye {
-			goodbyes = append(goodbyes, name)
+	var left []string
+	checkPacket(encodeCompound(dead, encodeMessage(msgDead, map[string]any{"Incarnation": 4, "Node": "s2", "From": "s1"})), func(r memberReport) {
+		if r.left {
+			left = append(left, r.name)
 		}
 	})
-	if len(goodbyes) != 1 || goodbyes[0] != "s1" {
-		t.Errorf("goodbyes of %v, want of s1 alone", goodbyes)
+	if len(left) != 1 || left[0] != "s1" {
+		t.Errorf("%v left, want s1 alone", left)
 	}
 }
 
-// encodePushPull builds a push/pull that says that it has so many states.
-func encodePushPull(says int, states ...map[string]any) []byte {
-	b := encodeMessage(msgPushPull, map[string]any{"Nodes": says, "UserStateLen": 0, "Join": true})
+// encodePushPull returns a push/pull with these states, whose header says how many there are.
+func encodePushPull(count int, states ...map[string]any) []byte {
+	b := encodeMessage(msgPushPull, map[string]any{"Nodes": count, "UserStateLen": 0, "Join": true})
 	for _, s := range states {
 		b = append(b, encodeMessage(0, s)[1:]...)
 	}
 	return b
 }
 
-func TestVetStream(t *testing.T) {
-	none := func(string, uint32, bool) {}
+func TestReadStreamMessage(t *testing.T) {
+	ignore := func(memberReport) {}
 	whole := encodePushPull(2, memberState("", nil), memberState("Name", "s2"))
-	if got, err := readStreamMessage(bytes.NewReader(whole), 2, none); err != nil || !bytes.Equal(got, whole) {
-		t.Errorf("a good one: %v", err)
+	if got, err := readStreamMessage(bytes.NewReader(whole), 2, ignore); err != nil || !bytes.Equal(got, whole) {
+		t.Errorf("a valid push/pull: %v", err)
 	}
 	for name, data := range map[string][]byte{
-		"more than the bound":   encodePushPull(3, memberState("", nil)),
-		"a count below nothing": encodePushPull(-1),
-		"fewer than it says":    encodePushPull(2, memberState("", nil)),
-		"a state that is none":  encodePushPull(1, memberState("State", 9)),
-		"user state":            encodeMessage(msgPushPull, map[string]any{"Nodes": 0, "UserStateLen": 1 << 30}),
-		"a user message":        {8, 1},
-		"nothing":               {},
+		"more than the limit":        encodePushPull(3, memberState("", nil)),
+		"a negative count":           encodePushPull(-1),
+		"fewer than the header says": encodePushPull(2, memberState("", nil)),
+		"an unknown state":           encodePushPull(1, memberState("State", 9)),
+		"user state":                 encodeMessage(msgPushPull, map[string]any{"Nodes": 0, "UserStateLen": 1 << 30}),
+		"a user message":             {8, 1},
+		"empty stream":               {},
 	} {
-		if _, err := readStreamMessage(bytes.NewReader(data), 2, none); err == nil {
-			t.Errorf("%s: passed", name)
+		if _, err := readStreamMessage(bytes.NewReader(data), 2, ignore); err == nil {
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
 
-// FuzzVet: nothing that a stranger sends harms the checks, and what they pass as a member can be told again.
-func FuzzVet(f *testing.F) {
+// FuzzMessageChecks: nothing that a stranger sends harms the checks, and accepted metadata can be encoded again.
+func FuzzMessageChecks(f *testing.F) {
 	f.Add(encodeMessage(msgAlive, memberState("", nil)))
 	f.Add(encodeCompound(encodeMessage(msgPing, map[string]any{"SeqNo": 1, "Node": "s1"}), encodeMessage(msgAck, map[string]any{"SeqNo": 1})))
 	f.Add(encodePushPull(1, memberState("", nil)))
 	f.Add(validMeta)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		note := func(name string, _ uint32, _ bool) {
-			if err := validateText(name, 1, MaxNameLength); err != nil {
-				t.Errorf("%q passed: %v", name, err)
+		report := func(r memberReport) {
+			if err := validateText(r.name, 1, MaxNameLength); err != nil {
+				t.Errorf("%q accepted: %v", r.name, err)
 			}
 		}
-		checkPacket(data, note)
-		readStreamMessage(bytes.NewReader(data), 10, note)
+		checkPacket(data, report)
+		readStreamMessage(bytes.NewReader(data), 10, report)
 		if m, err := decodeMember("s1", []byte{10, 0, 0, 1}, 1, data); err == nil {
 			again, err := decodeMember("s1", []byte{10, 0, 0, 1}, 1, m.encodeMeta())
 			if err != nil || again != m {
-				t.Errorf("%+v told again is %+v, %v", m, again, err)
+				t.Errorf("%+v encoded and decoded again is %+v, %v", m, again, err)
 			}
 		}
 	})
 }
 
-func TestMemberValidate(t *testing.T) {
-	good := Member{Name: "s1", Zone: "a", Address: netip.MustParseAddrPort("10.0.0.1:1")}
-	if err := good.Validate(); err != nil {
+func TestMemberValidateNamesTheField(t *testing.T) {
+	valid := Member{Name: "s1", Zone: "a", Address: netip.MustParseAddrPort("10.0.0.1:1")}
+	if err := valid.Validate(); err != nil {
 		t.Error(err)
 	}
 	for field, m := range map[string]Member{
-		"name":    {Name: "a/b", Address: good.Address},
-		"zone":    {Name: "a", Zone: "seventeen letters", Address: good.Address},
+		"name":    {Name: "a/b", Address: valid.Address},
+		"zone":    {Name: "a", Zone: "seventeen letters", Address: valid.Address},
 		"address": {Name: "a", Address: netip.MustParseAddrPort("[::1]:1")},
 	} {
-		if err := m.Validate(); err == nil || !strings.HasPrefix(err.Error(), field+":") {
+		err := m.Validate()
+		var invalid *InvalidMemberError
+		if !errors.As(err, &invalid) || invalid.Field != field || !strings.HasPrefix(err.Error(), field+":") {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
--- a/internal/membership/stabilizer.go
+++ b/internal/membership/stabilizer.go
@@ -9,137 +9,222 @@
 	"github.com/cespare/xxhash/v2"
 )
 
+// Rules of the stabilizer.
 const (
-	maxBatchPeriods  = 5                // quiet periods that a change that is due waits for others that are not
-	flapRetention    = time.Minute      // after which a member that went without a goodbye is as any other
-	maxFlapPeriods   = 16               // quiet periods that one that comes and goes must last, at most
-	largestRetention = 30 * time.Second // without a loss, after which the fleet is believed to be as small as it looks
-	isolationDivisor = 5                // a sidecar that hears less than one part in so many of the fleet is cut off
-	reconnectPeriods = 3                // quiet periods from the end of a cut-off to the next view
+	maxBatchPeriods   = 5                // stabilization periods that a settled change waits for others to settle
+	flapRetention     = time.Minute      // a failure is forgotten after so long
+	maxFlapPeriods    = 16               // stabilization periods that a member which fails again and again must live, at most
+	largestRetention  = 30 * time.Second // without a failure: then the fleet is as small as it looks
+	isolationDivisor  = 5                // hearing less than one member in so many of the largest view means isolated
+	minIsolationFleet = 3                // with fewer members none can say which one is gone
+	reconnectPeriods  = 3                // stabilization periods from the end of an isolation to the next change
 )
 
-// stabilizer turns the members that live from one moment to the next into views
-// that change seldom. It is given the time and what lives, and has no clock,
-// lock or goroutine of its own.
+// stabilizer turns the members that live at each moment into a view that
+// changes seldom. It is a state machine: it gets the time and what lives, and
+// has no clock, lock or goroutine.
+//
+// Invariants: names always contains self; epoch changes exactly when names
+// does; while isolated, names does not change.
 type stabilizer struct {
 	self   string
-	period time.Duration // that a coming or going must last; also between views
+	period time.Duration // that a change must last; also the least time between changes of names
 
-	names     map[string]bool // the settled view; self is always in it
-	epoch     uint64          // moves with every change of names, and never else
-	changedAt time.Time       // of the last such move
-	isolated  bool
-	hasJoined bool // it has heard of another, or there is none to hear of
-
-	pending     map[string]pendingChange // members whose coming or going is not settled yet
-	flaps       map[string]flap          // members that were lost, not long ago
-	largest     map[string]bool          // the largest set since the last calm, less who said goodbye
-	lastFailure time.Time                // the last loss without a goodbye
+	names      map[string]bool // the stable view
+	epoch      uint64
+	changedAt  time.Time // when names last changed
+	isolated   bool
+	hasJoined  bool                     // another member was seen, or there is none to see
+	pending    map[string]pendingChange // members that live and are not in names, or the reverse
+	flaps      map[string]flap          // members that failed not long ago
+	largest    map[string]bool          // all names since the last calm, without those that left
+	lastFailed time.Time                // when a member was last removed that had not left
 }
 
-// pendingChange is a member's change that waits for its quiet period.
-type pendingChange struct{ since, effective time.Time }
+// pendingChange is a join or loss that is not in the stable view yet.
+type pendingChange struct {
+	since     time.Time
+	effective time.Time // when it has lasted long enough
+}
 
+// flap counts a member's failures.
 type flap struct {
 	count int
 	last  time.Time
 }
 
-func newStabilizer(self string, quiet time.Duration, kept []string, epoch uint64, alone bool, now time.Time) *stabilizer {
-	s := &stabilizer{self: self, period: quiet, names: map[string]bool{self: true}, epoch: epoch, changedAt: now, hasJoined: alone,
-		pending: map[string]pendingChange{}, flaps: map[string]flap{}}
-	for _, name := range kept {
+// observation is what the stabilizer gets at one moment.
+type observation struct {
+	now        time.Time
+	living     map[string]bool // the own name among them
+	left       map[string]bool // gracefully
+	hasContact bool            // a datagram of any member came lately
+}
+
+// newStabilizer begins with a snapshot's names and epoch; isAlone says that
+// there is nobody to join.
+func newStabilizer(self string, period time.Duration, names []string, epoch uint64, isAlone bool, now time.Time) *stabilizer {
+	s := &stabilizer{
+		self:       self,
+		period:     period,
+		names:      map[string]bool{self: true},
+		epoch:      epoch,
+		changedAt:  now,
+		isolated:   !isAlone,
+		hasJoined:  isAlone,
+		pending:    map[string]pendingChange{},
+		flaps:      map[string]flap{},
+		lastFailed: now,
+	}
+	for _, name := range names {
 		s.names[name] = true
 	}
-	s.largest, s.lastFailure = maps.Clone(s.names), now
-	s.isolated = !alone
+	s.largest = maps.Clone(s.names)
 	return s
 }
 
-// step takes what lives at now (self among it), who of the others said
-// goodbye, and whether anybody was heard lately. It tells whether the view or
-// being cut off changed, and when to come again at the latest.
-func (s *stabilizer) step(now time.Time, living map[string]bool, goodbye func(string) bool, hears bool) (changed bool, again time.Duration) {
-	s.hasJoined = s.hasJoined || len(living) > 1
+// step takes an observation. It returns whether the view or isolated changed,
+// and the time to the next step at the latest.
+func (s *stabilizer) step(o observation) (changed bool, next time.Duration) {
+	s.hasJoined = s.hasJoined || len(o.living) > 1
+	s.updateLargest(o)
+	s.updatePending(o)
+	changed = s.updateIsolated(o)
+	if s.isolated {
+		return changed, s.period
+	}
+	isReady, next := s.nextChange(o.now)
+	if !isReady {
+		return changed, next
+	}
+	return s.applyPending(o) || changed, next
+}
+
+// updateLargest removes members that left, and after a calm all that are not in the view.
+func (s *stabilizer) updateLargest(o observation) {
 	for name := range s.largest {
-		if !living[name] && goodbye(name) {
+		if !o.living[name] && o.left[name] {
 			delete(s.largest, name)
 		}
 	}
-	if len(s.largest) > len(s.names) && now.Sub(s.lastFailure) > largestRetention && !s.isolated {
+	isCalm := !s.isolated && o.now.Sub(s.lastFailed) > largestRetention
+	if isCalm && len(s.largest) > len(s.names) {
 		s.largest = maps.Clone(s.names)
 	}
-	for name := range living {
-		s.observe(now, name, true)
+}
+
+// updatePending begins the period of members that differ from the view, and drops those that no longer do.
+func (s *stabilizer) updatePending(o observation) {
+	for name := range o.living {
+		s.observe(o.now, name, true)
 	}
 	for name := range s.names {
-		s.observe(now, name, living[name])
+		s.observe(o.now, name, o.living[name])
 	}
 	for name := range s.pending {
-		if living[name] == s.names[name] {
+		if o.living[name] == s.names[name] {
 			delete(s.pending, name)
 		}
 	}
-	if cut := s.isIsolated(len(living), hears); cut != s.isolated {
-		s.isolated, changed = cut, true
-		if cut { // what was believed of others since the calm came of hearing too little
-			if s.setNames(now, s.largest) {
-				clear(s.pending)
-			}
-		} else {
-			lasts := reconnectPeriods * s.period
-			if len(s.names) == 1 { // it only comes
-				lasts = s.period
-			}
-			for name := range s.pending {
-				s.pending[name] = pendingChange{now, now.Add(lasts)}
-			}
+}
+
+// observe begins a member's period where it differs from the view. A member
+// that failed more than once must live the longer, the more often it failed.
+func (s *stabilizer) observe(now time.Time, name string, isLiving bool) {
+	if _, isPending := s.pending[name]; isPending || isLiving == s.names[name] {
+		return
+	}
+	wait := s.period
+	if failures := s.flaps[name].count; isLiving && failures > 1 {
+		wait = s.period * time.Duration(min(maxFlapPeriods, 1<<min(failures-1, 10)))
+	}
+	s.pending[name] = pendingChange{now, now.Add(wait)}
+}
+
+// updateIsolated notes the beginning and end of an isolation, and reports whether either is now.
+func (s *stabilizer) updateIsolated(o observation) bool {
+	isolated := s.isIsolated(len(o.living), o.hasContact)
+	if isolated == s.isolated {
+		return false
+	}
+	s.isolated = isolated
+	if isolated {
+		// The failures since the last calm came of hearing too little: they are taken back.
+		if s.setNames(o.now, s.largest) {
+			clear(s.pending)
 		}
+		return true
 	}
-	if s.isolated {
-		return changed, s.period
+	wait := reconnectPeriods * s.period
+	if len(s.names) == 1 { // there is nobody to drop too early
+		wait = s.period
+	}
+	for name := range s.pending {
+		s.pending[name] = pendingChange{o.now, o.now.Add(wait)}
 	}
-	next, ripe, moving := s.period, time.Time{}, false
-	for _, d := range s.pending {
-		if wait := d.effective.Sub(now); wait > 0 {
+	return true
+}
+
+// isIsolated reports whether this sidecar, rather than the rest of the fleet, is the one that is gone.
+func (s *stabilizer) isIsolated(living int, hasContact bool) bool {
+	if !s.hasJoined {
+		return true
+	}
+	fleet := len(s.largest)
+	if fleet < minIsolationFleet {
+		return false
+	}
+	minLiving := max(2, (fleet+isolationDivisor-1)/isolationDivisor)
+	return !hasContact || living < minLiving
+}
+
+// nextChange reports whether the view is to change now, and when to look again.
+// A change that has lasted long enough waits for others that began within a period, so that
+// many changes become one, but not longer than maxBatchPeriods.
+func (s *stabilizer) nextChange(now time.Time) (isReady bool, next time.Duration) {
+	next = s.period
+	var firstReady time.Time
+	hasRecent := false
+	for _, change := range s.pending {
+		if wait := change.effective.Sub(now); wait > 0 {
 			next = min(next, wait)
-			moving = moving || now.Sub(d.since) < s.period
-		} else if ripe.IsZero() || d.effective.Before(ripe) {
-			ripe = d.effective
+			hasRecent = hasRecent || now.Sub(change.since) < s.period
+		} else if firstReady.IsZero() || change.effective.Before(firstReady) {
+			firstReady = change.effective
 		}
 	}
-	if ripe.IsZero() || now.Sub(s.changedAt) < s.period || moving && now.Sub(ripe) < maxBatchPeriods*s.period {
-		return changed, next
+	switch {
+	case firstReady.IsZero():
+		return false, next
+	case now.Sub(s.changedAt) < s.period:
+		return false, next
+	case hasRecent && now.Sub(firstReady) < maxBatchPeriods*s.period:
+		return false, next
 	}
+	return true, next
+}
+
+// applyPending makes all changes that have lasted long enough, and reports whether names changed.
+func (s *stabilizer) applyPending(o observation) bool {
 	names := maps.Clone(s.names)
-	for name, d := range s.pending {
-		if d.effective.After(now) {
+	for name, change := range s.pending {
+		if change.effective.After(o.now) {
 			continue
 		}
-		if names[name] = living[name]; !names[name] {
-			delete(names, name)
-			if !goodbye(name) {
-				s.recordFailure(now, name)
-			}
-		}
 		delete(s.pending, name)
+		if o.living[name] {
+			names[name] = true
+			continue
+		}
+		delete(names, name)
+		if !o.left[name] {
+			s.recordFailure(o.now, name)
+		}
 	}
-	return s.setNames(now, names) || changed, next
-}
-
-// observe begins a member's quiet period where it differs from the view.
-func (s *stabilizer) observe(now time.Time, name string, lives bool) {
-	if _, waits := s.pending[name]; waits || lives == s.names[name] {
-		return
-	}
-	lasts := s.period
-	if f := s.flaps[name]; lives && f.count > 1 {
-		lasts = s.period * time.Duration(min(maxFlapPeriods, 1<<min(f.count-1, 10)))
-	}
-	s.pending[name] = pendingChange{now, now.Add(lasts)}
+	return s.setNames(o.now, names)
 }
 
-// recordFailure remembers that a member went without a goodbye.
+// recordFailure notes that a member was removed without having left.
 func (s *stabilizer) recordFailure(now time.Time, name string) {
 	for other, f := range s.flaps {
 		if now.Sub(f.last) > flapRetention {
@@ -147,19 +232,10 @@
 		}
 	}
 	s.flaps[name] = flap{s.flaps[name].count + 1, now}
-	s.lastFailure = now
-}
-
-// isIsolated tells whether this sidecar rather than the rest of the fleet is the one that is gone.
-func (s *stabilizer) isIsolated(living int, hears bool) bool {
-	if !s.hasJoined {
-		return true
-	}
-	fleet := len(s.largest)
-	return fleet >= 3 && (!hears || living < max(2, (fleet+isolationDivisor-1)/isolationDivisor))
+	s.lastFailed = now
 }
 
-// setNames settles on names, and tells whether that is another set.
+// setNames makes names the stable view, and reports whether it is another set.
 func (s *stabilizer) setNames(now time.Time, names map[string]bool) bool {
 	if maps.Equal(names, s.names) {
 		return false
@@ -174,10 +250,11 @@
 	return true
 }
 
-// sortedNames gives the settled names in their stable order.
+// sortedNames returns the stable view's names in order.
 func (s *stabilizer) sortedNames() []string { return slices.Sorted(maps.Keys(s.names)) }
 
-// Digest is the same for the same names in the same order: xxhash64 of each name after its length.
+// Digest returns the same number for the same names in the same order: the
+// xxhash64 of each name after its length. It is compared between releases.
 func Digest(names []string) uint64 {
 	h := xxhash.New()
 	for _, name := range names {
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -15,134 +15,168 @@
 	"bramblestand/internal/datagram"
 )
 
-const maxQueuedPackets = 256 // received and not yet looked at
+const maxQueuedPackets = 256 // received, and not yet taken by memberlist
+
+// transportEvents are told what a transport receives. They are called by
+// Deliver's goroutine, and by those that read streams.
+type transportEvents interface {
+	onReport(memberReport)
+	onContact(from netip.AddrPort, contents packetContents)
+	onRejected(from net.Addr, err error)
+}
 
-// transport is memberlist's way onto the link: packets as they are, streams by KCP.
+// transport is memberlist's NodeAwareTransport on a datagram transport: packets
+// as they are, streams by KCP, both checked. Its goroutine ends at Shutdown.
 type transport struct {
 	datagrams  *datagram.Transport
 	streams    *datagram.Streams
-	address    netip.AddrPort // the own, as the others know it
-	maxMembers int            // states in a push/pull
-	onReport   reportFunc
-	onContact  func(from netip.AddrPort, what packetContents)
-	onRejected func(from net.Addr, err error)
-
-	packetQueue chan *memberlist.Packet
-	streamQueue chan net.Conn
-	dropped     atomic.Uint64 // packets for want of room
-	done        chan struct{}
-	once        sync.Once
+	address    netip.AddrPort // the own one, as the others know it
+	maxMembers int            // in a push/pull
+	events     transportEvents
+
+	packetQueue    chan *memberlist.Packet
+	streamQueue    chan net.Conn
+	droppedPackets atomic.Uint64 // valid ones, because packetQueue was full
+	shutdown       chan struct{}
+	shutdownOnce   sync.Once
 }
 
-func newTransport(l *datagram.Transport, addr netip.AddrPort, most int, note reportFunc, heard func(netip.AddrPort, packetContents), refused func(net.Addr, error)) *transport {
-	t := &transport{datagrams: l, address: addr, maxMembers: most, onReport: note, onContact: heard, onRejected: refused,
-		packetQueue: make(chan *memberlist.Packet, maxQueuedPackets), streamQueue: make(chan net.Conn), done: make(chan struct{})}
-	l.Handle(datagram.ChannelPackets, t.receivePacket)
-	t.streams = datagram.NewStreams(l)
+func newTransport(datagrams *datagram.Transport, address netip.AddrPort, maxMembers int, events transportEvents) *transport {
+	t := &transport{
+		datagrams:   datagrams,
+		address:     address,
+		maxMembers:  maxMembers,
+		events:      events,
+		packetQueue: make(chan *memberlist.Packet, maxQueuedPackets),
+		streamQueue: make(chan net.Conn),
+		shutdown:    make(chan struct{}),
+	}
+	datagrams.Handle(datagram.ChannelPackets, t.receivePacket)
+	t.streams = datagram.NewStreams(datagrams)
 	go t.acceptStreams()
 	return t
 }
 
+// receivePacket checks a packet and queues it for memberlist; it is the channel's handler.
 func (t *transport) receivePacket(from netip.AddrPort, data []byte) bool {
-	what, err := checkPacket(data[1:], t.onReport)
+	packet := data[1:]
+	sender := net.UDPAddrFromAddrPort(from)
+	contents, err := checkPacket(packet, t.events.onReport)
 	if err != nil {
-		t.onRejected(net.UDPAddrFromAddrPort(from), err)
+		t.events.onRejected(sender, err)
 		return false
 	}
-	t.onContact(from, what)
+	t.events.onContact(from, contents)
 	select {
-	case t.packetQueue <- &memberlist.Packet{Buf: data[1:], From: net.UDPAddrFromAddrPort(from), Timestamp: time.Now()}:
-	case <-t.done:
+	case t.packetQueue <- &memberlist.Packet{Buf: packet, From: sender, Timestamp: time.Now()}:
+	case <-t.shutdown:
 	default:
-		t.dropped.Add(1)
+		t.droppedPackets.Add(1)
 	}
 	return true
 }
 
+// acceptStreams hands accepted streams to memberlist until Shutdown.
 func (t *transport) acceptStreams() {
 	for {
 		select {
 		case conn := <-t.streams.Accepted():
 			select {
 			case t.streamQueue <- &checkedStream{Conn: conn, transport: t}:
-			case <-t.done:
+			case <-t.shutdown:
 				return
 			}
-		case <-t.done:
+		case <-t.shutdown:
 			return
 		}
 	}
 }
 
-// FinalAdvertiseAddr gives the own address, whatever memberlist is configured with.
+// FinalAdvertiseAddr returns the own address, whatever memberlist is configured with.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	ip := t.address.Addr().As4()
 	return ip[:], int(t.address.Port()), nil
 }
 
-func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
-	to, err := netip.ParseAddrPort(addr)
+// WriteTo sends a packet. One over the rate limit counts as lost on the way.
+func (t *transport) WriteTo(packet []byte, address string) (time.Time, error) {
+	to, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return time.Time{}, err
+		return time.Time{}, fmt.Errorf("send packet: %w", err)
 	}
-	err = t.datagrams.Send(to, append([]byte{byte(datagram.ChannelPackets)}, b...))
+	err = t.datagrams.Send(to, append([]byte{byte(datagram.ChannelPackets)}, packet...))
 	if errors.Is(err, datagram.ErrRateLimited) {
-		err = nil // as if lost on the way, and counted there
+		err = nil
 	}
 	return time.Now(), err
 }
 
-func (t *transport) WriteToAddress(b []byte, addr memberlist.Address) (time.Time, error) {
-	return t.WriteTo(b, addr.Addr)
+// WriteToAddress is WriteTo; the address' name is not used.
+func (t *transport) WriteToAddress(packet []byte, address memberlist.Address) (time.Time, error) {
+	return t.WriteTo(packet, address.Addr)
 }
 
+// PacketCh returns the queue of checked packets.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packetQueue }
 
-func (t *transport) DialTimeout(addr string, _ time.Duration) (net.Conn, error) {
-	to, err := netip.ParseAddrPort(addr)
+// DialTimeout opens a stream, at once.
+func (t *transport) DialTimeout(address string, _ time.Duration) (net.Conn, error) {
+	to, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("dial stream: %w", err)
 	}
 	conn, err := t.streams.Dial(to)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("dial stream to %v: %w", to, err)
 	}
 	return &checkedStream{Conn: conn, transport: t}, nil
 }
 
-func (t *transport) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	return t.DialTimeout(addr.Addr, timeout)
+// DialAddressTimeout is DialTimeout; the address' name is not used.
+func (t *transport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	return t.DialTimeout(address.Addr, timeout)
 }
 
+// StreamCh returns the queue of accepted streams.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streamQueue }
 
+// Shutdown ends the streams and the transport's goroutine.
 func (t *transport) Shutdown() error {
-	t.once.Do(func() {
-		close(t.done)
+	t.shutdownOnce.Do(func() {
+		close(t.shutdown)
 		t.streams.Close()
 	})
 	return nil
 }
 
-// checkedStream is a stream whose one message is read and looked through whole before any of it is passed on.
+// checkedStream is a stream whose one message is read and checked whole before any of it is handed on.
 type checkedStream struct {
 	net.Conn
 	transport *transport
-	message   *bytes.Reader
-	err       error
+	message   *bytes.Reader // nil until it is read
+	err       error         // why there is none
 }
 
-func (v *checkedStream) Read(b []byte) (int, error) {
-	if v.message == nil && v.err == nil {
-		whole, err := readStreamMessage(v.Conn, v.transport.maxMembers, v.transport.onReport)
-		if v.err = err; err == nil {
-			v.message = bytes.NewReader(whole)
-		} else if !errors.Is(err, net.ErrClosed) {
-			v.transport.onRejected(v.RemoteAddr(), fmt.Errorf("stream: %w", err))
-		}
+// Read reads from the checked message. memberlist reads a stream in one goroutine.
+func (s *checkedStream) Read(b []byte) (int, error) {
+	if s.message == nil && s.err == nil {
+		s.readMessage()
 	}
-	if v.err != nil {
-		return 0, v.err
+	if s.err != nil {
+		return 0, s.err
+	}
+	return s.message.Read(b)
+}
+
+// readMessage reads and checks the message.
+func (s *checkedStream) readMessage() {
+	events := s.transport.events
+	message, err := readStreamMessage(s.Conn, s.transport.maxMembers, events.onReport)
+	switch {
+	case err == nil:
+		s.message = bytes.NewReader(message)
+	case !errors.Is(err, net.ErrClosed):
+		events.onRejected(s.RemoteAddr(), fmt.Errorf("stream: %w", err))
 	}
-	return v.message.Read(b)
+	s.err = err
 }
