--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -1,12 +1,9 @@
 package balancer
 
 import (
-	"math"
 	"testing"
 )
 
-func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
-
 func TestErrorChance(t *testing.T) {
 	for _, c := range []struct {
 		name              string
@@ -125,61 +122,3 @@
 		t.Error("none passed after the forced-pass interval")
 	}
 }
-
-// When all endpoints fail at once, ejection must not leave the few last ones with everything.
-func TestAllFailingAtOnceStaySpread(t *testing.T) {
-	b, r := start(t, testSettings(), ready(8))
-	sends := map[uint32]int{}
-	for id := range uint64(400) {
-		now := 1000 + 100*Micros(id)
-		b.RequestArrived(now, Request{ID: id, Class: 4, Deadline: now + second})
-		if n := len(r.sends); n > 0 && r.sends[n-1].id == id {
-			sends[r.sends[n-1].endpoint]++
-			b.AttemptFinished(now, Outcome{ID: id, Endpoint: r.sends[n-1].endpoint, Status: Error, Latency: 50})
-		}
-	}
-	if !b.endpoints[0].failures.isOutlier(41_000) {
-		t.Fatal("an endpoint that fails all is not ejected")
-	}
-	for e, n := range sends {
-		if n > 3*len(r.sends)/8 {
-			t.Errorf("endpoint %d got %d of %d sends", e, n, len(r.sends))
-		}
-	}
-	if b.endpoints[0].failures.isOutlier(60 * second) {
-		t.Error("an ejection never ends")
-	}
-}
-
-// One connection broken now and then is no failing endpoint; several failures in a row are.
-func TestSingleFailureDoesNotEject(t *testing.T) {
-	b, r := start(t, testSettings(), ready(1))
-	id, now := uint64(0), second
-	ends := func(status Status) {
-		t.Helper()
-		now += 10_000
-		b.LoadProbeResult(now, 1, OK, 500, []float32{0})
-		b.RequestArrived(now, request0(id, 4, now))
-		if n := len(r.sends); n == 0 || r.sends[n-1].id != id {
-			t.Fatal("not sent")
-		}
-		b.AttemptFinished(now+1000, Outcome{ID: id, Endpoint: 1, Status: status, Latency: 1000, RequestDone: status == OK})
-		id++
-	}
-	for i := range 48 {
-		if i%12 == 0 {
-			ends(Reset)
-		} else {
-			ends(OK)
-		}
-		if b.endpoints[0].failures.isOutlier(now) {
-			t.Fatalf("ejected after outcome %d, one of 12 a reset", i)
-		}
-	}
-	for range 3 {
-		ends(Reset)
-	}
-	if !b.endpoints[0].failures.isOutlier(now) {
-		t.Error("not ejected after three failures in a row")
-	}
-}
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -1,8 +1,8 @@
 package balancer
 
 import (
-	"errors"
 	"fmt"
+	"math"
 	"slices"
 	"testing"
 )
@@ -49,15 +49,22 @@
 func (r *recorder) StartAttempt(id uint64, e uint32, _ Micros) {
 	r.sends = append(r.sends, sent{id, e})
 }
-func (r *recorder) Reject(id uint64, _ Micros)     { r.rejected = append(r.rejected, id) }
-func (r *recorder) Fail(id uint64)                 { r.failed = append(r.failed, id) }
+
+func (r *recorder) Reject(id uint64, _ Micros) { r.rejected = append(r.rejected, id) }
+
+func (r *recorder) Fail(id uint64) { r.failed = append(r.failed, id) }
+
 func (r *recorder) CancelAttempt(id uint64, _ int) { r.cancels = append(r.cancels, id) }
+
 func (r *recorder) SetTimer(delay Micros, token uint32) {
 	r.timers, r.delays = append(r.timers, token), append(r.delays, delay)
 }
+
 func (r *recorder) SendLoadProbe(e uint32) { r.probes = append(r.probes, e) }
+
 func (r *recorder) SendGossip(data []byte) { r.gossip = append(r.gossip, slices.Clone(data)) }
-func (r *recorder) WatchEndpoints(bool)    { r.watches++ }
+
+func (r *recorder) WatchEndpoints(bool) { r.watches++ }
 
 // Log keeps a line as a host may write it: the message, then key=value for each field.
 func (r *recorder) Log(message string, fields ...LogField) {
@@ -93,25 +100,4 @@
 	return Request{ID: id, Class: class, Deadline: now + second}
 }
 
-func TestNewNamesBadSetting(t *testing.T) {
-	for _, c := range []struct {
-		key   string
-		spoil func(*Settings)
-	}{
-		{"Balancers", func(s *Settings) { s.Balancers = 0 }},
-		{"Classes", func(s *Settings) { s.Classes = nil }},
-		{"Classes[0].Aim", func(s *Settings) { s.Classes[0].LatencyObjective = 0 }},
-		{"Classes[1].Window", func(s *Settings) { s.Classes[1].DedupWindow = -1 }},
-		{"Contract.ColdFrom", func(s *Settings) { s.Rules.SlowStartMinCapacity = 0 }},
-		{"Limits.MaxAttempts", func(s *Settings) { s.Limits.MaxAttempts = 0 }},
-		{"Prices.Probe", func(s *Settings) { s.Costs.LoadProbe = -1 }},
-	} {
-		s := testSettings()
-		c.spoil(&s)
-		_, err := New(s, 1, &recorder{})
-		var bad *SettingError
-		if !errors.As(err, &bad) || bad.Key != c.key {
-			t.Errorf("want an error for %s, got %v", c.key, err)
-		}
-	}
-}
+func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
--- /dev/null
+++ b/balancer/latency_trend_test.go
@@ -0,0 +1,80 @@
+package balancer
+
+import (
+	"testing"
+)
+
+// When a whole zone turns slow, an endpoint known as fast must be expected to be slow, too, and
+// must be trusted again soon after the recovery.
+func TestZoneWideSlowdownIsLearnedAtOnce(t *testing.T) {
+	list := ready(4)
+	for i := range list {
+		list[i].Zone = 0
+	}
+	b, r := start(t, testSettings(), list)
+	serve := func(from Micros, n int, times float64) {
+		for i := range n {
+			now := from + 1000*Micros(i)
+			id := uint64(now)
+			b.LoadProbeResult(now, 1, OK, 500, []float32{9}) // the others serve
+			b.RequestArrived(now, Request{ID: id, Deadline: now + second, CostHint: 10_000, HasCostHint: true})
+			if len(r.sends) == 0 || r.sends[len(r.sends)-1].id != id {
+				continue // refused
+			}
+			latency := Micros(times * b.requests[id].attempts[0].expectedLatency)
+			b.AttemptFinished(now, Outcome{ID: id, Endpoint: r.sends[len(r.sends)-1].endpoint, Status: OK,
+				Latency: latency, RequestDone: true})
+		}
+	}
+	one := func(now Micros) float64 {
+		b.LoadProbeResult(now, 1, OK, 500, []float32{0})
+		b.endpointsByID[1].serviceTime.average, b.endpointsByID[1].serviceTime.updatedAt = ewma{value: 1, initialized: true}, now
+		return b.predictLatency(now, b.endpointsByID[1], 10_000)
+	}
+	serve(0, 50, 1)
+	before := one(60_000)
+	serve(100_000, 15, 4)
+	if slow := one(120_000); slow < 2*before {
+		t.Errorf("expected %v before, %v after 15 outcomes of four times the prediction", before, slow)
+	}
+	serve(200_000, 48, 0.5)
+	if after := one(250_000); after > 1.2*before {
+		t.Errorf("expected %v before, %v after the recovery", before, after)
+	}
+}
+
+// Many requests sent at one time that take twice as long as expected make the trend twice as high, not as many
+// times: each tells the same.
+func TestTrendCountsABatchOnce(t *testing.T) {
+	b, r := start(t, testSettings(), ready(1))
+	b.classes[0].meanWork.value = 1000
+	for i := range uint64(100) {
+		b.RequestArrived(second, request0(i, 0, second))
+	}
+	slow := Micros(2 * b.requests[50].attempts[0].expectedLatency)
+	for i := range uint64(100) {
+		a := b.requests[i].attempts[0]
+		b.AttemptFinished(second+slow, Outcome{ID: i, Endpoint: a.endpoint.ID, Status: OK, Latency: Micros(2 * a.expectedLatency), RequestDone: true})
+	}
+	if len(r.sends) != 100 || b.zones[0].trend.value > 2*trendNoiseMargin {
+		t.Errorf("trend %.1f after %d answers twice as slow as expected, want %.1f at most", b.zones[0].trend.value, len(r.sends), 2*trendNoiseMargin)
+	}
+}
+
+// Where all is refused nothing comes back that could tell of a recovery: the refusals must end by themselves.
+func TestSlownessThatNothingConfirmsFades(t *testing.T) {
+	b, r := start(t, testSettings(), ready(1))
+	b.classes[0].meanWork.value = 100_000
+	b.zones[0].trend.value, b.zones[0].trend.updatedAt, b.forcedAdmission.interval = maxTrend, 10*second, maxForcedAdmissionInterval
+	for i, c := range []struct {
+		at      Micros
+		refused int
+	}{{10*second + 1, 1}, {16 * second, 1}} {
+		b.LoadProbeResult(c.at, 1, OK, 500, []float32{0})
+		b.classes[0].forcedAt = c.at // no pass is due
+		b.RequestArrived(c.at, request0(uint64(i), 0, c.at))
+		if len(r.rejected) != c.refused || len(r.sends) != i {
+			t.Errorf("%d refused and %d sent by %.1f s", len(r.rejected), len(r.sends), float64(c.at)/1e6)
+		}
+	}
+}
--- /dev/null
+++ b/balancer/load_estimate_test.go
@@ -0,0 +1,69 @@
+package balancer
+
+import (
+	"math"
+	"testing"
+)
+
+func TestOddReports(t *testing.T) {
+	b, _ := start(t, testSettings(), ready(1))
+	nan := float32(math.NaN())
+	for _, load := range [][]float32{nil, {}, {nan}, {-3}, {float32(math.Inf(1))}} {
+		b.LoadProbeResult(1000, 1, OK, 500, load)
+		if b.endpoints[0].report.known {
+			t.Errorf("report %v taken for a load", load)
+		}
+	}
+	b.LoadProbeResult(1000, 99, OK, 500, []float32{1}) // unknown endpoint
+	b.LoadProbeResult(1000, 1, OK, 500, []float32{2, 7, 9})
+	if b.estimateLoad(1000, b.endpoints[0]) != 2 {
+		t.Errorf("load %v", b.estimateLoad(1000, b.endpoints[0]))
+	}
+}
+
+// An endpoint works at several requests side by side, and its reports tell how many: those that it holds and that
+// do not wait. Nobody waits where fewer are held.
+func TestReportsTellHowManyAreWorkedAt(t *testing.T) {
+	s := testSettings()
+	s.Balancers = 1
+	s.LoadReportFields = []LoadField{LoadFieldInFlight, LoadFieldQueueLength}
+	b, r := start(t, s, ready(2))
+	work := b.classes[0].meanWork.value
+	for i := range Micros(20) {
+		b.LoadProbeResult(1000+i, 1, OK, 500, []float32{8, 2})
+	}
+	b.LoadProbeResult(2000, 2, OK, 500, []float32{5, 0})
+	if got, want := b.predictLatency(2000, b.endpointsByID[2], work), b.zones[0].roundTrip.value+work; got > 1.05*want {
+		t.Errorf("%.0f us expected of an endpoint that holds 5 of the 6 it works at, want %.0f", got, want)
+	}
+	b.classes[0].meanWork.value = 250_000 // too much to stand in line, but in time if started at once
+	b.RequestArrived(3000, request0(1, 0, 3000))
+	if len(r.sends) != 1 || r.sends[0].endpoint != 2 {
+		t.Errorf("sends %v, want one to the endpoint where nobody waits", r.sends)
+	}
+}
+
+// In a large fleet all balancers learn of the same idle endpoint: none may fill it alone.
+func TestOneLowAnswerDrawsNoHerd(t *testing.T) {
+	for _, c := range []struct{ balancers, most int }{{1, 5}, {3, 3}, {15, 2}} {
+		s := testSettings()
+		s.Balancers = c.balancers
+		b, r := start(t, s, ready(4))
+		for id := range uint32(4) {
+			b.LoadProbeResult(1000, id+1, OK, 500, []float32{3 * float32(min(1, id))})
+		}
+		for id := range uint64(8) {
+			b.RequestArrived(2000, Request{ID: id, Deadline: second, CostHint: 10_000, HasCostHint: true})
+		}
+		n := 0
+		for _, at := range r.sends {
+			if at.endpoint == 1 {
+				n++
+			}
+		}
+		if len(r.sends) != 8 || n == 0 || n > c.most {
+			t.Errorf("%d balancers: %d of %d sends to the idle endpoint, want 1 to %d",
+				c.balancers, n, len(r.sends), c.most)
+		}
+	}
+}
--- /dev/null
+++ b/balancer/load_probes_test.go
@@ -0,0 +1,45 @@
+package balancer
+
+import (
+	"math"
+	"testing"
+)
+
+// A balancer that refuses everything must still learn when it may stop.
+func TestProbesGoOnWhileAllIsRefused(t *testing.T) {
+	s := testSettings()
+	s.Costs.LoadProbe = probeCostLimit // one probe a request
+	b, _ := start(t, s, ready(4))
+	for i := range 1000 {
+		b.requestRate.add(5000*Micros(i), 1)
+	}
+	now := 5 * second
+	b.rejectedFraction.value = 0
+	all := b.loadProbeRate(now)
+	for _, c := range []struct{ refused, want float64 }{{0.5, 0.5}, {0.9, minAdmittedFraction}, {1, minAdmittedFraction}} {
+		b.rejectedFraction.value = c.refused
+		if got := b.loadProbeRate(now) / all; math.Abs(got-c.want) > 0.001 {
+			t.Errorf("refused %v: %v of the pace, want %v", c.refused, got, c.want)
+		}
+	}
+}
+
+// Where reports are old or hold no count, a probe that waited in line still shows that there is one.
+func TestProbeThatWaitsShowsALoad(t *testing.T) {
+	s := testSettings()
+	s.LoadReportFields = []LoadField{LoadFieldThroughput, LoadFieldUtilization}
+	b, _ := start(t, s, ready(2))
+	e := b.endpointsByID[1]
+	b.LoadProbeResult(1000, 1, OK, 500, []float32{90, 0.5})
+	if got := b.estimateLoad(1000, e); got != 0.5*defaultConcurrency {
+		t.Errorf("load %v of a half busy endpoint", got)
+	}
+	b.LoadProbeResult(2000, 1, OK, 160_500, []float32{90, 0.5})
+	if got := b.estimateLoad(1000, e); got < 2*defaultConcurrency {
+		t.Errorf("load %v, though the probe waited for two requests' work", got)
+	}
+	b.LoadProbeResult(3000, 1, Rejected, 500, nil)
+	if e.report.at != 0 {
+		t.Error("an endpoint that turns probes away keeps its place in the pool")
+	}
+}
--- /dev/null
+++ b/balancer/outliers_test.go
@@ -0,0 +1,99 @@
+package balancer
+
+import (
+	"testing"
+)
+
+func TestFailingEndpointIsAvoidedAndTriedAgain(t *testing.T) {
+	b, r := start(t, testSettings(), ready(3))
+	now := second
+	sends := map[uint32]int{}
+	id := uint64(0)
+	step := func() {
+		now += 20_000
+		for e := range uint32(3) {
+			b.LoadProbeResult(now, e+1, OK, 500, []float32{0})
+		}
+		id++
+		from := len(r.sends)
+		b.RequestArrived(now, request0(id, 0, now))
+		for n := 0; from < len(r.sends); n++ {
+			to := r.sends[from].endpoint
+			from++
+			sends[to]++
+			status := OK
+			if to == 1 {
+				status = Error
+			}
+			b.AttemptFinished(now, Outcome{ID: id, Attempt: n, Endpoint: to, Status: status,
+				Latency: 30_000 + Micros(id*7919%60_000), RequestDone: status == OK})
+		}
+	}
+	for range 3000 {
+		step()
+	}
+	if sends[1] > 300 {
+		t.Errorf("a fast failing endpoint got %d of 3000", sends[1])
+	}
+	if sends[1] < 2 {
+		t.Errorf("a failing endpoint is never tried again: %d sends", sends[1])
+	}
+}
+
+// When all endpoints fail at once, ejection must not leave the few last ones with everything.
+func TestAllFailingAtOnceStaySpread(t *testing.T) {
+	b, r := start(t, testSettings(), ready(8))
+	sends := map[uint32]int{}
+	for id := range uint64(400) {
+		now := 1000 + 100*Micros(id)
+		b.RequestArrived(now, Request{ID: id, Class: 4, Deadline: now + second})
+		if n := len(r.sends); n > 0 && r.sends[n-1].id == id {
+			sends[r.sends[n-1].endpoint]++
+			b.AttemptFinished(now, Outcome{ID: id, Endpoint: r.sends[n-1].endpoint, Status: Error, Latency: 50})
+		}
+	}
+	if !b.endpoints[0].failures.isOutlier(41_000) {
+		t.Fatal("an endpoint that fails all is not ejected")
+	}
+	for e, n := range sends {
+		if n > 3*len(r.sends)/8 {
+			t.Errorf("endpoint %d got %d of %d sends", e, n, len(r.sends))
+		}
+	}
+	if b.endpoints[0].failures.isOutlier(60 * second) {
+		t.Error("an ejection never ends")
+	}
+}
+
+// One connection broken now and then is no failing endpoint; several failures in a row are.
+func TestSingleFailureDoesNotEject(t *testing.T) {
+	b, r := start(t, testSettings(), ready(1))
+	id, now := uint64(0), second
+	ends := func(status Status) {
+		t.Helper()
+		now += 10_000
+		b.LoadProbeResult(now, 1, OK, 500, []float32{0})
+		b.RequestArrived(now, request0(id, 4, now))
+		if n := len(r.sends); n == 0 || r.sends[n-1].id != id {
+			t.Fatal("not sent")
+		}
+		b.AttemptFinished(now+1000, Outcome{ID: id, Endpoint: 1, Status: status, Latency: 1000, RequestDone: status == OK})
+		id++
+	}
+	for i := range 48 {
+		if i%12 == 0 {
+			ends(Reset)
+		} else {
+			ends(OK)
+		}
+		if b.endpoints[0].failures.isOutlier(now) {
+			t.Fatalf("ejected after outcome %d, one of 12 a reset", i)
+		}
+	}
+	for range 3 {
+		ends(Reset)
+	}
+	if !b.endpoints[0].failures.isOutlier(now) {
+		t.Error("not ejected after three failures in a row")
+	}
+}
--- /dev/null
+++ b/balancer/probe_wait_test.go
@@ -0,0 +1,102 @@
+package balancer
+
+import (
+	"testing"
+)
+
+// A quiet balancer in a large fleet cannot keep a fresh pool: it must ask when a request comes, and send to
+// the best answer, without losing what it holds.
+func TestQuietBalancerAsksBeforeItSends(t *testing.T) {
+	quiet := func() (*Balancer, *recorder) {
+		s := testSettings()
+		s.Balancers = 1000
+		b, r := start(t, s, ready(40))
+		if len(r.probes) != 0 {
+			t.Errorf("%d probes at the start", len(r.probes))
+		}
+		b.TimerFired(second, timerProbeRound)
+		r.probes, r.timers = nil, nil
+		b.RequestArrived(2*second, request0(1, 0, 2*second))
+		if len(r.sends) != 0 || len(r.probes) < 2 {
+			t.Fatalf("%d sends and %d probes before any answer", len(r.sends), len(r.probes))
+		}
+		return b, r
+	}
+	answer := func(b *Balancer, r *recorder, i int, load float32) {
+		b.LoadProbeResult(2*second+1000, r.probes[i], OK, 500, []float32{load})
+	}
+
+	b, r := quiet()
+	for i := range r.probes {
+		answer(b, r, i, float32(4-i))
+	}
+	if last := r.probes[len(r.probes)-1]; len(r.sends) != 1 || r.sends[0].endpoint != last {
+		t.Errorf("sends %v, want one to %d, the least loaded of %v", r.sends, last, r.probes)
+	}
+
+	b, r = quiet()
+	answer(b, r, 0, 0)
+	if len(r.sends) != 1 || r.sends[0].endpoint != r.probes[0] {
+		t.Errorf("sends %v, want one to the idle endpoint %d at once", r.sends, r.probes[0])
+	}
+
+	b, r = quiet() // no answer at all
+	b.TimerFired(2*second+50_000, r.timers[len(r.timers)-1])
+	if len(r.sends) != 1 {
+		t.Errorf("%d sends after the wait for probes", len(r.sends))
+	}
+
+	b, r = quiet()
+	b.ClientDisconnected(2*second+500, 1)
+	for i := range r.probes {
+		answer(b, r, i, 0)
+	}
+	b.TimerFired(2*second+50_000, r.timers[len(r.timers)-1])
+	if len(r.sends)+len(r.rejected)+len(r.failed) != 0 || len(b.probeWaiters) != 0 {
+		t.Error("a request that its client left is still acted on")
+	}
+}
+
+// Only idle endpoints answer a probe in time. In a jam the silent ones must count, or the fleet looks idle.
+func TestSilentProbesCountAsLoad(t *testing.T) {
+	s := testSettings()
+	s.Balancers = 1000
+	b, r := start(t, s, ready(40))
+	b.TimerFired(second, timerProbeRound)
+	for id := range uint64(40) {
+		now := 2*second + 100_000*Micros(id)
+		r.timers = nil
+		b.RequestArrived(now, Request{ID: id, Deadline: now + second})
+		b.TimerFired(now+40_000, r.timers[len(r.timers)-1])
+	}
+	if b.zones[0].baselineLoad.value < defaultConcurrency {
+		t.Errorf("usual load %v though no probe is answered", b.zones[0].baselineLoad.value)
+	}
+	if len(r.rejected) == 0 {
+		t.Error("nothing refused though no probe is answered")
+	}
+}
+
+// Answers from afar come too late for a short wait: probes stay at home then.
+func TestProbesStayNear(t *testing.T) {
+	s := testSettings()
+	s.Balancers = 1000
+	list := ready(40)
+	for i := range list {
+		list[i].Zone = uint8(i % 2)
+	}
+	b, r := start(t, s, list)
+	b.zones[0].roundTrip, b.zones[1].roundTrip = ewma{value: 500, initialized: true}, ewma{value: 30_000, initialized: true}
+	b.TimerFired(second, timerProbeRound)
+	for id := range uint64(20) {
+		b.RequestArrived(2*second, request0(id, 0, 2*second))
+	}
+	for _, e := range r.probes {
+		if b.endpointsByID[e].Zone != 0 {
+			t.Fatalf("probe of endpoint %d, 30 ms away, for a wait of 40 ms", e)
+		}
+	}
+	if len(r.probes) < 10 {
+		t.Errorf("%d probes", len(r.probes))
+	}
+}
--- /dev/null
+++ b/balancer/quota_test.go
@@ -0,0 +1,26 @@
+package balancer
+
+import (
+	"testing"
+)
+
+func TestTenantBeyondItsShareWeighsLess(t *testing.T) {
+	s := testSettings()
+	s.OverQuotaWeight = 0.05
+	s.Tenants = []Tenant{{Name: "a", Quota: 50}, {Name: "b", Quota: 50}}
+	b, _ := start(t, s, ready(2))
+	for i := range Micros(100) {
+		b.tenantRates[0].add(i*1000, 1)
+		if i%4 == 0 {
+			b.tenantRates[1].add(i*1000, 1)
+		}
+	}
+	over, within := &request{Request: Request{Tenant: 0}}, &request{Request: Request{Tenant: 1}}
+	b.rejectedFraction.value = 0.5
+	if o, w := b.quotaWeight(100_000, over), b.quotaWeight(100_000, within); w != 1 || o > 0.6 {
+		t.Errorf("weights %v over, %v within the share", o, w)
+	}
+	if got := b.quotaWeight(100_000, &request{Request: Request{Tenant: 9}}); got != 1 {
+		t.Errorf("unknown tenant: %v", got)
+	}
+}
--- /dev/null
+++ b/balancer/requests_test.go
@@ -0,0 +1,143 @@
+package balancer
+
+import (
+	"testing"
+)
+
+func TestNoEndpointMeansRefusal(t *testing.T) {
+	b, r := start(t, testSettings(), nil)
+	b.RequestArrived(1000, request0(1, 4, 1000))
+	b.RequestArrived(1000, Request{ID: 2, Deadline: 500})
+	if len(r.rejected) != 2 || b.unansweredCount != 0 || len(b.requests) != 0 {
+		t.Errorf("refused %v, open %d", r.rejected, b.unansweredCount)
+	}
+}
+
+func TestUnansweredAttemptEndsAtTheDeadline(t *testing.T) {
+	b, r := start(t, testSettings(), ready(1))
+	b.RequestArrived(1000, request0(1, 4, 1000))
+	token := b.requests[1].timerToken
+	b.TimerFired(1000+second, token)
+	if len(r.failed) != 1 || len(r.cancels) != 1 {
+		t.Fatalf("failed %v, cancelled %v", r.failed, r.cancels)
+	}
+	b.AttemptFinished(2*second, Outcome{ID: 1, Endpoint: 1, Status: OK, Latency: second, RequestDone: true})
+	if b.endpoints[0].breaker.accepts != 1 || b.endpoints[0].inFlight != 0 || len(b.requests) != 0 {
+		t.Error("a late outcome must still feed the statistics")
+	}
+	b.RequestArrived(3*second, request0(2, 0, 3*second))
+	b.TimerFired(3*second, token) // of the ended request, whose slot is in use again
+	if len(r.failed) != 1 || len(r.rejected) != 0 {
+		t.Error("an old timer ended another request")
+	}
+}
+
+func TestStreamIsLeftAlone(t *testing.T) {
+	b, r := start(t, testSettings(), ready(2))
+	b.RequestArrived(1000, request0(1, 0, 1000))
+	b.ResponseStarted(2000, 1, 0, 1000)
+	b.TimerFired(2*second, b.requests[1].timerToken)
+	if len(r.sends) != 1 || len(r.rejected)+len(r.failed) != 0 {
+		t.Error("a stream that began was given an end or a copy")
+	}
+	b.AttemptFinished(3*second, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: OK, Latency: 3 * second, RequestDone: true})
+	if len(b.requests) != 0 {
+		t.Error("record kept")
+	}
+}
+
+// A second copy doubles the work of an endpoint that is slow because it has too much.
+func TestNoSecondCopies(t *testing.T) {
+	b, r := start(t, testSettings(), ready(3))
+	b.RequestArrived(1000, request0(1, 0, 1000))
+	for i, token := range r.timers {
+		b.TimerFired(1000+r.delays[i]-1, token)
+	}
+	b.TimerFired(900_000, r.timers[len(r.timers)-1])
+	if len(r.sends) != 1 {
+		t.Errorf("%d sends while the first is out", len(r.sends))
+	}
+}
+
+// Whatever is odd about a request, it is taken once and answered once.
+func TestOddRequestsAreAnsweredOnce(t *testing.T) {
+	for name, c := range map[string]struct {
+		list  []Endpoint
+		in    Request
+		twice bool
+	}{
+		"class out of range":  {list: ready(2), in: Request{ID: 1, Class: 99, Deadline: second}},
+		"tenant out of range": {list: ready(2), in: Request{ID: 1, Tenant: 999, Deadline: second}},
+		"deadline past":       {list: ready(2), in: Request{ID: 1, Deadline: 10}},
+		"empty list":          {in: Request{ID: 1, Deadline: second}},
+		"all draining":        {list: []Endpoint{{ID: 1, State: Draining}}, in: Request{ID: 1, Deadline: second}},
+		"repeated id":         {list: ready(2), in: Request{ID: 1, Deadline: second}, twice: true},
+		"hint without sense":  {list: ready(2), in: Request{ID: 1, Deadline: second, CostHint: -5, HasCostHint: true}},
+	} {
+		b, r := start(t, testSettings(), c.list)
+		b.RequestArrived(1000, c.in)
+		if c.twice {
+			b.RequestArrived(1000, c.in)
+		}
+		for i, token := range r.timers {
+			if token >= firstRequestTimer {
+				b.TimerFired(max(1000+r.delays[i], c.in.Deadline), token)
+			}
+		}
+		if n := len(r.rejected) + len(r.failed); n != 1 || len(r.sends) > 1 {
+			t.Errorf("%s: %d final answers, %d sends", name, n, len(r.sends))
+		}
+	}
+}
+
+// A request whose body still comes is in flight nowhere, and its time runs from its last byte. Once part of the body
+// is gone it is not sent again.
+func TestUploads(t *testing.T) {
+	b, r := start(t, testSettings(), ready(2))
+	in := request0(1, 0, 1000)
+	in.IsUploading = true
+	b.RequestArrived(1000, in)
+	if len(r.sends) != 1 {
+		t.Fatalf("sent %v, want one", r.sends)
+	}
+	e := b.endpointsByID[r.sends[0].endpoint]
+	if e.inFlight != 0 {
+		t.Errorf("in flight while its body comes: %d", e.inFlight)
+	}
+	for _, token := range r.timers {
+		b.TimerFired(10*second, token)
+	}
+	if len(r.rejected)+len(r.failed) != 0 {
+		t.Fatal("ended while its body comes")
+	}
+	b.BodySent(10*second, 1, 11*second)
+	if e.inFlight != 1 {
+		t.Errorf("in flight after its last byte: %d", e.inFlight)
+	}
+	b.TimerFired(11*second, b.requests[1].timerToken)
+	if len(r.rejected) != 1 {
+		t.Error("not ended when its time is up")
+	}
+	b.AttemptFinished(11*second, Outcome{ID: 1, Endpoint: e.ID, Status: Cancelled, RequestDone: true})
+	if e.inFlight != 0 || len(e.startTimes) != 0 {
+		t.Errorf("in flight after its end: %d", e.inFlight)
+	}
+
+	b, r = start(t, testSettings(), ready(3))
+	in = request0(2, 0, 1000)
+	in.IsUploading = true
+	b.RequestArrived(1000, in)
+	b.AttemptFinished(2000, Outcome{ID: 2, Status: ConnectFailed})
+	if len(r.sends) != 2 {
+		t.Fatalf("sent %v, want a second try with the whole body", r.sends)
+	}
+	b.AttemptFinished(3000, Outcome{ID: 2, Attempt: 1, Status: ConnectFailed, BodyConsumed: true})
+	if len(r.sends) != 2 || len(r.rejected) != 1 {
+		t.Errorf("sent %v, refused %v; want no third try and a refusal", r.sends, r.rejected)
+	}
+	for id, e := range b.endpointsByID {
+		if e.inFlight != 0 {
+			t.Errorf("endpoint %d: %d in flight at the end", id, e.inFlight)
+		}
+	}
+}
--- /dev/null
+++ b/balancer/settings_test.go
@@ -0,0 +1,29 @@
+package balancer
+
+import (
+	"errors"
+	"testing"
+)
+
+func TestNewNamesBadSetting(t *testing.T) {
+	for _, c := range []struct {
+		key   string
+		spoil func(*Settings)
+	}{
+		{"Balancers", func(s *Settings) { s.Balancers = 0 }},
+		{"Classes", func(s *Settings) { s.Classes = nil }},
+		{"Classes[0].Aim", func(s *Settings) { s.Classes[0].LatencyObjective = 0 }},
+		{"Classes[1].Window", func(s *Settings) { s.Classes[1].DedupWindow = -1 }},
+		{"Contract.ColdFrom", func(s *Settings) { s.Rules.SlowStartMinCapacity = 0 }},
+		{"Limits.MaxAttempts", func(s *Settings) { s.Limits.MaxAttempts = 0 }},
+		{"Prices.Probe", func(s *Settings) { s.Costs.LoadProbe = -1 }},
+	} {
+		s := testSettings()
+		c.spoil(&s)
+		_, err := New(s, 1, &recorder{})
+		var bad *SettingError
+		if !errors.As(err, &bad) || bad.Key != c.key {
+			t.Errorf("want an error for %s, got %v", c.key, err)
+		}
+	}
+}
--- a/balancer/cold_fleet_test.go
+++ b/balancer/slow_start_fleet_test.go
@@ -8,6 +8,12 @@
 	"testing"
 )
 
+const (
+	slowStartWork      = 80_000 // of a request on one core of a warm endpoint
+	slowStartCores     = 2
+	slowStartRoundTrip = 300 // to an endpoint, and back again
+)
+
 // slowStartFleet is many balancers and their endpoints on a simulated clock. Each endpoint works at a few requests
 // side by side, in order, slower while it is cold; requests come at random, and to any balancer alike.
 type slowStartFleet struct {
@@ -22,12 +28,6 @@
 	served int
 }
 
-const (
-	slowStartWork      = 80_000 // of a request on one core of a warm endpoint
-	slowStartCores     = 2
-	slowStartRoundTrip = 300 // to an endpoint, and back again
-)
-
 type slowStartEndpoint struct {
 	started  Micros // of its warm-up; 0 for long ago
 	free     [slowStartCores]Micros
@@ -44,11 +44,15 @@
 type eventHeap []simEvent
 
 func (h eventHeap) Len() int { return len(h) }
+
 func (h eventHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].n < h[j].n
 }
+
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *eventHeap) Push(x any)   { *h = append(*h, x.(simEvent)) }
+
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(simEvent)) }
+
 func (h *eventHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
@@ -121,12 +125,18 @@
 func (c *slowStartBalancer) SetTimer(delay Micros, token uint32) {
 	c.f.in(delay, func() { c.b.TimerFired(c.f.now, token) })
 }
-func (c *slowStartBalancer) Reject(uint64, Micros)     {}
-func (c *slowStartBalancer) Fail(uint64)               {}
+
+func (c *slowStartBalancer) Reject(uint64, Micros) {}
+
+func (c *slowStartBalancer) Fail(uint64) {}
+
 func (c *slowStartBalancer) CancelAttempt(uint64, int) {}
-func (c *slowStartBalancer) SendGossip([]byte)         {}
-func (c *slowStartBalancer) WatchEndpoints(bool)       {}
-func (c *slowStartBalancer) Log(string, ...LogField)   {}
+
+func (c *slowStartBalancer) SendGossip([]byte) {}
+
+func (c *slowStartBalancer) WatchEndpoints(bool) {}
+
+func (c *slowStartBalancer) Log(string, ...LogField) {}
 
 // playSlowStart has an endpoint join beside nine warm ones, another start anew a second later, and a burst of requests come
 // some time after: it returns the most that came to either of them within the time that the settings name, as a share
