--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -7,7 +7,7 @@
 
 // A wrong guess of a class's work must not refuse that class for ever; but a pass a second at each of a
 // thousand quiet balancers would keep a jammed fleet jammed.
-func TestLatenessRefusalLetsFewPass(t *testing.T) {
+func TestFewLateRequestsAreForced(t *testing.T) {
 	for _, c := range []struct {
 		gap      Micros
 		from, to int
@@ -16,38 +16,38 @@
 		b.classes[0].meanWork.value = float64(100 * second)
 		for i := range uint64(300) {
 			now := 10*second + Micros(i)*c.gap
-			b.RequestArrived(now, request0(i, 0, now))
+			b.RequestArrived(now, requestOf(i, 0, now))
 		}
-		if n := len(r.sends); n < c.from || n > c.to {
+		if n := len(r.attempts); n < c.from || n > c.to {
 			t.Errorf("a request every %d us: %d of 300 sent, want %d to %d", c.gap, n, c.from, c.to)
 		}
-		if len(r.rejected) != 300-len(r.sends) {
-			t.Errorf("%d refused, %d sent", len(r.rejected), len(r.sends))
+		if len(r.rejected) != 300-len(r.attempts) {
+			t.Errorf("%d refused, %d sent", len(r.rejected), len(r.attempts))
 		}
 	}
 }
 
 // A few long answers must not make an endpoint refuse where nobody waits.
-func TestIdleEndpointIsNotRefused(t *testing.T) {
+func TestIdleEndpointAdmitsLateRequest(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.endpoints[0].serviceTime.average, b.endpoints[0].serviceTime.updatedAt = ewma{value: 9, initialized: true}, 1000
 	b.LoadProbeResult(1000, 1, OK, 500, []float32{0})
-	b.RequestArrived(2000, request0(1, 0, 2000))
-	if len(r.sends) != 1 {
-		t.Errorf("%d sends to an idle endpoint thought slow", len(r.sends))
+	b.RequestArrived(2000, requestOf(1, 0, 2000))
+	if len(r.attempts) != 1 {
+		t.Errorf("%d sends to an idle endpoint thought slow", len(r.attempts))
 	}
 }
 
 // Requests passed into a jam keep it jammed: each that earns nothing makes the next rarer.
-func TestPassesThatFailGetRarer(t *testing.T) {
+func TestForcedAdmissionsThatFailGetRarer(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.classes[0].meanWork.value = float64(100 * second)
 	passed := [2]int{}
 	for i := range uint64(400) {
 		now := 10*second + Micros(i)*second
 		b.LoadProbeResult(now, 1, OK, 500, []float32{50})
-		b.RequestArrived(now, request0(i, 0, now))
-		if n := len(r.sends); n > 0 && r.sends[n-1].id == i {
+		b.RequestArrived(now, requestOf(i, 0, now))
+		if n := len(r.attempts); n > 0 && r.attempts[n-1].id == i {
 			passed[i/200]++
 			b.AttemptFinished(now+second, Outcome{ID: i, Endpoint: 1, Status: Timeout, Latency: second})
 		}
@@ -56,11 +56,11 @@
 		t.Errorf("%d of the first 200 passed and %d of the next", passed[0], passed[1])
 	}
 	b.forcedAdmission.interval = maxForcedAdmissionInterval
-	r.sends = nil
+	r.attempts = nil
 	b.zones[0].trend.value, b.classes[0].meanWork.value = 1, 1000
-	b.RequestArrived(500*second, request0(1000, 0, 500*second))
+	b.RequestArrived(500*second, requestOf(1000, 0, 500*second))
 	b.AttemptFinished(501*second, Outcome{ID: 1000, Endpoint: 1, Status: OK, Latency: 1000, RequestDone: true})
-	b.RequestArrived(502*second, request0(1001, 0, 502*second))
+	b.RequestArrived(502*second, requestOf(1001, 0, 502*second))
 	b.AttemptFinished(502*second+1000, Outcome{ID: 1001, Endpoint: 1, Status: OK, Latency: 1000, RequestDone: true})
 	if b.forcedAdmission.interval != minForcedAdmissionInterval {
 		t.Errorf("one of %d passes after an answer in time", b.forcedAdmission.interval)
@@ -69,7 +69,7 @@
 
 // A jam that is over must not be refused to for long: as passes are served in time, more follow, until the
 // fleet is known to be well again.
-func TestPassesThatServeEndTheRefusals(t *testing.T) {
+func TestForcedAdmissionsInTimeEndRejections(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.classes[0].meanWork.value = 250_000
 	b.zones[0].trend.value, b.zones[0].trend.updatedAt = maxTrend, 10*second
@@ -78,8 +78,8 @@
 	for i := range uint64(1000) {
 		now := 10*second + Micros(i)*gap
 		b.LoadProbeResult(now, 1, OK, 500, []float32{0})
-		b.RequestArrived(now, request0(i, 0, now))
-		if n := len(r.sends); n == 0 || r.sends[n-1].id != i {
+		b.RequestArrived(now, requestOf(i, 0, now))
+		if n := len(r.attempts); n == 0 || r.attempts[n-1].id != i {
 			last = now
 			continue
 		}
@@ -91,13 +91,13 @@
 }
 
 // Staff must learn why requests are refused, in one line a second and not in thousands.
-func TestRefusalsAreToldOnceASecond(t *testing.T) {
+func TestRejectionsAreLoggedOncePerSecond(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.LoadProbeResult(1000, 1, OK, 500, []float32{50})
 	for id := range uint64(200) {
 		now := second + 5000*Micros(id)
 		b.LoadProbeResult(now, 1, OK, 500, []float32{50})
-		b.RequestArrived(now, request0(id, 0, now))
+		b.RequestArrived(now, requestOf(id, 0, now))
 	}
 	if len(r.rejected) < 150 {
 		t.Fatalf("only %d refused", len(r.rejected))
--- a/balancer/bans_test.go
+++ b/balancer/bans_test.go
@@ -25,9 +25,9 @@
 			tr.b.LoadProbeResult(now, e+1, OK, 500, []float32{0})
 		}
 		tr.id++
-		tr.b.RequestArrived(now, request0(tr.id, 0, now))
-		for ; tr.seen < len(tr.r.sends); tr.seen++ {
-			s := tr.r.sends[tr.seen]
+		tr.b.RequestArrived(now, requestOf(tr.id, 0, now))
+		for ; tr.seen < len(tr.r.attempts); tr.seen++ {
+			s := tr.r.attempts[tr.seen]
 			if tr.sends[s.endpoint]++; tr.first[s.endpoint] == 0 {
 				tr.first[s.endpoint] = now
 			}
@@ -37,7 +37,7 @@
 }
 
 // A ban holds whatever lists say, and whenever the endpoint is listed.
-func TestBannedGetsNothing(t *testing.T) {
+func TestBannedEndpointGetsNothing(t *testing.T) {
 	b, r := start(t, testSettings(), ready(3))
 	b.Ban(1000, 1)
 	b.Ban(1000, 4)
@@ -66,10 +66,10 @@
 }
 
 // A call back ends the ban at once, and the endpoint gets a request within 5 s, cold or busy as it may seem.
-func TestCalledBackIsUsedAgain(t *testing.T) {
+func TestReinstatedEndpointIsUsedAgain(t *testing.T) {
 	for name, news := range map[string]func(b *Balancer){
 		"no news of a restart": func(b *Balancer) {},
-		"restarted while out":  func(b *Balancer) { b.UpdateEndpoints(4*second, UpdateFull, restarted(3*second)) },
+		"restarted while out":  func(b *Balancer) { b.UpdateEndpoints(4*second, UpdateFull, listWithRestart(3*second)) },
 		"gone while out":       func(b *Balancer) { b.UpdateEndpoints(4*second, UpdateFull, ready(3)[1:]) },
 	} {
 		s := testSettings()
@@ -95,7 +95,7 @@
 				t.Errorf("%s: it is not taken for cold", name)
 			}
 		} else {
-			b.UpdateEndpoints(5*second+second/2, UpdateFull, restarted(5*second))
+			b.UpdateEndpoints(5*second+second/2, UpdateFull, listWithRestart(5*second))
 		}
 		delete(tr.first, 1)
 		tr.run(5*second+second/2, 9*second, 100_000)
@@ -105,14 +105,14 @@
 	}
 }
 
-func restarted(at Micros) []Endpoint {
+func listWithRestart(at Micros) []Endpoint {
 	list := ready(3)
 	list[0].StartTime = at
 	return list
 }
 
 // In a large fleet the first requests of all balancers together would push a cold endpoint over: each saves up.
-func TestCalledBackIsNotPushedOver(t *testing.T) {
+func TestReinstatedEndpointIsNotOverloaded(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1000
 	b, _ := start(t, s, ready(3))
@@ -120,7 +120,7 @@
 	b.Unban(2*second, 1)
 	due := func() bool {
 		now := 2*second + reinstateDelay
-		r := b.newRequest(now, request0(1, 0, now))
+		r := b.newRequest(now, requestOf(1, 0, now))
 		r.work = b.classes[0].meanWork.value
 		return b.findReinstated(now, r) != nil
 	}
--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-func TestErrorChance(t *testing.T) {
+func TestErrorDropProbability(t *testing.T) {
 	for _, c := range []struct {
 		name              string
 		accepts, failures int
@@ -36,13 +36,13 @@
 		for range c.refusals {
 			k.record(now, 0, 0)
 		}
-		if got := k.errorDropProbability(now); !near(got, c.want) {
+		if got := k.errorDropProbability(now); !isNear(got, c.want) {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-func TestWindowForgets(t *testing.T) {
+func TestBreakerWindowExpires(t *testing.T) {
 	var k breaker
 	for range 100 {
 		k.record(100*second, 0, 1)
@@ -62,23 +62,23 @@
 	}
 }
 
-func TestLatencyAverages(t *testing.T) {
+func TestBreakerLatencyAverages(t *testing.T) {
 	var k breaker
 	k.recordLatency(100)
 	if k.latencyBaseline != 100 || k.latencyCurrent != 100 {
 		t.Fatalf("first: base %v current %v", k.latencyBaseline, k.latencyCurrent)
 	}
 	k.recordLatency(60) // falls by a quarter of the way; current (60+3*100)/4
-	if !near(k.latencyBaseline, 90) || !near(k.latencyCurrent, 90) {
+	if !isNear(k.latencyBaseline, 90) || !isNear(k.latencyCurrent, 90) {
 		t.Fatalf("fall: base %v current %v", k.latencyBaseline, k.latencyCurrent)
 	}
 	k.recordLatency(190) // rises by a hundredth: (190+99*90)/100; current (190+270)/4
-	if !near(k.latencyBaseline, 91) || !near(k.latencyCurrent, 115) {
+	if !isNear(k.latencyBaseline, 91) || !isNear(k.latencyCurrent, 115) {
 		t.Fatalf("rise: base %v current %v", k.latencyBaseline, k.latencyCurrent)
 	}
 }
 
-func TestLatencyChance(t *testing.T) {
+func TestLatencyDropProbability(t *testing.T) {
 	for _, c := range []struct {
 		name                   string
 		base, current, timeout float64
@@ -92,13 +92,13 @@
 		{"ceiling under the threshold", 400, 5000, 1000, 0},
 	} {
 		k := breaker{latencyBaseline: c.base, latencyCurrent: c.current}
-		if got := k.latencyDropProbability(c.timeout); !near(got, c.want) {
+		if got := k.latencyDropProbability(c.timeout); !isNear(got, c.want) {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-func TestForcedPass(t *testing.T) {
+func TestBreakerForcesOnePassPerInterval(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(1))
 	e := b.endpoints[0]
 	now := 20 * second
--- a/balancer/discovery_poll_test.go
+++ b/balancer/discovery_poll_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-func TestSubscriptionIsAskedForAgain(t *testing.T) {
+func TestFailedSubscriptionIsPolledAgain(t *testing.T) {
 	s := testSettings()
 	s.MustSubscribe = true
 	b, r := start(t, s, ready(2))
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// fleetSettings are those of many balancers, each with few requests and dear probes.
-func fleetSettings() Settings {
+// largeFleetSettings are those of many balancers, each with few requests and dear probes.
+func largeFleetSettings() Settings {
 	s := testSettings()
 	s.Balancers = 80
 	s.LoadReportFields = []LoadField{LoadFieldInFlight, LoadFieldQueueLength}
@@ -19,14 +19,14 @@
 }
 
 // What one balancer's probe is answered, all are told of; where each can ask often enough itself, none is.
-func TestAnswersAreToldToPeers(t *testing.T) {
-	b, r := start(t, fleetSettings(), ready(60))
+func TestReportsAreSharedWithOtherBalancers(t *testing.T) {
+	b, r := start(t, largeFleetSettings(), ready(60))
 	b.TimerFired(second, timerProbeRound)
 	b.LoadProbeResult(second+500, r.probes[0], OK, 500, []float32{7, 3})
 	if len(r.gossip) != 1 {
 		t.Fatalf("%d messages after one answer", len(r.gossip))
 	}
-	other, _ := start(t, fleetSettings(), ready(60))
+	other, _ := start(t, largeFleetSettings(), ready(60))
 	other.TimerFired(second, timerProbeRound)
 	other.ReceiveGossip(second+2000, r.gossip[0])
 	e := other.endpointsByID[r.probes[0]]
@@ -34,11 +34,11 @@
 		t.Errorf("load %v and %v worked at after a message of 7 held and 3 waiting", got, other.concurrencyOf(e))
 	}
 
-	few := fleetSettings()
+	few := largeFleetSettings()
 	few.Balancers, few.Costs.LoadProbe = 2, 0.0014
 	b, r = start(t, few, ready(15))
 	for i := range uint64(200) {
-		b.RequestArrived(second+5000*Micros(i), request0(i, 0, second+5000*Micros(i)))
+		b.RequestArrived(second+5000*Micros(i), requestOf(i, 0, second+5000*Micros(i)))
 	}
 	b.TimerFired(2*second, timerProbeRound)
 	b.LoadProbeResult(2*second+500, r.probes[0], OK, 500, []float32{7, 3})
@@ -48,8 +48,8 @@
 }
 
 // What a message says is forgotten within about a request's time: many choose by it at once.
-func TestToldLoadTurnsUsual(t *testing.T) {
-	b, _ := start(t, fleetSettings(), ready(60))
+func TestSharedLoadDecaysToBaseline(t *testing.T) {
+	b, _ := start(t, largeFleetSettings(), ready(60))
 	b.TimerFired(second, timerProbeRound)
 	for id := uint32(1); id <= 60; id++ {
 		b.ReceiveGossip(second, gossipEntry{endpointID: id, inFlight: 4}.encode())
@@ -64,17 +64,17 @@
 
 // Where loads are shared news, a slow answer may have stood in a queue that nobody has told of: it is no reason to
 // think all requests heavier. The servers tell how long they take to serve.
-func TestReportsTellTheWork(t *testing.T) {
-	s := fleetSettings()
+func TestReportsTellMeanWork(t *testing.T) {
+	s := largeFleetSettings()
 	s.LoadReportFields, s.Classes = []LoadField{LoadFieldInFlight, LoadFieldQueueLength, LoadFieldServiceTime}, s.Classes[:1]
 	b, r := start(t, s, ready(60))
 	b.TimerFired(second, timerProbeRound)
 	work := b.classes[0].meanWork.value
 	for i := range uint64(100) {
 		now := second + 1000*Micros(i)
-		b.RequestArrived(now, request0(i, 0, now))
-		if n := len(r.sends); n > 0 && r.sends[n-1].id == i {
-			b.AttemptFinished(now, Outcome{ID: i, Endpoint: r.sends[n-1].endpoint, Status: OK, Latency: 800_000, RequestDone: true})
+		b.RequestArrived(now, requestOf(i, 0, now))
+		if n := len(r.attempts); n > 0 && r.attempts[n-1].id == i {
+			b.AttemptFinished(now, Outcome{ID: i, Endpoint: r.attempts[n-1].endpoint, Status: OK, Latency: 800_000, RequestDone: true})
 		}
 	}
 	if got := b.classes[0].meanWork.value; got != work {
@@ -89,7 +89,7 @@
 }
 
 // A message may be cut, foreign, of an unknown endpoint or of an earlier life of one: it changes nothing.
-func TestOddMessagesAreDropped(t *testing.T) {
+func TestInvalidGossipIsDropped(t *testing.T) {
 	list := ready(3)
 	list[0].StartTime = 5000
 	for name, data := range map[string][]byte{
@@ -101,7 +101,7 @@
 		"unknown":       gossipEntry{endpointID: 77, inFlight: 9}.encode(),
 		"earlier life":  gossipEntry{endpointID: 1, startMark: 4, inFlight: 9}.encode(),
 	} {
-		b, r := start(t, fleetSettings(), list)
+		b, r := start(t, largeFleetSettings(), list)
 		b.ReceiveGossip(10*second, data)
 		for _, e := range b.endpoints {
 			if e.report.known {
@@ -116,8 +116,8 @@
 }
 
 // A sidecar whose own zone is lost still chooses among three, or half of its requests would go where it is full.
-func TestLostHomeLeavesAChoice(t *testing.T) {
-	s := fleetSettings()
+func TestLostZoneLeavesAChoice(t *testing.T) {
+	s := largeFleetSettings()
 	s.Zone = 200 // nobody of it is listed any more
 	b, r := start(t, s, ready(60))
 	b.TimerFired(second, timerProbeRound)
@@ -126,8 +126,8 @@
 	}
 	full := 0
 	for i := range uint64(100) {
-		b.RequestArrived(second+1000, request0(i, 0, second+1000))
-		full += int(r.sends[i].endpoint % 2)
+		b.RequestArrived(second+1000, requestOf(i, 0, second+1000))
+		full += int(r.attempts[i].endpoint % 2)
 	}
 	if full > 30 {
 		t.Errorf("%d of 100 requests go to the full half", full)
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -27,14 +27,14 @@
 	}
 }
 
-type sent struct {
+type startedAttempt struct {
 	id       uint64
 	endpoint uint32
 }
 
 // recorder keeps what a balancer asks of its host.
 type recorder struct {
-	sends    []sent
+	attempts []startedAttempt
 	rejected []uint64
 	failed   []uint64
 	cancels  []uint64
@@ -47,7 +47,7 @@
 }
 
 func (r *recorder) StartAttempt(id uint64, e uint32, _ Micros) {
-	r.sends = append(r.sends, sent{id, e})
+	r.attempts = append(r.attempts, startedAttempt{id, e})
 }
 
 func (r *recorder) Reject(id uint64, _ Micros) { r.rejected = append(r.rejected, id) }
@@ -96,8 +96,8 @@
 	return b, r
 }
 
-func request0(id uint64, class uint8, now Micros) Request {
+func requestOf(id uint64, class uint8, now Micros) Request {
 	return Request{ID: id, Class: class, Deadline: now + second}
 }
 
-func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
+func isNear(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
--- a/balancer/late_reports_test.go
+++ b/balancer/late_reports_test.go
@@ -6,12 +6,12 @@
 
 // Reports that count fewer than this balancer has there itself are late; they
 // must not steer picks.
-func TestLateReportsAreFoundOut(t *testing.T) {
+func TestLateReportsAreDetected(t *testing.T) {
 	b, r := start(t, testSettings(), ready(2))
 	for id := range uint64(3) {
-		b.RequestArrived(1000, request0(id, 0, 1000))
+		b.RequestArrived(1000, requestOf(id, 0, 1000))
 	}
-	busy := b.endpointsByID[r.sends[0].endpoint]
+	busy := b.endpointsByID[r.attempts[0].endpoint]
 	for i := range Micros(40) {
 		busy.probing = false
 		b.sendLoadProbe(22_000+i, busy)
@@ -35,11 +35,11 @@
 
 // An attempt still on its way, behind a handshake say, and one whose answer stands still half way are not at
 // the endpoint. That a report leaves them out must not make it late.
-func TestReportsWithoutAbsentAttemptsAreNotLate(t *testing.T) {
+func TestReportsWithoutAttemptsOnTheirWayAreNotLate(t *testing.T) {
 	for _, age := range []Micros{15_000, 500_000} {
 		b, r := start(t, testSettings(), ready(2))
-		b.RequestArrived(1000, request0(1, 0, 1000))
-		busy := b.endpointsByID[r.sends[0].endpoint]
+		b.RequestArrived(1000, requestOf(1, 0, 1000))
+		busy := b.endpointsByID[r.attempts[0].endpoint]
 		for i := range Micros(100) {
 			busy.probing = false
 			b.sendLoadProbe(1000+age+10*i-500, busy)
@@ -53,9 +53,9 @@
 
 // While reports are late, averages decide; they must not refuse what an
 // endpoint that they cannot show would serve.
-func TestLateReportsAllowTheWholeAim(t *testing.T) {
+func TestLateReportsAllowTheFullObjective(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(1))
-	r := &request{Request: request0(1, 0, 0), work: 50_000}
+	r := &request{Request: requestOf(1, 0, 0), work: 50_000}
 	b.classes[0].arrivals.add(0, 1)
 	before := b.latencyBudget(0, r, b.endpoints[0])
 	b.lateReports.detected = true
--- a/balancer/latency_estimate_test.go
+++ b/balancer/latency_estimate_test.go
@@ -6,25 +6,25 @@
 
 // Latencies on endpoints wrongly held to be busy say nothing of a class's work: each would make it less, and so
 // the queue that a probe's wait tells the longer.
-func TestWorkIsNotLearnedByAnAssumedQueue(t *testing.T) {
+func TestWorkIsNotLearnedFromAssumedQueue(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	before := b.classes[0].meanWork.value
 	for i := range uint64(200) {
 		now := second + Micros(i)*10_000
 		b.LoadProbeResult(now, 1, OK, 500, []float32{0})                  // the way there
 		b.LoadProbeResult(now, 1, OK, 500+Micros(before/2), []float32{0}) // slow, though nothing is held
-		b.RequestArrived(now, request0(i, 0, now))
-		if n := len(r.sends); n > 0 && r.sends[n-1].id == i {
+		b.RequestArrived(now, requestOf(i, 0, now))
+		if n := len(r.attempts); n > 0 && r.attempts[n-1].id == i {
 			b.AttemptFinished(now+5000, Outcome{ID: i, Endpoint: 1, Status: OK, Latency: Micros(before), RequestDone: true})
 		}
 	}
-	if got := b.classes[0].meanWork.value; got < before*0.9 || len(r.sends) < 100 {
-		t.Errorf("work of %.0f us is held to be %.0f after %d answers that took as long", before, got, len(r.sends))
+	if got := b.classes[0].meanWork.value; got < before*0.9 || len(r.attempts) < 100 {
+		t.Errorf("work of %.0f us is held to be %.0f after %d answers that took as long", before, got, len(r.attempts))
 	}
 }
 
 // A cold endpoint's slowness is no work of the request's.
-func TestWorkIsNotLearnedFromColdness(t *testing.T) {
+func TestWorkIsNotLearnedFromSlowStart(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(1)[:1])
 	b.UpdateEndpoints(second, UpdateDelta, []Endpoint{{ID: 1, Weight: 1, StartTime: second}})
 	before := b.classes[0].meanWork.value
@@ -41,7 +41,7 @@
 }
 
 // Where all that is warm of a zone is slow, what has just started there is not taken for slow.
-func TestOneSlowEndpointIsNotItsZone(t *testing.T) {
+func TestOneSlowEndpointDoesNotSlowItsZone(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(6)) // two a zone
 	learn := func(id uint32, latency float64, times int) {
 		e := b.endpointsByID[id]
@@ -70,11 +70,11 @@
 
 // What a cold endpoint can do grows with its warmth, and so must what is
 // expected of it, also once its pace has been learned.
-func TestColdEndpointIsExpectedToBeSlow(t *testing.T) {
+func TestWarmingEndpointIsExpectedToBeSlow(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
 	b.UpdateEndpoints(1000, UpdateDelta, []Endpoint{{ID: 9, State: Ready, StartTime: 1000}})
 	e := b.endpointsByID[9]
-	if got := b.expectedServiceTime(1000, e); !near(got, 5) { // warmth 0.2
+	if got := b.expectedServiceTime(1000, e); !isNear(got, 5) { // warmth 0.2
 		t.Errorf("pace %v just started", got)
 	}
 	e.serviceTime.average, e.serviceTime.updatedAt = ewma{value: 2, initialized: true}, 6*second
@@ -87,7 +87,7 @@
 }
 
 // A hint must count for as much as it tells, or idle endpoints refuse what is only said to be large.
-func TestTrustInHintsIsLearned(t *testing.T) {
+func TestHintExponentIsLearned(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		latency  func(hint Micros) Micros
@@ -102,8 +102,8 @@
 			now := 10_000 * Micros(i)
 			hint := 5_000 + hints.below(60_000)
 			b.RequestArrived(now, Request{ID: uint64(i), Deadline: now + second, CostHint: hint, HasCostHint: true})
-			if n := len(r.sends); n > 0 && r.sends[n-1].id == uint64(i) {
-				b.AttemptFinished(now, Outcome{ID: uint64(i), Endpoint: r.sends[n-1].endpoint, Status: OK,
+			if n := len(r.attempts); n > 0 && r.attempts[n-1].id == uint64(i) {
+				b.AttemptFinished(now, Outcome{ID: uint64(i), Endpoint: r.attempts[n-1].endpoint, Status: OK,
 					Latency: c.latency(hint), RequestDone: true})
 			}
 		}
--- a/balancer/latency_trend_test.go
+++ b/balancer/latency_trend_test.go
@@ -18,11 +18,11 @@
 			id := uint64(now)
 			b.LoadProbeResult(now, 1, OK, 500, []float32{9}) // the others serve
 			b.RequestArrived(now, Request{ID: id, Deadline: now + second, CostHint: 10_000, HasCostHint: true})
-			if len(r.sends) == 0 || r.sends[len(r.sends)-1].id != id {
+			if len(r.attempts) == 0 || r.attempts[len(r.attempts)-1].id != id {
 				continue // refused
 			}
 			latency := Micros(times * b.requests[id].attempts[0].expectedLatency)
-			b.AttemptFinished(now, Outcome{ID: id, Endpoint: r.sends[len(r.sends)-1].endpoint, Status: OK,
+			b.AttemptFinished(now, Outcome{ID: id, Endpoint: r.attempts[len(r.attempts)-1].endpoint, Status: OK,
 				Latency: latency, RequestDone: true})
 		}
 	}
@@ -49,20 +49,20 @@
 	b, r := start(t, testSettings(), ready(1))
 	b.classes[0].meanWork.value = 1000
 	for i := range uint64(100) {
-		b.RequestArrived(second, request0(i, 0, second))
+		b.RequestArrived(second, requestOf(i, 0, second))
 	}
 	slow := Micros(2 * b.requests[50].attempts[0].expectedLatency)
 	for i := range uint64(100) {
 		a := b.requests[i].attempts[0]
 		b.AttemptFinished(second+slow, Outcome{ID: i, Endpoint: a.endpoint.ID, Status: OK, Latency: Micros(2 * a.expectedLatency), RequestDone: true})
 	}
-	if len(r.sends) != 100 || b.zones[0].trend.value > 2*trendNoiseMargin {
-		t.Errorf("trend %.1f after %d answers twice as slow as expected, want %.1f at most", b.zones[0].trend.value, len(r.sends), 2*trendNoiseMargin)
+	if len(r.attempts) != 100 || b.zones[0].trend.value > 2*trendNoiseMargin {
+		t.Errorf("trend %.1f after %d answers twice as slow as expected, want %.1f at most", b.zones[0].trend.value, len(r.attempts), 2*trendNoiseMargin)
 	}
 }
 
 // Where all is refused nothing comes back that could tell of a recovery: the refusals must end by themselves.
-func TestSlownessThatNothingConfirmsFades(t *testing.T) {
+func TestTrendFadesWithoutOutcomes(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.classes[0].meanWork.value = 100_000
 	b.zones[0].trend.value, b.zones[0].trend.updatedAt, b.forcedAdmission.interval = maxTrend, 10*second, maxForcedAdmissionInterval
@@ -72,9 +72,9 @@
 	}{{10*second + 1, 1}, {16 * second, 1}} {
 		b.LoadProbeResult(c.at, 1, OK, 500, []float32{0})
 		b.classes[0].forcedAt = c.at // no pass is due
-		b.RequestArrived(c.at, request0(uint64(i), 0, c.at))
-		if len(r.rejected) != c.refused || len(r.sends) != i {
-			t.Errorf("%d refused and %d sent by %.1f s", len(r.rejected), len(r.sends), float64(c.at)/1e6)
+		b.RequestArrived(c.at, requestOf(uint64(i), 0, c.at))
+		if len(r.rejected) != c.refused || len(r.attempts) != i {
+			t.Errorf("%d refused and %d sent by %.1f s", len(r.rejected), len(r.attempts), float64(c.at)/1e6)
 		}
 	}
 }
--- a/balancer/load_estimate_test.go
+++ b/balancer/load_estimate_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestOddReports(t *testing.T) {
+func TestInvalidReportsAreIgnored(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(1))
 	nan := float32(math.NaN())
 	for _, load := range [][]float32{nil, {}, {nan}, {-3}, {float32(math.Inf(1))}} {
@@ -23,7 +23,7 @@
 
 // An endpoint works at several requests side by side, and its reports tell how many: those that it holds and that
 // do not wait. Nobody waits where fewer are held.
-func TestReportsTellHowManyAreWorkedAt(t *testing.T) {
+func TestReportsTellConcurrency(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1
 	s.LoadReportFields = []LoadField{LoadFieldInFlight, LoadFieldQueueLength}
@@ -37,14 +37,14 @@
 		t.Errorf("%.0f us expected of an endpoint that holds 5 of the 6 it works at, want %.0f", got, want)
 	}
 	b.classes[0].meanWork.value = 250_000 // too much to stand in line, but in time if started at once
-	b.RequestArrived(3000, request0(1, 0, 3000))
-	if len(r.sends) != 1 || r.sends[0].endpoint != 2 {
-		t.Errorf("sends %v, want one to the endpoint where nobody waits", r.sends)
+	b.RequestArrived(3000, requestOf(1, 0, 3000))
+	if len(r.attempts) != 1 || r.attempts[0].endpoint != 2 {
+		t.Errorf("sends %v, want one to the endpoint where nobody waits", r.attempts)
 	}
 }
 
 // In a large fleet all balancers learn of the same idle endpoint: none may fill it alone.
-func TestOneLowAnswerDrawsNoHerd(t *testing.T) {
+func TestOneLowReportDrawsNoHerd(t *testing.T) {
 	for _, c := range []struct{ balancers, most int }{{1, 5}, {3, 3}, {15, 2}} {
 		s := testSettings()
 		s.Balancers = c.balancers
@@ -56,14 +56,14 @@
 			b.RequestArrived(2000, Request{ID: id, Deadline: second, CostHint: 10_000, HasCostHint: true})
 		}
 		n := 0
-		for _, at := range r.sends {
+		for _, at := range r.attempts {
 			if at.endpoint == 1 {
 				n++
 			}
 		}
-		if len(r.sends) != 8 || n == 0 || n > c.most {
+		if len(r.attempts) != 8 || n == 0 || n > c.most {
 			t.Errorf("%d balancers: %d of %d sends to the idle endpoint, want 1 to %d",
-				c.balancers, n, len(r.sends), c.most)
+				c.balancers, n, len(r.attempts), c.most)
 		}
 	}
 }
--- a/balancer/load_probes_test.go
+++ b/balancer/load_probes_test.go
@@ -6,7 +6,7 @@
 )
 
 // A balancer that refuses everything must still learn when it may stop.
-func TestProbesGoOnWhileAllIsRefused(t *testing.T) {
+func TestProbesContinueWhileAllIsRejected(t *testing.T) {
 	s := testSettings()
 	s.Costs.LoadProbe = probeCostLimit // one probe a request
 	b, _ := start(t, s, ready(4))
@@ -25,7 +25,7 @@
 }
 
 // Where reports are old or hold no count, a probe that waited in line still shows that there is one.
-func TestProbeThatWaitsShowsALoad(t *testing.T) {
+func TestQueuedProbeShowsLoad(t *testing.T) {
 	s := testSettings()
 	s.LoadReportFields = []LoadField{LoadFieldThroughput, LoadFieldUtilization}
 	b, _ := start(t, s, ready(2))
--- a/balancer/outliers_test.go
+++ b/balancer/outliers_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-func TestFailingEndpointIsAvoidedAndTriedAgain(t *testing.T) {
+func TestFailingEndpointIsAvoidedAndRetried(t *testing.T) {
 	b, r := start(t, testSettings(), ready(3))
 	now := second
 	sends := map[uint32]int{}
@@ -15,10 +15,10 @@
 			b.LoadProbeResult(now, e+1, OK, 500, []float32{0})
 		}
 		id++
-		from := len(r.sends)
-		b.RequestArrived(now, request0(id, 0, now))
-		for n := 0; from < len(r.sends); n++ {
-			to := r.sends[from].endpoint
+		from := len(r.attempts)
+		b.RequestArrived(now, requestOf(id, 0, now))
+		for n := 0; from < len(r.attempts); n++ {
+			to := r.attempts[from].endpoint
 			from++
 			sends[to]++
 			status := OK
@@ -41,23 +41,23 @@
 }
 
 // When all endpoints fail at once, ejection must not leave the few last ones with everything.
-func TestAllFailingAtOnceStaySpread(t *testing.T) {
+func TestLoadStaysSpreadWhileAllFail(t *testing.T) {
 	b, r := start(t, testSettings(), ready(8))
 	sends := map[uint32]int{}
 	for id := range uint64(400) {
 		now := 1000 + 100*Micros(id)
 		b.RequestArrived(now, Request{ID: id, Class: 4, Deadline: now + second})
-		if n := len(r.sends); n > 0 && r.sends[n-1].id == id {
-			sends[r.sends[n-1].endpoint]++
-			b.AttemptFinished(now, Outcome{ID: id, Endpoint: r.sends[n-1].endpoint, Status: Error, Latency: 50})
+		if n := len(r.attempts); n > 0 && r.attempts[n-1].id == id {
+			sends[r.attempts[n-1].endpoint]++
+			b.AttemptFinished(now, Outcome{ID: id, Endpoint: r.attempts[n-1].endpoint, Status: Error, Latency: 50})
 		}
 	}
 	if !b.endpoints[0].failures.isOutlier(41_000) {
 		t.Fatal("an endpoint that fails all is not ejected")
 	}
 	for e, n := range sends {
-		if n > 3*len(r.sends)/8 {
-			t.Errorf("endpoint %d got %d of %d sends", e, n, len(r.sends))
+		if n > 3*len(r.attempts)/8 {
+			t.Errorf("endpoint %d got %d of %d sends", e, n, len(r.attempts))
 		}
 	}
 	if b.endpoints[0].failures.isOutlier(60 * second) {
@@ -73,8 +73,8 @@
 		t.Helper()
 		now += 10_000
 		b.LoadProbeResult(now, 1, OK, 500, []float32{0})
-		b.RequestArrived(now, request0(id, 4, now))
-		if n := len(r.sends); n == 0 || r.sends[n-1].id != id {
+		b.RequestArrived(now, requestOf(id, 4, now))
+		if n := len(r.attempts); n == 0 || r.attempts[n-1].id != id {
 			t.Fatal("not sent")
 		}
 		b.AttemptFinished(now+1000, Outcome{ID: id, Endpoint: 1, Status: status, Latency: 1000, RequestDone: status == OK})
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-func TestPickTakesLeastLoadPlusOwnSends(t *testing.T) {
+func TestPickTakesLowestLoadWithOwnAttempts(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1
 	b, r := start(t, s, ready(3))
@@ -12,32 +12,32 @@
 		b.LoadProbeResult(1000, uint32(i+1), OK, 500, []float32{load})
 	}
 	for id := range uint64(4) {
-		b.RequestArrived(2000, request0(id, 0, 2000))
+		b.RequestArrived(2000, requestOf(id, 0, 2000))
 	}
 	// Endpoint 2 stays least until it holds as many as endpoint 1 reported.
-	for i, s := range r.sends {
+	for i, s := range r.attempts {
 		if s.endpoint != 2 {
 			t.Errorf("send %d went to %d", i, s.endpoint)
 		}
 	}
-	if len(r.sends) != 4 {
-		t.Fatalf("%d sends", len(r.sends))
+	if len(r.attempts) != 4 {
+		t.Fatalf("%d sends", len(r.attempts))
 	}
 	if got := b.estimateLoad(1000, b.endpointsByID[2]); got != 4 {
 		t.Errorf("load with own sends: %v", got)
 	}
 }
 
-func TestPoolAges(t *testing.T) {
+func TestOldReportsLeaveThePool(t *testing.T) {
 	s := testSettings()
 	b, r := start(t, s, ready(2))
 	b.LoadProbeResult(1000, 1, OK, 500, []float32{0})
 	now := 1000 + b.maxReportAge(1000, second) + 30*second
 	seen := map[uint32]bool{}
 	for id := range uint64(20) {
-		b.RequestArrived(now, request0(id, 0, now))
-		b.AttemptFinished(now, Outcome{ID: id, Endpoint: r.sends[len(r.sends)-1].endpoint, Status: OK, Latency: 1000, RequestDone: true})
-		seen[r.sends[len(r.sends)-1].endpoint] = true
+		b.RequestArrived(now, requestOf(id, 0, now))
+		b.AttemptFinished(now, Outcome{ID: id, Endpoint: r.attempts[len(r.attempts)-1].endpoint, Status: OK, Latency: 1000, RequestDone: true})
+		seen[r.attempts[len(r.attempts)-1].endpoint] = true
 	}
 	if len(seen) != 2 {
 		t.Error("an answer beyond its age still decides: two random draws expected")
@@ -45,24 +45,24 @@
 }
 
 // At a start only few endpoints have answered; they must not get everything.
-func TestFewAnswersDoNotTakeAll(t *testing.T) {
+func TestFewReportsDoNotAttractAll(t *testing.T) {
 	b, r := start(t, testSettings(), ready(8))
 	b.LoadProbeResult(1000, 3, OK, 500, []float32{0})
 	for id := range uint64(24) {
-		b.RequestArrived(2000, request0(id, 0, 2000))
+		b.RequestArrived(2000, requestOf(id, 0, 2000))
 	}
 	seen := map[uint32]int{}
-	for _, s := range r.sends {
+	for _, s := range r.attempts {
 		seen[s.endpoint]++
 	}
-	if len(r.sends) != 24 || len(seen) < 4 || seen[3] > 12 {
-		t.Errorf("%d sends, by endpoint %v", len(r.sends), seen)
+	if len(r.attempts) != 24 || len(seen) < 4 || seen[3] > 12 {
+		t.Errorf("%d sends, by endpoint %v", len(r.attempts), seen)
 	}
 }
 
 // Of five zones four fifths of all endpoints are away, and each crossing is paid for: with all else alike,
 // requests stay at home, and most probes tell of those that they may go to.
-func TestRequestsAndProbesStayAtHome(t *testing.T) {
+func TestRequestsAndProbesStayInTheZone(t *testing.T) {
 	s := testSettings()
 	s.Balancers, s.Zone = 80, 2
 	s.Costs = Costs{LoadProbe: 0.08, CrossZone: 0.11}
@@ -80,23 +80,23 @@
 			id := r.probes[len(r.probes)-1]
 			b.LoadProbeResult(now+500, id, OK, 500, []float32{2})
 		}
-		b.RequestArrived(now+1000, request0(i, 0, now+1000))
-		b.AttemptFinished(now+30_000, Outcome{ID: i, Endpoint: r.sends[i].endpoint, Status: OK, Latency: 29_000, RequestDone: true})
+		b.RequestArrived(now+1000, requestOf(i, 0, now+1000))
+		b.AttemptFinished(now+30_000, Outcome{ID: i, Endpoint: r.attempts[i].endpoint, Status: OK, Latency: 29_000, RequestDone: true})
 	}
-	for _, a := range r.sends {
+	for _, a := range r.attempts {
 		sends += int(indicator(at(a.endpoint)))
 	}
 	for _, id := range r.probes {
 		probes += int(indicator(at(id)))
 	}
 	if sends < 380 || 2*probes < len(r.probes) {
-		t.Errorf("%d of %d requests and %d of %d probes stay at home", sends, len(r.sends), probes, len(r.probes))
+		t.Errorf("%d of %d requests and %d of %d probes stay at home", sends, len(r.attempts), probes, len(r.probes))
 	}
 }
 
 // A zone that turns slow says nothing of the others: what it cannot serve in time goes there, but for the few
 // whose draw of the whole list falls on the own zone.
-func TestSlownessOfTheOwnZoneSpills(t *testing.T) {
+func TestSlowZoneSpillsOver(t *testing.T) {
 	s := testSettings()
 	s.Costs = Costs{LoadProbe: 0.08, CrossZone: 0.11}
 	list := ready(50)
@@ -107,8 +107,8 @@
 	b.classes[0].meanWork.value = 40_000
 	for i := range uint64(200) {
 		now := second + 10_000*Micros(i)
-		b.RequestArrived(now, request0(i, 0, now))
-		if n := len(r.sends); n == 0 || r.sends[n-1].id != i {
+		b.RequestArrived(now, requestOf(i, 0, now))
+		if n := len(r.attempts); n == 0 || r.attempts[n-1].id != i {
 			continue // refused
 		}
 		a := &b.requests[i].attempts[0]
@@ -124,7 +124,7 @@
 }
 
 // Random tries must not use up a short list, nor a list without shares.
-func TestDrawFindsWhatIsThere(t *testing.T) {
+func TestRandomDrawFindsAnyEndpoint(t *testing.T) {
 	for n := range 12 {
 		list := ready(n)
 		for i := range list {
@@ -132,7 +132,7 @@
 		}
 		b, _ := start(t, testSettings(), list)
 		for range 50 {
-			if e := b.drawRandom(1000, &request{Request: request0(1, 0, 1000)}, b.endpoints, nil, 0); (e == nil) != (n == 0) {
+			if e := b.drawRandom(1000, &request{Request: requestOf(1, 0, 1000)}, b.endpoints, nil, 0); (e == nil) != (n == 0) {
 				t.Fatalf("%d endpoints: drew %v", n, e)
 			}
 		}
--- a/balancer/probe_wait_test.go
+++ b/balancer/probe_wait_test.go
@@ -6,7 +6,7 @@
 
 // A quiet balancer in a large fleet cannot keep a fresh pool: it must ask when a request comes, and send to
 // the best answer, without losing what it holds.
-func TestQuietBalancerAsksBeforeItSends(t *testing.T) {
+func TestIdleBalancerProbesBeforeItSends(t *testing.T) {
 	quiet := func() (*Balancer, *recorder) {
 		s := testSettings()
 		s.Balancers = 1000
@@ -16,9 +16,9 @@
 		}
 		b.TimerFired(second, timerProbeRound)
 		r.probes, r.timers = nil, nil
-		b.RequestArrived(2*second, request0(1, 0, 2*second))
-		if len(r.sends) != 0 || len(r.probes) < 2 {
-			t.Fatalf("%d sends and %d probes before any answer", len(r.sends), len(r.probes))
+		b.RequestArrived(2*second, requestOf(1, 0, 2*second))
+		if len(r.attempts) != 0 || len(r.probes) < 2 {
+			t.Fatalf("%d sends and %d probes before any answer", len(r.attempts), len(r.probes))
 		}
 		return b, r
 	}
@@ -30,20 +30,20 @@
 	for i := range r.probes {
 		answer(b, r, i, float32(4-i))
 	}
-	if last := r.probes[len(r.probes)-1]; len(r.sends) != 1 || r.sends[0].endpoint != last {
-		t.Errorf("sends %v, want one to %d, the least loaded of %v", r.sends, last, r.probes)
+	if last := r.probes[len(r.probes)-1]; len(r.attempts) != 1 || r.attempts[0].endpoint != last {
+		t.Errorf("sends %v, want one to %d, the least loaded of %v", r.attempts, last, r.probes)
 	}
 
 	b, r = quiet()
 	answer(b, r, 0, 0)
-	if len(r.sends) != 1 || r.sends[0].endpoint != r.probes[0] {
-		t.Errorf("sends %v, want one to the idle endpoint %d at once", r.sends, r.probes[0])
+	if len(r.attempts) != 1 || r.attempts[0].endpoint != r.probes[0] {
+		t.Errorf("sends %v, want one to the idle endpoint %d at once", r.attempts, r.probes[0])
 	}
 
 	b, r = quiet() // no answer at all
 	b.TimerFired(2*second+50_000, r.timers[len(r.timers)-1])
-	if len(r.sends) != 1 {
-		t.Errorf("%d sends after the wait for probes", len(r.sends))
+	if len(r.attempts) != 1 {
+		t.Errorf("%d sends after the wait for probes", len(r.attempts))
 	}
 
 	b, r = quiet()
@@ -52,13 +52,13 @@
 		answer(b, r, i, 0)
 	}
 	b.TimerFired(2*second+50_000, r.timers[len(r.timers)-1])
-	if len(r.sends)+len(r.rejected)+len(r.failed) != 0 || len(b.probeWaiters) != 0 {
+	if len(r.attempts)+len(r.rejected)+len(r.failed) != 0 || len(b.probeWaiters) != 0 {
 		t.Error("a request that its client left is still acted on")
 	}
 }
 
 // Only idle endpoints answer a probe in time. In a jam the silent ones must count, or the fleet looks idle.
-func TestSilentProbesCountAsLoad(t *testing.T) {
+func TestUnansweredProbesCountAsLoad(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1000
 	b, r := start(t, s, ready(40))
@@ -78,7 +78,7 @@
 }
 
 // Answers from afar come too late for a short wait: probes stay at home then.
-func TestProbesStayNear(t *testing.T) {
+func TestProbesOnDemandStayNear(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1000
 	list := ready(40)
@@ -89,7 +89,7 @@
 	b.zones[0].roundTrip, b.zones[1].roundTrip = ewma{value: 500, initialized: true}, ewma{value: 30_000, initialized: true}
 	b.TimerFired(second, timerProbeRound)
 	for id := range uint64(20) {
-		b.RequestArrived(2*second, request0(id, 0, 2*second))
+		b.RequestArrived(2*second, requestOf(id, 0, 2*second))
 	}
 	for _, e := range r.probes {
 		if b.endpointsByID[e].Zone != 0 {
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-func TestTenantBeyondItsShareWeighsLess(t *testing.T) {
+func TestTenantOverQuotaWeighsLess(t *testing.T) {
 	s := testSettings()
 	s.OverQuotaWeight = 0.05
 	s.Tenants = []Tenant{{Name: "a", Quota: 50}, {Name: "b", Quota: 50}}
--- a/balancer/requests_test.go
+++ b/balancer/requests_test.go
@@ -4,18 +4,18 @@
 	"testing"
 )
 
-func TestNoEndpointMeansRefusal(t *testing.T) {
+func TestNoEndpointMeansRejection(t *testing.T) {
 	b, r := start(t, testSettings(), nil)
-	b.RequestArrived(1000, request0(1, 4, 1000))
+	b.RequestArrived(1000, requestOf(1, 4, 1000))
 	b.RequestArrived(1000, Request{ID: 2, Deadline: 500})
 	if len(r.rejected) != 2 || b.unansweredCount != 0 || len(b.requests) != 0 {
 		t.Errorf("refused %v, open %d", r.rejected, b.unansweredCount)
 	}
 }
 
-func TestUnansweredAttemptEndsAtTheDeadline(t *testing.T) {
+func TestUnansweredAttemptEndsAtDeadline(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
-	b.RequestArrived(1000, request0(1, 4, 1000))
+	b.RequestArrived(1000, requestOf(1, 4, 1000))
 	token := b.requests[1].timerToken
 	b.TimerFired(1000+second, token)
 	if len(r.failed) != 1 || len(r.cancels) != 1 {
@@ -25,42 +25,42 @@
 	if b.endpoints[0].breaker.accepts != 1 || b.endpoints[0].inFlight != 0 || len(b.requests) != 0 {
 		t.Error("a late outcome must still feed the statistics")
 	}
-	b.RequestArrived(3*second, request0(2, 0, 3*second))
+	b.RequestArrived(3*second, requestOf(2, 0, 3*second))
 	b.TimerFired(3*second, token) // of the ended request, whose slot is in use again
 	if len(r.failed) != 1 || len(r.rejected) != 0 {
 		t.Error("an old timer ended another request")
 	}
 }
 
-func TestStreamIsLeftAlone(t *testing.T) {
+func TestStartedResponseIsNeitherAnsweredNorRetried(t *testing.T) {
 	b, r := start(t, testSettings(), ready(2))
-	b.RequestArrived(1000, request0(1, 0, 1000))
+	b.RequestArrived(1000, requestOf(1, 0, 1000))
 	b.ResponseStarted(2000, 1, 0, 1000)
 	b.TimerFired(2*second, b.requests[1].timerToken)
-	if len(r.sends) != 1 || len(r.rejected)+len(r.failed) != 0 {
+	if len(r.attempts) != 1 || len(r.rejected)+len(r.failed) != 0 {
 		t.Error("a stream that began was given an end or a copy")
 	}
-	b.AttemptFinished(3*second, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: OK, Latency: 3 * second, RequestDone: true})
+	b.AttemptFinished(3*second, Outcome{ID: 1, Endpoint: r.attempts[0].endpoint, Status: OK, Latency: 3 * second, RequestDone: true})
 	if len(b.requests) != 0 {
 		t.Error("record kept")
 	}
 }
 
 // A second copy doubles the work of an endpoint that is slow because it has too much.
-func TestNoSecondCopies(t *testing.T) {
+func TestRequestsAreNotHedged(t *testing.T) {
 	b, r := start(t, testSettings(), ready(3))
-	b.RequestArrived(1000, request0(1, 0, 1000))
+	b.RequestArrived(1000, requestOf(1, 0, 1000))
 	for i, token := range r.timers {
 		b.TimerFired(1000+r.delays[i]-1, token)
 	}
 	b.TimerFired(900_000, r.timers[len(r.timers)-1])
-	if len(r.sends) != 1 {
-		t.Errorf("%d sends while the first is out", len(r.sends))
+	if len(r.attempts) != 1 {
+		t.Errorf("%d sends while the first is out", len(r.attempts))
 	}
 }
 
 // Whatever is odd about a request, it is taken once and answered once.
-func TestOddRequestsAreAnsweredOnce(t *testing.T) {
+func TestUnusualRequestsAreAnsweredOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		list  []Endpoint
 		in    Request
@@ -84,23 +84,23 @@
 				b.TimerFired(max(1000+r.delays[i], c.in.Deadline), token)
 			}
 		}
-		if n := len(r.rejected) + len(r.failed); n != 1 || len(r.sends) > 1 {
-			t.Errorf("%s: %d final answers, %d sends", name, n, len(r.sends))
+		if n := len(r.rejected) + len(r.failed); n != 1 || len(r.attempts) > 1 {
+			t.Errorf("%s: %d final answers, %d sends", name, n, len(r.attempts))
 		}
 	}
 }
 
 // A request whose body still comes is in flight nowhere, and its time runs from its last byte. Once part of the body
 // is gone it is not sent again.
-func TestUploads(t *testing.T) {
+func TestUploadIsInFlightFromItsLastByte(t *testing.T) {
 	b, r := start(t, testSettings(), ready(2))
-	in := request0(1, 0, 1000)
+	in := requestOf(1, 0, 1000)
 	in.IsUploading = true
 	b.RequestArrived(1000, in)
-	if len(r.sends) != 1 {
-		t.Fatalf("sent %v, want one", r.sends)
+	if len(r.attempts) != 1 {
+		t.Fatalf("sent %v, want one", r.attempts)
 	}
-	e := b.endpointsByID[r.sends[0].endpoint]
+	e := b.endpointsByID[r.attempts[0].endpoint]
 	if e.inFlight != 0 {
 		t.Errorf("in flight while its body comes: %d", e.inFlight)
 	}
@@ -124,16 +124,16 @@
 	}
 
 	b, r = start(t, testSettings(), ready(3))
-	in = request0(2, 0, 1000)
+	in = requestOf(2, 0, 1000)
 	in.IsUploading = true
 	b.RequestArrived(1000, in)
 	b.AttemptFinished(2000, Outcome{ID: 2, Status: ConnectFailed})
-	if len(r.sends) != 2 {
-		t.Fatalf("sent %v, want a second try with the whole body", r.sends)
+	if len(r.attempts) != 2 {
+		t.Fatalf("sent %v, want a second try with the whole body", r.attempts)
 	}
 	b.AttemptFinished(3000, Outcome{ID: 2, Attempt: 1, Status: ConnectFailed, BodyConsumed: true})
-	if len(r.sends) != 2 || len(r.rejected) != 1 {
-		t.Errorf("sent %v, refused %v; want no third try and a refusal", r.sends, r.rejected)
+	if len(r.attempts) != 2 || len(r.rejected) != 1 {
+		t.Errorf("sent %v, refused %v; want no third try and a refusal", r.attempts, r.rejected)
 	}
 	for id, e := range b.endpointsByID {
 		if e.inFlight != 0 {
--- a/balancer/retry_safety_test.go
+++ b/balancer/retry_safety_test.go
@@ -5,16 +5,16 @@
 )
 
 // Each kind of effect against each outcome of its first attempt.
-func TestLedger(t *testing.T) {
+func TestRetryByClassAndStatus(t *testing.T) {
 	never := map[Status]bool{Rejected: true, ConnectFailed: true, NotSent: true}
 	for class := range uint8(5) {
 		for status := Error; status <= NotSent; status++ {
 			s := testSettings()
 			b, r := start(t, s, ready(4)) // endpoints 1, 2 share a zone and a cell; so do 3, 4
-			b.RequestArrived(1000, request0(1, class, 1000))
+			b.RequestArrived(1000, requestOf(1, class, 1000))
 			a := b.requests[1].attempts[0]
 			b.AttemptFinished(2000, Outcome{ID: 1, Endpoint: a.endpoint.ID, Status: status, Latency: 1000})
-			sends := len(r.sends)
+			sends := len(r.attempts)
 			switch kind := s.Classes[class]; {
 			case kind.RetrySafety == NonIdempotent && !never[status]:
 				if sends != 1 || len(r.failed) != 1 {
@@ -23,7 +23,7 @@
 			case sends != 2:
 				t.Errorf("class %d status %d: %d sends, 2 wanted", class, status, sends)
 			case kind.RetrySafety == IdempotentWithKey && kind.DedupScope != DedupScopeFleet && !never[status]:
-				if (r.sends[0].endpoint-1)/2 != (r.sends[1].endpoint-1)/2 {
+				if (r.attempts[0].endpoint-1)/2 != (r.attempts[1].endpoint-1)/2 {
 					t.Errorf("class %d status %d left its group", class, status)
 				}
 			}
@@ -31,21 +31,21 @@
 	}
 }
 
-func TestWindowCountsFromFirstThatMayHaveRun(t *testing.T) {
+func TestDedupWindowCountsFromFirstThatMayHaveRun(t *testing.T) {
 	s := testSettings()
 	s.Limits.AllowHedging = false
 	b, r := start(t, s, ready(2))
-	b.RequestArrived(1000, request0(1, 3, 1000))
-	first := r.sends[0].endpoint
+	b.RequestArrived(1000, requestOf(1, 3, 1000))
+	first := r.attempts[0].endpoint
 	b.AttemptFinished(1000+s.Classes[3].DedupWindow, Outcome{ID: 1, Endpoint: first, Status: Reset})
-	if len(r.sends) != 1 || len(r.failed) != 1 || len(r.rejected) != 0 {
-		t.Errorf("after the window: sends %v, failed %v, refused %v", r.sends, r.failed, r.rejected)
+	if len(r.attempts) != 1 || len(r.failed) != 1 || len(r.rejected) != 0 {
+		t.Errorf("after the window: sends %v, failed %v, refused %v", r.attempts, r.failed, r.rejected)
 	}
 }
 
 // A request that may have run and whose group is its cell cannot be refused. It is sent again while it can be
 // in time, to its own endpoint if that is alone in its cell: else it is lost.
-func TestWhatCannotBeRefusedIsSentAgain(t *testing.T) {
+func TestRequestThatCannotBeRejectedIsRetried(t *testing.T) {
 	for name, c := range map[string]struct {
 		at   Micros // of the reset
 		want int
@@ -57,11 +57,11 @@
 		b, r := start(t, testSettings(), ready(1))
 		b.classes[3].meanWork.value = 100_000
 		b.LoadProbeResult(500, 1, OK, 500, []float32{0})
-		b.RequestArrived(1000, request0(1, 3, 1000))
+		b.RequestArrived(1000, requestOf(1, 3, 1000))
 		b.LoadProbeResult(c.at-100, 1, OK, 500, []float32{5}) // of which one is ours
 		b.AttemptFinished(c.at, Outcome{ID: 1, Endpoint: 1, Status: Reset, Latency: c.at - 1000})
-		if len(r.sends) != c.want || len(r.failed) != 2-c.want {
-			t.Errorf("%s: %d sends and %d failed, want %d sends", name, len(r.sends), len(r.failed), c.want)
+		if len(r.attempts) != c.want || len(r.failed) != 2-c.want {
+			t.Errorf("%s: %d sends and %d failed, want %d sends", name, len(r.attempts), len(r.failed), c.want)
 		}
 	}
 }
--- a/balancer/safety_test.go
+++ b/balancer/safety_test.go
@@ -7,22 +7,22 @@
 	"testing"
 )
 
-// checker hosts a balancer and asserts the rules on every action.
-type checker struct {
-	s        Settings
+// safetyChecker hosts a balancer and asserts the rules on every action.
+type safetyChecker struct {
+	settings Settings
 	now      Micros
 	states   map[uint32]Endpoint
 	banned   map[uint32]bool
-	cold     map[uint32]Micros   // endpoint: told start
-	coldWork map[uint32]float64  // requests sent while cold
-	reqs     map[uint64]*checked // open and ended
-	bad      []string
-	timers   []pending
+	cold     map[uint32]Micros          // endpoint: told start
+	coldWork map[uint32]float64         // requests sent while cold
+	requests map[uint64]*checkedRequest // open and ended
+	faults   []string
+	timers   []pendingTimer
 	probes   []uint32
 }
 
-type checked struct {
-	in             Request
+type checkedRequest struct {
+	request        Request
 	answered       int
 	clientInformed bool // it was told that the request is over
 	attempts       []checkedAttempt
@@ -35,16 +35,16 @@
 	mayHaveRun  bool
 }
 
-type pending struct {
+type pendingTimer struct {
 	at    Micros
 	token uint32
 }
 
-func (c *checker) fault(format string, args ...any) {
-	c.bad = append(c.bad, fmt.Sprintf("at %d: ", c.now)+fmt.Sprintf(format, args...))
+func (c *safetyChecker) fault(format string, args ...any) {
+	c.faults = append(c.faults, fmt.Sprintf("at %d: ", c.now)+fmt.Sprintf(format, args...))
 }
 
-func (r *checked) bound() *checkedAttempt {
+func (r *checkedRequest) bound() *checkedAttempt {
 	for i := range r.attempts {
 		if r.attempts[i].mayHaveRun {
 			return &r.attempts[i]
@@ -53,14 +53,14 @@
 	return nil
 }
 
-func (c *checker) StartAttempt(id uint64, endpoint uint32, _ Micros) {
-	r := c.reqs[id]
+func (c *safetyChecker) StartAttempt(id uint64, endpoint uint32, _ Micros) {
+	r := c.requests[id]
 	if r == nil {
 		c.fault("send for unknown request %d", id)
 		return
 	}
 	e, known := c.states[endpoint]
-	class := c.s.Classes[r.in.Class]
+	class := c.settings.Classes[r.request.Class]
 	if r.answered > 0 || r.clientInformed {
 		c.fault("send after the end of %d", id)
 	}
@@ -70,11 +70,11 @@
 	if !known || e.State != Ready {
 		c.fault("send to endpoint %d in state %d", endpoint, e.State)
 	}
-	if len(r.attempts) >= c.s.Limits.MaxAttempts {
+	if len(r.attempts) >= c.settings.Limits.MaxAttempts {
 		c.fault("attempt %d of %d", len(r.attempts), id)
 	}
 	for _, a := range r.attempts {
-		if a.outstanding && !c.s.Limits.AllowHedging {
+		if a.outstanding && !c.settings.Limits.AllowHedging {
 			c.fault("second copy of %d", id)
 		}
 	}
@@ -91,8 +91,8 @@
 	r.attempts = append(r.attempts, checkedAttempt{ep: e, at: c.now, outstanding: true, mayHaveRun: true})
 }
 
-func (c *checker) final(id uint64) *checked {
-	r := c.reqs[id]
+func (c *safetyChecker) final(id uint64) *checkedRequest {
+	r := c.requests[id]
 	if r == nil || r.answered > 0 || r.clientInformed {
 		c.fault("final answer for %d, which is not open", id)
 		return nil
@@ -101,57 +101,57 @@
 	return r
 }
 
-func (c *checker) Reject(id uint64, _ Micros) {
+func (c *safetyChecker) Reject(id uint64, _ Micros) {
 	if r := c.final(id); r != nil && r.bound() != nil {
-		class := c.s.Classes[r.in.Class]
+		class := c.settings.Classes[r.request.Class]
 		if class.RetrySafety == NonIdempotent || class.RetrySafety == IdempotentWithKey && class.DedupScope != DedupScopeFleet {
 			c.fault("refusal of %d (%s), which may have run", id, class.Name)
 		}
 	}
 }
 
-func (c *checker) Fail(id uint64) { c.final(id) }
+func (c *safetyChecker) Fail(id uint64) { c.final(id) }
 
-func (c *checker) CancelAttempt(id uint64, attempt int) {
-	if r := c.reqs[id]; r == nil || attempt >= len(r.attempts) {
+func (c *safetyChecker) CancelAttempt(id uint64, attempt int) {
+	if r := c.requests[id]; r == nil || attempt >= len(r.attempts) {
 		c.fault("cancel of attempt %d of %d, never made", attempt, id)
 	}
 }
 
-func (c *checker) SetTimer(delay Micros, token uint32) {
+func (c *safetyChecker) SetTimer(delay Micros, token uint32) {
 	if delay <= 0 {
 		c.fault("timer delay %d", delay)
 	}
-	c.timers = append(c.timers, pending{c.now + delay, token})
+	c.timers = append(c.timers, pendingTimer{c.now + delay, token})
 }
 
-func (c *checker) SendLoadProbe(e uint32) {
+func (c *safetyChecker) SendLoadProbe(e uint32) {
 	if _, known := c.states[e]; !known {
 		c.fault("probe of unknown endpoint %d", e)
 	}
 	c.probes = append(c.probes, e)
 }
 
-func (c *checker) SendGossip(data []byte) {
+func (c *safetyChecker) SendGossip(data []byte) {
 	if len(data) == 0 || len(data) > 256 {
 		c.fault("message of %d bytes", len(data))
 	}
 }
 
-func (c *checker) WatchEndpoints(bool) {
-	if !c.s.MustSubscribe {
+func (c *safetyChecker) WatchEndpoints(bool) {
+	if !c.settings.MustSubscribe {
 		c.fault("subscription where changes come unasked")
 	}
 }
 
-func (c *checker) Log(string, ...LogField) {}
+func (c *safetyChecker) Log(string, ...LogField) {}
 
-// play runs legal random events from a seed and returns the faults found.
-func play(t *testing.T, s Settings, seed int64) []string {
+// playRandomEvents runs legal random events from a seed and returns the faults found.
+func playRandomEvents(t *testing.T, s Settings, seed int64) []string {
 	t.Helper()
 	rnd := rand.New(rand.NewSource(seed))
-	c := &checker{s: s, now: 1_000_000, states: map[uint32]Endpoint{}, banned: map[uint32]bool{}, cold: map[uint32]Micros{},
-		coldWork: map[uint32]float64{}, reqs: map[uint64]*checked{}}
+	c := &safetyChecker{settings: s, now: 1_000_000, states: map[uint32]Endpoint{}, banned: map[uint32]bool{}, cold: map[uint32]Micros{},
+		coldWork: map[uint32]float64{}, requests: map[uint64]*checkedRequest{}}
 	b, err := New(s, uint64(seed), c)
 	if err != nil {
 		t.Fatal(err)
@@ -193,12 +193,12 @@
 			in := Request{ID: next, Class: uint8(rnd.Intn(len(s.Classes))),
 				Deadline: c.now + Micros(rnd.Intn(1_000_000)) - 50_000}
 			next++
-			c.reqs[in.ID] = &checked{in: in}
+			c.requests[in.ID] = &checkedRequest{request: in}
 			open = append(open, in.ID)
 			b.RequestArrived(c.now, in)
 		case n < 15 && len(open) > 0:
 			at := rnd.Intn(len(open))
-			r := c.reqs[open[at]]
+			r := c.requests[open[at]]
 			for i := range r.attempts {
 				a := &r.attempts[i]
 				if !a.outstanding {
@@ -213,16 +213,16 @@
 					r.clientInformed = true
 				}
 				settled := r.answered > 0 || r.clientInformed
-				b.AttemptFinished(c.now, Outcome{ID: r.in.ID, Attempt: i, Endpoint: a.ep.ID, Status: status,
+				b.AttemptFinished(c.now, Outcome{ID: r.request.ID, Attempt: i, Endpoint: a.ep.ID, Status: status,
 					Latency: c.now - a.at, RequestDone: settled})
 				break
 			}
 		case n < 16 && len(open) > 0:
-			r := c.reqs[open[rnd.Intn(len(open))]]
+			r := c.requests[open[rnd.Intn(len(open))]]
 			if r.answered == 0 {
 				r.clientInformed = true
 			}
-			b.ClientDisconnected(c.now, r.in.ID)
+			b.ClientDisconnected(c.now, r.request.ID)
 		case n < 18:
 			for _, e := range c.probes {
 				load := []float32{float32(rnd.Intn(8)), rnd.Float32() * 2}[:rnd.Intn(3)]
@@ -274,7 +274,7 @@
 			i++
 		}
 	}
-	for id, r := range c.reqs {
+	for id, r := range c.requests {
 		if r.answered == 0 && !r.clientInformed {
 			c.fault("request %d never got a final answer", id)
 		}
@@ -282,10 +282,10 @@
 	if s.Balancers > 2 && s.Limits.AllowLoadProbes && s.Costs.LoadProbe < onDemandProbeCostLimit && held == 0 {
 		c.fault("no request ever waited for probes: the run says nothing of those that do")
 	}
-	return c.bad
+	return c.faults
 }
 
-func TestRulesUnderRandomEvents(t *testing.T) {
+func TestSafetyRulesUnderRandomEvents(t *testing.T) {
 	for seed := range int64(100) {
 		s := testSettings()
 		s.MustSubscribe = seed%2 == 0
@@ -299,7 +299,7 @@
 			s.Tenants = []Tenant{{Name: "one", Quota: 50}, {Name: "two"}}[:seed%3]
 			s.Limits.AllowCancel, s.Limits.AllowRetryAfter = seed%3 != 0, seed%4 != 0
 		}
-		for i, bad := range play(t, s, seed) {
+		for i, bad := range playRandomEvents(t, s, seed) {
 			if i < 5 {
 				t.Errorf("seed %d: %s", seed, bad)
 			}
@@ -308,27 +308,27 @@
 }
 
 // The checker itself must see each rule broken.
-func TestCheckerSeesBrokenRules(t *testing.T) {
-	fresh := func() *checker {
-		c := &checker{s: testSettings(), states: map[uint32]Endpoint{}, reqs: map[uint64]*checked{}}
+func TestSafetyCheckerSeesBrokenRules(t *testing.T) {
+	fresh := func() *safetyChecker {
+		c := &safetyChecker{settings: testSettings(), states: map[uint32]Endpoint{}, requests: map[uint64]*checkedRequest{}}
 		for _, e := range ready(4) {
 			c.states[e.ID] = e
 		}
 		for class := range uint8(5) {
-			c.reqs[uint64(class)] = &checked{in: request0(uint64(class), class, 0)}
+			c.requests[uint64(class)] = &checkedRequest{request: requestOf(uint64(class), class, 0)}
 		}
 		return c
 	}
-	for name, do := range map[string]func(*checker){
-		"two final answers":      func(c *checker) { c.Reject(0, 0); c.Fail(0) },
-		"send after the end":     func(c *checker) { c.Fail(0); c.StartAttempt(0, 1, 0) },
-		"send to the drained":    func(c *checker) { c.states[1] = Endpoint{ID: 1, State: Draining}; c.StartAttempt(0, 1, 0) },
-		"unsafe sent twice":      func(c *checker) { c.StartAttempt(4, 1, 0); c.StartAttempt(4, 2, 0) },
-		"unsafe refused":         func(c *checker) { c.StartAttempt(4, 1, 0); c.Reject(4, 0) },
-		"keyed outside its zone": func(c *checker) { c.StartAttempt(2, 1, 0); c.StartAttempt(2, 3, 0) },
-		"keyed outside its cell": func(c *checker) { c.StartAttempt(3, 1, 0); c.StartAttempt(3, 3, 0) },
-		"keyed after its window": func(c *checker) { c.StartAttempt(1, 1, 0); c.now = second; c.StartAttempt(1, 2, 0) },
-		"too many attempts": func(c *checker) {
+	for name, do := range map[string]func(*safetyChecker){
+		"two final answers":      func(c *safetyChecker) { c.Reject(0, 0); c.Fail(0) },
+		"send after the end":     func(c *safetyChecker) { c.Fail(0); c.StartAttempt(0, 1, 0) },
+		"send to the drained":    func(c *safetyChecker) { c.states[1] = Endpoint{ID: 1, State: Draining}; c.StartAttempt(0, 1, 0) },
+		"unsafe sent twice":      func(c *safetyChecker) { c.StartAttempt(4, 1, 0); c.StartAttempt(4, 2, 0) },
+		"unsafe refused":         func(c *safetyChecker) { c.StartAttempt(4, 1, 0); c.Reject(4, 0) },
+		"keyed outside its zone": func(c *safetyChecker) { c.StartAttempt(2, 1, 0); c.StartAttempt(2, 3, 0) },
+		"keyed outside its cell": func(c *safetyChecker) { c.StartAttempt(3, 1, 0); c.StartAttempt(3, 3, 0) },
+		"keyed after its window": func(c *safetyChecker) { c.StartAttempt(1, 1, 0); c.now = second; c.StartAttempt(1, 2, 0) },
+		"too many attempts": func(c *safetyChecker) {
 			c.StartAttempt(0, 1, 0)
 			c.StartAttempt(0, 2, 0)
 			c.StartAttempt(0, 3, 0)
@@ -336,7 +336,7 @@
 		},
 	} {
 		c := fresh()
-		if do(c); len(c.bad) == 0 {
+		if do(c); len(c.faults) == 0 {
 			t.Errorf("%s: not seen", name)
 		}
 	}
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestNewNamesBadSetting(t *testing.T) {
+func TestNewNamesInvalidSetting(t *testing.T) {
 	for _, c := range []struct {
 		key   string
 		spoil func(*Settings)
--- a/balancer/slow_start_fleet_test.go
+++ b/balancer/slow_start_fleet_test.go
@@ -17,43 +17,43 @@
 // slowStartFleet is many balancers and their endpoints on a simulated clock. Each endpoint works at a few requests
 // side by side, in order, slower while it is cold; requests come at random, and to any balancer alike.
 type slowStartFleet struct {
-	t      *testing.T
-	s      Settings
-	now    Micros
-	events eventHeap
-	random *rand.Rand
-	all    []*slowStartBalancer
-	ends   map[uint32]*slowStartEndpoint
-	lastID uint64
-	served int
+	t         *testing.T
+	settings  Settings
+	now       Micros
+	events    fleetEvents
+	random    *rand.Rand
+	balancers []*slowStartBalancer
+	endpoints map[uint32]*slowStartEndpoint
+	lastID    uint64
+	served    int
 }
 
 type slowStartEndpoint struct {
-	started  Micros // of its warm-up; 0 for long ago
-	free     [slowStartCores]Micros
-	held     int
-	arrivals []Micros
+	startedAt Micros // of its warm-up; 0 for long ago
+	freeAt    [slowStartCores]Micros
+	inFlight  int
+	arrivals  []Micros
 }
 
-type simEvent struct {
+type fleetEvent struct {
 	at Micros
 	n  int // those of one instant come in order
 	do func()
 }
 
-type eventHeap []simEvent
+type fleetEvents []fleetEvent
 
-func (h eventHeap) Len() int { return len(h) }
+func (h fleetEvents) Len() int { return len(h) }
 
-func (h eventHeap) Less(i, j int) bool {
+func (h fleetEvents) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].n < h[j].n
 }
 
-func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h fleetEvents) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (h *eventHeap) Push(x any) { *h = append(*h, x.(simEvent)) }
+func (h *fleetEvents) Push(x any) { *h = append(*h, x.(fleetEvent)) }
 
-func (h *eventHeap) Pop() any {
+func (h *fleetEvents) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	*h = old[:len(old)-1]
@@ -62,12 +62,12 @@
 
 func (f *slowStartFleet) in(delay Micros, do func()) {
 	f.lastID++
-	heap.Push(&f.events, simEvent{f.now + delay, int(f.lastID), do})
+	heap.Push(&f.events, fleetEvent{f.now + delay, int(f.lastID), do})
 }
 
 func (f *slowStartFleet) run(until Micros) {
 	for len(f.events) > 0 && f.events[0].at <= until {
-		e := heap.Pop(&f.events).(simEvent)
+		e := heap.Pop(&f.events).(fleetEvent)
 		f.now = e.at
 		e.do()
 	}
@@ -76,11 +76,11 @@
 
 // warmth is what an endpoint's capacity is of a warm one's.
 func (f *slowStartFleet) warmth(e *slowStartEndpoint, at Micros) float64 {
-	c := &f.s.Rules
-	if e.started == 0 || at-e.started >= c.SlowStartDuration {
+	c := &f.settings.Rules
+	if e.startedAt == 0 || at-e.startedAt >= c.SlowStartDuration {
 		return 1
 	}
-	return c.SlowStartMinCapacity + (1-c.SlowStartMinCapacity)*float64(at-e.started)/float64(c.SlowStartDuration)
+	return c.SlowStartMinCapacity + (1-c.SlowStartMinCapacity)*float64(at-e.startedAt)/float64(c.SlowStartDuration)
 }
 
 // slowStartBalancer is one of the balancers, and carries out its actions.
@@ -90,22 +90,22 @@
 }
 
 func (c *slowStartBalancer) StartAttempt(id uint64, endpoint uint32, _ Micros) {
-	f, e := c.f, c.f.ends[endpoint]
+	f, e := c.f, c.f.endpoints[endpoint]
 	sent, attempt := f.now, len(c.b.requests[id].attempts)-1
 	f.in(slowStartRoundTrip, func() {
 		e.arrivals = append(e.arrivals, f.now)
-		e.held++
+		e.inFlight++
 		core := 0
-		for i := range e.free {
-			if e.free[i] < e.free[core] {
+		for i := range e.freeAt {
+			if e.freeAt[i] < e.freeAt[core] {
 				core = i
 			}
 		}
-		start := max(f.now, e.free[core])
+		start := max(f.now, e.freeAt[core])
 		work := slowStartWork * (0.5 + f.random.ExpFloat64()/2)
-		e.free[core] = start + Micros(work/f.warmth(e, start))
-		f.in(e.free[core]-f.now, func() {
-			e.held--
+		e.freeAt[core] = start + Micros(work/f.warmth(e, start))
+		f.in(e.freeAt[core]-f.now, func() {
+			e.inFlight--
 			f.in(slowStartRoundTrip, func() {
 				f.served++
 				c.b.AttemptFinished(f.now, Outcome{ID: id, Attempt: attempt, Endpoint: endpoint, Status: OK, Latency: f.now - sent, RequestDone: true})
@@ -115,9 +115,9 @@
 }
 
 func (c *slowStartBalancer) SendLoadProbe(endpoint uint32) {
-	f, e := c.f, c.f.ends[endpoint]
+	f, e := c.f, c.f.endpoints[endpoint]
 	f.in(slowStartRoundTrip, func() {
-		load := []float32{float32(e.held)}
+		load := []float32{float32(e.inFlight)}
 		f.in(slowStartRoundTrip, func() { c.b.LoadProbeResult(f.now, endpoint, OK, 2*slowStartRoundTrip, load) })
 	})
 }
@@ -144,10 +144,10 @@
 func playSlowStart(t *testing.T, s Settings, balancers int, believed Settings, seed uint64, quiet float64, after Micros) (most float64, served int) {
 	t.Helper()
 	const joins, burst, lasts = 5 * second, 1.5, 3 * second
-	f := &slowStartFleet{t: t, s: s, random: rand.New(rand.NewPCG(seed, 0xc01d)), ends: map[uint32]*slowStartEndpoint{}}
+	f := &slowStartFleet{t: t, settings: s, random: rand.New(rand.NewPCG(seed, 0xc01d)), endpoints: map[uint32]*slowStartEndpoint{}}
 	list := ready(9)
 	for _, e := range list {
-		f.ends[e.ID] = &slowStartEndpoint{}
+		f.endpoints[e.ID] = &slowStartEndpoint{}
 	}
 	for i := range balancers {
 		c := &slowStartBalancer{f: f}
@@ -155,7 +155,7 @@
 		if c.b, err = New(believed, seed*1000+uint64(i), c); err != nil {
 			t.Fatal(err)
 		}
-		f.all = append(f.all, c)
+		f.balancers = append(f.balancers, c)
 		c.b.Start(0)
 		c.b.UpdateEndpoints(0, UpdateFull, list)
 	}
@@ -167,7 +167,7 @@
 		if f.now >= joins+after && f.now < joins+after+lasts {
 			rate = burst * capacity
 		}
-		c := f.all[f.random.IntN(balancers)]
+		c := f.balancers[f.random.IntN(balancers)]
 		id++
 		c.b.RequestArrived(f.now, Request{ID: id, Deadline: f.now + second})
 		f.in(1+Micros(f.random.ExpFloat64()*float64(second)/rate), come)
@@ -178,15 +178,15 @@
 		at Micros
 	}{{10, joins}, {4, joins + second}} {
 		f.in(cold.at, func() {
-			f.ends[cold.id] = &slowStartEndpoint{started: f.now}
-			for _, c := range f.all {
+			f.endpoints[cold.id] = &slowStartEndpoint{startedAt: f.now}
+			for _, c := range f.balancers {
 				c.b.UpdateEndpoints(f.now, UpdateDelta, []Endpoint{{ID: cold.id, Zone: uint8(cold.id / 2), Weight: 1, StartTime: f.now}})
 			}
 		})
 	}
 	f.run(joins + second + after + lasts)
 	for _, id := range []uint32{10, 4} {
-		e := f.ends[id]
+		e := f.endpoints[id]
 		for from, to := 0, 0; from < len(e.arrivals); from++ {
 			for to < len(e.arrivals) && e.arrivals[to] < e.arrivals[from]+s.Rules.OverloadDuration {
 				to++
@@ -203,7 +203,7 @@
 
 // What is sent to a cold endpoint by all balancers together stays within its budget of N requests and chance, 2 x root
 // of N + 2, with few balancers and many, in a burst out of little traffic or much at any time after its start.
-func TestColdEndpointBearsTheSumOfAllBalancers(t *testing.T) {
+func TestWarmingEndpointBearsTheSumOfAllBalancers(t *testing.T) {
 	small, usual := testSettings(), testSettings()
 	small.Rules.OverloadMultiple, small.Rules.SlowStartMinCapacity = 1.5, 0.1
 	usual.Rules.OverloadMultiple, usual.Rules.OverloadDuration, usual.Rules.SlowStartDuration = 4, 1_500_000, 15*second
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -20,10 +20,10 @@
 				b.LoadProbeResult(now, e+1, OK, 500, []float32{0})
 			}
 			id++
-			b.RequestArrived(now, request0(id, 0, now))
-			for ; seen < len(r.sends); seen++ {
-				counts[r.sends[seen].endpoint]++
-				b.AttemptFinished(now, Outcome{ID: r.sends[seen].id, Endpoint: r.sends[seen].endpoint, Status: OK,
+			b.RequestArrived(now, requestOf(id, 0, now))
+			for ; seen < len(r.attempts); seen++ {
+				counts[r.attempts[seen].endpoint]++
+				b.AttemptFinished(now, Outcome{ID: r.attempts[seen].id, Endpoint: r.attempts[seen].endpoint, Status: OK,
 					Latency: 30_000, RequestDone: true})
 			}
 		}
@@ -44,7 +44,7 @@
 	return cold, warm
 }
 
-func TestColdEndpointGetsItsRampShare(t *testing.T) {
+func TestWarmingEndpointGetsNoMoreThanItsCapacity(t *testing.T) {
 	for _, c := range []struct{ rate, colds int }{{100, 1}, {500, 1}, {500, 2}, {2000, 2}} {
 		cold, warm := slowStartSends(t, c.rate, c.colds)
 		for _, n := range cold {
@@ -56,23 +56,23 @@
 	}
 }
 
-func TestOneServerFleetRestarts(t *testing.T) {
+func TestOnlyEndpointRestarts(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1)[:1])
 	b.UpdateEndpoints(second, UpdateDelta, []Endpoint{{ID: 1, State: Ready, StartTime: second}})
 	for i := range uint64(400) {
 		now := second + Micros(i)*10_000
-		b.RequestArrived(now, request0(i, 0, now))
-		if n := len(r.sends); n > 0 && b.requests[i] != nil {
+		b.RequestArrived(now, requestOf(i, 0, now))
+		if n := len(r.attempts); n > 0 && b.requests[i] != nil {
 			b.AttemptFinished(now, Outcome{ID: i, Endpoint: 1, Status: OK, Latency: 10_000, RequestDone: true})
 		}
 	}
-	if n := len(r.sends); n < 20 || n > 250 {
+	if n := len(r.attempts); n < 20 || n > 250 {
 		t.Errorf("%d of 400 sent to the only, cold, endpoint", n)
 	}
 }
 
 // Where most is refused, little is sent: what is cold must not be left idle for that, or all would go on being refused.
-func TestColdBudgetDoesNotFollowRefusals(t *testing.T) {
+func TestSlowStartBudgetDoesNotFollowRejections(t *testing.T) {
 	saved := func(balancers, processes int) float64 {
 		s := testSettings()
 		s.Balancers = balancers
@@ -98,7 +98,7 @@
 }
 
 // A quiet balancer earns one send to a cold endpoint in minutes: all must not start from nothing.
-func TestSliversTogetherServeColdEndpoints(t *testing.T) {
+func TestManyIdleBalancersServeWarmingEndpoint(t *testing.T) {
 	allowed, all := 0, 200
 	s := testSettings()
 	s.Balancers = all
