--- a/cmd/sidecar/limits_test.go
+++ b/cmd/sidecar/limits_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"bytes"
 	"fmt"
 	"io"
 	"net"
@@ -17,62 +16,27 @@
 	"time"
 )
 
-// probed is a pin server that counts its probes and requests.
-func probed(t *testing.T) (address string, probes, requests *atomic.Int64) {
-	t.Helper()
-	probes, requests = new(atomic.Int64), new(atomic.Int64)
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.Header.Get("X-Correlation-Id") == "" {
-			probes.Add(1)
-		} else {
-			requests.Add(1)
-		}
-		time.Sleep(5 * time.Millisecond) // as pinServer does
-		io.WriteString(w, "done")
-	}))
-	t.Cleanup(server.CloseClientConnections)
-	return server.Listener.Addr().String(), probes, requests
-}
-
-// buffer is a log that a test may read while the program writes it.
-type buffer struct {
-	mu   sync.Mutex
-	text bytes.Buffer
-}
-
-func (b *buffer) Write(p []byte) (int, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.text.Write(p)
-}
-
-func (b *buffer) String() string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.text.String()
-}
-
 // While discovery is down, idle clients take all the connections that the program lets them have, and go on coming: a
 // proper client is served, probes go out, and discovery gets its descriptor when it is back. The system holds the
 // program to its descriptors here.
-func TestIdleClientsLeaveDescriptors(t *testing.T) {
+func TestIdleClientsLeaveDescriptorsFree(t *testing.T) {
 	const descriptors, idle = 128, 200
-	first, probes, _ := probed(t)
-	second, secondProbes, secondRequests := probed(t)
+	first, probes, _ := newCountingEndpoint(t)
+	second, secondProbes, secondRequests := newCountingEndpoint(t)
 	listen, discovery := freeAddress(t), freeAddress(t)
 	text := strings.NewReplacer(`"discovery":"127.0.0.1:1"`, fmt.Sprintf(`"discovery":%q`, discovery),
 		`"dial":"127.0.0.1:1"`, fmt.Sprintf(`"dial":%q`, first), `"sockets":1024`, fmt.Sprintf(`"sockets":%d`, descriptors),
-		`"limits":{"keepalive"`, `"limits":{"probes":true,"keepalive"`).Replace(config(listen))
-	cmd := command(t, text)
+		`"limits":{"keepalive"`, `"limits":{"probes":true,"keepalive"`).Replace(newConfigText(listen))
+	cmd := newCommand(t, text)
 	cmd.Path, cmd.Args = "/bin/sh", []string{"sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, descriptors), os.Args[0]}
-	log := &buffer{}
+	log := &lockedBuffer{}
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	defer cmd.Wait()
 	defer cmd.Process.Kill()
-	await(t, "the program", func() bool { return status(http.Get("http://"+listen+"/health/ready")) == http.StatusOK })
+	waitUntil(t, "the program", func() bool { return statusCode(http.Get("http://"+listen+"/health/ready")) == http.StatusOK })
 
 	stop, ended := make(chan struct{}), make(chan struct{})
 	var opened atomic.Int64
@@ -102,7 +66,7 @@
 		}
 	}()
 	defer func() { close(stop); <-ended }()
-	await(t, "the idle clients", func() bool { return opened.Load() > 2*idle })
+	waitUntil(t, "the idle clients", func() bool { return opened.Load() > 2*idle })
 	held, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", cmd.Process.Pid))
 	if err != nil {
 		t.Fatal(err)
@@ -114,14 +78,14 @@
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	served := 0
 	for range 20 {
-		if read(client, listen, true) == http.StatusOK {
+		if sendRead(client, listen, true) == http.StatusOK {
 			served++
 		}
 	}
 	if served < 18 { // a busy machine may make one late
 		t.Errorf("of 20 requests of proper clients %d were served while discovery is down\n%s", served, log)
 	}
-	await(t, "probes", func() bool { return probes.Load() > before })
+	waitUntil(t, "probes", func() bool { return probes.Load() > before })
 
 	listener, err := net.Listen("tcp", discovery)
 	if err != nil {
@@ -137,9 +101,9 @@
 	})}
 	go agent.Serve(listener)
 	defer agent.Close()
-	await(t, "the new list", func() bool { return read(client, listen, true) == http.StatusOK && secondRequests.Load() > 0 })
+	waitUntil(t, "the new list", func() bool { return sendRead(client, listen, true) == http.StatusOK && secondRequests.Load() > 0 })
 	known := time.Since(back)
-	await(t, "probes of the new server", func() bool { return secondProbes.Load() > 0 })
+	waitUntil(t, "probes of the new server", func() bool { return secondProbes.Load() > 0 })
 	t.Logf("%d descriptors held of %d, %d idle clients came, 20 proper ones of whom %d were served; the new list served %v after discovery's return", len(held), descriptors,
 		opened.Load(), served, known.Round(time.Millisecond))
 	if strings.Contains(log.String(), "too many open files") {
@@ -150,7 +114,7 @@
 // Of processes that start all at once, nine in ten are ready within 10 s: with a list at once, whatever discovery does, and
 // without any though discovery never answers their first call,
 // whether lists are asked for or pushed.
-func TestNineInTenAreReadySoon(t *testing.T) {
+func TestNineInTenAreReadyWithinTenSeconds(t *testing.T) {
 	const each, within = 10, 10 * time.Second
 	for _, known := range []bool{true, false} {
 		t.Run(fmt.Sprintf("known list %v", known), func(t *testing.T) {
@@ -169,14 +133,14 @@
 				}))
 				t.Cleanup(server.CloseClientConnections)
 				listen := freeAddress(t)
-				text := strings.Replace(config(listen), `"discovery":"127.0.0.1:1"`, fmt.Sprintf(`"discovery":%q`, server.Listener.Addr()), 1)
+				text := strings.Replace(newConfigText(listen), `"discovery":"127.0.0.1:1"`, fmt.Sprintf(`"discovery":%q`, server.Listener.Addr()), 1)
 				if !known {
 					text = text[:strings.Index(text, `{"host"`)] + text[strings.Index(text, `]},`):]
 				}
 				if i%2 == 1 {
 					text = strings.Replace(text, `"subscribe"`, `"automatic"`, 1)
 				}
-				cmd := command(t, text)
+				cmd := newCommand(t, text)
 				start := time.Now()
 				if err := cmd.Start(); err != nil {
 					t.Fatal(err)
@@ -184,7 +148,7 @@
 				t.Cleanup(func() { cmd.Process.Kill(); cmd.Wait() })
 				go func(cmd *exec.Cmd) {
 					defer all.Done()
-					for time.Since(start) < 2*within && status(http.Get("http://"+listen+"/health/ready")) != http.StatusOK {
+					for time.Since(start) < 2*within && statusCode(http.Get("http://"+listen+"/health/ready")) != http.StatusOK {
 						time.Sleep(10 * time.Millisecond)
 					}
 					took[i] = time.Since(start)
--- a/cmd/sidecar/state_test.go
+++ b/cmd/sidecar/state_test.go
@@ -13,27 +13,27 @@
 
 // A machine that loses power loses the sidecar and its TMPDIR, with the file that two processes of an upgrade share.
 // With a state folder, the ban and the drain of before hold in the next process.
-func TestBanAndDrainOutlivePowerLoss(t *testing.T) {
+func TestBanAndDrainSurvivePowerLoss(t *testing.T) {
 	listen, kept := freeAddress(t), t.TempDir()
-	text := strings.Replace(config(listen), `{`, fmt.Sprintf(`{"state_dir":%q,`, kept), 1)
+	text := strings.Replace(newConfigText(listen), `{`, fmt.Sprintf(`{"state_dir":%q,`, kept), 1)
 	one := `{"host":"s-1","dial":"127.0.0.1:1","site":"a","health":"Ready","share":1}`
 	text = strings.Replace(text, one, one+","+strings.Replace(one, "s-1", "s-2", 1), 1)
-	first, ops := operated(t, text, t.TempDir())
-	if call(ops, "/pin-servers/disable", "s-1") != http.StatusOK || call(ops, "/drain", "") != http.StatusOK {
+	first, ops := startWithAdmin(t, text, t.TempDir())
+	if callAdmin(ops, "/pin-servers/disable", "s-1") != http.StatusOK || callAdmin(ops, "/drain", "") != http.StatusOK {
 		t.Fatal("the ban or the drain was not taken")
 	}
-	await(t, "the ban and the drain kept", func() bool {
+	waitUntil(t, "the ban and the drain kept", func() bool {
 		s, err := state.Load(kept, "n0")
 		return err == nil && s.Admin.Drained && len(s.Admin.Banned) == 1 && s.Admin.Banned[0] == "s-1"
 	})
 	first.Process.Kill()
 	first.Wait()
 	var log bytes.Buffer
-	second, ops := operated(t, text, t.TempDir(), &log)
-	if code := status(http.Get("http://" + listen + "/health/ready")); code != http.StatusServiceUnavailable {
+	second, ops := startWithAdmin(t, text, t.TempDir(), &log)
+	if code := statusCode(http.Get("http://" + listen + "/health/ready")); code != http.StatusServiceUnavailable {
 		t.Errorf("the drain was forgotten: /health/ready %d", code)
 	}
-	if call(ops, "/undrain", "") != http.StatusOK {
+	if callAdmin(ops, "/undrain", "") != http.StatusOK {
 		t.Fatal("undrain")
 	}
 	second.Process.Signal(os.Interrupt)
