--- a/cmd/sidecar/limits_test.go
+++ b/cmd/sidecar/limits_test.go
@@ -7,7 +7,6 @@
 	"net/http"
 	"net/http/httptest"
 	"os"
-	"os/exec"
 	"slices"
 	"strings"
 	"sync"
@@ -16,36 +15,68 @@
 	"time"
 )
 
-// While discovery is down, idle clients take all the connections that the program lets them have, and go on coming: a
-// proper client is served, probes go out, and discovery gets its descriptor when it is back. The system holds the
-// program to its descriptors here.
+// While discovery is down, idle clients take all the connections that the program lets them have, and new ones keep coming: a
+// proper client is served, health checks are sent, and discovery gets a descriptor when it is back. The system limits the
+// program's descriptors here.
 func TestIdleClientsLeaveDescriptorsFree(t *testing.T) {
-	const descriptors, idle = 128, 200
-	first, probes, _ := newCountingEndpoint(t)
-	second, secondProbes, secondRequests := newCountingEndpoint(t)
+	const descriptors, idleClients, properRequests = 128, 200, 20
+	firstAddress, firstHealthChecks, _ := newEndpoint(t)
+	secondAddress, secondHealthChecks, secondRequests := newEndpoint(t)
 	listen, discovery := freeAddress(t), freeAddress(t)
-	text := strings.NewReplacer(`"discovery":"127.0.0.1:1"`, fmt.Sprintf(`"discovery":%q`, discovery),
-		`"dial":"127.0.0.1:1"`, fmt.Sprintf(`"dial":%q`, first), `"sockets":1024`, fmt.Sprintf(`"sockets":%d`, descriptors),
-		`"limits":{"keepalive"`, `"limits":{"probes":true,"keepalive"`).Replace(newConfigText(listen))
-	cmd := newCommand(t, text)
+	cmd := newCommand(t, strings.NewReplacer(`"discovery":"127.0.0.1:1"`, fmt.Sprintf(`"discovery":%q`, discovery),
+		`"dial":"127.0.0.1:1"`, fmt.Sprintf(`"dial":%q`, firstAddress),
+		`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, descriptors),
+		`"limits":{"keepalive"`, `"limits":{"probes":true,"keepalive"`).Replace(newConfigText(listen)))
 	cmd.Path, cmd.Args = "/bin/sh", []string{"sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, descriptors), os.Args[0]}
 	log := &lockedBuffer{}
 	cmd.Stderr = log
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
+	startProgram(t, cmd)
+	waitUntil(t, "the program to be ready", func() bool { return isReady(listen) })
+
+	opened := keepIdleClients(t, listen, idleClients)
+	waitUntil(t, "the idle clients", func() bool { return opened.Load() > 2*idleClients })
+	inUse := countDescriptors(t, cmd.Process.Pid)
+	if inUse < descriptors/3 {
+		t.Errorf("only %d descriptors are in use: the idle clients fill nothing", inUse)
+	}
+	healthChecksBefore := firstHealthChecks.Load()
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+	served := 0
+	for range properRequests {
+		if sendRead(client, listen, true) == http.StatusOK {
+			served++
+		}
+	}
+	if served < 18 { // a busy machine may make one late
+		t.Errorf("of %d requests of proper clients %d were served while discovery is down\n%s", properRequests, served, log)
 	}
-	defer cmd.Wait()
-	defer cmd.Process.Kill()
-	waitUntil(t, "the program", func() bool { return statusCode(http.Get("http://"+listen+"/health/ready")) == http.StatusOK })
+	waitUntil(t, "health checks", func() bool { return firstHealthChecks.Load() > healthChecksBefore })
 
+	start := time.Now()
+	serveSecondEndpoint(t, discovery, secondAddress)
+	waitUntil(t, "the new list", func() bool {
+		return sendRead(client, listen, true) == http.StatusOK && secondRequests.Load() > 0
+	})
+	listDelay := time.Since(start)
+	waitUntil(t, "health checks of the new endpoint", func() bool { return secondHealthChecks.Load() > 0 })
+	t.Logf("%d descriptors in use of %d, %d idle clients came, %d of %d proper requests were served; the new list was used %v after discovery's return",
+		inUse, descriptors, opened.Load(), served, properRequests, listDelay.Round(time.Millisecond))
+	if strings.Contains(log.String(), "too many open files") {
+		t.Errorf("descriptors ran out:\n%s", log)
+	}
+}
+
+// keepIdleClients opens connections that send nothing until the test ends: as many as count, and then ever new ones in place
+// of the oldest. It returns how many were opened.
+func keepIdleClients(t *testing.T, address string, count int) *atomic.Int64 {
 	stop, ended := make(chan struct{}), make(chan struct{})
-	var opened atomic.Int64
-	go func() { // clients that say nothing: so many, and then ever new ones in place of the oldest
+	opened := new(atomic.Int64)
+	go func() {
 		defer close(ended)
-		var open []net.Conn
+		var conns []net.Conn
 		defer func() {
-			for _, c := range open {
-				c.Close()
+			for _, conn := range conns {
+				conn.Close()
 			}
 		}()
 		for {
@@ -54,113 +85,108 @@
 				return
 			default:
 			}
-			if c, err := net.Dial("tcp", listen); err == nil {
+			if conn, err := net.Dial("tcp", address); err == nil {
 				opened.Add(1)
-				open = append(open, c)
+				conns = append(conns, conn)
 			}
-			if len(open) > idle {
-				open[0].Close()
-				open = open[1:]
+			if len(conns) > count {
+				conns[0].Close()
+				conns = conns[1:]
 				time.Sleep(2 * time.Millisecond)
 			}
 		}
 	}()
-	defer func() { close(stop); <-ended }()
-	waitUntil(t, "the idle clients", func() bool { return opened.Load() > 2*idle })
-	held, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", cmd.Process.Pid))
+	t.Cleanup(func() {
+		close(stop)
+		<-ended
+	})
+	return opened
+}
+
+// countDescriptors returns how many descriptors a process has open.
+func countDescriptors(t *testing.T, pid int) int {
+	t.Helper()
+	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(held) < descriptors/3 {
-		t.Errorf("only %d descriptors are held: the idle clients fill nothing", len(held))
-	}
-	before := probes.Load()
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	served := 0
-	for range 20 {
-		if sendRead(client, listen, true) == http.StatusOK {
-			served++
-		}
-	}
-	if served < 18 { // a busy machine may make one late
-		t.Errorf("of 20 requests of proper clients %d were served while discovery is down\n%s", served, log)
-	}
-	waitUntil(t, "probes", func() bool { return probes.Load() > before })
+	return len(entries)
+}
 
-	listener, err := net.Listen("tcp", discovery)
+// serveSecondEndpoint starts a discovery service at address whose list names s-2 alone.
+func serveSecondEndpoint(t *testing.T, address, endpointAddress string) {
+	t.Helper()
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	back := time.Now()
-	agent := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	service := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.FormValue("after") == "2" && r.FormValue("wait_ms") != "0" {
 			<-r.Context().Done()
 			return
 		}
-		fmt.Fprintf(w, `{"seq":2,"whole":true,"hosts":[{"host":"s-2","dial":%q,"site":"a","health":"Ready","share":1}]}`, second)
+		fmt.Fprintf(w, `{"seq":2,"whole":true,"hosts":[{"host":"s-2","dial":%q,"site":"a","health":"Ready","share":1}]}`, endpointAddress)
 	})}
-	go agent.Serve(listener)
-	defer agent.Close()
-	waitUntil(t, "the new list", func() bool { return sendRead(client, listen, true) == http.StatusOK && secondRequests.Load() > 0 })
-	known := time.Since(back)
-	waitUntil(t, "probes of the new server", func() bool { return secondProbes.Load() > 0 })
-	t.Logf("%d descriptors held of %d, %d idle clients came, 20 proper ones of whom %d were served; the new list served %v after discovery's return", len(held), descriptors,
-		opened.Load(), served, known.Round(time.Millisecond))
-	if strings.Contains(log.String(), "too many open files") {
-		t.Errorf("descriptors ran out:\n%s", log)
-	}
+	go service.Serve(listener)
+	t.Cleanup(func() { service.Close() })
 }
 
-// Of processes that start all at once, nine in ten are ready within 10 s: with a list at once, whatever discovery does, and
-// without any though discovery never answers their first call,
-// whether lists are asked for or pushed.
+// Of processes that start at the same time, nine in ten are ready within 10 s: with a cached list at once, whatever discovery
+// does, and without one although discovery never answers their first call, whether lists are polled or pushed.
 func TestNineInTenAreReadyWithinTenSeconds(t *testing.T) {
-	const each, within = 10, 10 * time.Second
-	for _, known := range []bool{true, false} {
-		t.Run(fmt.Sprintf("known list %v", known), func(t *testing.T) {
+	const processes, limit = 10, 10 * time.Second
+	for _, hasCachedList := range []bool{true, false} {
+		t.Run(fmt.Sprintf("cached list %v", hasCachedList), func(t *testing.T) {
 			t.Parallel()
-			took := make([]time.Duration, each)
+			durations := make([]time.Duration, processes)
 			var all sync.WaitGroup
-			for i := range each {
-				all.Add(1)
-				var calls atomic.Int64
-				server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-					if calls.Add(1) == 1 || known || r.FormValue("wait_ms") > "0" {
-						<-r.Context().Done()
-						return
-					}
-					io.WriteString(w, `{"seq":2,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.1:1","site":"a","health":"Ready","share":1}]}`)
-				}))
-				t.Cleanup(server.CloseClientConnections)
+			for i := range processes {
+				mustSubscribe := i%2 == 0
 				listen := freeAddress(t)
-				text := strings.Replace(newConfigText(listen), `"discovery":"127.0.0.1:1"`, fmt.Sprintf(`"discovery":%q`, server.Listener.Addr()), 1)
-				if !known {
-					text = text[:strings.Index(text, `{"host"`)] + text[strings.Index(text, `]},`):]
-				}
-				if i%2 == 1 {
-					text = strings.Replace(text, `"subscribe"`, `"automatic"`, 1)
-				}
-				cmd := newCommand(t, text)
+				cmd := newCommand(t, startConfigText(t, listen, hasCachedList, mustSubscribe))
 				start := time.Now()
-				if err := cmd.Start(); err != nil {
-					t.Fatal(err)
-				}
-				t.Cleanup(func() { cmd.Process.Kill(); cmd.Wait() })
-				go func(cmd *exec.Cmd) {
+				startProgram(t, cmd)
+				all.Add(1)
+				go func() {
 					defer all.Done()
-					for time.Since(start) < 2*within && statusCode(http.Get("http://"+listen+"/health/ready")) != http.StatusOK {
+					for time.Since(start) < 2*limit && !isReady(listen) {
 						time.Sleep(10 * time.Millisecond)
 					}
-					took[i] = time.Since(start)
-				}(cmd)
+					durations[i] = time.Since(start)
+				}()
 			}
 			all.Wait()
-			slices.Sort(took)
-			t.Logf("ready after p50 %v, nine in ten %v, max %v", took[each/2].Round(time.Millisecond),
-				took[each*9/10-1].Round(time.Millisecond), took[each-1].Round(time.Millisecond))
-			if took[each*9/10-1] > within {
-				t.Errorf("nine in ten are ready after %v, want %v", took[each*9/10-1], within)
+			slices.Sort(durations)
+			nineInTen := durations[processes*9/10-1]
+			t.Logf("ready after p50 %v, nine in ten %v, max %v", durations[processes/2].Round(time.Millisecond),
+				nineInTen.Round(time.Millisecond), durations[processes-1].Round(time.Millisecond))
+			if nineInTen > limit {
+				t.Errorf("nine in ten are ready after %v, want %v", nineInTen, limit)
 			}
 		})
 	}
 }
+
+// startConfigText returns a configuration with a discovery service of its own, which never answers the first call; if the
+// configuration has a cached list, it answers none.
+func startConfigText(t *testing.T, listen string, hasCachedList, mustSubscribe bool) string {
+	t.Helper()
+	var calls atomic.Int64
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if calls.Add(1) == 1 || hasCachedList || r.FormValue("wait_ms") > "0" {
+			<-r.Context().Done()
+			return
+		}
+		io.WriteString(w, `{"seq":2,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.1:1","site":"a","health":"Ready","share":1}]}`)
+	}))
+	t.Cleanup(server.CloseClientConnections)
+	configText := strings.Replace(newConfigText(listen), `"discovery":"127.0.0.1:1"`,
+		fmt.Sprintf(`"discovery":%q`, server.Listener.Addr()), 1)
+	if !hasCachedList {
+		configText = configText[:strings.Index(configText, `{"host"`)] + configText[strings.Index(configText, `]},`):]
+	}
+	if !mustSubscribe {
+		configText = strings.Replace(configText, `"subscribe"`, `"automatic"`, 1)
+	}
+	return configText
+}
--- a/cmd/sidecar/program_test.go
+++ b/cmd/sidecar/program_test.go
@@ -20,7 +20,7 @@
 // runVariable makes the test binary run the program.
 const runVariable = "SIDECAR_TEST_RUN"
 
-// TestMain lets the test binary stand in for the program.
+// TestMain lets the test binary run as the program.
 func TestMain(m *testing.M) {
 	if os.Getenv(runVariable) != "" {
 		main()
@@ -29,20 +29,32 @@
 	os.Exit(m.Run())
 }
 
-// newCommand runs the program with a configuration file of this text.
-func newCommand(t *testing.T, config string) *exec.Cmd {
+// newCommand returns a command that runs the program with a configuration file of this text.
+func newCommand(t *testing.T, configText string) *exec.Cmd {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(configText), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c := exec.Command(os.Args[0])
-	c.Env = append(os.Environ(), runVariable+"=1", "BALANCER_CONFIG="+path)
-	return c
+	cmd := exec.Command(os.Args[0])
+	cmd.Env = append(os.Environ(), runVariable+"=1", configPathVariable+"="+path)
+	return cmd
 }
 
-// freeAddress is one that nothing listens on, until the program does. It is of a loopback address that no other test
-// process picks and that no outgoing connection is given: on 127.0.0.1 the port could be taken meanwhile.
+// startProgram starts the program and kills it at the test's end.
+func startProgram(t *testing.T, cmd *exec.Cmd) {
+	t.Helper()
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		cmd.Process.Kill()
+		cmd.Wait()
+	})
+}
+
+// freeAddress returns an address on which nothing listens until the program does. It is on a loopback address that no other
+// test process uses and that no outgoing connection is given: on 127.0.0.1 the port could be taken meanwhile.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	pid := os.Getpid()
@@ -54,6 +66,7 @@
 	return listener.Addr().String()
 }
 
+// newConfigText returns a configuration with one endpoint, s-1, and one class of requests.
 func newConfigText(listen string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":"127.0.0.1:1","seed":"1f",
 "limits":{"cores":1,"memory_mb":192,"sockets":1024},
@@ -62,9 +75,16 @@
 "classes":[{"name":"read","repeat":"pure","target":600000,"give-up":1000000}]}}`, listen)
 }
 
-// newDiscovery is a discovery service that tells when it is first called, and always
-// answers with an empty change.
-func newDiscovery(t *testing.T) (address string, called <-chan string) {
+// withSecondEndpoint adds s-2 to a configuration, at the address of s-1.
+func withSecondEndpoint(configText string) string {
+	start := strings.Index(configText, `{"host"`)
+	end := strings.Index(configText, `]},`)
+	first := configText[start:end]
+	return strings.Replace(configText, first, first+","+strings.Replace(first, "s-1", "s-2", 1), 1)
+}
+
+// newDiscovery starts a discovery service that always answers with an empty delta. The first call's query comes on queries.
+func newDiscovery(t *testing.T) (address string, queries <-chan string) {
 	t.Helper()
 	calls := make(chan string, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -81,21 +101,22 @@
 	return server.Listener.Addr().String(), calls
 }
 
-// newCountingEndpoint is a pin server that counts its probes and requests.
-func newCountingEndpoint(t *testing.T) (address string, probes, requests *atomic.Int64) {
+// newEndpoint starts a server that counts its health checks and requests. It answers each after 5 ms: beside that, delays of
+// a busy machine are no slowdown for which the sidecar's breaker would reject requests.
+func newEndpoint(t *testing.T) (address string, healthChecks, requests *atomic.Int64) {
 	t.Helper()
-	probes, requests = new(atomic.Int64), new(atomic.Int64)
+	healthChecks, requests = new(atomic.Int64), new(atomic.Int64)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Correlation-Id") == "" {
-			probes.Add(1)
+			healthChecks.Add(1)
 		} else {
 			requests.Add(1)
 		}
-		time.Sleep(5 * time.Millisecond) // as pinServer does
+		time.Sleep(5 * time.Millisecond)
 		io.WriteString(w, "done")
 	}))
 	t.Cleanup(server.CloseClientConnections)
-	return server.Listener.Addr().String(), probes, requests
+	return server.Listener.Addr().String(), healthChecks, requests
 }
 
 // lockedBuffer is a log that a test may read while the program writes it.
@@ -116,48 +137,42 @@
 	return b.text.String()
 }
 
+// waitLimit is how long a test waits for anything.
 const waitLimit = 20 * time.Second
 
-// newEndpoint answers all that it is sent, each after 5 ms: beside that a busy machine's delays are no slowdown of its
-// that a breaker would draw lots over.
-func newEndpoint(t *testing.T) string {
+// startWithAdmin starts a process of the program with an admin address of its own, which it returns, and waits until it is
+// ready. The handover file is in folder. The log goes to log, if given.
+func startWithAdmin(t *testing.T, configText, folder string, log ...io.Writer) (*exec.Cmd, string) {
 	t.Helper()
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		time.Sleep(5 * time.Millisecond)
-		io.WriteString(w, "done")
-	}))
-	t.Cleanup(s.Close)
-	return strings.TrimPrefix(s.URL, "http://")
-}
-
-// startWithAdmin starts the program once more with an operators' address of its own and waits for its yes. Its log goes
-// to log, if given.
-func startWithAdmin(t *testing.T, text, folder string, log ...io.Writer) (*exec.Cmd, string) {
-	t.Helper()
-	ops := freeAddress(t)
-	cmd := newCommand(t, strings.Replace(text, `{`, fmt.Sprintf(`{"ops":%q,`, ops), 1))
+	adminAddress := freeAddress(t)
+	cmd := newCommand(t, strings.Replace(configText, `{`, fmt.Sprintf(`{"ops":%q,`, adminAddress), 1))
 	cmd.Env = append(cmd.Env, "TMPDIR="+folder)
 	if len(log) > 0 {
 		cmd.Stderr = log[0]
 	}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { cmd.Process.Kill() })
-	waitUntil(t, "the yes of a process", func() bool { return statusCode(http.Get("http://"+ops+"/ready")) == http.StatusOK })
-	return cmd, ops
+	startProgram(t, cmd)
+	waitUntil(t, "a process to be ready", func() bool {
+		return statusCode(http.Get("http://"+adminAddress+"/ready")) == http.StatusOK
+	})
+	return cmd, adminAddress
+}
+
+// isReady reports whether the program at this address takes clients.
+func isReady(address string) bool {
+	return statusCode(http.Get("http://"+address+"/health/ready")) == http.StatusOK
 }
 
-func waitUntil(t *testing.T, what string, is func() bool) {
+// waitUntil waits for a condition, and fails the test if it does not come true.
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitLimit); !is(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitLimit); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// statusCode is an answer's status, 0 without one.
+// statusCode returns a response's status, 0 without a response.
 func statusCode(response *http.Response, err error) int {
 	if err != nil {
 		return 0
@@ -167,19 +182,26 @@
 	return response.StatusCode
 }
 
+// callAdmin makes an operators' call and returns its status.
 func callAdmin(address, path, body string) int {
 	return statusCode(http.Post("http://"+address+path, "text/plain", strings.NewReader(body)))
 }
 
-// sendRead is a client's request, on a connection of its own if close is set.
-func sendRead(client *http.Client, address string, close bool) int {
-	r, err := http.NewRequest(http.MethodGet, "http://"+address+"/read/x", nil)
+// newReadRequest returns a request of the class read.
+func newReadRequest(address, timeLeftMillis string) *http.Request {
+	request, err := http.NewRequest(http.MethodGet, "http://"+address+"/read/x", nil)
 	if err != nil {
-		return 0
+		panic(err)
 	}
-	r.Close = close
-	r.Header.Set("X-Correlation-Id", "9b1f03aa5c7e2d41")
-	r.Header.Set("X-Service-Class", "read")
-	r.Header.Set("X-Time-Left-Ms", "900")
-	return statusCode(client.Do(r))
+	request.Header.Set("X-Correlation-Id", "9b1f03aa5c7e2d41")
+	request.Header.Set("X-Service-Class", "read")
+	request.Header.Set("X-Time-Left-Ms", timeLeftMillis)
+	return request
+}
+
+// sendRead makes a request of the class read and returns its status. Its connection ends with it if close is set.
+func sendRead(client *http.Client, address string, close bool) int {
+	request := newReadRequest(address, "900")
+	request.Close = close
+	return statusCode(client.Do(request))
 }
--- a/cmd/sidecar/state_test.go
+++ b/cmd/sidecar/state_test.go
@@ -11,29 +11,28 @@
 	"bramblestand/internal/state"
 )
 
-// A machine that loses power loses the sidecar and its TMPDIR, with the file that two processes of an upgrade share.
-// With a state folder, the ban and the drain of before hold in the next process.
+// A machine that loses power loses the sidecar's process and its TMPDIR with the handover file. With a state folder, the ban
+// and the drain of before hold in the next process.
 func TestBanAndDrainSurvivePowerLoss(t *testing.T) {
-	listen, kept := freeAddress(t), t.TempDir()
-	text := strings.Replace(newConfigText(listen), `{`, fmt.Sprintf(`{"state_dir":%q,`, kept), 1)
-	one := `{"host":"s-1","dial":"127.0.0.1:1","site":"a","health":"Ready","share":1}`
-	text = strings.Replace(text, one, one+","+strings.Replace(one, "s-1", "s-2", 1), 1)
-	first, ops := startWithAdmin(t, text, t.TempDir())
-	if callAdmin(ops, "/pin-servers/disable", "s-1") != http.StatusOK || callAdmin(ops, "/drain", "") != http.StatusOK {
-		t.Fatal("the ban or the drain was not taken")
+	listen, stateFolder := freeAddress(t), t.TempDir()
+	configText := withSecondEndpoint(newConfigText(listen))
+	configText = strings.Replace(configText, `{`, fmt.Sprintf(`{"state_dir":%q,`, stateFolder), 1)
+	first, admin := startWithAdmin(t, configText, t.TempDir())
+	if callAdmin(admin, "/pin-servers/disable", "s-1") != http.StatusOK || callAdmin(admin, "/drain", "") != http.StatusOK {
+		t.Fatal("the ban or the drain was rejected")
 	}
-	waitUntil(t, "the ban and the drain kept", func() bool {
-		s, err := state.Load(kept, "n0")
+	waitUntil(t, "the ban and the drain to be persisted", func() bool {
+		s, err := state.Load(stateFolder, "n0")
 		return err == nil && s.Admin.Drained && len(s.Admin.Banned) == 1 && s.Admin.Banned[0] == "s-1"
 	})
 	first.Process.Kill()
 	first.Wait()
 	var log bytes.Buffer
-	second, ops := startWithAdmin(t, text, t.TempDir(), &log)
+	second, admin := startWithAdmin(t, configText, t.TempDir(), &log)
 	if code := statusCode(http.Get("http://" + listen + "/health/ready")); code != http.StatusServiceUnavailable {
 		t.Errorf("the drain was forgotten: /health/ready %d", code)
 	}
-	if callAdmin(ops, "/undrain", "") != http.StatusOK {
+	if callAdmin(admin, "/undrain", "") != http.StatusOK {
 		t.Fatal("undrain")
 	}
 	second.Process.Signal(os.Interrupt)
--- a/cmd/sidecar/upgrade_test.go
+++ b/cmd/sidecar/upgrade_test.go
@@ -10,14 +10,14 @@
 	"testing"
 )
 
-// Two processes overlap on one address, under requests on new and on kept connections: none is turned back.
+// Two processes overlap on one address, while requests come on new and on persistent connections: all are served.
 func TestUpgradeRejectsNoRequest(t *testing.T) {
 	listen, folder := freeAddress(t), t.TempDir()
-	// Two of them: with one, a lot that its breaker draws against a request refuses it, as it should.
-	text := strings.Replace(newConfigText(listen), `"dial":"127.0.0.1:1"`, fmt.Sprintf(`"dial":%q`, newEndpoint(t)), 1)
-	one := text[strings.Index(text, `{"host"`):strings.Index(text, `]},`)]
-	text = strings.Replace(text, one, one+","+strings.Replace(one, "s-1", "s-2", 1), 1)
-	old, _ := startWithAdmin(t, text, folder)
+	endpointAddress, _, _ := newEndpoint(t)
+	// Two endpoints: with one, a request that its breaker rejects has nowhere to go.
+	configText := withSecondEndpoint(strings.Replace(newConfigText(listen), `"dial":"127.0.0.1:1"`,
+		fmt.Sprintf(`"dial":%q`, endpointAddress), 1))
+	old, _ := startWithAdmin(t, configText, folder)
 	var served, lost atomic.Int64
 	stop, ended := make(chan struct{}), make(chan struct{})
 	const clients = 4
@@ -25,23 +25,24 @@
 		go func() {
 			defer func() { ended <- struct{}{} }()
 			client := &http.Client{Transport: &http.Transport{}}
+			usesNewConnections := i%2 == 0
 			for {
 				select {
 				case <-stop:
 					return
 				default:
 				}
-				if code := sendRead(client, listen, i%2 == 0); code == http.StatusOK {
+				if code := sendRead(client, listen, usesNewConnections); code == http.StatusOK {
 					served.Add(1)
 				} else {
-					t.Logf("a request on %s connection got %d", map[bool]string{true: "a new", false: "a kept"}[i%2 == 0], code)
+					t.Logf("a request got %d; on a new connection: %v", code, usesNewConnections)
 					lost.Add(1)
 				}
 			}
 		}()
 	}
 	waitUntil(t, "requests served", func() bool { return served.Load() > 0 })
-	fresh, _ := startWithAdmin(t, text, folder)
+	next, _ := startWithAdmin(t, configText, folder)
 	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -57,15 +58,15 @@
 	if n := lost.Load(); n != 0 {
 		t.Errorf("%d requests were not served, %d were", n, served.Load())
 	}
-	if err := fresh.Process.Signal(syscall.SIGTERM); err != nil {
+	if err := next.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if err := fresh.Wait(); err != nil {
+	if err := next.Wait(); err != nil {
 		t.Errorf("the new process ended with %v, want exit code 0", err)
 	}
 }
 
-// What operators said holds over an upgrade, in whichever process a call came to.
+// A drain and its end hold in both processes of an upgrade, whichever of them was called.
 func TestDrainHoldsOverAnUpgrade(t *testing.T) {
 	listen, folder := freeAddress(t), t.TempDir()
 	old, first := startWithAdmin(t, newConfigText(listen), folder)
@@ -73,8 +74,8 @@
 		t.Fatalf("drain: %d", code)
 	}
 	_, second := startWithAdmin(t, newConfigText(listen), folder)
-	// Each new connection comes to either process.
-	readiness := func(code int) func() bool {
+	// A new connection may reach either process: of 20 calls some reach each.
+	alwaysAnswers := func(code int) func() bool {
 		return func() bool {
 			for range 20 {
 				if statusCode(http.Get("http://"+listen+"/health/ready")) != code {
@@ -84,23 +85,23 @@
 			return true
 		}
 	}
-	if !readiness(http.StatusServiceUnavailable)() {
+	if !alwaysAnswers(http.StatusServiceUnavailable)() {
 		t.Error("a process of a drained sidecar says that it is ready")
 	}
 	if code := callAdmin(second, "/undrain", ""); code != http.StatusOK {
 		t.Fatalf("undrain: %d", code)
 	}
-	waitUntil(t, "both processes to take clients again", readiness(http.StatusOK))
+	waitUntil(t, "both processes to take clients again", alwaysAnswers(http.StatusOK))
 	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	old.Wait()
-	if !readiness(http.StatusOK)() {
+	if !alwaysAnswers(http.StatusOK)() {
 		t.Error("the new process alone does not take clients")
 	}
 }
 
-// Without an operators' address nothing is shared: a second process is told that the address is taken.
+// Without an admin address there is no handover: a second process ends, because the address is taken.
 func TestSecondProcessNeedsAnAdminAddress(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
