--- a/cmd/simadapter/instance.go
+++ b/cmd/simadapter/instance.go
@@ -7,8 +7,8 @@
 	"bramblestand/internal/simwire"
 )
 
-// instance is one sidecar of the simulated fleet: a balancer, and the balancer.Actions that write what it asks for to the
-// batch's reply.
+// instance is one sidecar of the simulated fleet: a balancer, and the balancer.Actions that write its actions to the batch's
+// reply.
 type instance struct {
 	reply    *simwire.Reply     // the host's; it names this instance while its events are handled
 	balancer *balancer.Balancer // nil before a start, after a stop and after a fault
@@ -86,10 +86,10 @@
 // CancelAttempt stops waiting for an attempt.
 func (i *instance) CancelAttempt(id uint64, attempt int) { i.reply.CancelAttempt(id, attempt) }
 
-// SetTimer asks for an event after delay.
+// SetTimer requests a timer event after delay.
 func (i *instance) SetTimer(delay balancer.Micros, token uint32) { i.reply.SetTimer(delay, token) }
 
-// SendLoadProbe asks an endpoint for its load.
+// SendLoadProbe requests an endpoint's load report.
 func (i *instance) SendLoadProbe(endpoint uint32) { i.reply.SendLoadProbe(endpoint) }
 
 // SendGossip sends data to all other instances.
@@ -98,7 +98,7 @@
 // WatchEndpoints subscribes to discovery's changes, or ends that.
 func (i *instance) WatchEndpoints(on bool) { i.reply.WatchEndpoints(on) }
 
-// Log writes a trace record: the message, then key=value for each field.
+// Log adds a line to the run's report: the message, then key=value for each field.
 func (i *instance) Log(message string, fields ...balancer.LogField) {
 	line := message
 	for _, field := range fields {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -15,7 +15,7 @@
 	replyHeaderSize  = 12
 	recordHeaderSize = 5
 
-	updateCached = 3 // the kind of an endpoint update with the list as last held
+	updateCached = 3 // the kind of an endpoint update that carries the last known list
 
 	statusOK    = 200
 	statusError = 500
@@ -97,10 +97,10 @@
 // splitReplies returns the replies one by one.
 func splitReplies(output string) [][]byte {
 	var replies [][]byte
-	for rest := []byte(output); len(rest) > 0; {
-		size := binary.BigEndian.Uint32(rest[4:])
-		replies = append(replies, rest[:size])
-		rest = rest[size:]
+	for remaining := []byte(output); len(remaining) > 0; {
+		size := binary.BigEndian.Uint32(remaining[4:])
+		replies = append(replies, remaining[:size])
+		remaining = remaining[size:]
 	}
 	return replies
 }
@@ -108,10 +108,10 @@
 // splitRecords returns the records of a reply one by one.
 func splitRecords(reply []byte) [][]byte {
 	var records [][]byte
-	for rest := reply[replyHeaderSize:]; len(rest) > 0; {
-		size := recordHeaderSize + int(binary.BigEndian.Uint32(rest[1:]))
-		records = append(records, rest[:size])
-		rest = rest[size:]
+	for remaining := reply[replyHeaderSize:]; len(remaining) > 0; {
+		size := recordHeaderSize + int(binary.BigEndian.Uint32(remaining[1:]))
+		records = append(records, remaining[:size])
+		remaining = remaining[size:]
 	}
 	return records
 }
@@ -120,18 +120,18 @@
 func decodeReply(t *testing.T, reply []byte) (batch uint32, codes []simwire.ActionCode) {
 	t.Helper()
 	if int(binary.BigEndian.Uint32(reply[4:])) != len(reply) {
-		t.Fatalf("reply of %d bytes says %d", len(reply), binary.BigEndian.Uint32(reply[4:]))
+		t.Fatalf("reply of %d bytes, its header has %d", len(reply), binary.BigEndian.Uint32(reply[4:]))
 	}
 	for _, record := range splitRecords(reply) {
 		codes = append(codes, simwire.ActionCode(record[0]))
 	}
 	if int(binary.BigEndian.Uint32(reply[8:])) != len(codes) {
-		t.Fatalf("%d records, header says %d", len(codes), binary.BigEndian.Uint32(reply[8:]))
+		t.Fatalf("%d records, the header has %d", len(codes), binary.BigEndian.Uint32(reply[8:]))
 	}
 	return binary.BigEndian.Uint32(reply), codes
 }
 
-// count returns how many of the codes are the one asked for.
+// count returns how often a code is among codes.
 func count(codes []simwire.ActionCode, code simwire.ActionCode) int {
 	n := 0
 	for _, c := range codes {
@@ -231,7 +231,7 @@
 	for _, c := range []struct {
 		name  string
 		input []byte
-		says  string
+		want  string // in the error
 	}{
 		{"event before instance", newBatch(2, 1000, timerRecord(1)), "timeout_fired at byte 16"},
 		{"event before start", newBatch(2, 1000, instanceRecord(4), timerRecord(1)), "instance 4 has not begun"},
@@ -239,7 +239,7 @@
 		{"overrun", newBatch(2, 1000, []byte{byte(simwire.EventRequest), 0, 0, 1, 0}), "request at byte 17"},
 	} {
 		output, _, err := runBatches(t, valid, c.input)
-		if err == nil || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") {
+		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", c.name, err)
 		}
 		if batch, _ := decodeReply(t, []byte(output)); batch != 1 {
--- a/internal/ci/ci_test.go
+++ b/internal/ci/ci_test.go
@@ -1,4 +1,4 @@
-// Package ci tests the script that runs the tests.
+// Package ci tests the scripts of .ci and checks that packages are documented.
 package ci
 
 import (
@@ -9,42 +9,42 @@
 	"testing"
 )
 
-// red is a valid entry for the test that fails on purpose.
-const red = "a TestRed | go test -run TestRed ./a, seed 1 | it fails on purpose | 27\n"
+// knownFailure is a valid entry for the test that fails on purpose.
+const knownFailure = "a TestRed | go test -run TestRed ./a, seed 1 | it fails on purpose | 27\n"
 
 // Known failures are passed over, each by its name alone; they are run and printed all the same.
-func TestKnownRed(t *testing.T) {
+func TestKnownFailuresAreRunButNotCounted(t *testing.T) {
 	script, err := filepath.Abs("../../.ci/test")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
-		list   string
-		extra  string // another test
-		passes bool
-		says   string
+		list       string // KNOWN-RED.txt; empty for none
+		extraTests string // Go source
+		wantPass   bool
+		wantOutput string
 	}{
 		"no list":                  {"", "", false, "--- FAIL: TestRed"},
-		"the red one listed":       {red, "", true, "known red, passed over: a TestRed"},
-		"the listed one is run":    {red, "", true, "--- FAIL: TestRed"},
-		"another failure":          {red, "func TestOther(t *testing.T) { t.Error() }", false, "--- FAIL: TestOther"},
-		"one whose name is longer": {red, "func TestRedToo(t *testing.T) { t.Error() }", false, "--- FAIL: TestRedToo"},
-		"four listed tests": {red + listed("TestRed2", "TestRed3", "TestRed4"), failing("TestRed2", "TestRed3", "TestRed4"), true,
+		"the red one listed":       {knownFailure, "", true, "known red, passed over: a TestRed"},
+		"the listed one is run":    {knownFailure, "", true, "--- FAIL: TestRed"},
+		"another failure":          {knownFailure, "func TestOther(t *testing.T) { t.Error() }", false, "--- FAIL: TestOther"},
+		"one whose name is longer": {knownFailure, "func TestRedToo(t *testing.T) { t.Error() }", false, "--- FAIL: TestRedToo"},
+		"four listed tests": {knownFailure + listed("TestRed2", "TestRed3", "TestRed4"), failing("TestRed2", "TestRed3", "TestRed4"), true,
 			"known red, passed over: a TestRed4"},
-		"a failure beside four listed": {red + listed("TestRed2", "TestRed3", "TestRed4"), failing("TestRed2", "TestRed3", "TestRed4", "TestOther"), false,
+		"a failure beside four listed": {knownFailure + listed("TestRed2", "TestRed3", "TestRed4"), failing("TestRed2", "TestRed3", "TestRed4", "TestOther"), false,
 			"--- FAIL: TestOther"},
-		"listed twice":       {strings.Repeat(red, 2), "", false, "TestRed in a is listed twice"},
-		"no such test":       {"a TestGone | command | seen | 27\n", "", false, "no test TestGone in a"},
-		"no such package":    {"b TestRed | command | seen | 27\n", "", false, "no test TestRed in b"},
-		"no command":         {"a TestRed | | seen | 27\n", "", false, "malformed"},
-		"blank command":      {"a TestRed | \t | seen | 27\n", "", false, "malformed"},
-		"nothing seen":       {"a TestRed | command | | 27\n", "", false, "malformed"},
-		"no issue":           {"a TestRed | command | seen\n", "", false, "malformed"},
-		"issue not a number": {"a TestRed | command | seen | soon\n", "", false, "malformed"},
-		"one column more":    {"a TestRed | command | seen | more | 27\n", "", false, "malformed"},
-		"entry of three":     {"a TestRed | cause | 27\n", "", false, "malformed"},
-		"a line of nothing":  {red + "\n", "", false, "malformed"},
-		"no end of line":     {strings.TrimSpace(red), "", true, "known red"},
+		"listed twice":          {strings.Repeat(knownFailure, 2), "", false, "TestRed in a is listed twice"},
+		"no such test":          {"a TestGone | command | observation | 27\n", "", false, "no test TestGone in a"},
+		"no such package":       {"b TestRed | command | observation | 27\n", "", false, "no test TestRed in b"},
+		"no command":            {"a TestRed | | observation | 27\n", "", false, "malformed"},
+		"blank command":         {"a TestRed | \t | observation | 27\n", "", false, "malformed"},
+		"no observation":        {"a TestRed | command | | 27\n", "", false, "malformed"},
+		"no issue":              {"a TestRed | command | observation\n", "", false, "malformed"},
+		"issue not a number":    {"a TestRed | command | observation | soon\n", "", false, "malformed"},
+		"one column more":       {"a TestRed | command | observation | more | 27\n", "", false, "malformed"},
+		"entry of three":        {"a TestRed | cause | 27\n", "", false, "malformed"},
+		"an empty line":         {knownFailure + "\n", "", false, "malformed"},
+		"no newline at the end": {strings.TrimSpace(knownFailure), "", true, "known red"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -59,7 +59,7 @@
 				}
 			}
 			write("go.mod", "module m\n\ngo 1.24\n")
-			write("a/a_test.go", "package a\nimport \"testing\"\nfunc TestRed(t *testing.T) { t.Error() }\nfunc TestGreen(t *testing.T) {}\n"+c.extra+"\n")
+			write("a/a_test.go", "package a\nimport \"testing\"\nfunc TestRed(t *testing.T) { t.Error() }\nfunc TestGreen(t *testing.T) {}\n"+c.extraTests+"\n")
 			if c.list != "" {
 				write("KNOWN-RED.txt", c.list)
 			}
@@ -67,8 +67,8 @@
 			command.Dir = dir
 			command.Env = append(os.Environ(), "GOFLAGS=", "GOWORK=off")
 			out, err := command.CombinedOutput()
-			if passes := err == nil; passes != c.passes || !strings.Contains(string(out), c.says) {
-				t.Errorf("passes %v, want %v and %q:\n%s", passes, c.passes, c.says, out)
+			if passed := err == nil; passed != c.wantPass || !strings.Contains(string(out), c.wantOutput) {
+				t.Errorf("passed %v, want %v and output with %q:\n%s", passed, c.wantPass, c.wantOutput, out)
 			}
 		})
 	}
@@ -78,7 +78,7 @@
 func listed(names ...string) string {
 	var entries strings.Builder
 	for _, name := range names {
-		entries.WriteString(strings.ReplaceAll(red, "TestRed", name))
+		entries.WriteString(strings.ReplaceAll(knownFailure, "TestRed", name))
 	}
 	return entries.String()
 }
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -29,19 +29,19 @@
 	Gossip          Gossip           // EventGossip
 }
 
-// Start is what an instance is told at its start.
+// Start holds the settings of an instance.
 type Start struct {
 	Seed         uint64 // of the instance's random numbers
 	SettingsText string // for [ParseSettings]
 }
 
-// EndpointUpdate is what discovery says of the endpoint list.
+// EndpointUpdate is an update of the endpoint list by discovery, or the failure of a call to it.
 type EndpointUpdate struct {
 	Kind      balancer.UpdateKind
 	Endpoints []balancer.Endpoint // nil for balancer.UpdateFailed
 }
 
-// ResponseStarted says that an attempt's streamed response began.
+// ResponseStarted is the start of an attempt's streamed response.
 type ResponseStarted struct {
 	RequestID uint64
 	Attempt   int // counted from 0 in the order of their start
@@ -54,7 +54,7 @@
 	Endpoint   uint32
 	Status     balancer.Status
 	Latency    balancer.Micros // since the probe was sent
-	LoadReport []float32       // in the order of the setting's fields; empty without a report
+	LoadReport []float32       // in the order of Settings.LoadReportFields; empty without a report
 }
 
 // Gossip is a message of another instance.
@@ -106,21 +106,21 @@
 
 // openRecord checks the header of the next record and makes d.record read its fields.
 func (d *Decoder) openRecord() (EventCode, error) {
-	rest := d.frame[d.next:]
+	remaining := d.frame[d.next:]
 	r := &d.record
 	r.name, r.start, r.offset, r.err = recordName, d.next, recordHeaderSize, nil
-	if len(rest) < recordHeaderSize {
-		r.failAt(0, "", fmt.Sprintf("a record header needs %d bytes, has %d", recordHeaderSize, len(rest)))
+	if len(remaining) < recordHeaderSize {
+		r.failAt(0, "", fmt.Sprintf("a record header needs %d bytes, has %d", recordHeaderSize, len(remaining)))
 		return 0, r.err
 	}
-	code := EventCode(rest[0])
+	code := EventCode(remaining[0])
 	r.name = code.String()
-	size := int(binary.BigEndian.Uint32(rest[recordSizeOffset:]))
-	if available := len(rest) - recordHeaderSize; size > available {
+	size := int(binary.BigEndian.Uint32(remaining[recordSizeOffset:]))
+	if available := len(remaining) - recordHeaderSize; size > available {
 		r.failAt(recordSizeOffset, "", fmt.Sprintf("fields of %d bytes overrun the frame, which has %d left", size, available))
 		return 0, r.err
 	}
-	r.data = rest[:recordHeaderSize+size]
+	r.data = remaining[:recordHeaderSize+size]
 	return code, nil
 }
 
--- a/internal/simwire/names.go
+++ b/internal/simwire/names.go
@@ -12,8 +12,8 @@
 	EventRequest            EventCode = 18 // a client's request arrived
 	EventResponseStarted    EventCode = 19 // a streamed response began
 	EventAttemptFinished    EventCode = 20 // an attempt ended
-	EventClientDisconnected EventCode = 21 // the client gave its request up
-	EventTimerFired         EventCode = 22 // a timer is due
+	EventClientDisconnected EventCode = 21 // the client disconnected, or its final answer is overdue
+	EventTimerFired         EventCode = 22 // a timer fired
 	EventLoadProbeResult    EventCode = 23 // a load probe ended
 	EventGossip             EventCode = 24 // a message of another instance arrived
 	EventStop               EventCode = 25 // the instance was killed
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -16,7 +16,7 @@
 
 const (
 	maxGossipSize = 256            // bytes of a message to other instances
-	maxTextSize   = math.MaxUint16 // bytes of a line of text
+	maxTextSize   = math.MaxUint16 // bytes of a text
 )
 
 // AllPeers addresses [Reply.SendGossip] to every other instance.
@@ -84,7 +84,7 @@
 	w.end()
 }
 
-// SetTimer asks for an EventTimerFired with this token after delay.
+// SetTimer requests an EventTimerFired with this token after delay.
 func (w *Reply) SetTimer(delay balancer.Micros, token uint32) {
 	w.begin(ActionSetTimer)
 	w.duration(delay)
@@ -92,7 +92,7 @@
 	w.end()
 }
 
-// SendLoadProbe asks an endpoint for its load.
+// SendLoadProbe requests an endpoint's load report.
 func (w *Reply) SendLoadProbe(endpoint uint32) {
 	w.begin(ActionSendLoadProbe)
 	w.uint32(endpoint)
@@ -117,10 +117,10 @@
 }
 
 // Log adds a line to the run's report.
-func (w *Reply) Log(line string) { w.text(ActionLog, line) }
+func (w *Reply) Log(message string) { w.text(ActionLog, message) }
 
 // ReportFault says that the decision code has failed, which ends the run.
-func (w *Reply) ReportFault(line string) { w.text(ActionReportFault, line) }
+func (w *Reply) ReportFault(message string) { w.text(ActionReportFault, message) }
 
 // WatchEndpoints subscribes to discovery's changes, or ends that.
 func (w *Reply) WatchEndpoints(on bool) {
@@ -129,7 +129,7 @@
 	w.end()
 }
 
-// ListEndpoints asks discovery once for the full list.
+// ListEndpoints requests the full list from discovery once.
 func (w *Reply) ListEndpoints() {
 	w.begin(ActionListEndpoints)
 	w.end()
@@ -148,12 +148,12 @@
 	binary.BigEndian.PutUint32(w.buffer[w.recordStart+recordSizeOffset:], uint32(size))
 }
 
-// text writes a record whose only field is a line; what is too long is cut off.
-func (w *Reply) text(code ActionCode, line string) {
-	line = line[:min(len(line), maxTextSize)]
+// text writes a record whose only field is a text; what is too long is cut off.
+func (w *Reply) text(code ActionCode, message string) {
+	message = message[:min(len(message), maxTextSize)]
 	w.begin(code)
-	w.uint16(uint16(len(line)))
-	w.buffer = append(w.buffer, line...)
+	w.uint16(uint16(len(message)))
+	w.buffer = append(w.buffer, message...)
 	w.end()
 }
 
--- a/internal/simwire/settings_text.go
+++ b/internal/simwire/settings_text.go
@@ -9,7 +9,7 @@
 	"bramblestand/balancer"
 )
 
-// maxListItems is the most objects that a list in a settings text may have.
+// maxListItems is the maximum length of a list of objects in a settings text.
 const maxListItems = 256
 
 // settingsText holds the key=value pairs of a settings text and the first error met while values are read.
@@ -18,7 +18,7 @@
 	err    error
 }
 
-// splitSettings splits a settings text into its pairs, one a line. Of a key that stands twice the last value counts.
+// splitSettings splits a settings text into its pairs, one a line. The last value of a repeated key counts.
 func splitSettings(text string) (*settingsText, error) {
 	t := &settingsText{values: map[string]string{}}
 	for i, line := range strings.Split(text, "\n") {
