--- a/internal/sidecar/conn.go
+++ b/internal/sidecar/conn.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// lingerMost is how long a connection that has ended may go on sending before it is reset. A bad client is owed
+	// maxDrainTime is how long a connection that has ended may go on sending before it is reset. A bad client is owed
 	// an end within 3 s of connecting; one that sent a proper request may first have to write a long body, and gets
 	// the time that its pace earns.
-	lingerMost   = 2 * time.Second
-	departureGap = 20 * time.Millisecond // between looks for clients that left where no read would tell
+	maxDrainTime           = 2 * time.Second
+	disconnectPollInterval = 20 * time.Millisecond // between looks for clients that left where no read would tell
 )
 
 // clientListener wraps what it accepts, so that a connection tells more of what was read from it.
@@ -44,20 +44,20 @@
 // by Close: what was written is sent off, nothing that comes after that is read as a request, and the connection is
 // closed once the client has closed its side, or after a while. It also tells when the client has left.
 type clientConn struct {
-	net.Conn                 // the system's; its own Read and Close pass by all that is said above
-	raw      syscall.RawConn // the same
-	owner    *clients
-	left     context.Context // ends when the client has left, or the connection has ended
-	leave    context.CancelFunc
+	net.Conn                         // the system's; its own Read and Close pass by all that is said above
+	rawConn          syscall.RawConn // the same
+	owner            *clients
+	disconnected     context.Context // ends when the client has left, or the connection has ended
+	markDisconnected context.CancelFunc
 
-	mu      sync.Mutex // held over a read from the system and what it means, and over no close
-	framing framing
-	taken   int       // requests
-	begun   time.Time // when the first byte came of a head that is not whole yet
-	waiting bool      // a request that is read to its end waits for its answer
-	closing bool      // nothing that comes is read as a request any more
-	ended   bool      // all that the client sent was read, to its end or its reset
-	proper  bool      // a whole proper request has come on it
+	mu                 sync.Mutex // held over a read from the system and what it means, and over no close
+	framing            requestFraming
+	requestsTaken      int       // requests
+	headStart          time.Time // when the first byte came of a head that is not whole yet
+	isAwaitingResponse bool      // a request that is read to its end waits for its answer
+	isClosing          bool      // nothing that comes is read as a request any more
+	isInputEnded       bool      // all that the client sent was read, to its end or its reset
+	hasValidRequest    bool      // a whole proper request has come on it
 }
 
 func newClientConn(conn net.Conn, owner *clients) (*clientConn, error) {
@@ -69,8 +69,8 @@
 	if err != nil {
 		return nil, errors.Join(err, conn.Close())
 	}
-	c := &clientConn{Conn: conn, raw: raw, owner: owner, framing: newFraming()}
-	c.left, c.leave = context.WithCancel(context.Background())
+	c := &clientConn{Conn: conn, rawConn: raw, owner: owner, framing: newRequestFraming()}
+	c.disconnected, c.markDisconnected = context.WithCancel(context.Background())
 	return c, nil
 }
 
@@ -80,14 +80,14 @@
 	if len(p) == 0 {
 		return 0, nil
 	}
-	failed := c.raw.Read(func(fd uintptr) bool {
+	failed := c.rawConn.Read(func(fd uintptr) bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.closing {
+		if c.isClosing {
 			n, err = 0, io.EOF
 			return true
 		}
-		n, err = receive(fd, p)
+		n, err = readNonblocking(fd, p)
 		switch {
 		case err == syscall.EAGAIN:
 			n, err = 0, nil
@@ -97,14 +97,14 @@
 		case n == 0:
 			err = io.EOF
 		default:
-			c.note(p[:n])
+			c.observe(p[:n])
 			return true
 		}
-		c.ended = true
-		c.leave()
+		c.isInputEnded = true
+		c.markDisconnected()
 		return true
 	})
-	if failed != nil && err == nil && c.shutting() {
+	if failed != nil && err == nil && c.readsAreOver() {
 		n, err = 0, io.EOF // the end woke it
 	} else if failed != nil && err == nil {
 		n, err = 0, failed
@@ -123,14 +123,14 @@
 	return n, err
 }
 
-func (c *clientConn) shutting() bool {
+func (c *clientConn) readsAreOver() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.closing
+	return c.isClosing
 }
 
-// receive reads from a socket without waiting.
-func receive(fd uintptr, p []byte) (n int, err error) {
+// readNonblocking reads from a socket without waiting.
+func readNonblocking(fd uintptr, p []byte) (n int, err error) {
 	for {
 		if n, err = syscall.Read(int(fd), p); err != syscall.EINTR {
 			return n, err
@@ -138,63 +138,65 @@
 	}
 }
 
-// note takes in what was read. It holds c.mu.
-func (c *clientConn) note(p []byte) {
+// observe takes in what was read. It holds c.mu.
+func (c *clientConn) observe(p []byte) {
 	c.owner.flow.AddReceived(len(p), false)
-	c.framing.read(p)
-	if !c.framing.begun {
-		c.begun = time.Time{}
-	} else if c.begun.IsZero() {
-		c.begun = time.Now()
+	c.framing.observe(p)
+	if !c.framing.isInHead {
+		c.headStart = time.Time{}
+	} else if c.headStart.IsZero() {
+		c.headStart = time.Now()
 	}
-	if c.waiting { // net/http reads one byte past a request, and then no longer sees the client leave
-		c.waiting = false
+	if c.isAwaitingResponse { // net/http reads one byte past a request, and then no longer sees the client leave
+		c.isAwaitingResponse = false
 		c.owner.watch(c)
 	}
 }
 
-// coming says whether something of a request has come that was not taken yet. When it came does not tell: a client
+// hasRequestInProgress says whether something of a request has come that was not taken yet. When it came does not tell: a client
 // may begin its next request before the server knows that the last one is done.
-func (c *clientConn) coming() bool {
+func (c *clientConn) hasRequestInProgress() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.comes()
+	return c.hasRequestInProgressLocked()
 }
 
-func (c *clientConn) comes() bool { return c.framing.begun || c.framing.heads > c.taken }
+func (c *clientConn) hasRequestInProgressLocked() bool {
+	return c.framing.isInHead || c.framing.headsRead > c.requestsTaken
+}
 
-// take counts a request and says whether its head contradicted itself on where it ends.
-func (c *clientConn) take() (conflict bool) {
+// takeRequest counts a request and says whether its head contradicted itself on where it ends.
+func (c *clientConn) takeRequest() (conflict bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.taken++
-	return c.taken == c.framing.conflict
+	c.requestsTaken++
+	return c.requestsTaken == c.framing.conflictingHead
 }
 
-// await has the client's leaving told while a request waits for its answer, until done is called. Unread says that
+// watchDisconnect has the client's leaving told while a request waits for its answer, until done is called. Unread says that
 // some of the request's body was not read.
-func (c *clientConn) await(unread bool) (done func()) {
+func (c *clientConn) watchDisconnect(unread bool) (done func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if unread || c.comes() || c.framing.ended { // nobody reads on, or not far enough
+	if unread || c.hasRequestInProgressLocked() || c.framing.isDone { // nobody reads on, or not far enough
 		c.owner.watch(c)
 	} else {
-		c.waiting = true
+		c.isAwaitingResponse = true
 	}
 	return func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.waiting = false
+		c.isAwaitingResponse = false
 		c.owner.unwatch(c)
 	}
 }
 
-// look asks the system whether the client has left, whatever it sent before that was not read.
-func (c *clientConn) look() {
-	c.raw.Control(func(fd uintptr) {
+// checkDisconnected asks the system whether the client has left, whatever it sent before that was not read.
+func (c *clientConn) checkDisconnected() {
+	c.rawConn.Control(func(fd uintptr) {
 		at := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		if n, err := unix.Poll(at, 0); err == nil && n > 0 { // an error or a hang-up is told unasked
-			c.leave()
+			c.markDisconnected()
 		}
 	})
 }
@@ -207,45 +209,45 @@
 
 // closeIdle ends the connection unless something of a request has come, read or not.
 func (c *clientConn) closeIdle() {
-	c.closeIf(func() bool { return !c.comes() && quiet(c.Conn) })
+	c.closeIf(func() bool { return !c.hasRequestInProgressLocked() && quiet(c.Conn) })
 }
 
 // closeIf ends the connection where this may be. What is asked of it holds until nothing is read any more.
 func (c *clientConn) closeIf(may func() bool) {
-	begun, gone, proper := c.shut(may)
+	begun, gone, proper := c.beginClose(may)
 	switch {
 	case gone:
-		c.drop()
+		c.closeSocket()
 	case begun:
-		go c.linger(proper)
+		go c.drainBeforeClose(proper)
 	}
 }
 
-// shut begins the end, and says whether it did, and whether the client has nothing more to be told.
-func (c *clientConn) shut(may func() bool) (begun, gone, proper bool) {
+// beginClose begins the end, and says whether it did, and whether the client has nothing more to be told.
+func (c *clientConn) beginClose(may func() bool) (begun, gone, proper bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closing || !may() {
+	if c.isClosing || !may() {
 		return false, false, false
 	}
-	c.closing = true
-	c.leave()
+	c.isClosing = true
+	c.markDisconnected()
 	half, ok := c.Conn.(interface{ CloseWrite() error })
-	if c.ended || !ok || half.CloseWrite() != nil {
-		return true, true, c.proper
+	if c.isInputEnded || !ok || half.CloseWrite() != nil {
+		return true, true, c.hasValidRequest
 	}
 	c.Conn.SetReadDeadline(longAgo) // whoever reads is to return
-	return true, false, c.proper
+	return true, false, c.hasValidRequest
 }
 
-// linger reads and drops what still comes, until the client closes its side: closed over bytes that were not read, the
+// drainBeforeClose reads and drops what still comes, until the client closes its side: closed over bytes that were not read, the
 // connection would be reset, and an answer on its way be lost with it.
-func (c *clientConn) linger(proper bool) {
-	defer c.drop()
-	most := time.Now().Add(lingerMost)
+func (c *clientConn) drainBeforeClose(proper bool) {
+	defer c.closeSocket()
+	most := time.Now().Add(maxDrainTime)
 	for p := (pace{}); p.bytes <= requestMost; time.Sleep(discardPause) {
 		start := time.Now()
-		until := start.Add(min(lingerMost, p.allows()))
+		until := start.Add(min(maxDrainTime, p.allows()))
 		if !proper && most.Before(until) {
 			until = most
 		}
@@ -253,11 +255,11 @@
 			return
 		}
 		n := 0
-		failed := c.raw.Read(func(fd uintptr) bool {
+		failed := c.rawConn.Read(func(fd uintptr) bool {
 			buffer := buffers.Get().(*[bufferBytes]byte) // not held while nothing comes
 			defer buffers.Put(buffer)
 			var err error
-			n, err = receive(fd, buffer[:])
+			n, err = readNonblocking(fd, buffer[:])
 			return err != syscall.EAGAIN
 		})
 		if failed != nil || n <= 0 {
@@ -271,30 +273,30 @@
 // What the client has not read yet may be lost.
 func (c *clientConn) evict(idle bool) bool {
 	c.mu.Lock()
-	busy := !c.closing && c.proper && (!idle || c.comes())
+	busy := !c.isClosing && c.hasValidRequest && (!idle || c.hasRequestInProgressLocked())
 	if !busy {
-		c.closing = true
-		c.leave()
+		c.isClosing = true
+		c.markDisconnected()
 	}
 	c.mu.Unlock()
 	if !busy {
-		c.drop()
+		c.closeSocket()
 	}
 	return !busy
 }
 
-// markProper notes that a whole proper request has come. It returns false if the connection has ended meanwhile, and
+// markValidRequest notes that a whole proper request has come. It returns false if the connection has ended meanwhile, and
 // the request with it.
-func (c *clientConn) markProper() bool {
+func (c *clientConn) markValidRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.proper = c.proper || !c.closing
-	return !c.closing
+	c.hasValidRequest = c.hasValidRequest || !c.isClosing
+	return !c.isClosing
 }
 
-// drop closes the system's connection. That waits for who reads, and who reads may wait for c.mu: nobody who holds it
+// closeSocket closes the system's connection. That waits for who reads, and who reads may wait for c.mu: nobody who holds it
 // may call this.
-func (c *clientConn) drop() {
+func (c *clientConn) closeSocket() {
 	c.Conn.Close()
 	c.owner.remove(c)
 }
@@ -303,7 +305,7 @@
 func (c *clientConn) SetReadDeadline(at time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closing {
+	if c.isClosing {
 		return net.ErrClosed
 	}
 	return c.Conn.SetReadDeadline(at)
--- a/internal/sidecar/conn_test.go
+++ b/internal/sidecar/conn_test.go
@@ -36,7 +36,7 @@
 
 // An answer that ends its connection reaches a client that has sent more than was read: the bytes are read and dropped,
 // or the kernel would reset the connection, and the answer be lost with it.
-func TestAnswerReachesAClientThatSentMore(t *testing.T) {
+func TestResponseReachesAClientThatSentMore(t *testing.T) {
 	e := newEndpoint(t, always(served))
 	head := "POST /pay HTTP/1.1\r\nHost: x\r\nX-Service-Class: pay\r\nX-Time-Left-Ms: 9000\r\nIdempotency-Key: 1\r\n"
 	for name, c := range map[string]struct{ sends, code string }{
@@ -66,7 +66,7 @@
 
 // A request that arrives between the look at a resting connection and its shutdown is never read: its client is told
 // by the end, and sends it again elsewhere.
-func TestRequestThatCrossesTheSweep(t *testing.T) {
+func TestRequestAfterTheIdleCheckIsNeverRead(t *testing.T) {
 	e := newEndpoint(t, always(served))
 	w := start(t, nil, ready("s-1", e.address))
 	w.until("no connection", func() bool { return w.server.clients.open() == 0 })
@@ -74,7 +74,7 @@
 	k.ask()
 	conn := w.atRest()
 	conn.closeIf(func() bool {
-		if conn.comes() || !quiet(conn.Conn) {
+		if conn.hasRequestInProgressLocked() || !quiet(conn.Conn) {
 			t.Error("the connection is not at rest")
 		}
 		w.request("read", "", time.Minute).Write(k.conn)
@@ -101,7 +101,7 @@
 }
 
 // The other way round: bytes that were read before the sweep's look keep the connection open, however few.
-func TestSweepLeavesARequestThatHasBegun(t *testing.T) {
+func TestIdleCloseSparesARequestInProgress(t *testing.T) {
 	e := newEndpoint(t, always(served))
 	w := start(t, nil, ready("s-1", e.address))
 	w.until("no connection", func() bool { return w.server.clients.open() == 0 })
@@ -114,7 +114,7 @@
 		first := head.Next(n + 1)
 		k.conn.Write(first)
 		conn.closeIdle() // whether they were read by now or not
-		w.until("the first bytes to be read", conn.coming)
+		w.until("the first bytes to be read", conn.hasRequestInProgress)
 		conn.closeIdle()
 		k.conn.Write(head.Bytes())
 		if got, err := http.ReadResponse(k.in, nil); err != nil || got.StatusCode != 200 {
@@ -126,7 +126,7 @@
 }
 
 // What comes after the shutdown of a connection is read by nobody, be it at the end of the process or before.
-func TestNothingIsTakenAfterTheShutdown(t *testing.T) {
+func TestNothingIsReadAfterTheClose(t *testing.T) {
 	e := newEndpoint(t, always(served))
 	w := start(t, nil, ready("s-1", e.address))
 	w.until("no connection", func() bool { return w.server.clients.open() == 0 })
@@ -149,7 +149,7 @@
 }
 
 // A connection that had to make room takes its first request with it; one whose request was taken stays.
-func TestEvictionAgainstAFirstRequest(t *testing.T) {
+func TestEvictionSparesATakenRequest(t *testing.T) {
 	for _, taken := range []bool{false, true} {
 		near, far := socketPair(t)
 		clients := newClients(1)
@@ -178,7 +178,7 @@
 
 // A connection ends however its end falls together with what comes: the system's close waits for who reads, and that
 // one must not wait for who closes.
-func TestCloseAgainstARead(t *testing.T) {
+func TestCloseDuringARead(t *testing.T) {
 	clients := newClients(1)
 	for i := range 300 {
 		near, far := socketPair(t)
@@ -219,7 +219,7 @@
 }
 
 // Connections whose answers are out make room first, and at once.
-func TestLingeringConnectionsMakeRoomFirst(t *testing.T) {
+func TestDrainingConnectionsAreEvictedFirst(t *testing.T) {
 	clients := newClients(3)
 	var conns []*clientConn
 	for i := range 3 {
@@ -250,7 +250,7 @@
 
 // Bad clients are owed an end in 3 s: those that send without end, and those that send two bytes of a request and stop.
 // The rest are served meanwhile.
-func TestBadClientsAreEnded(t *testing.T) {
+func TestMisbehavingClientsAreDisconnected(t *testing.T) {
 	e := newEndpoint(t, always(served))
 	w := start(t, nil, ready("s-1", e.address))
 	var ended [3]chan error
@@ -276,7 +276,7 @@
 					return
 				}
 				// What is dropped in lingerMost, and twice as much for the system's buffers.
-				if most := int(lingerMost/discardPause) * bufferBytes; sent > 3*most {
+				if most := int(maxDrainTime/discardPause) * bufferBytes; sent > 3*most {
 					done <- fmt.Errorf("%d bytes were taken of it", sent)
 					return
 				}
@@ -303,7 +303,7 @@
 }
 
 // With few descriptors, a flood of connections of every bad kind leaves room for proper clients.
-func TestFloodLeavesRoom(t *testing.T) {
+func TestConnectionFloodLeavesRoomForClients(t *testing.T) {
 	e := newEndpoint(t, always(served))
 	w := start(t, nil, ready("s-1", e.address))
 	stop := make(chan struct{})
--- a/internal/sidecar/departure_test.go
+++ b/internal/sidecar/departure_test.go
@@ -117,7 +117,7 @@
 	c.watching.Unlock()
 	for _, conn := range all {
 		conn.mu.Lock()
-		if conn.waiting {
+		if conn.isAwaitingResponse {
 			n++
 		}
 		conn.mu.Unlock()
--- a/internal/sidecar/framing.go
+++ b/internal/sidecar/framing.go
@@ -2,72 +2,72 @@
 
 import "bytes"
 
-// lineKept is how much of a head's line is kept: the name and value of a short header.
-const lineKept = 64
+// maxHeaderLineKept is how much of a head's line is kept: the name and value of a short header.
+const maxHeaderLineKept = 64
 
-// framing follows where requests begin and end in what a client sends, to see what net/http does not tell: a head
+// requestFraming follows where requests begin and end in what a client sends, to see what net/http does not tell: a head
 // with both a length and a transfer coding, of which it drops the length. Whatever passed this by as one request
 // may be two to somebody else, or the other way round.
-type framing struct {
-	heads    int // that have ended
-	conflict int // number of the head with both, counted from 1; 0 for none
-	ended    bool
-	begun    bool // part of a head has come
+type requestFraming struct {
+	headsRead       int // that have ended
+	conflictingHead int // number of the head with both, counted from 1; 0 for none
+	isDone          bool
+	isInHead        bool // part of a head has come
 
-	line   []byte
-	coded  bool
-	length int64 // of the body; negative before it is told
-	body   int64 // bytes of it still to come
+	line              []byte
+	hasTransferCoding bool
+	contentLength     int64 // of the body; negative before it is told
+	bodyRemaining     int64 // bytes of it still to come
 }
 
-func newFraming() framing { return framing{length: -1} }
+func newRequestFraming() requestFraming { return requestFraming{contentLength: -1} }
 
-// read takes in what has come.
-func (f *framing) read(p []byte) {
-	for len(p) > 0 && !f.ended {
-		if f.body > 0 {
-			n := min(f.body, int64(len(p)))
-			f.body -= n
+// observe takes in what has come.
+func (f *requestFraming) observe(p []byte) {
+	for len(p) > 0 && !f.isDone {
+		if f.bodyRemaining > 0 {
+			n := min(f.bodyRemaining, int64(len(p)))
+			f.bodyRemaining -= n
 			p = p[n:]
 			continue
 		}
-		f.begun = true
+		f.isInHead = true
 		part, rest, whole := bytes.Cut(p, []byte("\n"))
-		f.line = append(f.line, part[:min(len(part), lineKept-len(f.line))]...)
+		f.line = append(f.line, part[:min(len(part), maxHeaderLineKept-len(f.line))]...)
 		if !whole {
 			return
 		}
 		p = rest
-		f.header(bytes.TrimSuffix(f.line, []byte("\r")))
+		f.observeLine(bytes.TrimSuffix(f.line, []byte("\r")))
 		f.line = f.line[:0]
 	}
 }
 
-// header takes in a line of a head.
-func (f *framing) header(line []byte) {
+// observeLine takes in a line of a head.
+func (f *requestFraming) observeLine(line []byte) {
 	if len(line) > 0 {
 		name, value, _ := bytes.Cut(line, []byte(":"))
 		switch {
 		case bytes.EqualFold(name, []byte("Transfer-Encoding")):
-			f.coded = true
+			f.hasTransferCoding = true
 		case bytes.EqualFold(name, []byte("Content-Length")):
-			f.length = 0
+			f.contentLength = 0
 			for _, digit := range bytes.TrimSpace(value) {
-				if digit < '0' || digit > '9' || f.length > requestMost {
-					f.ended = true // the server turns this request away, and its connection with it
+				if digit < '0' || digit > '9' || f.contentLength > requestMost {
+					f.isDone = true // the server turns this request away, and its connection with it
 					return
 				}
-				f.length = 10*f.length + int64(digit-'0')
+				f.contentLength = 10*f.contentLength + int64(digit-'0')
 			}
 		}
 		return
 	}
-	f.heads++
-	f.begun = false
-	if f.coded && f.length >= 0 {
-		f.conflict = f.heads
+	f.headsRead++
+	f.isInHead = false
+	if f.hasTransferCoding && f.contentLength >= 0 {
+		f.conflictingHead = f.headsRead
 	}
 	// A request with a coding is the last that is taken on its connection.
-	f.ended = f.coded
-	f.body, f.length = max(0, f.length), -1
+	f.isDone = f.hasTransferCoding
+	f.bodyRemaining, f.contentLength = max(0, f.contentLength), -1
 }
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -9,7 +9,7 @@
 )
 
 // However what a client sends is cut, each head is found, and the one that contradicts itself.
-func TestFraming(t *testing.T) {
+func TestRequestHeadsAreFoundHoweverInputIsCut(t *testing.T) {
 	plain := "GET /a HTTP/1.1\r\nHost: x\r\n\r\n"
 	body := "POST /b HTTP/1.1\r\nContent-Length: 40\r\n\r\n" + "POST / HTTP/1.1\r\nTransfer-Encoding: x\r\n\r\n"[:40]
 	chunked := "POST /c HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n"
@@ -28,25 +28,25 @@
 		{"POST /c HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n" + plain, 0, 0},
 	} {
 		for size := 1; size <= len(c.sends); size++ {
-			f := newFraming()
+			f := newRequestFraming()
 			for rest := c.sends; len(rest) > 0; {
 				n := min(size, len(rest))
-				f.read([]byte(rest[:n]))
+				f.observe([]byte(rest[:n]))
 				rest = rest[n:]
 			}
-			if f.begun && !f.ended {
+			if f.isInHead && !f.isDone {
 				t.Fatalf("%.60q in pieces of %d: a head is said to be on its way at the end", c.sends, size)
 			}
-			if f.heads != c.heads || f.conflict != c.conflict {
+			if f.headsRead != c.heads || f.conflictingHead != c.conflict {
 				t.Fatalf("%.60q in pieces of %d: %d heads, conflict in %d; want %d and %d",
-					c.sends, size, f.heads, f.conflict, c.heads, c.conflict)
+					c.sends, size, f.headsRead, f.conflictingHead, c.heads, c.conflict)
 			}
 		}
 	}
 }
 
 // A client may begin its next request as soon as it has its answer, before the server counts the connection as at rest.
-func TestRequestBegunBeforeTheLastIsDone(t *testing.T) {
+func TestRequestMayStartBeforeTheLastIsDone(t *testing.T) {
 	near, far := socketPair(t)
 	clients := newClients(1)
 	conn, err := newClientConn(far, clients)
@@ -61,18 +61,18 @@
 		}
 	}
 	read("GET /a HTTP/1.1\r\n\r\n")
-	if !conn.coming() {
+	if !conn.hasRequestInProgress() {
 		t.Error("a whole head that nobody took is not seen")
 	}
-	conn.take()
-	if conn.coming() {
+	conn.takeRequest()
+	if conn.hasRequestInProgress() {
 		t.Error("a request that was taken counts as on its way")
 	}
 	read("GET /b")
 	clients.note(conn, http.StateNew)
 	clients.note(conn, http.StateIdle) // only now
 	clients.closeIdle(0)
-	if clients.open() != 1 || conn.closing {
+	if clients.open() != 1 || conn.isClosing {
 		t.Error("the connection was closed under half a head")
 	}
 }
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -238,7 +238,7 @@
 	}
 	// Not a ServeMux: it would redirect paths that endpoints are to see as they are.
 	handler := func(w http.ResponseWriter, in *http.Request) {
-		if connOf(in).take() {
+		if connOf(in).takeRequest() {
 			s.improper(w, in, bad("both a length and a transfer coding are given"))
 			return
 		}
@@ -369,16 +369,16 @@
 			panic(http.ErrAbortHandler) // the connection is gone
 		}
 	}
-	r := &request{answer: make(chan answer, 1), message: m, left: req.Deadline - s.loop.clock.now(), client: conn.left, look: conn.look}
-	defer conn.await(m.rest != nil)()
-	if !s.loop.postFor(conn.left, func(now balancer.Micros) { s.loop.take(now, r, req) }) {
+	r := &request{answer: make(chan answer, 1), message: m, left: req.Deadline - s.loop.clock.now(), client: conn.disconnected, look: conn.checkDisconnected}
+	defer conn.watchDisconnect(m.rest != nil)()
+	if !s.loop.postFor(conn.disconnected, func(now balancer.Micros) { s.loop.take(now, r, req) }) {
 		s.ended(in, arrived, 0)
 		panic(http.ErrAbortHandler)
 	}
 	select {
 	case a := <-r.answer:
 		s.give(w, in, control, m, arrived, a)
-	case <-conn.left.Done():
+	case <-conn.disconnected.Done():
 		s.ended(in, arrived, 0)
 		s.loop.post(func(now balancer.Micros) { s.loop.gone(now, r) })
 		// A client that has only stopped sending must not read a whole answer
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -618,7 +618,7 @@
 		w.server.clients.mu.Lock()
 		defer w.server.clients.mu.Unlock()
 		for conn := range w.server.clients.conns {
-			return conn.coming()
+			return conn.hasRequestInProgress()
 		}
 		return false
 	})
