--- a/internal/sidecar/client_conn.go
+++ b/internal/sidecar/client_conn.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"io"
 	"net"
 	"os"
@@ -13,15 +14,15 @@
 	"golang.org/x/sys/unix"
 )
 
-const (
-	// maxDrainTime is how long a connection that has ended may go on sending before it is reset. A bad client is owed
-	// an end within 3 s of connecting; one that sent a proper request may first have to write a long body, and gets
-	// the time that its pace earns.
-	maxDrainTime           = 2 * time.Second
-	disconnectPollInterval = 20 * time.Millisecond // between looks for clients that left where no read would tell
-)
+// disconnectPollInterval is the time between polls for clients that disconnected while nobody reads from them.
+const disconnectPollInterval = 20 * time.Millisecond
 
-// clientListener wraps what it accepts, so that a connection tells more of what was read from it.
+// maxDrainTime is how long a closed connection may go on sending before it is reset. A misbehaving client has to be
+// disconnected within 3 s of connecting; one that sent a valid request may first have to write a long body, and gets the time
+// that its pace earns.
+const maxDrainTime = 2 * time.Second
+
+// clientListener accepts clients' connections as clientConn.
 type clientListener struct {
 	net.Listener
 	clients *clients
@@ -31,7 +32,7 @@
 func (l clientListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		// Accepting was to end, and nobody waits: one who comes between this and the close is turned back.
+		// The deadline ends accepting. The listener is closed here, so that the system refuses clients from now on.
 		return nil, errors.Join(net.ErrClosed, l.Close())
 	}
 	if err != nil {
@@ -40,80 +41,90 @@
 	return newClientConn(conn, l.clients)
 }
 
-// clientConn is a connection from a client. Whoever ends it, a handler, a sweep, a time-out or net/http itself, does so
-// by Close: what was written is sent off, nothing that comes after that is read as a request, and the connection is
-// closed once the client has closed its side, or after a while. It also tells when the client has left.
+// clientConn is a connection from a client. Whoever ends it (a handler, the idle check, a timeout or net/http itself) calls
+// Close: what was written is sent, nothing that arrives later is read as a request, and the socket is closed once the client
+// has closed its side, or after a while. It also reports when the client has disconnected.
+//
+// All methods may be called from any goroutine.
 type clientConn struct {
-	net.Conn                         // the system's; its own Read and Close pass by all that is said above
-	rawConn          syscall.RawConn // the same
+	net.Conn                         // the socket; its own Read and Close do none of the above
+	rawConn          syscall.RawConn // the same socket
 	owner            *clients
-	disconnected     context.Context // ends when the client has left, or the connection has ended
+	disconnected     context.Context // ends when the client has disconnected or the connection is closed
 	markDisconnected context.CancelFunc
 
-	mu                 sync.Mutex // held over a read from the system and what it means, and over no close
+	// mu guards the fields below. It is held over a read from the socket together with its evaluation, and never over
+	// closeSocket.
+	mu                 sync.Mutex
 	framing            requestFraming
-	requestsTaken      int       // requests
-	headStart          time.Time // when the first byte came of a head that is not whole yet
-	isAwaitingResponse bool      // a request that is read to its end waits for its answer
-	isClosing          bool      // nothing that comes is read as a request any more
-	isInputEnded       bool      // all that the client sent was read, to its end or its reset
-	hasValidRequest    bool      // a whole proper request has come on it
+	requestsTaken      int       // by handlers
+	headStart          time.Time // when the first byte of an incomplete head was read; zero without one
+	isAwaitingResponse bool      // a request was read to its end and waits for its response
+	isClosing          bool      // nothing more is read as a request
+	isInputEnded       bool      // everything that the client sent was read, to its end or its reset
+	hasValidRequest    bool      // a valid request was read in full
 }
 
+// newClientConn wraps a connection. It closes conn if it returns an error.
 func newClientConn(conn net.Conn, owner *clients) (*clientConn, error) {
-	own, ok := conn.(syscall.Conn)
+	socket, ok := conn.(syscall.Conn)
 	if !ok {
-		return nil, errors.Join(errors.New("a client's connection is no socket"), conn.Close())
+		return nil, errors.Join(fmt.Errorf("client connection %T has no socket", conn), conn.Close())
 	}
-	raw, err := own.SyscallConn()
+	rawConn, err := socket.SyscallConn()
 	if err != nil {
-		return nil, errors.Join(err, conn.Close())
+		return nil, errors.Join(fmt.Errorf("client connection: %w", err), conn.Close())
 	}
-	c := &clientConn{Conn: conn, rawConn: raw, owner: owner, framing: newRequestFraming()}
+	c := &clientConn{Conn: conn, rawConn: rawConn, owner: owner, framing: newRequestFraming()}
 	c.disconnected, c.markDisconnected = context.WithCancel(context.Background())
 	return c, nil
 }
 
-// Read reads what has come, and notes it. That is one step for whoever would end the connection: either the bytes were
-// read before, and are seen as a request on its way, or they never are.
+// Read reads from the socket and evaluates what was read in one step under mu. Whoever closes the connection therefore either
+// sees the bytes as a request in progress, or they are never read.
 func (c *clientConn) Read(p []byte) (n int, err error) {
 	if len(p) == 0 {
 		return 0, nil
 	}
-	failed := c.rawConn.Read(func(fd uintptr) bool {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		if c.isClosing {
-			n, err = 0, io.EOF
-			return true
-		}
-		n, err = readNonblocking(fd, p)
-		switch {
-		case err == syscall.EAGAIN:
-			n, err = 0, nil
-			return false
-		case err != nil:
-			n, err = 0, &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: os.NewSyscallError("read", err)}
-		case n == 0:
-			err = io.EOF
-		default:
-			c.observe(p[:n])
-			return true
-		}
-		c.isInputEnded = true
-		c.markDisconnected()
-		return true
+	waitErr := c.rawConn.Read(func(fd uintptr) (isDone bool) {
+		n, isDone, err = c.readOnce(fd, p)
+		return isDone
 	})
-	if failed != nil && err == nil && c.readsAreOver() {
-		n, err = 0, io.EOF // the end woke it
-	} else if failed != nil && err == nil {
-		n, err = 0, failed
-		var op *net.OpError
-		if errors.As(failed, &op) {
-			op.Op = "read" // net/http answers no error of that name
-		}
+	switch {
+	case waitErr == nil || err != nil:
+		return n, err
+	case c.readsAreOver():
+		return 0, io.EOF // Close interrupted the wait
 	}
-	return n, err
+	var op *net.OpError
+	if errors.As(waitErr, &op) {
+		op.Op = "read" // for an error of this name net/http writes no response
+	}
+	return 0, waitErr
+}
+
+// readOnce reads what the socket holds. It is not done if there is nothing.
+func (c *clientConn) readOnce(fd uintptr, p []byte) (n int, isDone bool, err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.isClosing {
+		return 0, true, io.EOF
+	}
+	n, err = readNonblocking(fd, p)
+	switch {
+	case err == syscall.EAGAIN:
+		return 0, false, nil
+	case err != nil:
+		n, err = 0, &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: os.NewSyscallError("read", err)}
+	case n == 0:
+		err = io.EOF
+	default:
+		c.observe(p[:n])
+		return n, true, nil
+	}
+	c.isInputEnded = true
+	c.markDisconnected()
+	return n, true, err
 }
 
 // Write writes to the client.
@@ -123,6 +134,7 @@
 	return n, err
 }
 
+// readsAreOver reports whether the connection is closed for reading.
 func (c *clientConn) readsAreOver() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -138,47 +150,48 @@
 	}
 }
 
-// observe takes in what was read. It holds c.mu.
-func (c *clientConn) observe(p []byte) {
-	c.owner.flow.AddReceived(len(p), false)
-	c.framing.observe(p)
+// observe evaluates what was read. The caller holds c.mu.
+func (c *clientConn) observe(data []byte) {
+	c.owner.flow.AddReceived(len(data), false)
+	c.framing.observe(data)
 	if !c.framing.isInHead {
 		c.headStart = time.Time{}
 	} else if c.headStart.IsZero() {
 		c.headStart = time.Now()
 	}
-	if c.isAwaitingResponse { // net/http reads one byte past a request, and then no longer sees the client leave
+	if c.isAwaitingResponse { // net/http reads one byte past a request, and then no longer sees the client disconnect
 		c.isAwaitingResponse = false
 		c.owner.watch(c)
 	}
 }
 
-// hasRequestInProgress says whether something of a request has come that was not taken yet. When it came does not tell: a client
-// may begin its next request before the server knows that the last one is done.
+// hasRequestInProgress reports whether part of a request was read that no handler has taken yet. It may have been read before
+// the last request was done: a client may send its next request as soon as it has the response.
 func (c *clientConn) hasRequestInProgress() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.hasRequestInProgressLocked()
 }
 
+// hasRequestInProgressLocked is hasRequestInProgress for a caller that holds c.mu.
 func (c *clientConn) hasRequestInProgressLocked() bool {
 	return c.framing.isInHead || c.framing.headsRead > c.requestsTaken
 }
 
-// takeRequest counts a request and says whether its head contradicted itself on where it ends.
-func (c *clientConn) takeRequest() (conflict bool) {
+// takeRequest counts a request that a handler starts on, and reports whether its head contradicts itself on where it ends.
+func (c *clientConn) takeRequest() (isConflicting bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.requestsTaken++
 	return c.requestsTaken == c.framing.conflictingHead
 }
 
-// watchDisconnect has the client's leaving told while a request waits for its answer, until done is called. Unread says that
-// some of the request's body was not read.
-func (c *clientConn) watchDisconnect(unread bool) (done func()) {
+// watchDisconnect makes c.disconnected end if the client disconnects while a request waits for its response, until the handler
+// calls stop. hasUnreadBody says that part of the request's body was not read.
+func (c *clientConn) watchDisconnect(hasUnreadBody bool) (stop func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if unread || c.hasRequestInProgressLocked() || c.framing.isDone { // nobody reads on, or not far enough
+	if hasUnreadBody || c.hasRequestInProgressLocked() || c.framing.isDone { // nobody reads on, or not far enough
 		c.owner.watch(c)
 	} else {
 		c.isAwaitingResponse = true
@@ -191,101 +204,120 @@
 	}
 }
 
-// checkDisconnected asks the system whether the client has left, whatever it sent before that was not read.
+// checkDisconnected asks the system whether the client has disconnected, even if data that it sent before was not read. It
+// takes no lock.
 func (c *clientConn) checkDisconnected() {
 	c.rawConn.Control(func(fd uintptr) {
-		at := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		if n, err := unix.Poll(at, 0); err == nil && n > 0 { // an error or a hang-up is told unasked
+		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		if n, err := unix.Poll(fds, 0); err == nil && n > 0 { // POLLERR and POLLHUP are always reported
 			c.markDisconnected()
 		}
 	})
 }
 
-// Close ends the connection: see clientConn. It does not wait, and may come any number of times.
+// Close closes the connection as described at clientConn. It does not wait, and may be called repeatedly.
 func (c *clientConn) Close() error {
 	c.closeIf(func() bool { return true })
 	return nil
 }
 
-// closeIdle ends the connection unless something of a request has come, read or not.
+// closeIdle closes the connection unless part of a request has arrived, read or not.
 func (c *clientConn) closeIdle() {
 	c.closeIf(func() bool { return !c.hasRequestInProgressLocked() && quiet(c.Conn) })
 }
 
-// closeIf ends the connection where this may be. What is asked of it holds until nothing is read any more.
-func (c *clientConn) closeIf(may func() bool) {
-	begun, gone, proper := c.beginClose(may)
-	switch {
-	case gone:
+// closeIf closes the connection if the condition holds, which is called under c.mu: nothing is read between the two.
+func (c *clientConn) closeIf(condition func() bool) {
+	switch hasValidRequest, next := c.beginClose(condition); next {
+	case closeAtOnce:
 		c.closeSocket()
-	case begun:
-		go c.drainBeforeClose(proper)
+	case closeAfterDrain:
+		go c.drainBeforeClose(hasValidRequest)
 	}
 }
 
-// beginClose begins the end, and says whether it did, and whether the client has nothing more to be told.
-func (c *clientConn) beginClose(may func() bool) (begun, gone, proper bool) {
+// closeStep is what remains to be done after beginClose.
+type closeStep uint8
+
+const (
+	closeNothing    closeStep = iota // the condition does not hold, or the connection is closing already
+	closeAtOnce                      // the client cannot be sent anything
+	closeAfterDrain                  // the client's input has to be drained first
+)
+
+// beginClose stops reads and sends the client the end of the responses, if the condition holds.
+func (c *clientConn) beginClose(condition func() bool) (hasValidRequest bool, next closeStep) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.isClosing || !may() {
-		return false, false, false
+	if c.isClosing || !condition() {
+		return false, closeNothing
 	}
 	c.isClosing = true
 	c.markDisconnected()
-	half, ok := c.Conn.(interface{ CloseWrite() error })
-	if c.isInputEnded || !ok || half.CloseWrite() != nil {
-		return true, true, c.hasValidRequest
+	writeCloser, ok := c.Conn.(interface{ CloseWrite() error })
+	if c.isInputEnded || !ok || writeCloser.CloseWrite() != nil {
+		return c.hasValidRequest, closeAtOnce
 	}
-	c.Conn.SetReadDeadline(longAgo) // whoever reads is to return
-	return true, false, c.hasValidRequest
+	c.Conn.SetReadDeadline(longAgo) // wakes a waiting Read
+	return c.hasValidRequest, closeAfterDrain
 }
 
-// drainBeforeClose reads and drops what still comes, until the client closes its side: closed over bytes that were not read, the
-// connection would be reset, and an answer on its way be lost with it.
-func (c *clientConn) drainBeforeClose(proper bool) {
+// drainBeforeClose reads and discards what still arrives until the client closes its side, and closes the socket. If it were
+// closed over unread bytes, the system would reset the connection, and a response on its way would be lost.
+func (c *clientConn) drainBeforeClose(hasValidRequest bool) {
 	defer c.closeSocket()
-	most := time.Now().Add(maxDrainTime)
+	limit := time.Now().Add(maxDrainTime)
 	for p := (pace{}); p.bytes <= requestMost; time.Sleep(discardPause) {
 		start := time.Now()
-		until := start.Add(min(maxDrainTime, p.allows()))
-		if !proper && most.Before(until) {
-			until = most
+		deadline := start.Add(min(maxDrainTime, p.allows()))
+		if !hasValidRequest && limit.Before(deadline) {
+			deadline = limit
 		}
-		if !start.Before(until) || c.Conn.SetReadDeadline(until) != nil {
+		if !start.Before(deadline) || c.Conn.SetReadDeadline(deadline) != nil {
 			return
 		}
-		n := 0
-		failed := c.rawConn.Read(func(fd uintptr) bool {
-			buffer := buffers.Get().(*[bufferBytes]byte) // not held while nothing comes
-			defer buffers.Put(buffer)
-			var err error
-			n, err = readNonblocking(fd, buffer[:])
-			return err != syscall.EAGAIN
-		})
-		if failed != nil || n <= 0 {
-			return // its end, or the client is too slow: there is nobody left to tell
+		n := c.discardOnce()
+		if n <= 0 {
+			return // the client closed its side or is too slow: nobody is left to receive the response
 		}
 		p.note(n, start)
 	}
 }
 
-// evict ends the connection at once to make room, unless a proper request is under way on it, and says whether it did.
-// What the client has not read yet may be lost.
-func (c *clientConn) evict(idle bool) bool {
+// discardOnce waits for input, up to the read deadline, and discards it. It returns how many bytes that were, at most 0 at the
+// end of input, on an error or after the deadline.
+func (c *clientConn) discardOnce() int {
+	n := 0
+	waitErr := c.rawConn.Read(func(fd uintptr) bool {
+		buffer := buffers.Get().(*[bufferBytes]byte) // not held while there is nothing to read
+		defer buffers.Put(buffer)
+		var err error
+		n, err = readNonblocking(fd, buffer[:])
+		return err != syscall.EAGAIN
+	})
+	if waitErr != nil {
+		return 0
+	}
+	return n
+}
+
+// evict closes the connection at once to make room, and reports whether it did. An open connection that had a valid request is
+// spared; with isIdle, only if its next request is in progress. What the client has not received yet may be lost.
+func (c *clientConn) evict(isIdle bool) bool {
 	c.mu.Lock()
-	busy := !c.isClosing && c.hasValidRequest && (!idle || c.hasRequestInProgressLocked())
-	if !busy {
+	isBusy := !c.isClosing && c.hasValidRequest && (!isIdle || c.hasRequestInProgressLocked())
+	if !isBusy {
 		c.isClosing = true
 		c.markDisconnected()
 	}
 	c.mu.Unlock()
-	if !busy {
+	if !isBusy {
 		c.closeSocket()
 	}
-	return !busy
+	return !isBusy
 }
 
-// markValidRequest notes that a whole proper request has come. It returns false if the connection has ended meanwhile, and
+// markValidRequest notes that a valid request was read in full. It returns false if the connection was closed meanwhile, and
 // the request with it.
 func (c *clientConn) markValidRequest() bool {
 	c.mu.Lock()
@@ -294,19 +326,18 @@
 	return !c.isClosing
 }
 
-// closeSocket closes the system's connection. That waits for who reads, and who reads may wait for c.mu: nobody who holds it
-// may call this.
+// closeSocket closes the socket. That waits for a Read in progress, which may wait for c.mu: the caller must not hold it.
 func (c *clientConn) closeSocket() {
 	c.Conn.Close()
 	c.owner.remove(c)
 }
 
-// SetReadDeadline sets how long a read waits, unless the connection has ended.
-func (c *clientConn) SetReadDeadline(at time.Time) error {
+// SetReadDeadline sets how long a read waits, unless the connection is closed.
+func (c *clientConn) SetReadDeadline(deadline time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.isClosing {
 		return net.ErrClosed
 	}
-	return c.Conn.SetReadDeadline(at)
+	return c.Conn.SetReadDeadline(deadline)
 }
--- a/internal/sidecar/client_conn_test.go
+++ b/internal/sidecar/client_conn_test.go
@@ -26,46 +26,46 @@
 	return found
 }
 
-// atRest waits until the only connection stands between two requests.
+// atRest waits until the only connection is idle, and returns it.
 func (w *world) atRest() *clientConn {
 	w.t.Helper()
 	conn := w.only()
-	w.until("the connection at rest", func() bool { _, _, _, idle := w.server.clients.counts(); return idle == 1 })
+	w.until("the connection to be idle", func() bool { _, _, _, idle := w.server.clients.counts(); return idle == 1 })
 	return conn
 }
 
-// An answer that ends its connection reaches a client that has sent more than was read: the bytes are read and dropped,
-// or the kernel would reset the connection, and the answer be lost with it.
+// A response that ends its connection reaches a client that has sent more than was read: the bytes are read and discarded, or
+// the system would reset the connection, and the response would be lost.
 func TestResponseReachesAClientThatSentMore(t *testing.T) {
 	e := newEndpoint(t, always(served))
 	head := "POST /pay HTTP/1.1\r\nHost: x\r\nX-Service-Class: pay\r\nX-Time-Left-Ms: 9000\r\nIdempotency-Key: 1\r\n"
-	for name, c := range map[string]struct{ sends, code string }{
-		"readiness":             {"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n", "200"},
-		"a bad request":         {head + "Content-Length: 0\r\n\r\n", "400"},
-		"a malformed head":      {"GET\r\n\r\n", "400"},
-		"an unknown coding":     {head + "Transfer-Encoding: x\r\n\r\n", "501"},
-		"a head too large":      {"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 2*headMost) + "\r\n\r\n", "431"},
-		"chunks, which end it":  {head + "X-Correlation-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "200"},
-		"a refusal amid a body": {head + "X-Correlation-Id: 1\r\nContent-Length: 99999999\r\n\r\n", "413"},
+	for name, c := range map[string]struct{ sent, code string }{
+		"readiness":               {"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n", "200"},
+		"a bad request":           {head + "Content-Length: 0\r\n\r\n", "400"},
+		"a malformed head":        {"GET\r\n\r\n", "400"},
+		"an unknown coding":       {head + "Transfer-Encoding: x\r\n\r\n", "501"},
+		"a head too large":        {"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 2*headMost) + "\r\n\r\n", "431"},
+		"chunks, which end it":    {head + "X-Correlation-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "200"},
+		"a rejection amid a body": {head + "X-Correlation-Id: 1\r\nContent-Length: 99999999\r\n\r\n", "413"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			w := start(t, nil, ready("s-1", e.address))
 			w.until("no connection", func() bool { return w.server.clients.open() == 0 })
 			k := w.keep()
-			io.WriteString(k.conn, c.sends+strings.Repeat("z", 64<<10))
+			io.WriteString(k.conn, c.sent+strings.Repeat("z", 64<<10))
 			w.only()
 			w.until("the connection's end", func() bool { return w.server.clients.open() == 0 })
 			got, err := io.ReadAll(k.in)
 			if err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 "+c.code) {
-				t.Errorf("read %.40q, %v; want an answer %s and a clean end", got, err, c.code)
+				t.Errorf("read %.40q, %v; want a response %s and a clean end", got, err, c.code)
 			}
 		})
 	}
 }
 
-// A request that arrives between the look at a resting connection and its shutdown is never read: its client is told
-// by the end, and sends it again elsewhere.
+// A request that arrives between the check of an idle connection and its close is never read: its client sees the end, and
+// sends it again elsewhere.
 func TestRequestAfterTheIdleCheckIsNeverRead(t *testing.T) {
 	e := newEndpoint(t, always(served))
 	w := start(t, nil, ready("s-1", e.address))
@@ -75,10 +75,10 @@
 	conn := w.atRest()
 	conn.closeIf(func() bool {
 		if conn.hasRequestInProgressLocked() || !quiet(conn.Conn) {
-			t.Error("the connection is not at rest")
+			t.Error("the connection is not idle")
 		}
 		w.request("read", "", time.Minute).Write(k.conn)
-		w.until("the request in the kernel's hands", func() bool { return !quiet(conn.Conn) })
+		w.until("the request in the socket's buffer", func() bool { return !quiet(conn.Conn) })
 		return true
 	})
 	if got, err := io.ReadAll(k.in); err != nil || len(got) > 0 {
@@ -86,7 +86,7 @@
 	}
 	w.request("read", "", time.Minute).Write(k.conn)
 	if n, err := conn.Read(make([]byte, 1)); n > 0 || err != io.EOF {
-		t.Errorf("after the shutdown %d bytes are read (%v)", n, err)
+		t.Errorf("after the close %d bytes are read (%v)", n, err)
 	}
 	k.conn.Close()
 	w.until("the connection's end", func() bool { return w.server.clients.open() == 0 })
@@ -100,7 +100,7 @@
 	}
 }
 
-// The other way round: bytes that were read before the sweep's look keep the connection open, however few.
+// Bytes of a request that were read before the check of an idle connection keep it open, however few.
 func TestIdleCloseSparesARequestInProgress(t *testing.T) {
 	e := newEndpoint(t, always(served))
 	w := start(t, nil, ready("s-1", e.address))
@@ -125,7 +125,7 @@
 	}
 }
 
-// What comes after the shutdown of a connection is read by nobody, be it at the end of the process or before.
+// What arrives after a connection is closed is never read, also while the process ends.
 func TestNothingIsReadAfterTheClose(t *testing.T) {
 	e := newEndpoint(t, always(served))
 	w := start(t, nil, ready("s-1", e.address))
@@ -148,7 +148,7 @@
 	}
 }
 
-// A connection that had to make room takes its first request with it; one whose request was taken stays.
+// A connection whose request was taken is not evicted; with one that is evicted, its first request is lost.
 func TestEvictionSparesATakenRequest(t *testing.T) {
 	for _, taken := range []bool{false, true} {
 		near, far := socketPair(t)
@@ -167,8 +167,8 @@
 			t.Fatal("a request of an open connection was not taken")
 		}
 		clients.evict()
-		if stays := clients.open() == 1; stays != taken {
-			t.Errorf("taken %v: the connection stays: %v", taken, stays)
+		if isKept := clients.open() == 1; isKept != taken {
+			t.Errorf("taken %v: the connection is kept: %v", taken, isKept)
 		}
 		if !taken && clients.markProper(conn) {
 			t.Error("the request of an evicted connection was taken")
@@ -176,8 +176,8 @@
 	}
 }
 
-// A connection ends however its end falls together with what comes: the system's close waits for who reads, and that
-// one must not wait for who closes.
+// A connection ends whatever arrives while it is closed: the socket's close waits for a read in progress, and the read must not
+// wait for the close.
 func TestCloseDuringARead(t *testing.T) {
 	clients := newClients(1)
 	for i := range 300 {
@@ -218,7 +218,7 @@
 	}
 }
 
-// Connections whose answers are out make room first, and at once.
+// Connections that are only drained are evicted first.
 func TestDrainingConnectionsAreEvictedFirst(t *testing.T) {
 	clients := newClients(3)
 	var conns []*clientConn
@@ -229,7 +229,7 @@
 			t.Fatal(err)
 		}
 		clients.note(conn, http.StateNew)
-		if i > 0 { // the last one ends, and its client does not close its side
+		if i > 0 { // the last one is closed, and its client does not close its side
 			clients.markProper(conn)
 			clients.note(conn, http.StateActive)
 		}
@@ -238,18 +238,18 @@
 	conns[2].Close()
 	clients.note(conns[2], http.StateClosed)
 	if n := clients.open(); n != 3 {
-		t.Fatalf("%d connections count, want the one that lingers as well", n)
+		t.Fatalf("%d connections are open, want the draining one among them", n)
 	}
 	clients.evict()
 	clients.mu.Lock()
 	defer clients.mu.Unlock()
 	if clients.conns[conns[2]] != nil || len(clients.conns) != 2 {
-		t.Error("the connection that lingers was not the one to make room")
+		t.Error("the draining connection was not the one that was evicted")
 	}
 }
 
-// Bad clients are owed an end in 3 s: those that send without end, and those that send two bytes of a request and stop.
-// The rest are served meanwhile.
+// Misbehaving clients are disconnected within 3 s: those that send without end, and those that send two bytes of a request and
+// stop. Others are served meanwhile.
 func TestMisbehavingClientsAreDisconnected(t *testing.T) {
 	e := newEndpoint(t, always(served))
 	w := start(t, nil, ready("s-1", e.address))
@@ -275,9 +275,9 @@
 					done <- nil // the sidecar ended it
 					return
 				}
-				// What is dropped in lingerMost, and twice as much for the system's buffers.
-				if most := int(maxDrainTime/discardPause) * bufferBytes; sent > 3*most {
-					done <- fmt.Errorf("%d bytes were taken of it", sent)
+				// What is discarded in maxDrainTime, and twice as much for the system's buffers.
+				if maxDiscarded := int(maxDrainTime/discardPause) * bufferBytes; sent > 3*maxDiscarded {
+					done <- fmt.Errorf("%d bytes were read of it", sent)
 					return
 				}
 			}
@@ -288,13 +288,13 @@
 			select {
 			case err := <-done:
 				if over = true; err != nil {
-					t.Errorf("bad client %d: %v", i, err)
+					t.Errorf("misbehaving client %d: %v", i, err)
 				}
 			case <-time.After(patience):
-				t.Fatalf("bad client %d is not ended", i)
+				t.Fatalf("misbehaving client %d is not disconnected", i)
 			default:
 				if got := w.send(w.request("read", "", 3*time.Second)); got.code != http.StatusOK {
-					t.Fatalf("a proper client meanwhile: %+v", got)
+					t.Fatalf("a request meanwhile: %+v", got)
 				}
 			}
 		}
@@ -302,7 +302,7 @@
 	w.until("their connections to be gone", func() bool { return w.server.clients.open() == 0 })
 }
 
-// With few descriptors, a flood of connections of every bad kind leaves room for proper clients.
+// With few descriptors, a flood of misbehaving connections of every kind leaves room for other clients.
 func TestConnectionFloodLeavesRoomForClients(t *testing.T) {
 	e := newEndpoint(t, always(served))
 	w := start(t, nil, ready("s-1", e.address))
@@ -337,7 +337,7 @@
 	}
 	for range 50 {
 		if got := w.send(w.request("read", "", 3*time.Second)); got.code != http.StatusOK {
-			t.Fatalf("a proper client: %+v", got)
+			t.Fatalf("a request: %+v", got)
 		}
 		if n := w.server.clients.open(); n > w.server.clients.most {
 			t.Fatalf("%d connections are held, %d at most", n, w.server.clients.most)
--- a/internal/sidecar/request_framing.go
+++ b/internal/sidecar/request_framing.go
@@ -2,72 +2,88 @@
 
 import "bytes"
 
-// maxHeaderLineKept is how much of a head's line is kept: the name and value of a short header.
+// maxHeaderLineKept is how many bytes of a header line are kept: enough for the name and value of the headers of framing.
 const maxHeaderLineKept = 64
 
-// requestFraming follows where requests begin and end in what a client sends, to see what net/http does not tell: a head
-// with both a length and a transfer coding, of which it drops the length. Whatever passed this by as one request
-// may be two to somebody else, or the other way round.
+// unknownContentLength is the length of a body whose head has not given one yet.
+const unknownContentLength = -1
+
+// requestFraming follows in a client's byte stream where its requests begin and end, to see what net/http does not tell: a
+// head with both a Content-Length and a Transfer-Encoding, of which net/http drops the length. Another server may take what
+// this one took for one request to be two, or the other way round (RFC 9112, section 6.3: request smuggling).
+//
+// It is not safe for concurrent use.
 type requestFraming struct {
-	headsRead       int // that have ended
-	conflictingHead int // number of the head with both, counted from 1; 0 for none
-	isDone          bool
-	isInHead        bool // part of a head has come
+	headsRead       int  // complete heads
+	conflictingHead int  // number of the head with both headers, counted from 1; 0 for none
+	isDone          bool // no further request is taken on the connection: what follows is not looked at
+	isInHead        bool // part of a head was read
 
-	line              []byte
-	hasTransferCoding bool
-	contentLength     int64 // of the body; negative before it is told
-	bodyRemaining     int64 // bytes of it still to come
+	line              []byte // what is kept of the line that is being read
+	hasTransferCoding bool   // the head that is being read has a Transfer-Encoding
+	contentLength     int64  // of the head that is being read, in bytes
+	bodyRemaining     int64  // bytes of the current body that were not read yet
 }
 
-func newRequestFraming() requestFraming { return requestFraming{contentLength: -1} }
+func newRequestFraming() requestFraming { return requestFraming{contentLength: unknownContentLength} }
 
-// observe takes in what has come.
-func (f *requestFraming) observe(p []byte) {
-	for len(p) > 0 && !f.isDone {
+// observe follows what was read next, however it is cut.
+func (f *requestFraming) observe(data []byte) {
+	for len(data) > 0 && !f.isDone {
 		if f.bodyRemaining > 0 {
-			n := min(f.bodyRemaining, int64(len(p)))
+			n := min(f.bodyRemaining, int64(len(data)))
 			f.bodyRemaining -= n
-			p = p[n:]
+			data = data[n:]
 			continue
 		}
 		f.isInHead = true
-		part, rest, whole := bytes.Cut(p, []byte("\n"))
+		part, rest, isLineComplete := bytes.Cut(data, []byte("\n"))
 		f.line = append(f.line, part[:min(len(part), maxHeaderLineKept-len(f.line))]...)
-		if !whole {
+		if !isLineComplete {
 			return
 		}
-		p = rest
+		data = rest
 		f.observeLine(bytes.TrimSuffix(f.line, []byte("\r")))
 		f.line = f.line[:0]
 	}
 }
 
-// observeLine takes in a line of a head.
+// observeLine follows one line of a head. An empty line ends the head.
 func (f *requestFraming) observeLine(line []byte) {
-	if len(line) > 0 {
-		name, value, _ := bytes.Cut(line, []byte(":"))
-		switch {
-		case bytes.EqualFold(name, []byte("Transfer-Encoding")):
-			f.hasTransferCoding = true
-		case bytes.EqualFold(name, []byte("Content-Length")):
-			f.contentLength = 0
-			for _, digit := range bytes.TrimSpace(value) {
-				if digit < '0' || digit > '9' || f.contentLength > requestMost {
-					f.isDone = true // the server turns this request away, and its connection with it
-					return
-				}
-				f.contentLength = 10*f.contentLength + int64(digit-'0')
-			}
-		}
+	if len(line) == 0 {
+		f.endHead()
 		return
 	}
+	name, value, _ := bytes.Cut(line, []byte(":"))
+	switch {
+	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
+		f.hasTransferCoding = true
+	case bytes.EqualFold(name, []byte("Content-Length")):
+		f.observeContentLength(bytes.TrimSpace(value))
+	}
+}
+
+// observeContentLength follows the value of a Content-Length. On one that is malformed or too large, the server rejects the
+// request and closes the connection.
+func (f *requestFraming) observeContentLength(value []byte) {
+	f.contentLength = 0
+	for _, digit := range value {
+		if digit < '0' || digit > '9' || f.contentLength > requestMost {
+			f.isDone = true
+			return
+		}
+		f.contentLength = 10*f.contentLength + int64(digit-'0')
+	}
+}
+
+// endHead completes a head and starts on its body.
+func (f *requestFraming) endHead() {
 	f.headsRead++
 	f.isInHead = false
 	if f.hasTransferCoding && f.contentLength >= 0 {
 		f.conflictingHead = f.headsRead
 	}
-	// A request with a coding is the last that is taken on its connection.
+	// A request with a transfer coding is the last that is taken on its connection.
 	f.isDone = f.hasTransferCoding
-	f.bodyRemaining, f.contentLength = max(0, f.contentLength), -1
+	f.bodyRemaining, f.contentLength = max(0, f.contentLength), unknownContentLength
 }
--- a/internal/sidecar/request_framing_test.go
+++ b/internal/sidecar/request_framing_test.go
@@ -8,44 +8,43 @@
 	"testing"
 )
 
-// However what a client sends is cut, each head is found, and the one that contradicts itself.
 func TestRequestHeadsAreFoundHoweverInputIsCut(t *testing.T) {
 	plain := "GET /a HTTP/1.1\r\nHost: x\r\n\r\n"
 	body := "POST /b HTTP/1.1\r\nContent-Length: 40\r\n\r\n" + "POST / HTTP/1.1\r\nTransfer-Encoding: x\r\n\r\n"[:40]
 	chunked := "POST /c HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n"
 	long := "GET /" + strings.Repeat("d", 300) + " HTTP/1.1\r\nX: " + strings.Repeat("content-length: 3", 30) + "\r\n\r\n"
 	for _, c := range []struct {
-		sends           string
-		heads, conflict int
+		sent                       string
+		headsRead, conflictingHead int
 	}{
 		{plain + plain, 2, 0},
 		{body + plain + body, 3, 0},
 		{long + plain, 2, 0},
-		{chunked + "0\r\n\r\n" + plain, 1, 0}, // nothing is looked at beyond it
+		{chunked + "0\r\n\r\n" + plain, 1, 0}, // nothing that follows is looked at
 		{"POST /c HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 1, 1},
 		{body + plain + "POST /c HTTP/1.1\nTRANSFER-ENCODING:chunked\nContent-length:0\n\n0\r\n\r\n", 3, 3},
 		{"POST /c HTTP/1.1\r\nContent-Length: 4x\r\nTransfer-Encoding: chunked\r\n\r\n", 0, 0},
 		{"POST /c HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n" + plain, 0, 0},
 	} {
-		for size := 1; size <= len(c.sends); size++ {
+		for size := 1; size <= len(c.sent); size++ {
 			f := newRequestFraming()
-			for rest := c.sends; len(rest) > 0; {
-				n := min(size, len(rest))
-				f.observe([]byte(rest[:n]))
-				rest = rest[n:]
+			for remaining := c.sent; len(remaining) > 0; {
+				n := min(size, len(remaining))
+				f.observe([]byte(remaining[:n]))
+				remaining = remaining[n:]
 			}
 			if f.isInHead && !f.isDone {
-				t.Fatalf("%.60q in pieces of %d: a head is said to be on its way at the end", c.sends, size)
+				t.Fatalf("%.60q in pieces of %d: a head is reported as incomplete at the end", c.sent, size)
 			}
-			if f.headsRead != c.heads || f.conflictingHead != c.conflict {
+			if f.headsRead != c.headsRead || f.conflictingHead != c.conflictingHead {
 				t.Fatalf("%.60q in pieces of %d: %d heads, conflict in %d; want %d and %d",
-					c.sends, size, f.headsRead, f.conflictingHead, c.heads, c.conflict)
+					c.sent, size, f.headsRead, f.conflictingHead, c.headsRead, c.conflictingHead)
 			}
 		}
 	}
 }
 
-// A client may begin its next request as soon as it has its answer, before the server counts the connection as at rest.
+// A client may send its next request as soon as it has its response, before the server counts the connection as idle.
 func TestRequestMayStartBeforeTheLastIsDone(t *testing.T) {
 	near, far := socketPair(t)
 	clients := newClients(1)
@@ -62,18 +61,18 @@
 	}
 	read("GET /a HTTP/1.1\r\n\r\n")
 	if !conn.hasRequestInProgress() {
-		t.Error("a whole head that nobody took is not seen")
+		t.Error("a complete head that no handler took is not reported")
 	}
 	conn.takeRequest()
 	if conn.hasRequestInProgress() {
-		t.Error("a request that was taken counts as on its way")
+		t.Error("a request that was taken is reported as in progress")
 	}
 	read("GET /b")
 	clients.note(conn, http.StateNew)
 	clients.note(conn, http.StateIdle) // only now
 	clients.closeIdle(0)
 	if clients.open() != 1 || conn.isClosing {
-		t.Error("the connection was closed under half a head")
+		t.Error("the connection was closed amid a head")
 	}
 }
 
