--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -62,23 +62,23 @@
 // its Actions. It never waits for the network; what it starts reports back
 // through events.
 type loop struct {
-	cfg       *Config
-	log       *slog.Logger
-	clock     clock
-	up        *upstream
-	disc      *discovery.Client
-	events    chan func(now balancer.Micros)
-	urgent    chan func(now balancer.Micros) // operators' calls, ahead of events
-	ctx       context.Context                // ends with the loop
-	listed    atomic.Bool                    // endpoints are known
-	told      chan struct{}                  // closed once discovery has answered
-	fleet     atomic.Pointer[fleet.Fleet]    // nil where there is none to talk to, or not yet
-	keptView  json.RawMessage                // of the fleet, by an earlier process
-	snapshots *state.Writer                  // nil where no state is persisted
-	restored  *state.Snapshot                // what an earlier process persisted, until the start
-	admin     func() *handover.State         // what operators ordered; nil without operators
-	listedAt  time.Time                      // wall clock when discovery last told the list
-	control   *controltraffic.Accounting     // counts what control costs; nil without operators
+	cfg                *Config
+	log                *slog.Logger
+	clock              clock
+	up                 *upstream
+	disc               *discovery.Client
+	events             chan func(now balancer.Micros)
+	urgent             chan func(now balancer.Micros) // operators' calls, ahead of events
+	ctx                context.Context                // ends with the loop
+	listed             atomic.Bool                    // endpoints are known
+	told               chan struct{}                  // closed once discovery has answered
+	fleet              atomic.Pointer[fleet.Fleet]    // nil where there is none to talk to, or not yet
+	restoredMembership json.RawMessage                // of the fleet, by an earlier process
+	snapshots          *state.Writer                  // nil where no state is persisted
+	restored           *state.Snapshot                // what an earlier process persisted, until the start
+	admin              func() *handover.State         // what operators ordered; nil without operators
+	listedAt           time.Time                      // wall clock when discovery last told the list
+	control            *controltraffic.Accounting     // counts what control costs; nil without operators
 
 	// Below: the loop's goroutine alone.
 	balancer  decider
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/membership.go
@@ -12,8 +12,8 @@
 	"bramblestand/internal/handover"
 )
 
-// fleetOptions is this sidecar's part in the fleet, by its configuration.
-func (c *Config) fleetOptions() fleet.Options {
+// fleetSettings is this sidecar's part in the fleet, by its configuration.
+func (c *Config) fleetSettings() fleet.Options {
 	o := fleet.Options{Settings: c.Fleet, Name: c.Name, PersistentState: c.StateDir != "", Listen: c.peerListen, Peers: c.peers,
 		PeerIndex: c.Settings.Index, PeerBroadcast: c.peersAll}
 	if c.Settings.Zone < len(c.zones) {
@@ -27,8 +27,8 @@
 
 // fleetOptions is the configuration's, with what takes the fleet's events.
 func (l *loop) fleetOptions() fleet.Options {
-	o := l.cfg.fleetOptions()
-	o.Snapshot, o.Logger = l.keptView, l.log
+	o := l.cfg.fleetSettings()
+	o.Snapshot, o.Logger = l.restoredMembership, l.log
 	if o.PeerBroadcast.IsValid() && l.cfg.Settings.Limits.AllowGossip {
 		o.OnGossip = func(data []byte) {
 			l.post(func(now balancer.Micros) { l.balancer.ReceiveGossip(now, data) })
@@ -40,8 +40,8 @@
 	return o
 }
 
-// listen starts to take what peers tell, where the view is off: then both processes of an upgrade may.
-func (l *loop) listen(ctx context.Context) error {
+// openGossip starts to take what peers tell, where the view is off: then both processes of an upgrade may.
+func (l *loop) openGossip(ctx context.Context) error {
 	o := l.fleetOptions()
 	if l.cfg.Fleet.Enabled || !o.Listen.IsValid() || o.OnGossip == nil {
 		return nil
@@ -61,21 +61,21 @@
 	}
 }
 
-// keepView is the fleet's view as it should be kept: the latest, or what an earlier process kept.
-func (l *loop) keepView() json.RawMessage {
+// membershipSnapshot is the fleet's view as it should be kept: the latest, or what an earlier process kept.
+func (l *loop) membershipSnapshot() json.RawMessage {
 	if f := l.fleet.Load(); f != nil {
 		if kept := f.Snapshot(); kept != nil {
 			return kept
 		}
 	}
-	return l.keptView
+	return l.restoredMembership
 }
 
-const fleetRetry = time.Second // between tries to open the socket for peers
+const openRetryInterval = time.Second // between tries to open the socket for peers
 
-// join is a member of the fleet from when no other process of this sidecar is until ctx ends: two processes of an
+// runMembership is a member of the fleet from when no other process of this sidecar is until ctx ends: two processes of an
 // upgrade are one member, and the later takes over as the earlier is told to end. Datagrams are taken until l's end.
-func (s *server) join(ctx context.Context) {
+func (s *server) runMembership(ctx context.Context) {
 	l := s.loop
 	wait := func(d time.Duration) bool {
 		select {
@@ -101,7 +101,7 @@
 	f, err := fleet.Open(l.ctx, o)
 	for ; err != nil; f, err = fleet.Open(l.ctx, o) {
 		l.log.Error("fleet: no part in it yet", "error", err)
-		if !wait(fleetRetry) {
+		if !wait(openRetryInterval) {
 			return
 		}
 	}
@@ -121,7 +121,7 @@
 	if !c.peerListen.IsValid() {
 		return errors.New("on: needs peer_listen")
 	}
-	o := c.fleetOptions()
+	o := c.fleetSettings()
 	_, err := o.Self()
 	return err
 }
--- a/internal/sidecar/ops_golden_test.go
+++ b/internal/sidecar/ops_golden_test.go
@@ -168,7 +168,7 @@
 	tr.call("GET", "/fleet", "")
 	ctx, leave := context.WithCancel(context.Background())
 	left := make(chan struct{})
-	go func() { defer close(left); w.server.join(ctx) }()
+	go func() { defer close(left); w.server.runMembership(ctx) }()
 	t.Cleanup(func() { leave(); <-left })
 	w.until("the view", func() bool {
 		f := w.loop.fleet.Load()
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -76,12 +76,12 @@
 	if err != nil {
 		return err
 	}
-	if err := l.listen(loopCtx); err != nil {
+	if err := l.openGossip(loopCtx); err != nil {
 		return err
 	}
 	s := newServer(l)
 	if l.restored = loadSnapshot(cfg, log); l.restored != nil {
-		l.keptView = l.restored.Membership
+		l.restoredMembership = l.restored.Membership
 	}
 	if cfg.StateDir != "" {
 		l.snapshots = state.NewWriter(loopCtx, cfg.StateDir, log)
@@ -107,7 +107,7 @@
 	}
 	go l.follow(reloads)
 	if cfg.Fleet.Enabled {
-		go s.join(ctx)
+		go s.runMembership(ctx)
 	}
 	if paired && !s.awaitList(ctx) { // the other process serves as yet
 		return nil
--- a/internal/sidecar/snapshot.go
+++ b/internal/sidecar/snapshot.go
@@ -99,7 +99,7 @@
 
 // snapshot returns what is to be persisted. The loop's goroutine calls it.
 func (l *loop) snapshot(now balancer.Micros) *state.Snapshot {
-	s := &state.Snapshot{SidecarName: l.cfg.Name, ListedAt: l.listedAt, IsFullList: true, Membership: l.keepView()}
+	s := &state.Snapshot{SidecarName: l.cfg.Name, ListedAt: l.listedAt, IsFullList: true, Membership: l.membershipSnapshot()}
 	if l.seq != nil {
 		s.ListVersion = *l.seq
 	}
