--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -73,7 +73,7 @@
 	listed             atomic.Bool                    // endpoints are known
 	told               chan struct{}                  // closed once discovery has answered
 	fleet              atomic.Pointer[fleet.Fleet]    // nil where there is none to talk to, or not yet
-	restoredMembership json.RawMessage                // of the fleet, by an earlier process
+	restoredMembership json.RawMessage                // the view that an earlier process persisted
 	snapshots          *state.Writer                  // nil where no state is persisted
 	restored           *state.Snapshot                // what an earlier process persisted, until the start
 	admin              func() *handover.State         // what operators ordered; nil without operators
--- a/internal/sidecar/membership.go
+++ b/internal/sidecar/membership.go
@@ -12,20 +12,45 @@
 	"bramblestand/internal/handover"
 )
 
-// fleetSettings is this sidecar's part in the fleet, by its configuration.
+const openRetryInterval = time.Second // between attempts to open the peers' socket
+
+// errNoPeerListen is a configuration's membership without an address for datagrams.
+var errNoPeerListen = errors.New("on: needs peer_listen")
+
+// fleetSettings returns the part of a fleet's options that the configuration decides.
 func (c *Config) fleetSettings() fleet.Options {
-	o := fleet.Options{Settings: c.Fleet, Name: c.Name, PersistentState: c.StateDir != "", Listen: c.peerListen, Peers: c.peers,
-		PeerIndex: c.Settings.Index, PeerBroadcast: c.peersAll}
+	o := fleet.Options{
+		Settings:        c.Fleet,
+		Name:            c.Name,
+		PersistentState: c.StateDir != "",
+		Listen:          c.peerListen,
+		Peers:           c.peers,
+		PeerIndex:       c.Settings.Index,
+		PeerBroadcast:   c.peersAll,
+	}
 	if c.Settings.Zone < len(c.zones) {
 		o.Zone = c.zones[c.Settings.Zone]
 	}
-	if c.Ops != "" {
+	if c.Ops != "" { // a second process may share the address during an upgrade
 		o.ControlSocket = sharePort
 	}
 	return o
 }
 
-// fleetOptions is the configuration's, with what takes the fleet's events.
+// validateFleet checks the fleet's settings against the rest of the configuration. Its errors begin with the key.
+func (c *Config) validateFleet() error {
+	if !c.Fleet.Enabled {
+		return nil
+	}
+	if !c.peerListen.IsValid() {
+		return errNoPeerListen
+	}
+	o := c.fleetSettings()
+	_, err := o.Self()
+	return err
+}
+
+// fleetOptions returns the configuration's options with the restored view and with handlers that post to the event loop.
 func (l *loop) fleetOptions() fleet.Options {
 	o := l.cfg.fleetSettings()
 	o.Snapshot, o.Logger = l.restoredMembership, l.log
@@ -34,13 +59,14 @@
 			l.post(func(now balancer.Micros) { l.balancer.ReceiveGossip(now, data) })
 		}
 	}
-	o.OnMemberCount = func(living int) {
-		l.post(func(balancer.Micros) { l.balancer.SetFleetSize(living) })
+	o.OnMemberCount = func(members int) {
+		l.post(func(balancer.Micros) { l.balancer.SetFleetSize(members) })
 	}
 	return o
 }
 
-// openGossip starts to take what peers tell, where the view is off: then both processes of an upgrade may.
+// openGossip begins to receive and send gossip where the membership is disabled: then both processes of an upgrade may.
+// Otherwise runMembership does. The socket is closed when ctx ends.
 func (l *loop) openGossip(ctx context.Context) error {
 	o := l.fleetOptions()
 	if l.cfg.Fleet.Enabled || !o.Listen.IsValid() || o.OnGossip == nil {
@@ -54,74 +80,81 @@
 	return nil
 }
 
-// SendGossip sends data to all other sidecars.
+// SendGossip sends data to all other sidecars. It is the balancer's action.
 func (l *loop) SendGossip(data []byte) {
 	if f := l.fleet.Load(); f != nil {
 		f.SendGossip(data)
 	}
 }
 
-// membershipSnapshot is the fleet's view as it should be kept: the latest, or what an earlier process kept.
+// membershipSnapshot returns the membership's view to persist: the present one, else what was restored.
 func (l *loop) membershipSnapshot() json.RawMessage {
 	if f := l.fleet.Load(); f != nil {
-		if kept := f.Snapshot(); kept != nil {
-			return kept
+		if snapshot := f.Snapshot(); snapshot != nil {
+			return snapshot
 		}
 	}
 	return l.restoredMembership
 }
 
-const openRetryInterval = time.Second // between tries to open the socket for peers
-
-// runMembership is a member of the fleet from when no other process of this sidecar is until ctx ends: two processes of an
-// upgrade are one member, and the later takes over as the earlier is told to end. Datagrams are taken until l's end.
+// runMembership takes part in the fleet's membership until ctx ends. The two processes of an upgrade are one member: the
+// later one takes over when the earlier is told to end. Gossip is received on until the event loop's end.
 func (s *server) runMembership(ctx context.Context) {
-	l := s.loop
-	wait := func(d time.Duration) bool {
-		select {
-		case <-time.After(d):
-			return true
-		case <-ctx.Done():
-			return false
-		}
+	if !s.acquireMembership(ctx) {
+		return
+	}
+	f := s.openFleet(ctx)
+	if f == nil {
+		return
 	}
+	s.loop.fleet.Store(f)
+	<-ctx.Done()
+	hasSuccessor := s.handover != nil && s.handover.HasOtherProcess()
+	f.Close(!hasSuccessor)
+	if s.handover != nil {
+		s.handover.ReleaseFleetMembership()
+	}
+}
+
+// acquireMembership waits until no other process of this sidecar is the member; false when ctx ended first.
+func (s *server) acquireMembership(ctx context.Context) bool {
 	for s.handover != nil && !s.handover.AcquireFleetMembership() {
-		if !wait(handover.PollInterval) {
-			return
+		if !sleep(ctx, handover.PollInterval) {
+			return false
 		}
 	}
+	return true
+}
+
+// openFleet opens the fleet, again and again until it succeeds; nil when ctx ended first.
+func (s *server) openFleet(ctx context.Context) *fleet.Fleet {
+	l := s.loop
 	o := l.fleetOptions()
 	if s.handover != nil { // a process of an earlier release may still have a socket of this address
 		o.OnSocket = func(socket syscall.Conn) {
 			if err := steer(socket); err != nil {
-				l.log.Warn("datagrams are not steered to this process", "error", err)
+				l.log.Warn("datagrams not steered to this process", "error", err)
 			}
 		}
 	}
-	f, err := fleet.Open(l.ctx, o)
-	for ; err != nil; f, err = fleet.Open(l.ctx, o) {
-		l.log.Error("fleet: no part in it yet", "error", err)
-		if !wait(openRetryInterval) {
-			return
+	for {
+		f, err := fleet.Open(l.ctx, o)
+		if err == nil {
+			return f
+		}
+		l.log.Error("fleet not joined; it will be tried again", "error", err)
+		if !sleep(ctx, openRetryInterval) {
+			return nil
 		}
-	}
-	l.fleet.Store(f)
-	<-ctx.Done()
-	f.Close(s.handover == nil || !s.handover.HasOtherProcess())
-	if s.handover != nil {
-		s.handover.ReleaseFleetMembership()
 	}
 }
 
-// validateFleet says what of the fleet's table cannot be, given the rest of the configuration.
-func (c *Config) validateFleet() error {
-	if !c.Fleet.Enabled {
-		return nil
+// sleep waits for a duration; false when ctx ended first.
+func sleep(ctx context.Context, duration time.Duration) bool {
+	select {
+	case <-time.After(duration):
+		return true
+	case <-ctx.Done():
+		return false
 	}
-	if !c.peerListen.IsValid() {
-		return errors.New("on: needs peer_listen")
-	}
-	o := c.fleetSettings()
-	_, err := o.Self()
-	return err
 }
