--- a/internal/sidecar/ops.go
+++ b/internal/sidecar/admin.go
@@ -19,21 +19,21 @@
 )
 
 const (
-	opsMost     = 16              // connections of operators at once
-	opsTimeout  = 2 * time.Second // for a whole call, and for its answer
-	opsBodyMost = 1 << 10         // bytes of a call's body
+	maxAdminConnections = 16              // connections of operators at once
+	adminTimeout        = 2 * time.Second // for a whole call, and for its answer
+	maxAdminBodyBytes   = 1 << 10         // bytes of a call's body
 )
 
-// operators answers operators' calls at an address of their own.
-type operators struct {
-	server  *server
-	log     *slog.Logger
-	http    http.Server
-	callers *clients
+// adminServer answers operators' calls at an address of their own.
+type adminServer struct {
+	server      *server
+	log         *slog.Logger
+	http        http.Server
+	connections *clients
 }
 
-// listenToOperators opens the operators' address of a configuration that has one.
-func listenToOperators(cfg *Config) (net.Listener, error) {
+// listenAdmin opens the operators' address of a configuration that has one.
+func listenAdmin(cfg *Config) (net.Listener, error) {
 	listener, err := net.Listen("tcp", cfg.Ops)
 	if err != nil {
 		return nil, fmt.Errorf("ops: %w", err)
@@ -41,62 +41,62 @@
 	return listener, nil
 }
 
-func newOperators(s *server) *operators {
-	o := &operators{server: s, log: s.loop.log, callers: newClients(opsMost)}
+func newAdminServer(s *server) *adminServer {
+	o := &adminServer{server: s, log: s.loop.log, connections: newClients(maxAdminConnections)}
 	if s.loop.control != nil {
-		o.callers.flow = &s.loop.control.Admin
+		o.connections.flow = &s.loop.control.Admin
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ready", o.ready)
-	mux.HandleFunc("GET /pin-servers", o.tell)
+	mux.HandleFunc("GET /pin-servers", o.settings)
 	mux.HandleFunc("GET /fleet", o.fleet)
-	mux.HandleFunc("GET /control", o.control)
-	mux.HandleFunc("POST /pin-servers/disable", o.ban(true))
-	mux.HandleFunc("POST /pin-servers/enable", o.ban(false))
-	mux.HandleFunc("POST /drain", o.drain(true))
-	mux.HandleFunc("POST /undrain", o.drain(false))
+	mux.HandleFunc("GET /control", o.controlTraffic)
+	mux.HandleFunc("POST /pin-servers/disable", o.setBanned(true))
+	mux.HandleFunc("POST /pin-servers/enable", o.setBanned(false))
+	mux.HandleFunc("POST /drain", o.setDrained(true))
+	mux.HandleFunc("POST /undrain", o.setDrained(false))
 	handler := func(w http.ResponseWriter, in *http.Request) {
-		o.callers.flow.AddReceived(0, true)
-		defer o.callers.flow.AddSent(0, true)
-		body, err := io.ReadAll(http.MaxBytesReader(w, in.Body, opsBodyMost))
+		o.connections.flow.AddReceived(0, true)
+		defer o.connections.flow.AddSent(0, true)
+		body, err := io.ReadAll(http.MaxBytesReader(w, in.Body, maxAdminBodyBytes))
 		var large *http.MaxBytesError
 		if errors.As(err, &large) {
-			http.Error(w, fmt.Sprintf("the body is over %d bytes", opsBodyMost), http.StatusRequestEntityTooLarge)
+			http.Error(w, fmt.Sprintf("the body is over %d bytes", maxAdminBodyBytes), http.StatusRequestEntityTooLarge)
 			return
 		} else if err != nil {
 			http.Error(w, "the body could not be read", http.StatusBadRequest)
 			return
 		}
 		in.Body = io.NopCloser(bytes.NewReader(body))
-		o.callers.markProper(connOf(in)) // only a whole call keeps its connection when room is short
+		o.connections.markProper(connOf(in)) // only a whole call keeps its connection when room is short
 		mux.ServeHTTP(w, in)
 	}
-	o.http = http.Server{Handler: http.HandlerFunc(handler), ReadTimeout: opsTimeout, WriteTimeout: opsTimeout,
+	o.http = http.Server{Handler: http.HandlerFunc(handler), ReadTimeout: adminTimeout, WriteTimeout: adminTimeout,
 		MaxHeaderBytes: headMost, ErrorLog: slog.NewLogLogger(o.log.Handler(), slog.LevelWarn),
-		ConnState: o.callers.note, ConnContext: o.callers.name}
+		ConnState: o.connections.note, ConnContext: o.connections.name}
 	o.http.SetKeepAlivesEnabled(false)
 	return o
 }
 
 // serve answers calls until ctx ends.
-func (o *operators) serve(ctx context.Context, listener net.Listener) {
+func (o *adminServer) serve(ctx context.Context, listener net.Listener) {
 	stop := context.AfterFunc(ctx, func() { o.http.Close() })
 	defer stop()
-	if err := o.http.Serve(clientListener{listener, o.callers}); !errors.Is(err, http.ErrServerClosed) {
+	if err := o.http.Serve(clientListener{listener, o.connections}); !errors.Is(err, http.ErrServerClosed) {
 		o.log.Error("operators' address", "error", err)
 	}
 }
 
 // ready says whether this process serves clients, be it told to send them away or not.
-func (o *operators) ready(w http.ResponseWriter, in *http.Request) {
-	if !o.server.serves() {
+func (o *adminServer) ready(w http.ResponseWriter, in *http.Request) {
+	if !o.server.isServing() {
 		http.Error(w, "not serving", http.StatusServiceUnavailable)
 	}
 }
 
-// tell answers with what operators ordered of this sidecar, as JSON: the ids of pin servers out by hand, sorted, and
+// settings answers with what operators ordered of this sidecar, as JSON: the ids of pin servers out by hand, sorted, and
 // whether it is drained. Both processes of an upgrade tell the same.
-func (o *operators) tell(w http.ResponseWriter, in *http.Request) {
+func (o *adminServer) settings(w http.ResponseWriter, in *http.Request) {
 	state := o.server.handover.Load()
 	banned := append([]string{}, state.Banned...)
 	slices.Sort(banned)
@@ -109,7 +109,7 @@
 
 // fleet answers with the fleet's view as JSON, or as text where format=text is asked for; brief=1 leaves out members
 // and traffic. 404 where the view is off, 503 where another process of this sidecar keeps it.
-func (o *operators) fleet(w http.ResponseWriter, in *http.Request) {
+func (o *adminServer) fleet(w http.ResponseWriter, in *http.Request) {
 	if !o.server.loop.cfg.Fleet.Enabled {
 		http.Error(w, "the view of the fleet is off (fleet.on)", http.StatusNotFound)
 		return
@@ -129,8 +129,8 @@
 	json.NewEncoder(w).Encode(status)
 }
 
-// control answers with what control has cost since the start, as JSON.
-func (o *operators) control(w http.ResponseWriter, in *http.Request) {
+// controlTraffic answers with what control has cost since the start, as JSON.
+func (o *adminServer) controlTraffic(w http.ResponseWriter, in *http.Request) {
 	if o.server.loop.control == nil {
 		http.Error(w, "what control costs is not counted", http.StatusNotFound)
 		return
@@ -139,12 +139,12 @@
 	json.NewEncoder(w).Encode(o.server.loop.control.Status(o.server.loop.datagramCounts()))
 }
 
-// ban answers a call that takes a pin server out of use by hand, or into use again.
-func (o *operators) ban(on bool) http.HandlerFunc {
+// setBanned answers a call that takes a pin server out of use by hand, or into use again.
+func (o *adminServer) setBanned(on bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, in *http.Request) {
 		body, err := io.ReadAll(in.Body)
 		if err != nil {
-			o.answer(w, in, err)
+			o.finish(w, in, err)
 			return
 		}
 		id := strings.TrimSpace(string(body))
@@ -154,14 +154,14 @@
 		}
 		var known bool
 		if err := o.server.loop.urge(func(balancer.Micros) { _, known = o.server.loop.ids[id] }); err != nil {
-			o.answer(w, in, err)
+			o.finish(w, in, err)
 			return
 		}
 		if !known {
 			http.Error(w, "no such pin server was ever listed", http.StatusNotFound)
 			return
 		}
-		o.answer(w, in, o.server.updateSettings(func(state *handover.State) {
+		o.finish(w, in, o.server.updateSettings(func(state *handover.State) {
 			state.Banned = slices.DeleteFunc(state.Banned, func(name string) bool { return name == id })
 			if on {
 				state.Banned = append(state.Banned, id)
@@ -170,8 +170,8 @@
 	}
 }
 
-// answer says yes, or why a call was not carried out.
-func (o *operators) answer(w http.ResponseWriter, in *http.Request, err error) {
+// finish says yes, or why a call was not carried out.
+func (o *adminServer) finish(w http.ResponseWriter, in *http.Request, err error) {
 	if err != nil {
 		o.log.Error("operators' call not carried out", "path", in.URL.Path, "from", in.RemoteAddr, "error", err)
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -180,9 +180,9 @@
 	o.log.Info("operators' call", "path", in.URL.Path, "from", in.RemoteAddr)
 }
 
-// drain answers a call that sends clients away or takes them again.
-func (o *operators) drain(on bool) http.HandlerFunc {
+// setDrained answers a call that sends clients away or takes them again.
+func (o *adminServer) setDrained(on bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, in *http.Request) {
-		o.answer(w, in, o.server.updateSettings(func(state *handover.State) { state.Drained = on }))
+		o.finish(w, in, o.server.updateSettings(func(state *handover.State) { state.Drained = on }))
 	}
 }
--- a/internal/sidecar/ops_golden_test.go
+++ b/internal/sidecar/admin_golden_test.go
@@ -20,7 +20,7 @@
 	"bramblestand/internal/fleet"
 )
 
-// transcript collects operators' calls and their answers as release 21.0 wrote them into testdata/operators.txt.
+// transcript collects operators' calls and their answers as release 21.0 wrote them into testdata/admin_calls.txt.
 type transcript struct {
 	t    *testing.T
 	w    *world
@@ -33,7 +33,7 @@
 // call makes a call and writes down status, headers and body.
 func (tr *transcript) call(method, path, body string) {
 	tr.t.Helper()
-	r, err := http.NewRequest(method, "http://"+tr.w.ops+path, strings.NewReader(body))
+	r, err := http.NewRequest(method, "http://"+tr.w.adminAddress+path, strings.NewReader(body))
 	if err != nil {
 		tr.t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 // raw sends these bytes and no more, and writes down the answer.
 func (tr *transcript) raw(sends string) {
 	tr.t.Helper()
-	conn, err := net.Dial("tcp", tr.w.ops)
+	conn, err := net.Dial("tcp", tr.w.adminAddress)
 	if err != nil {
 		tr.t.Fatal(err)
 	}
@@ -96,7 +96,7 @@
 	// One more than are banned: a list that comes while all are makes the sidecar not ready.
 	hosts := []discovery.Endpoint{ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:1"), ready("s-3", "127.0.0.1:1")}
 	plain := start(t, nil, hosts...) // counts no control and keeps no view
-	plain.operate()
+	plain.openAdmin()
 	w := &world{t: t, dir: newDirectory(t, hosts...)}
 	cfg := configure(t, w.dir.address, nil, hosts...)
 	cfg.Ops = "127.0.0.1:0" // control is counted
@@ -108,8 +108,8 @@
 	cfg.peerListen = netip.MustParseAddrPort(peers.LocalAddr().String())
 	peers.Close()
 	w.launch(cfg)
-	w.until("serving", func() bool { return w.server.serves() })
-	call := w.operate()
+	w.until("serving", func() bool { return w.server.isServing() })
+	call := w.openAdmin()
 	file := filepath.Join(w.folder, "pinedale-n0.json")
 	tr := &transcript{t: t, w: w, norm: func(text string) string {
 		text = strings.ReplaceAll(text, w.folder, "DIR")
@@ -152,9 +152,9 @@
 	tr.call("POST", "/pin-servers/disable", " \n")
 	tr.call("POST", "/pin-servers/disable", "s-9")
 	tr.call("POST", "/pin-servers/enable", "s-9")
-	tr.call("POST", "/pin-servers/enable", strings.Repeat("s", opsBodyMost))
-	tr.call("POST", "/pin-servers/enable", strings.Repeat("s", opsBodyMost+1))
-	tr.call("POST", "/undrain", strings.Repeat("x", opsBodyMost+1))
+	tr.call("POST", "/pin-servers/enable", strings.Repeat("s", maxAdminBodyBytes))
+	tr.call("POST", "/pin-servers/enable", strings.Repeat("s", maxAdminBodyBytes+1))
+	tr.call("POST", "/undrain", strings.Repeat("x", maxAdminBodyBytes+1))
 	tr.raw("POST /drain HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nabc")
 
 	tr.section("control")
@@ -203,7 +203,7 @@
 		t.Errorf("after all: %d, want 200", code)
 	}
 
-	want, err := os.ReadFile("testdata/operators.txt")
+	want, err := os.ReadFile("testdata/admin_calls.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/ops_test.go
+++ b/internal/sidecar/admin_test.go
@@ -16,8 +16,8 @@
 	"bramblestand/internal/handover"
 )
 
-// operate opens an operators' address for a running sidecar and returns what calls it.
-func (w *world) operate() func(method, path, body string) int {
+// openAdmin opens an operators' address for a running sidecar and returns what calls it.
+func (w *world) openAdmin() func(method, path, body string) int {
 	w.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -27,11 +27,11 @@
 	w.server.handover = handover.Open(w.folder, "n0", slog.New(slog.DiscardHandler))
 	ctx, stop := context.WithCancel(context.Background())
 	w.t.Cleanup(stop)
-	go newOperators(w.server).serve(ctx, listener)
-	w.ops = listener.Addr().String()
+	go newAdminServer(w.server).serve(ctx, listener)
+	w.adminAddress = listener.Addr().String()
 	return func(method, path, body string) int {
 		w.t.Helper()
-		r, err := http.NewRequest(method, "http://"+w.ops+path, strings.NewReader(body))
+		r, err := http.NewRequest(method, "http://"+w.adminAddress+path, strings.NewReader(body))
 		if err != nil {
 			w.t.Fatal(err)
 		}
@@ -45,7 +45,7 @@
 
 func TestOperatorsCalls(t *testing.T) {
 	w := start(t, nil, ready("s-1", newEndpoint(t, always(served)).address))
-	call := w.operate()
+	call := w.openAdmin()
 	for _, c := range []struct {
 		method, path, body string
 		code               int
@@ -60,8 +60,8 @@
 		{"POST", "/pin-servers/disable", "s-9", 404},
 		{"POST", "/pin-servers/enable", "s-9", 404},
 		{"GET", "/pin-servers/disable", "", 405},
-		{"POST", "/pin-servers/disable", strings.Repeat("s", opsBodyMost+1), 413},
-		{"POST", "/drain", strings.Repeat("x", opsBodyMost+1), 413},
+		{"POST", "/pin-servers/disable", strings.Repeat("s", maxAdminBodyBytes+1), 413},
+		{"POST", "/drain", strings.Repeat("x", maxAdminBodyBytes+1), 413},
 	} {
 		if code := call(c.method, c.path, c.body); code != c.code {
 			t.Errorf("%s %s: %d, want %d", c.method, c.path, code, c.code)
@@ -75,10 +75,10 @@
 // Callers that send no whole call are ended, and never keep others out.
 func TestStalledOperatorsCallers(t *testing.T) {
 	w := start(t, nil, ready("s-1", newEndpoint(t, always(served)).address))
-	call := w.operate()
+	call := w.openAdmin()
 	var stalled []net.Conn
-	for i := range 2 * opsMost {
-		conn, err := net.Dial("tcp", w.ops)
+	for i := range 2 * maxAdminConnections {
+		conn, err := net.Dial("tcp", w.adminAddress)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -133,7 +133,7 @@
 func TestDrainAndUndrain(t *testing.T) {
 	w := start(t, nil, ready("s-1", newEndpoint(t, always(served)).address))
 	w.server.acceptFor = time.Minute // connections at rest stay here until they are used
-	call := w.operate()
+	call := w.openAdmin()
 	readiness := func() int {
 		r, _ := http.NewRequest("GET", w.url+"/health/ready", nil)
 		return w.send(r).code
@@ -177,7 +177,7 @@
 func TestDrainEndsWhatIsAtRest(t *testing.T) {
 	w := start(t, nil, ready("s-1", newEndpoint(t, always(served)).address))
 	w.server.acceptFor = 0
-	call := w.operate()
+	call := w.openAdmin()
 	resting, sending := w.keep(), w.keep()
 	resting.ask()
 	sending.ask()
@@ -201,7 +201,7 @@
 	one, two := newEndpoint(t, always(served)), newEndpoint(t, always(served))
 	hosts := []discovery.Endpoint{ready("s-1", one.address), ready("s-2", two.address)}
 	w := start(t, nil, hosts...)
-	call := w.operate()
+	call := w.openAdmin()
 	for range 2 {
 		if code := call("POST", "/pin-servers/disable", "s-1\n"); code != 200 {
 			t.Fatalf("disable: %d", code)
@@ -243,7 +243,7 @@
 // A call whose change cannot be kept is answered no, and changes nothing.
 func TestCallThatCannotBeKept(t *testing.T) {
 	w := start(t, nil, ready("s-1", newEndpoint(t, always(served)).address))
-	call := w.operate()
+	call := w.openAdmin()
 	w.server.handover.Close()
 	for path, body := range map[string]string{"/drain": "", "/pin-servers/disable": "s-1"} {
 		if code := call("POST", path, body); code != 503 {
--- a/internal/sidecar/control_test.go
+++ b/internal/sidecar/control_test.go
@@ -155,7 +155,7 @@
 			})
 			cfg.Ops = "127.0.0.1:0"
 			w.launch(cfg)
-			w.operate()
+			w.openAdmin()
 			seen := func(of *counted) uint64 {
 				l.mu.Lock()
 				defer l.mu.Unlock()
@@ -168,7 +168,7 @@
 				}
 			}
 			order := func(text string) { // a call of an operator's, read to its end
-				conn, err := net.Dial("tcp", w.ops)
+				conn, err := net.Dial("tcp", w.adminAddress)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -241,9 +241,9 @@
 	cfg := configure(t, w.dir.address, nil)
 	cfg.Ops = "127.0.0.1:0"
 	w.launch(cfg)
-	w.operate()
+	w.openAdmin()
 	ask := func() (s controltraffic.Status) {
-		r, _ := http.NewRequest(http.MethodGet, "http://"+w.ops+"/control", nil)
+		r, _ := http.NewRequest(http.MethodGet, "http://"+w.adminAddress+"/control", nil)
 		got := w.send(r)
 		decoder := json.NewDecoder(strings.NewReader(got.body))
 		decoder.DisallowUnknownFields()
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -130,7 +130,7 @@
 		cfg: cfg, log: log, clock: clock{time.Now()}, ctx: ctx,
 		up: newUpstream(cfg, connections(cfg)), told: make(chan struct{}),
 		events:   make(chan func(balancer.Micros), eventsMost),
-		urgent:   make(chan func(balancer.Micros), opsMost),
+		urgent:   make(chan func(balancer.Micros), maxAdminConnections),
 		listings: map[uint32]listing{}, banned: map[uint32]bool{},
 		requests: map[uint64]*request{}, ids: map[string]uint32{}, names: map[uint32]string{}, targets: map[uint32]*target{},
 		stopWatch: func() {},
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -88,7 +88,7 @@
 	}
 	paired := false
 	if cfg.Ops != "" {
-		calls, err := listenToOperators(cfg)
+		calls, err := listenAdmin(cfg)
 		if err != nil {
 			return err
 		}
@@ -99,7 +99,7 @@
 		if err := s.applySettings(s.handover.Load(), paired); err != nil {
 			return err
 		}
-		go newOperators(s).serve(loopCtx, calls)
+		go newAdminServer(s).serve(loopCtx, calls)
 		go s.pollHandover(loopCtx)
 	} else {
 		s.splitLimits(false)
@@ -187,7 +187,7 @@
 func connections(cfg *Config) int {
 	spare := socketSpare
 	if cfg.Ops != "" {
-		spare += opsMost
+		spare += maxAdminConnections
 	}
 	return (cfg.Limits.Sockets - spare) / 2
 }
@@ -206,8 +206,8 @@
 	return s.end(listener)
 }
 
-// serves says whether this process serves clients, be it told to send them away or not.
-func (s *server) serves() bool { return s.up.Load() && s.loop.listed.Load() && !s.ending.Load() }
+// isServing says whether this process serves clients, be it told to send them away or not.
+func (s *server) isServing() bool { return s.up.Load() && s.loop.listed.Load() && !s.ending.Load() }
 
 // leaving says whether clients are to go elsewhere: each answer ends its connection.
 func (s *server) leaving() bool { return s.ending.Load() || s.drained.Load() }
