--- /dev/null
+++ b/internal/admin/handler.go
@@ -0,0 +1,156 @@
+package admin
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net/http"
+	"slices"
+	"strings"
+)
+
+// MaxBodyBytes is the longest body of a call; a longer one is answered 413.
+const MaxBodyBytes = 1 << 10
+
+// handler answers calls.
+type handler struct {
+	controller Controller
+	log        *slog.Logger
+}
+
+// NewHandler returns the handler of the operators' address. onComplete is called for each call whose body has come
+// completely, before the call is carried out.
+func NewHandler(controller Controller, log *slog.Logger, onComplete func(*http.Request)) http.Handler {
+	h := &handler{controller: controller, log: log}
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /ready", h.ready)
+	mux.HandleFunc("GET /pin-servers", h.settings)
+	mux.HandleFunc("GET /fleet", h.fleet)
+	mux.HandleFunc("GET /control", h.controlTraffic)
+	mux.HandleFunc("POST /pin-servers/disable", h.setBanned(true))
+	mux.HandleFunc("POST /pin-servers/enable", h.setBanned(false))
+	mux.HandleFunc("POST /drain", h.setDrained(true))
+	mux.HandleFunc("POST /undrain", h.setDrained(false))
+	return http.HandlerFunc(func(w http.ResponseWriter, in *http.Request) {
+		if !readBody(w, in) {
+			return
+		}
+		onComplete(in)
+		mux.ServeHTTP(w, in)
+	})
+}
+
+// readBody reads the body of a call to its end, so that a call that breaks off is not carried out. It reports false
+// after it has answered one that is too long or breaks off.
+func readBody(w http.ResponseWriter, in *http.Request) bool {
+	body, err := io.ReadAll(http.MaxBytesReader(w, in.Body, MaxBodyBytes))
+	var tooLong *http.MaxBytesError
+	if errors.As(err, &tooLong) {
+		http.Error(w, fmt.Sprintf("the body is over %d bytes", MaxBodyBytes), http.StatusRequestEntityTooLarge)
+		return false
+	}
+	if err != nil {
+		http.Error(w, "the body could not be read", http.StatusBadRequest)
+		return false
+	}
+	in.Body = io.NopCloser(bytes.NewReader(body))
+	return true
+}
+
+// ready answers 503 where this process does not serve clients.
+func (h *handler) ready(w http.ResponseWriter, _ *http.Request) {
+	if !h.controller.IsServing() {
+		http.Error(w, "not serving", http.StatusServiceUnavailable)
+	}
+}
+
+// settings answers with the settings as JSON, the endpoints sorted.
+func (h *handler) settings(w http.ResponseWriter, _ *http.Request) {
+	settings := h.controller.Settings()
+	settings.Banned = append([]string{}, settings.Banned...) // JSON's [] rather than null
+	slices.Sort(settings.Banned)
+	writeJSON(w, settings)
+}
+
+// fleet answers with the fleet's status as JSON, or as text for format=text; brief=1 leaves out members and traffic.
+func (h *handler) fleet(w http.ResponseWriter, in *http.Request) {
+	query := in.URL.Query()
+	status, err := h.controller.FleetStatus(query.Get("brief") == "1")
+	if err != nil {
+		writeError(w, err)
+		return
+	}
+	if query.Get("format") == "text" {
+		io.WriteString(w, status.Text())
+		return
+	}
+	writeJSON(w, status)
+}
+
+// controlTraffic answers with the cost of control as JSON.
+func (h *handler) controlTraffic(w http.ResponseWriter, _ *http.Request) {
+	status, err := h.controller.ControlTraffic()
+	if err != nil {
+		writeError(w, err)
+		return
+	}
+	writeJSON(w, status)
+}
+
+// setBanned returns the handler of the calls that take an endpoint, named by the body, out of use or back into use.
+func (h *handler) setBanned(banned bool) http.HandlerFunc {
+	return func(w http.ResponseWriter, in *http.Request) {
+		body, err := io.ReadAll(in.Body)
+		if err != nil {
+			h.finish(w, in, err)
+			return
+		}
+		endpoint := strings.TrimSpace(string(body))
+		if endpoint == "" {
+			http.Error(w, "the body must be a pin server's id", http.StatusBadRequest)
+			return
+		}
+		h.finish(w, in, h.controller.SetBanned(endpoint, banned))
+	}
+}
+
+// setDrained returns the handler of the calls that begin or end a drain.
+func (h *handler) setDrained(drained bool) http.HandlerFunc {
+	return func(w http.ResponseWriter, in *http.Request) {
+		h.finish(w, in, h.controller.SetDrained(drained))
+	}
+}
+
+// finish answers and logs a call that was to change something.
+func (h *handler) finish(w http.ResponseWriter, in *http.Request, err error) {
+	switch {
+	case errors.Is(err, ErrUnknownEndpoint): // the caller's mistake, which is not logged
+	case err != nil:
+		h.log.Error("admin call failed", "path", in.URL.Path, "client", in.RemoteAddr, "error", err)
+	default:
+		h.log.Info("admin call", "path", in.URL.Path, "client", in.RemoteAddr)
+		return
+	}
+	writeError(w, err)
+}
+
+// writeError answers with an error's text under the status that fits it.
+func writeError(w http.ResponseWriter, err error) { http.Error(w, err.Error(), statusOf(err)) }
+
+// statusOf returns the status that an error is answered with.
+func statusOf(err error) int {
+	for _, notFound := range []error{ErrUnknownEndpoint, ErrFleetDisabled, ErrTrafficNotCounted} {
+		if errors.Is(err, notFound) {
+			return http.StatusNotFound
+		}
+	}
+	return http.StatusServiceUnavailable
+}
+
+func writeJSON(w http.ResponseWriter, value any) {
+	w.Header().Set("Content-Type", "application/json")
+	json.NewEncoder(w).Encode(value) // a caller that has left needs no answer
+}
--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -1,32 +1,30 @@
 package sidecar
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
 	"net"
 	"net/http"
 	"slices"
-	"strings"
 	"time"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/admin"
+	"bramblestand/internal/controltraffic"
+	"bramblestand/internal/fleet"
 	"bramblestand/internal/handover"
 )
 
 const (
-	maxAdminConnections = 16              // connections of operators at once
+	maxAdminConnections = 16
 	adminTimeout        = 2 * time.Second // for a whole call, and for its answer
-	maxAdminBodyBytes   = 1 << 10         // bytes of a call's body
 )
 
-// adminServer answers operators' calls at an address of their own.
+// adminServer serves the operators' calls at an address of their own. It bounds their connections as the clients' are
+// bounded, so that callers who send nothing keep nobody out.
 type adminServer struct {
-	server      *server
 	log         *slog.Logger
 	http        http.Server
 	connections *clients
@@ -42,147 +40,97 @@
 }
 
 func newAdminServer(s *server) *adminServer {
-	o := &adminServer{server: s, log: s.loop.log, connections: newClients(maxAdminConnections)}
+	a := &adminServer{log: s.loop.log, connections: newClients(maxAdminConnections)}
 	if s.loop.control != nil {
-		o.connections.flow = &s.loop.control.Admin
+		a.connections.flow = &s.loop.control.Admin
 	}
-	mux := http.NewServeMux()
-	mux.HandleFunc("GET /ready", o.ready)
-	mux.HandleFunc("GET /pin-servers", o.settings)
-	mux.HandleFunc("GET /fleet", o.fleet)
-	mux.HandleFunc("GET /control", o.controlTraffic)
-	mux.HandleFunc("POST /pin-servers/disable", o.setBanned(true))
-	mux.HandleFunc("POST /pin-servers/enable", o.setBanned(false))
-	mux.HandleFunc("POST /drain", o.setDrained(true))
-	mux.HandleFunc("POST /undrain", o.setDrained(false))
-	handler := func(w http.ResponseWriter, in *http.Request) {
-		o.connections.flow.AddReceived(0, true)
-		defer o.connections.flow.AddSent(0, true)
-		body, err := io.ReadAll(http.MaxBytesReader(w, in.Body, maxAdminBodyBytes))
-		var large *http.MaxBytesError
-		if errors.As(err, &large) {
-			http.Error(w, fmt.Sprintf("the body is over %d bytes", maxAdminBodyBytes), http.StatusRequestEntityTooLarge)
-			return
-		} else if err != nil {
-			http.Error(w, "the body could not be read", http.StatusBadRequest)
-			return
-		}
-		in.Body = io.NopCloser(bytes.NewReader(body))
-		o.connections.markProper(connOf(in)) // only a whole call keeps its connection when room is short
-		mux.ServeHTTP(w, in)
+	calls := admin.NewHandler(adminController{s}, a.log, a.keepConnection)
+	a.http = http.Server{
+		Handler:        a.counted(calls),
+		ReadTimeout:    adminTimeout,
+		WriteTimeout:   adminTimeout,
+		MaxHeaderBytes: headMost,
+		ErrorLog:       slog.NewLogLogger(a.log.Handler(), slog.LevelWarn),
+		ConnState:      a.connections.note,
+		ConnContext:    a.connections.name,
 	}
-	o.http = http.Server{Handler: http.HandlerFunc(handler), ReadTimeout: adminTimeout, WriteTimeout: adminTimeout,
-		MaxHeaderBytes: headMost, ErrorLog: slog.NewLogLogger(o.log.Handler(), slog.LevelWarn),
-		ConnState: o.connections.note, ConnContext: o.connections.name}
-	o.http.SetKeepAlivesEnabled(false)
-	return o
+	a.http.SetKeepAlivesEnabled(false)
+	return a
+}
+
+// keepConnection has the connection of a complete call kept when others are closed to make room.
+func (a *adminServer) keepConnection(in *http.Request) { a.connections.markProper(connOf(in)) }
+
+// counted counts each call and its answer as control traffic, besides the bytes that the connections count.
+func (a *adminServer) counted(calls http.Handler) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, in *http.Request) {
+		a.connections.flow.AddReceived(0, true)
+		defer a.connections.flow.AddSent(0, true)
+		calls.ServeHTTP(w, in)
+	})
 }
 
 // serve answers calls until ctx ends.
-func (o *adminServer) serve(ctx context.Context, listener net.Listener) {
-	stop := context.AfterFunc(ctx, func() { o.http.Close() })
+func (a *adminServer) serve(ctx context.Context, listener net.Listener) {
+	stop := context.AfterFunc(ctx, func() { a.http.Close() })
 	defer stop()
-	if err := o.http.Serve(clientListener{listener, o.connections}); !errors.Is(err, http.ErrServerClosed) {
-		o.log.Error("operators' address", "error", err)
+	if err := a.http.Serve(clientListener{listener, a.connections}); !errors.Is(err, http.ErrServerClosed) {
+		a.log.Error("admin server ended", "error", err)
 	}
 }
 
-// ready says whether this process serves clients, be it told to send them away or not.
-func (o *adminServer) ready(w http.ResponseWriter, in *http.Request) {
-	if !o.server.isServing() {
-		http.Error(w, "not serving", http.StatusServiceUnavailable)
-	}
-}
+// adminController carries the operators' calls out. It implements admin.Controller.
+type adminController struct{ server *server }
+
+// IsServing reports whether this process serves clients.
+func (c adminController) IsServing() bool { return c.server.isServing() }
 
-// settings answers with what operators ordered of this sidecar, as JSON: the ids of pin servers out by hand, sorted, and
-// whether it is drained. Both processes of an upgrade tell the same.
-func (o *adminServer) settings(w http.ResponseWriter, in *http.Request) {
-	state := o.server.handover.Load()
-	banned := append([]string{}, state.Banned...)
-	slices.Sort(banned)
-	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(struct {
-		Banned  []string `json:"banned"`
-		Drained bool     `json:"drained"`
-	}{banned, state.Drained})
+// Settings returns what operators ordered in either process of this sidecar.
+func (c adminController) Settings() admin.Settings {
+	settings := c.server.handover.Load()
+	return admin.Settings{Banned: settings.Banned, Drained: settings.Drained}
 }
 
-// fleet answers with the fleet's view as JSON, or as text where format=text is asked for; brief=1 leaves out members
-// and traffic. 404 where the view is off, 503 where another process of this sidecar keeps it.
-func (o *adminServer) fleet(w http.ResponseWriter, in *http.Request) {
-	if !o.server.loop.cfg.Fleet.Enabled {
-		http.Error(w, "the view of the fleet is off (fleet.on)", http.StatusNotFound)
-		return
-	}
-	f := o.server.loop.fleet.Load()
-	if f == nil {
-		http.Error(w, "another process of this sidecar keeps the view, or none does yet", http.StatusServiceUnavailable)
-		return
+// SetBanned bans an endpoint that was ever listed to this process, or lifts its ban.
+func (c adminController) SetBanned(endpoint string, banned bool) error {
+	var isKnown bool
+	err := c.server.loop.urge(func(balancer.Micros) { _, isKnown = c.server.loop.ids[endpoint] })
+	if err != nil {
+		return err
 	}
-	query := in.URL.Query()
-	status, _ := f.Status(query.Get("brief") == "1")
-	if query.Get("format") == "text" {
-		io.WriteString(w, status.Text())
-		return
+	if !isKnown {
+		return admin.ErrUnknownEndpoint
 	}
-	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(status)
+	return c.server.updateSettings(func(settings *handover.State) {
+		settings.Banned = slices.DeleteFunc(settings.Banned, func(name string) bool { return name == endpoint })
+		if banned {
+			settings.Banned = append(settings.Banned, endpoint)
+		}
+	})
 }
 
-// controlTraffic answers with what control has cost since the start, as JSON.
-func (o *adminServer) controlTraffic(w http.ResponseWriter, in *http.Request) {
-	if o.server.loop.control == nil {
-		http.Error(w, "what control costs is not counted", http.StatusNotFound)
-		return
-	}
-	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(o.server.loop.control.Status(o.server.loop.datagramCounts()))
+// SetDrained sends clients to other sidecars, or admits them again.
+func (c adminController) SetDrained(drained bool) error {
+	return c.server.updateSettings(func(settings *handover.State) { settings.Drained = drained })
 }
 
-// setBanned answers a call that takes a pin server out of use by hand, or into use again.
-func (o *adminServer) setBanned(on bool) http.HandlerFunc {
-	return func(w http.ResponseWriter, in *http.Request) {
-		body, err := io.ReadAll(in.Body)
-		if err != nil {
-			o.finish(w, in, err)
-			return
-		}
-		id := strings.TrimSpace(string(body))
-		if id == "" {
-			http.Error(w, "the body must be a pin server's id", http.StatusBadRequest)
-			return
-		}
-		var known bool
-		if err := o.server.loop.urge(func(balancer.Micros) { _, known = o.server.loop.ids[id] }); err != nil {
-			o.finish(w, in, err)
-			return
-		}
-		if !known {
-			http.Error(w, "no such pin server was ever listed", http.StatusNotFound)
-			return
-		}
-		o.finish(w, in, o.server.updateSettings(func(state *handover.State) {
-			state.Banned = slices.DeleteFunc(state.Banned, func(name string) bool { return name == id })
-			if on {
-				state.Banned = append(state.Banned, id)
-			}
-		}))
+// FleetStatus returns the fleet as this process sees it.
+func (c adminController) FleetStatus(brief bool) (fleet.Status, error) {
+	if !c.server.loop.cfg.Fleet.Enabled {
+		return fleet.Status{}, admin.ErrFleetDisabled
 	}
-}
-
-// finish says yes, or why a call was not carried out.
-func (o *adminServer) finish(w http.ResponseWriter, in *http.Request, err error) {
-	if err != nil {
-		o.log.Error("operators' call not carried out", "path", in.URL.Path, "from", in.RemoteAddr, "error", err)
-		http.Error(w, err.Error(), http.StatusServiceUnavailable)
-		return
+	member := c.server.loop.fleet.Load()
+	if member == nil {
+		return fleet.Status{}, admin.ErrNoFleetMember
 	}
-	o.log.Info("operators' call", "path", in.URL.Path, "from", in.RemoteAddr)
+	status, _ := member.Status(brief)
+	return status, nil
 }
 
-// setDrained answers a call that sends clients away or takes them again.
-func (o *adminServer) setDrained(on bool) http.HandlerFunc {
-	return func(w http.ResponseWriter, in *http.Request) {
-		o.finish(w, in, o.server.updateSettings(func(state *handover.State) { state.Drained = on }))
+// ControlTraffic returns what control has cost since the start of this process.
+func (c adminController) ControlTraffic() (controltraffic.Status, error) {
+	if c.server.loop.control == nil {
+		return controltraffic.Status{}, admin.ErrTrafficNotCounted
 	}
+	return c.server.loop.control.Status(c.server.loop.datagramCounts()), nil
 }
--- a/internal/sidecar/admin_golden_test.go
+++ b/internal/sidecar/admin_golden_test.go
@@ -16,6 +16,7 @@
 	"testing"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/admin"
 	"bramblestand/internal/discovery"
 	"bramblestand/internal/fleet"
 )
@@ -152,9 +153,9 @@
 	tr.call("POST", "/pin-servers/disable", " \n")
 	tr.call("POST", "/pin-servers/disable", "s-9")
 	tr.call("POST", "/pin-servers/enable", "s-9")
-	tr.call("POST", "/pin-servers/enable", strings.Repeat("s", maxAdminBodyBytes))
-	tr.call("POST", "/pin-servers/enable", strings.Repeat("s", maxAdminBodyBytes+1))
-	tr.call("POST", "/undrain", strings.Repeat("x", maxAdminBodyBytes+1))
+	tr.call("POST", "/pin-servers/enable", strings.Repeat("s", admin.MaxBodyBytes))
+	tr.call("POST", "/pin-servers/enable", strings.Repeat("s", admin.MaxBodyBytes+1))
+	tr.call("POST", "/undrain", strings.Repeat("x", admin.MaxBodyBytes+1))
 	tr.raw("POST /drain HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nabc")
 
 	tr.section("control")
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/admin"
 	"bramblestand/internal/discovery"
 	"bramblestand/internal/handover"
 )
@@ -60,8 +61,8 @@
 		{"POST", "/pin-servers/disable", "s-9", 404},
 		{"POST", "/pin-servers/enable", "s-9", 404},
 		{"GET", "/pin-servers/disable", "", 405},
-		{"POST", "/pin-servers/disable", strings.Repeat("s", maxAdminBodyBytes+1), 413},
-		{"POST", "/drain", strings.Repeat("x", maxAdminBodyBytes+1), 413},
+		{"POST", "/pin-servers/disable", strings.Repeat("s", admin.MaxBodyBytes+1), 413},
+		{"POST", "/drain", strings.Repeat("x", admin.MaxBodyBytes+1), 413},
 	} {
 		if code := call(c.method, c.path, c.body); code != c.code {
 			t.Errorf("%s %s: %d, want %d", c.method, c.path, code, c.code)
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/admin"
 	"bramblestand/internal/controltraffic"
 	"bramblestand/internal/datagram"
 	"bramblestand/internal/discovery"
@@ -206,10 +207,8 @@
 	}
 }
 
-// errBusy says that the loop took no notice of a call in time.
-var errBusy = errors.New("the call could not be carried out in time")
-
-// urge has the loop carry something out ahead of the events that wait for it, and waits for that.
+// urge has the loop carry something out ahead of the events that wait for it, and waits for that. It returns
+// admin.ErrBusy where the loop does not get to it in time, and the context's error where the loop has ended.
 func (l *loop) urge(event func(now balancer.Micros)) error {
 	done := make(chan struct{})
 	patience := time.NewTimer(urgeWait)
@@ -217,7 +216,7 @@
 	select {
 	case l.urgent <- func(now balancer.Micros) { event(now); close(done) }:
 	case <-patience.C:
-		return errBusy
+		return admin.ErrBusy
 	case <-l.ctx.Done():
 		return l.ctx.Err()
 	}
@@ -225,7 +224,7 @@
 	case <-done:
 		return nil
 	case <-patience.C:
-		return errBusy
+		return admin.ErrBusy
 	}
 }
 
