--- a/internal/sidecar/admin_golden_test.go
+++ b/internal/sidecar/admin_golden_test.go
@@ -111,9 +111,9 @@
 	w.launch(cfg)
 	w.until("serving", func() bool { return w.server.isServing() })
 	call := w.openAdmin()
-	file := filepath.Join(w.folder, "pinedale-n0.json")
+	file := filepath.Join(w.handoverFolder, "pinedale-n0.json")
 	tr := &transcript{t: t, w: w, norm: func(text string) string {
-		text = strings.ReplaceAll(text, w.folder, "DIR")
+		text = strings.ReplaceAll(text, w.handoverFolder, "DIR")
 		text = strings.ReplaceAll(text, fmt.Sprintf("%-21s", cfg.peerListen), "ADDRESS")
 		text = strings.ReplaceAll(text, cfg.peerListen.String(), "ADDRESS")
 		text = strings.ReplaceAll(text, fmt.Sprintf("%-8s", fleet.Version), "VERSION")
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -24,8 +24,8 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.folder = w.t.TempDir()
-	w.server.handover = handover.Open(w.folder, "n0", slog.New(slog.DiscardHandler))
+	w.handoverFolder = w.t.TempDir()
+	w.server.handover = handover.Open(w.handoverFolder, "n0", slog.New(slog.DiscardHandler))
 	ctx, stop := context.WithCancel(context.Background())
 	w.t.Cleanup(stop)
 	go newAdminServer(w.server).serve(ctx, listener)
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestOperatorsCalls(t *testing.T) {
+func TestRejectedAdminCallsChangeNothing(t *testing.T) {
 	w := start(t, nil, ready("s-1", newEndpoint(t, always(served)).address))
 	call := w.openAdmin()
 	for _, c := range []struct {
@@ -74,7 +74,7 @@
 }
 
 // Callers that send no whole call are ended, and never keep others out.
-func TestStalledOperatorsCallers(t *testing.T) {
+func TestStalledAdminCallersAreDisconnected(t *testing.T) {
 	w := start(t, nil, ready("s-1", newEndpoint(t, always(served)).address))
 	call := w.openAdmin()
 	var stalled []net.Conn
@@ -101,14 +101,14 @@
 	}
 }
 
-// kept is a client's connection that stays.
-type kept struct {
-	w    *world
-	conn net.Conn
-	in   *bufio.Reader
+// clientConnection is a client's connection that stays.
+type clientConnection struct {
+	world *world
+	conn  net.Conn
+	in    *bufio.Reader
 }
 
-func (w *world) keep() *kept {
+func (w *world) connect() *clientConnection {
 	w.t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
 	if err != nil {
@@ -116,16 +116,16 @@
 	}
 	w.t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(patience))
-	return &kept{w, conn, bufio.NewReader(conn)}
+	return &clientConnection{w, conn, bufio.NewReader(conn)}
 }
 
-// ask sends a request and reads its answer.
-func (k *kept) ask() *http.Response {
-	k.w.t.Helper()
-	k.w.request("read", "", time.Minute).Write(k.conn)
+// roundTrip sends a request and reads its answer.
+func (k *clientConnection) roundTrip() *http.Response {
+	k.world.t.Helper()
+	k.world.request("read", "", time.Minute).Write(k.conn)
 	response, err := http.ReadResponse(k.in, nil)
 	if err != nil {
-		k.w.t.Fatal(err)
+		k.world.t.Fatal(err)
 	}
 	io.Copy(io.Discard, response.Body)
 	return response
@@ -139,9 +139,9 @@
 		r, _ := http.NewRequest("GET", w.url+"/health/ready", nil)
 		return w.send(r).code
 	}
-	one, two := w.keep(), w.keep()
-	one.ask()
-	two.ask()
+	one, two := w.connect(), w.connect()
+	one.roundTrip()
+	two.roundTrip()
 	for range 2 { // repeated calls are harmless
 		if code := call("POST", "/drain", ""); code != 200 {
 			t.Fatalf("drain: %d", code)
@@ -153,10 +153,10 @@
 	if code := call("GET", "/ready", ""); code != 200 {
 		t.Errorf("a drained process serves all the same: %d, want 200", code)
 	}
-	if got := one.ask(); got.StatusCode != 200 || !got.Close {
+	if got := one.roundTrip(); got.StatusCode != 200 || !got.Close {
 		t.Errorf("a kept connection in a drain: %d, close %v; want 200 and the end", got.StatusCode, got.Close)
 	}
-	if got := w.keep().ask(); got.StatusCode != 200 || !got.Close {
+	if got := w.connect().roundTrip(); got.StatusCode != 200 || !got.Close {
 		t.Errorf("a new connection in a drain: %d, close %v; want 200 and the end", got.StatusCode, got.Close)
 	}
 	for range 2 {
@@ -168,20 +168,20 @@
 		t.Errorf("readiness after the drain: %d, want 200", code)
 	}
 	for range 2 {
-		if got := two.ask(); got.StatusCode != 200 || got.Close {
+		if got := two.roundTrip(); got.StatusCode != 200 || got.Close {
 			t.Errorf("a connection kept over the drain: %d, close %v; want 200 and no end", got.StatusCode, got.Close)
 		}
 	}
 }
 
 // What stays at rest in a drain is ended without a word, but not under a request that is coming in.
-func TestDrainEndsWhatIsAtRest(t *testing.T) {
+func TestDrainClosesIdleConnections(t *testing.T) {
 	w := start(t, nil, ready("s-1", newEndpoint(t, always(served)).address))
 	w.server.acceptFor = 0
 	call := w.openAdmin()
-	resting, sending := w.keep(), w.keep()
-	resting.ask()
-	sending.ask()
+	resting, sending := w.connect(), w.connect()
+	resting.roundTrip()
+	sending.roundTrip()
 	w.until("both at rest", func() bool { _, _, _, idle := w.server.clients.counts(); return idle == 2 })
 	var head strings.Builder
 	w.request("read", "", time.Minute).Write(&head)
@@ -198,7 +198,7 @@
 }
 
 // A pin server out by hand gets nothing, whatever the list says, until the call back.
-func TestPinServerOutByHand(t *testing.T) {
+func TestBannedEndpointGetsNoRequests(t *testing.T) {
 	one, two := newEndpoint(t, always(served)), newEndpoint(t, always(served))
 	hosts := []discovery.Endpoint{ready("s-1", one.address), ready("s-2", two.address)}
 	w := start(t, nil, hosts...)
@@ -208,13 +208,13 @@
 			t.Fatalf("disable: %d", code)
 		}
 	}
-	lists := w.listed()
+	lists := w.listCount()
 	w.dir.change(func() {
 		w.dir.list.Version++
 		hosts[0].StartedAtMillis = time.Now().UnixMilli()
 		w.dir.list.Endpoints = hosts
 	})
-	w.until("the list with its restart", func() bool { return w.listed() > lists })
+	w.until("the list with its restart", func() bool { return w.listCount() > lists })
 	before, _ := one.seen()
 	for range 20 {
 		if got := w.send(w.request("read", "", 3*time.Second)); got.code != 200 {
@@ -234,15 +234,15 @@
 	})
 }
 
-// listed counts the lists that the balancer was told.
-func (w *world) listed() int {
+// listCount counts the lists that the balancer was told.
+func (w *world) listCount() int {
 	w.spy.mu.Lock()
 	defer w.spy.mu.Unlock()
 	return len(w.spy.lists)
 }
 
 // A call whose change cannot be kept is answered no, and changes nothing.
-func TestCallThatCannotBeKept(t *testing.T) {
+func TestCallThatIsNotPersistedFails(t *testing.T) {
 	w := start(t, nil, ready("s-1", newEndpoint(t, always(served)).address))
 	call := w.openAdmin()
 	w.server.handover.Close()
@@ -257,7 +257,7 @@
 }
 
 // Operators' calls do not wait behind the loop's other events.
-func TestCallsGoAheadOfEvents(t *testing.T) {
+func TestAdminCallsGoAheadOfEvents(t *testing.T) {
 	w := start(t, nil, ready("s-1", newEndpoint(t, always(served)).address))
 	hold, held := make(chan struct{}), make(chan struct{})
 	w.loop.post(func(balancer.Micros) { close(held); <-hold })
@@ -282,25 +282,25 @@
 }
 
 // A process beside another takes all clients that there can be: soon they all come to it.
-func TestNewcomerTurnsNoClientBack(t *testing.T) {
+func TestNewProcessAdmitsAllClients(t *testing.T) {
 	w := start(t, nil, ready("s-1", newEndpoint(t, always(served)).address))
 	w.server.clients.mu.Lock()
 	w.server.clients.rest = 0 // what is at rest may be closed at once where room is short
 	w.server.clients.mu.Unlock()
 	w.server.splitLimits(true)
-	var clients []*kept
+	var clients []*clientConnection
 	for range w.loop.cfg.Limits.Sockets / clientsPart {
-		clients = append(clients, w.keep())
+		clients = append(clients, w.connect())
 	}
 	for _, k := range clients {
-		if got := k.ask(); got.StatusCode != http.StatusOK || got.Close {
+		if got := k.roundTrip(); got.StatusCode != http.StatusOK || got.Close {
 			t.Fatalf("a client of %d: %d, close %v", len(clients), got.StatusCode, got.Close)
 		}
 	}
 }
 
 // All new connections come to the later of two processes, as long as both listen, and to the one that is left.
-func TestNewConnectionsAreSteered(t *testing.T) {
+func TestNewConnectionsGoToTheNewestProcess(t *testing.T) {
 	cfg := &Config{Listen: "127.0.0.1:0", Ops: "127.0.0.1:0"}
 	earlier, err := listen(cfg)
 	if err != nil {
--- a/internal/sidecar/client_conn_test.go
+++ b/internal/sidecar/client_conn_test.go
@@ -52,7 +52,7 @@
 			t.Parallel()
 			w := start(t, nil, ready("s-1", e.address))
 			w.until("no connection", func() bool { return w.server.clients.open() == 0 })
-			k := w.keep()
+			k := w.connect()
 			io.WriteString(k.conn, c.sent+strings.Repeat("z", 64<<10))
 			w.only()
 			w.until("the connection's end", func() bool { return w.server.clients.open() == 0 })
@@ -70,8 +70,8 @@
 	e := newEndpoint(t, always(served))
 	w := start(t, nil, ready("s-1", e.address))
 	w.until("no connection", func() bool { return w.server.clients.open() == 0 })
-	k := w.keep()
-	k.ask()
+	k := w.connect()
+	k.roundTrip()
 	conn := w.atRest()
 	conn.closeIf(func() bool {
 		if conn.hasRequestInProgressLocked() || !quiet(conn.Conn) {
@@ -105,9 +105,9 @@
 	e := newEndpoint(t, always(served))
 	w := start(t, nil, ready("s-1", e.address))
 	w.until("no connection", func() bool { return w.server.clients.open() == 0 })
-	k := w.keep()
+	k := w.connect()
 	for n := range 4 {
-		k.ask()
+		k.roundTrip()
 		conn := w.atRest()
 		var head bytes.Buffer
 		w.request("read", "", time.Minute).Write(&head)
@@ -131,8 +131,8 @@
 	w := start(t, nil, ready("s-1", e.address))
 	w.until("no connection", func() bool { return w.server.clients.open() == 0 })
 	w.server.acceptFor = 0
-	k := w.keep()
-	k.ask()
+	k := w.connect()
+	k.roundTrip()
 	w.atRest()
 	w.stop()
 	if got, err := io.ReadAll(k.in); err != nil || len(got) > 0 {
@@ -255,10 +255,10 @@
 	w := start(t, nil, ready("s-1", e.address))
 	var ended [3]chan error
 	for i, sends := range []string{"no request\r\n\r\n", "POST /pay HTTP/1.1\r\nHost: x\r\nContent-Length: 60000000\r\n\r\n", ""} {
-		k, done := w.keep(), make(chan error, 1)
+		k, done := w.connect(), make(chan error, 1)
 		ended[i] = done
 		if sends == "" {
-			k.ask()
+			k.roundTrip()
 			io.WriteString(k.conn, "GE")
 			go func() {
 				_, err := io.ReadAll(k.in)
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -608,8 +608,8 @@
 func TestTerminationAmidAHead(t *testing.T) {
 	w := start(t, nil, ready("s-1", newEndpoint(t, always(served)).address))
 	w.server.acceptFor = 0
-	k := w.keep()
-	k.ask()
+	k := w.connect()
+	k.roundTrip()
 	w.until("the connection at rest", func() bool { _, _, _, idle := w.server.clients.counts(); return idle == 1 })
 	var head strings.Builder
 	w.request("read", "", time.Minute).Write(&head)
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -359,7 +359,7 @@
 		"with a length": fmt.Sprintf("Content-Length: %d\r\n\r\n", requestMost+1),
 		"in chunks":     fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", requestMost+1),
 	} {
-		k := w.keep()
+		k := w.connect()
 		io.WriteString(k.conn, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\n"+
 			"X-Time-Left-Ms: 900\r\nIdempotency-Key: 1\r\n"+framing)
 		if name == "in chunks" {
@@ -436,7 +436,7 @@
 		"with a length": fmt.Sprintf("Content-Length: %d\r\n\r\n", long),
 		"in chunks":     "Transfer-Encoding: chunked\r\n\r\n",
 	} {
-		k := w.keep()
+		k := w.connect()
 		io.WriteString(k.conn, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\n"+
 			"X-Time-Left-Ms: 9000\r\nIdempotency-Key: 1\r\n"+framing)
 		body := io.Writer(struct{ io.Writer }{k.conn})
@@ -463,7 +463,7 @@
 		e := newEndpoint(t, always(served))
 		w := start(t, nil, ready("s-1", e.address))
 		w.server.acceptFor = 0
-		k := w.keep()
+		k := w.connect()
 		fmt.Fprintf(k.conn, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\n"+
 			"X-Time-Left-Ms: 9000\r\nIdempotency-Key: 1\r\nContent-Length: %d\r\n\r\n", length)
 		io.CopyN(k.conn, &pattern{end: long}, bodyMost/2)
--- a/internal/sidecar/world_test.go
+++ b/internal/sidecar/world_test.go
@@ -265,18 +265,18 @@
 
 // world is a running sidecar with its surroundings.
 type world struct {
-	t            *testing.T
-	url          string
-	loop         *loop
-	server       *server
-	spy          *spy
-	dir          *directory
-	adminAddress string             // address, once operate has opened it
-	folder       string             // of the handover file, once operate has made it
-	stop         context.CancelFunc // as SIGTERM does
-	ended        chan error
-	log          slog.Handler // the sidecar's; nil to discard it
-	before       func(*loop)  // called before the loop runs, where not nil
+	t              *testing.T
+	url            string
+	loop           *loop
+	server         *server
+	spy            *spy
+	dir            *directory
+	adminAddress   string             // address, once operate has opened it
+	handoverFolder string             // of the handover file, once operate has made it
+	stop           context.CancelFunc // as SIGTERM does
+	ended          chan error
+	log            slog.Handler // the sidecar's; nil to discard it
+	before         func(*loop)  // called before the loop runs, where not nil
 }
 
 // configure returns a configuration that knows the given list.
