--- a/internal/sidecar/loop_test.go
+++ b/internal/sidecar/loop_test.go
@@ -50,3 +50,28 @@
 		t.Errorf("%d requests stay in the ledger", n)
 	}
 }
+
+// Operators' calls do not wait behind the loop's other events.
+func TestAdminCallsGoAheadOfEvents(t *testing.T) {
+	w := start(t, nil, ready("s-1", newEndpoint(t, always(served)).address))
+	hold, held := make(chan struct{}), make(chan struct{})
+	w.loop.post(func(balancer.Micros) { close(held); <-hold })
+	<-held
+	var order []string
+	last := make(chan struct{})
+	for range 5 {
+		w.loop.post(func(balancer.Micros) { order = append(order, "event") })
+	}
+	w.loop.post(func(balancer.Micros) { close(last) })
+	urged := make(chan error, 1)
+	go func() { urged <- w.loop.urge(func(balancer.Micros) { order = append(order, "call") }) }()
+	w.until("the call to wait", func() bool { return len(w.loop.urgent) == 1 })
+	close(hold)
+	if err := <-urged; err != nil {
+		t.Fatal(err)
+	}
+	<-last
+	if order[0] != "call" {
+		t.Errorf("carried out in the order %v, want the call first", order)
+	}
+}
