--- a/internal/sidecar/admin_golden_test.go
+++ b/internal/sidecar/admin_golden_test.go
@@ -92,9 +92,9 @@
 	volatileHeard  = regexp.MustCompile(`heard -?\d+ ms`)
 )
 
-// TestAnswersOfAnEarlierRelease makes every call of the operators', the refused ones too.
+// Every admin call, the rejected ones too, is answered as release 21.0 answered it.
 func TestAnswersOfAnEarlierRelease(t *testing.T) {
-	// One more than are banned: a list that comes while all are makes the sidecar not ready.
+	// One more than are banned: a list that arrives while all endpoints are banned makes the sidecar not ready.
 	hosts := []discovery.Endpoint{ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:1"), ready("s-3", "127.0.0.1:1")}
 	plain := start(t, nil, hosts...) // counts no control and keeps no view
 	plain.openAdmin()
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -16,7 +16,7 @@
 	"bramblestand/internal/handover"
 )
 
-// openAdmin opens an operators' address for a running sidecar and returns what calls it.
+// openAdmin opens the admin address of a running sidecar and returns a function that makes a call and returns its status.
 func (w *world) openAdmin() func(method, path, body string) int {
 	w.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -72,7 +72,7 @@
 	}
 }
 
-// Callers that send no whole call are ended, and never keep others out.
+// Callers that send no complete call are disconnected, and never keep others out.
 func TestStalledAdminCallersAreDisconnected(t *testing.T) {
 	w := start(t, nil, ready("s-1", newEndpoint(t, always(served)).address))
 	call := w.openAdmin()
@@ -82,7 +82,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer conn.Close()
+		t.Cleanup(func() { conn.Close() })
 		io.WriteString(conn, []string{"", "POST /dr", "POST /drain HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nabc"}[i%3])
 		stalled = append(stalled, conn)
 	}
@@ -92,21 +92,22 @@
 	for _, conn := range stalled {
 		conn.SetReadDeadline(time.Now().Add(patience))
 		if _, err := io.Copy(io.Discard, conn); err != nil && !strings.Contains(err.Error(), "reset") {
-			t.Errorf("a stalled caller: %v, want its end", err)
+			t.Errorf("a stalled caller: %v, want the connection closed", err)
 		}
 	}
 	if w.server.drained.Load() {
-		t.Error("a call that never came whole was carried out")
+		t.Error("an incomplete call was carried out")
 	}
 }
 
-// clientConnection is a client's connection that stays.
+// clientConnection is a client's connection that is used for several requests.
 type clientConnection struct {
 	world *world
 	conn  net.Conn
 	in    *bufio.Reader
 }
 
+// connect opens a client's connection, which the test's end closes.
 func (w *world) connect() *clientConnection {
 	w.t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
@@ -118,7 +119,7 @@
 	return &clientConnection{w, conn, bufio.NewReader(conn)}
 }
 
-// roundTrip sends a request and reads its answer.
+// roundTrip sends a request and reads the response.
 func (k *clientConnection) roundTrip() *http.Response {
 	k.world.t.Helper()
 	k.world.request("read", "", time.Minute).Write(k.conn)
@@ -132,15 +133,15 @@
 
 func TestDrainAndUndrain(t *testing.T) {
 	w := start(t, nil, ready("s-1", newEndpoint(t, always(served)).address))
-	w.server.acceptFor = time.Minute // connections at rest stay here until they are used
+	w.server.acceptFor = time.Minute // idle connections stay open in this test until they are used
 	call := w.openAdmin()
 	readiness := func() int {
 		r, _ := http.NewRequest("GET", w.url+"/health/ready", nil)
 		return w.send(r).code
 	}
-	one, two := w.connect(), w.connect()
-	one.roundTrip()
-	two.roundTrip()
+	first, second := w.connect(), w.connect()
+	first.roundTrip()
+	second.roundTrip()
 	for range 2 { // repeated calls are harmless
 		if code := call("POST", "/drain", ""); code != 200 {
 			t.Fatalf("drain: %d", code)
@@ -152,11 +153,11 @@
 	if code := call("GET", "/ready", ""); code != 200 {
 		t.Errorf("a drained process serves all the same: %d, want 200", code)
 	}
-	if got := one.roundTrip(); got.StatusCode != 200 || !got.Close {
-		t.Errorf("a kept connection in a drain: %d, close %v; want 200 and the end", got.StatusCode, got.Close)
+	if got := first.roundTrip(); got.StatusCode != 200 || !got.Close {
+		t.Errorf("an open connection in a drain: %d, close %v; want 200 and the connection closed", got.StatusCode, got.Close)
 	}
 	if got := w.connect().roundTrip(); got.StatusCode != 200 || !got.Close {
-		t.Errorf("a new connection in a drain: %d, close %v; want 200 and the end", got.StatusCode, got.Close)
+		t.Errorf("a new connection in a drain: %d, close %v; want 200 and the connection closed", got.StatusCode, got.Close)
 	}
 	for range 2 {
 		if code := call("POST", "/undrain", ""); code != 200 {
@@ -167,36 +168,36 @@
 		t.Errorf("readiness after the drain: %d, want 200", code)
 	}
 	for range 2 {
-		if got := two.roundTrip(); got.StatusCode != 200 || got.Close {
-			t.Errorf("a connection kept over the drain: %d, close %v; want 200 and no end", got.StatusCode, got.Close)
+		if got := second.roundTrip(); got.StatusCode != 200 || got.Close {
+			t.Errorf("a connection that was open over the drain: %d, close %v; want 200 and it stays open", got.StatusCode, got.Close)
 		}
 	}
 }
 
-// What stays at rest in a drain is ended without a word, but not under a request that is coming in.
+// A drain closes idle connections, but not one on which a request is arriving.
 func TestDrainClosesIdleConnections(t *testing.T) {
 	w := start(t, nil, ready("s-1", newEndpoint(t, always(served)).address))
 	w.server.acceptFor = 0
 	call := w.openAdmin()
-	resting, sending := w.connect(), w.connect()
-	resting.roundTrip()
+	idle, sending := w.connect(), w.connect()
+	idle.roundTrip()
 	sending.roundTrip()
-	w.until("both at rest", func() bool { _, _, _, idle := w.server.clients.counts(); return idle == 2 })
-	var head strings.Builder
-	w.request("read", "", time.Minute).Write(&head)
-	io.WriteString(sending.conn, head.String()[:10])
+	w.until("both idle", func() bool { _, _, _, idleCount := w.server.clients.counts(); return idleCount == 2 })
+	var header strings.Builder
+	w.request("read", "", time.Minute).Write(&header)
+	io.WriteString(sending.conn, header.String()[:10])
 	call("POST", "/drain", "")
-	if _, err := resting.in.ReadByte(); err != io.EOF {
-		t.Errorf("a connection at rest: %v, want its end", err)
+	if _, err := idle.in.ReadByte(); err != io.EOF {
+		t.Errorf("an idle connection: %v, want it closed", err)
 	}
-	io.WriteString(sending.conn, head.String()[10:])
+	io.WriteString(sending.conn, header.String()[10:])
 	response, err := http.ReadResponse(sending.in, nil)
 	if err != nil || response.StatusCode != 200 || !response.Close {
-		t.Errorf("a request on its way in: %v, %v; want 200 and the end", response, err)
+		t.Errorf("an arriving request: %v, %v; want 200 and the connection closed", response, err)
 	}
 }
 
-// A pin server out by hand gets nothing, whatever the list says, until the call back.
+// A banned endpoint gets no requests, whatever the list reports, until the ban ends.
 func TestBannedEndpointGetsNoRequests(t *testing.T) {
 	one, two := newEndpoint(t, always(served)), newEndpoint(t, always(served))
 	hosts := []discovery.Endpoint{ready("s-1", one.address), ready("s-2", two.address)}
@@ -213,34 +214,34 @@
 		hosts[0].StartedAtMillis = time.Now().UnixMilli()
 		w.dir.list.Endpoints = hosts
 	})
-	w.until("the list with its restart", func() bool { return w.listCount() > lists })
+	w.until("the list that reports its restart", func() bool { return w.listCount() > lists })
 	before, _ := one.seen()
 	for range 20 {
 		if got := w.send(w.request("read", "", 3*time.Second)); got.code != 200 {
-			t.Fatalf("with one of two pin servers out: %+v", got)
+			t.Fatalf("with one of two endpoints banned: %+v", got)
 		}
 	}
 	if n, _ := one.seen(); n != before {
-		t.Errorf("%d requests came to the pin server that is out", n-before)
+		t.Errorf("%d requests came to the banned endpoint", n-before)
 	}
 	if code := call("POST", "/pin-servers/enable", "s-1"); code != 200 {
 		t.Fatalf("enable: %d", code)
 	}
-	w.until("the pin server to be used again", func() bool {
+	w.until("the endpoint to be used again", func() bool {
 		w.send(w.request("read", "", 3*time.Second))
 		n, _ := one.seen()
 		return n > before
 	})
 }
 
-// listCount counts the lists that the balancer was told.
+// listCount counts the endpoint lists that the balancer received.
 func (w *world) listCount() int {
 	w.spy.mu.Lock()
 	defer w.spy.mu.Unlock()
 	return len(w.spy.lists)
 }
 
-// A call whose change cannot be kept is answered no, and changes nothing.
+// A call whose change cannot be stored is answered 503, and changes nothing.
 func TestCallThatIsNotPersistedFails(t *testing.T) {
 	w := start(t, nil, ready("s-1", newEndpoint(t, always(served)).address))
 	call := w.openAdmin()
@@ -251,6 +252,6 @@
 		}
 	}
 	if w.server.drained.Load() || len(w.loop.banned) != 0 {
-		t.Error("a call that was answered no changed something")
+		t.Error("a call that was answered 503 changed something")
 	}
 }
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -7,72 +7,72 @@
 	"time"
 )
 
-// A process beside another takes all clients that there can be: soon they all come to it.
+// A process beside another admits as many clients as there can be: soon all of them connect to it.
 func TestNewProcessAdmitsAllClients(t *testing.T) {
 	w := start(t, nil, ready("s-1", newEndpoint(t, always(served)).address))
 	w.server.clients.mu.Lock()
-	w.server.clients.rest = 0 // what is at rest may be closed at once where room is short
+	w.server.clients.rest = 0 // idle connections may be closed at once to make room
 	w.server.clients.mu.Unlock()
 	w.server.splitLimits(true)
 	var clients []*clientConnection
 	for range w.loop.cfg.Limits.Sockets / clientsPart {
 		clients = append(clients, w.connect())
 	}
-	for _, k := range clients {
-		if got := k.roundTrip(); got.StatusCode != http.StatusOK || got.Close {
+	for _, client := range clients {
+		if got := client.roundTrip(); got.StatusCode != http.StatusOK || got.Close {
 			t.Fatalf("a client of %d: %d, close %v", len(clients), got.StatusCode, got.Close)
 		}
 	}
 }
 
-// All new connections come to the later of two processes, as long as both listen, and to the one that is left.
+// All new connections go to the later of two listeners while both are open, and to the remaining one after that.
 func TestNewConnectionsGoToTheNewestProcess(t *testing.T) {
 	cfg := &Config{Listen: "127.0.0.1:0", Ops: "127.0.0.1:0"}
 	earlier, err := listen(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer earlier.Close()
+	t.Cleanup(func() { earlier.Close() })
 	cfg.Listen = earlier.Addr().String()
 	later, err := listen(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer later.Close()
+	t.Cleanup(func() { later.Close() })
 	if err := steer(later.(*net.TCPListener)); err != nil {
 		t.Fatal(err)
 	}
-	const many = 50
-	take := func(from net.Listener) {
+	const connectionCount = 50
+	acceptAll := func(from net.Listener) {
 		t.Helper()
-		for range many {
+		for range connectionCount {
 			conn, err := net.Dial("tcp", cfg.Listen)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer conn.Close()
+			t.Cleanup(func() { conn.Close() })
 		}
 		from.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
-		for i := range many {
+		for i := range connectionCount {
 			conn, err := from.Accept()
 			if err != nil {
-				t.Fatalf("%d of %d new connections came: %v", i, many, err)
+				t.Fatalf("%d of %d new connections came: %v", i, connectionCount, err)
 			}
 			conn.Close()
 		}
 	}
-	take(later)
+	acceptAll(later)
 	earlier.Close()
-	take(later)
+	acceptAll(later)
 	next, err := listen(cfg) // the following upgrade
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer next.Close()
+	t.Cleanup(func() { next.Close() })
 	if err := steer(next.(*net.TCPListener)); err != nil {
 		t.Fatal(err)
 	}
-	take(next)
-	next.Close() // which is given up
-	take(later)
+	acceptAll(next)
+	next.Close() // the upgrade is given up
+	acceptAll(later)
 }
--- a/internal/sidecar/loop_test.go
+++ b/internal/sidecar/loop_test.go
@@ -51,23 +51,23 @@
 	}
 }
 
-// Operators' calls do not wait behind the loop's other events.
+// Admin calls do not wait behind the loop's other events.
 func TestAdminCallsGoAheadOfEvents(t *testing.T) {
 	w := start(t, nil, ready("s-1", newEndpoint(t, always(served)).address))
-	hold, held := make(chan struct{}), make(chan struct{})
-	w.loop.post(func(balancer.Micros) { close(held); <-hold })
-	<-held
+	release, blocked := make(chan struct{}), make(chan struct{})
+	w.loop.post(func(balancer.Micros) { close(blocked); <-release })
+	<-blocked
 	var order []string
 	last := make(chan struct{})
 	for range 5 {
 		w.loop.post(func(balancer.Micros) { order = append(order, "event") })
 	}
 	w.loop.post(func(balancer.Micros) { close(last) })
-	urged := make(chan error, 1)
-	go func() { urged <- w.loop.urge(func(balancer.Micros) { order = append(order, "call") }) }()
+	carriedOut := make(chan error, 1)
+	go func() { carriedOut <- w.loop.urge(func(balancer.Micros) { order = append(order, "call") }) }()
 	w.until("the call to wait", func() bool { return len(w.loop.urgent) == 1 })
-	close(hold)
-	if err := <-urged; err != nil {
+	close(release)
+	if err := <-carriedOut; err != nil {
 		t.Fatal(err)
 	}
 	<-last
--- /dev/null
+++ b/internal/sidecar/snapshot_test.go
@@ -0,0 +1,102 @@
+package sidecar
+
+import (
+	"context"
+	"log/slog"
+	"reflect"
+	"testing"
+	"time"
+
+	"bramblestand/balancer"
+	"bramblestand/internal/discovery"
+	"bramblestand/internal/state"
+)
+
+// newIdleLoop returns an event loop that is not run.
+func newIdleLoop(t *testing.T, cfg *Config) *loop {
+	t.Helper()
+	ctx, stop := context.WithCancel(context.Background())
+	t.Cleanup(stop)
+	l, err := newLoop(ctx, cfg, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return l
+}
+
+// A restart begins with the persisted list where that is fresh, valid and not older than the configuration's; the bans
+// are in force in any case.
+func TestRestoreChoosesTheFirstList(t *testing.T) {
+	persistedEndpoint, knownEndpoint := ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:2")
+	invalidEndpoint := ready("s-1", "no port")
+	for _, c := range []struct {
+		name         string
+		age          time.Duration
+		version      uint64
+		endpoint     discovery.Endpoint
+		isInUse      bool
+		knownVersion uint64
+	}{
+		{"fresh and newer", time.Minute, 7, persistedEndpoint, true, 6},
+		{"fresh and the same version", time.Minute, 7, persistedEndpoint, true, 7},
+		{"fresh and older than the configuration's", time.Minute, 7, persistedEndpoint, false, 8},
+		{"too old", stateAge + time.Second, 7, persistedEndpoint, false, 6},
+		{"dated in the future", -2 * time.Minute, 7, persistedEndpoint, false, 6},
+		{"not valid", time.Minute, 7, invalidEndpoint, false, 6},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			cfg := configure(t, "127.0.0.1:1", nil, knownEndpoint)
+			cfg.known.Version = c.knownVersion
+			l := newIdleLoop(t, cfg)
+			list := l.restore(l.clock.now(), &state.Snapshot{
+				ListedAt: time.Now().Add(-c.age), ListVersion: c.version, IsFullList: true, Endpoints: []discovery.Endpoint{c.endpoint},
+				Admin: state.AdminSettings{Banned: []string{"s-1"}},
+			})
+			want := cfg.known
+			if c.isInUse {
+				want = discovery.List{Version: c.version, IsFull: true, Endpoints: []discovery.Endpoint{c.endpoint}}
+			}
+			if !reflect.DeepEqual(list, want) {
+				t.Errorf("the list to begin with is %+v, want %+v", list, want)
+			}
+			if names := l.bannedNames(); !reflect.DeepEqual(names, []string{"s-1"}) {
+				t.Errorf("banned: %v, want s-1", names)
+			}
+		})
+	}
+}
+
+// What one process persists another restores: list, bans and what was learned of the endpoints on the list.
+func TestSnapshotIsRestored(t *testing.T) {
+	listed, removed := ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:2")
+	first := newIdleLoop(t, configure(t, "127.0.0.1:1", nil))
+	now := first.clock.now()
+	first.members(now, balancer.UpdateFull, discovery.List{Version: 3, IsFull: true, Endpoints: []discovery.Endpoint{listed, removed}})
+	first.members(now, balancer.UpdateFull, discovery.List{Version: 4, IsFull: true, Endpoints: []discovery.Endpoint{listed}})
+	first.setBans(now, []string{"s-9"})
+	first.restoreEndpointStates(now, &state.Snapshot{EndpointStates: []state.EndpointState{
+		{Name: "s-1", LatencyBaseline: 1000, LatencyCurrent: 1200, ServiceTime: 50, FailureRate: 0.25},
+		{Name: "s-8", LatencyBaseline: 1000, LatencyCurrent: 1200, ServiceTime: 50},
+	}})
+	persisted := first.snapshot(now)
+	if persisted.SidecarName != "n0" || persisted.ListVersion != 4 || !reflect.DeepEqual(persisted.Endpoints, []discovery.Endpoint{listed}) ||
+		!reflect.DeepEqual(persisted.Admin, state.AdminSettings{Banned: []string{"s-9"}}) {
+		t.Errorf("persisted %+v", persisted)
+	}
+
+	second := newIdleLoop(t, configure(t, "127.0.0.1:1", nil))
+	now = second.clock.now()
+	list := second.restore(now, persisted)
+	second.members(now, balancer.UpdateCached, list)
+	second.restoreEndpointStates(now, persisted)
+	again := second.snapshot(now)
+	if !reflect.DeepEqual(again.Endpoints, persisted.Endpoints) || !reflect.DeepEqual(again.Admin, persisted.Admin) {
+		t.Errorf("persisted again %+v, want %+v", again, persisted)
+	}
+	if len(again.EndpointStates) != 1 || again.EndpointStates[0].LatencyBaseline != 1000 || again.EndpointStates[0].ServiceTime != 50 {
+		t.Errorf("endpoint states %+v, want those of s-1", again.EndpointStates)
+	}
+	if !again.ListedAt.Equal(persisted.ListedAt) {
+		t.Errorf("a cached list is dated %v, want %v as persisted", again.ListedAt, persisted.ListedAt)
+	}
+}
