--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A wrong guess of a class's work must not refuse that class for ever; but a pass a second at each of a
-// thousand quiet balancers would keep a jammed fleet jammed.
+// A wrong estimate of the work of a class must not reject that class for ever; but one forced admission a
+// second at each of a thousand balancers would keep an overloaded fleet overloaded.
 func TestFewLateRequestsAreForced(t *testing.T) {
 	for _, c := range []struct {
 		gap      Micros
@@ -22,23 +22,23 @@
 			t.Errorf("a request every %d us: %d of 300 sent, want %d to %d", c.gap, n, c.from, c.to)
 		}
 		if len(r.rejected) != 300-len(r.attempts) {
-			t.Errorf("%d refused, %d sent", len(r.rejected), len(r.attempts))
+			t.Errorf("%d rejected, %d sent", len(r.rejected), len(r.attempts))
 		}
 	}
 }
 
-// A few long answers must not make an endpoint refuse where nobody waits.
+// A few long responses must not make an endpoint without contention reject.
 func TestIdleEndpointAdmitsLateRequest(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.endpoints[0].serviceTime.average, b.endpoints[0].serviceTime.updatedAt = ewma{value: 9, initialized: true}, 1000
 	b.LoadProbeResult(1000, 1, OK, 500, []float32{0})
 	b.RequestArrived(2000, requestOf(1, 0, 2000))
 	if len(r.attempts) != 1 {
-		t.Errorf("%d sends to an idle endpoint thought slow", len(r.attempts))
+		t.Errorf("%d attempts at an idle endpoint with a long service time", len(r.attempts))
 	}
 }
 
-// Requests passed into a jam keep it jammed: each that earns nothing makes the next rarer.
+// Requests forced into an overload prolong it: each that is late makes the next rarer.
 func TestForcedAdmissionsThatFailGetRarer(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.classes[0].meanWork.value = float64(100 * second)
@@ -53,7 +53,7 @@
 		}
 	}
 	if passed[0] < 3 || passed[0] > 8 || passed[1] > 2 {
-		t.Errorf("%d of the first 200 passed and %d of the next", passed[0], passed[1])
+		t.Errorf("%d of the first 200 were forced and %d of the next", passed[0], passed[1])
 	}
 	b.forcedAdmission.interval = maxForcedAdmissionInterval
 	r.attempts = nil
@@ -63,18 +63,18 @@
 	b.RequestArrived(502*second, requestOf(1001, 0, 502*second))
 	b.AttemptFinished(502*second+1000, Outcome{ID: 1001, Endpoint: 1, Status: OK, Latency: 1000, RequestDone: true})
 	if b.forcedAdmission.interval != minForcedAdmissionInterval {
-		t.Errorf("one of %d passes after an answer in time", b.forcedAdmission.interval)
+		t.Errorf("one of %d is forced after a response in time", b.forcedAdmission.interval)
 	}
 }
 
-// A jam that is over must not be refused to for long: as passes are served in time, more follow, until the
-// fleet is known to be well again.
+// After an overload the rejections must end soon: forced admissions that are in time are followed by more,
+// until the estimates have recovered.
 func TestForcedAdmissionsInTimeEndRejections(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.classes[0].meanWork.value = 250_000
 	b.zones[0].trend.value, b.zones[0].trend.updatedAt = maxTrend, 10*second
 	const gap = second / 200
-	last := Micros(0) // refusal
+	last := Micros(0) // rejection
 	for i := range uint64(1000) {
 		now := 10*second + Micros(i)*gap
 		b.LoadProbeResult(now, 1, OK, 500, []float32{0})
@@ -86,11 +86,11 @@
 		b.AttemptFinished(now+gap/2, Outcome{ID: i, Endpoint: 1, Status: OK, Latency: 50_000, RequestDone: true})
 	}
 	if last < 10*second || last > 12*second {
-		t.Errorf("the last request is refused %.1f s after the jam, want within 2 s", float64(last-10*second)/1e6)
+		t.Errorf("the last request is rejected %.1f s after the overload, want within 2 s", float64(last-10*second)/1e6)
 	}
 }
 
-// Staff must learn why requests are refused, in one line a second and not in thousands.
+// The reason of rejections is logged, in one line a second and not in thousands.
 func TestRejectionsAreLoggedOncePerSecond(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.LoadProbeResult(1000, 1, OK, 500, []float32{50})
@@ -100,9 +100,36 @@
 		b.RequestArrived(now, requestOf(id, 0, now))
 	}
 	if len(r.rejected) < 150 {
-		t.Fatalf("only %d refused", len(r.rejected))
+		t.Fatalf("only %d rejected", len(r.rejected))
 	}
 	if len(r.logs) != 1 || !strings.Contains(r.logs[0], "predicted latency over budget endpoint=1 ") {
 		t.Errorf("log: %q", r.logs)
 	}
 }
+
+func TestForcedAdmissionTakesOneInAnInterval(t *testing.T) {
+	forced := forcedAdmission{interval: minForcedAdmissionInterval}
+	var class classStats
+	taken := 0
+	for i := range 3 * minForcedAdmissionInterval {
+		if forced.take(10*second+Micros(i)*second, &class, true) {
+			taken++
+		}
+	}
+	if taken != 3 {
+		t.Errorf("%d of %d late requests are forced, want 3", taken, 3*minForcedAdmissionInterval)
+	}
+	for range 10 {
+		forced.failed()
+	}
+	if forced.interval != maxForcedAdmissionInterval {
+		t.Errorf("interval %d after failures, want %d", forced.interval, maxForcedAdmissionInterval)
+	}
+	class.lateSinceForced = maxForcedAdmissionInterval
+	if forced.take(100*second, &class, false) {
+		t.Error("a retry is forced")
+	}
+	if !forced.take(100*second, &class, true) || forced.take(100*second, &class, true) {
+		t.Error("want exactly one forced")
+	}
+}
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -29,7 +29,7 @@
 }
 
 // pickAndStart picks an endpoint and starts an attempt there, unless nothing is available, the request
-// would be too late or the breakers drop it. It reports whether an attempt was started; isFirst says that
+// would be too late or the breakers drop it. It reports whether an attempt was started; isFirst means that
 // the request has none yet.
 func (b *Balancer) pickAndStart(now Micros, r *request, isFirst bool) bool {
 	r.priority = b.requestPriority(now, r)
@@ -50,7 +50,7 @@
 }
 
 // pickOrRepeat picks an endpoint, or that of the last attempt if no other may be tried: a broken
-// connection says little of the endpoint.
+// connection is no sign of a broken endpoint.
 func (b *Balancer) pickOrRepeat(now Micros, r *request) *endpoint {
 	if e := b.pick(now, r, nil); e != nil {
 		return e
@@ -81,7 +81,7 @@
 		mayHaveRun:      true,
 	})
 	r.outstanding++
-	e.reinstateDueAt = 0
+	e.reinstateAt = 0
 	if !r.IsUploading { // an endpoint begins to serve at the last byte
 		r.lastAttempt().markInFlight(now)
 	}
@@ -133,7 +133,7 @@
 func (b *Balancer) recordOutcome(now Micros, r *request, a *attempt, status Status, latency Micros) {
 	e := a.endpoint
 	switch status {
-	case Cancelled, NotSent: // say nothing of the endpoint
+	case Cancelled, NotSent: // no sign of its health
 	case OK:
 		e.breaker.record(now, 1, 0)
 		e.breaker.recordLatency(float64(latency))
--- a/balancer/bans.go
+++ b/balancer/bans.go
@@ -14,16 +14,16 @@
 	return bans{since: map[uint32]Micros{}, reinstateAt: map[uint32]Micros{}}
 }
 
-// takeReinstatement returns when an endpoint is due for a request, if it was reinstated while not listed,
-// and forgets it.
-func (s *bans) takeReinstatement(id uint32) (dueAt Micros, ok bool) {
-	dueAt, ok = s.reinstateAt[id]
+// takeReinstatement returns the end of an endpoint's delay, if it was reinstated while not listed, and
+// forgets it.
+func (s *bans) takeReinstatement(id uint32) (at Micros, ok bool) {
+	at, ok = s.reinstateAt[id]
 	delete(s.reinstateAt, id)
-	return dueAt, ok
+	return at, ok
 }
 
-// Ban takes an endpoint out of use until Unban, whatever discovery says of it and whether it is listed or
-// not. Attempts in flight go on. A second ban changes nothing.
+// Ban takes an endpoint out of use until Unban, whatever its state by discovery, and listed or not.
+// Attempts in flight go on. A second ban changes nothing.
 func (b *Balancer) Ban(now Micros, id uint32) {
 	if _, ok := b.bans.since[id]; ok {
 		return
@@ -31,12 +31,12 @@
 	b.bans.since[id] = now
 	delete(b.bans.reinstateAt, id)
 	if e := b.endpointsByID[id]; e != nil {
-		e.bannedAt, e.banned, e.reinstateDueAt = now, true, 0
+		e.bannedAt, e.banned, e.reinstateAt = now, true, 0
 	}
 }
 
 // Unban reinstates a banned endpoint. It starts with a slow start and without a record: it was probably
-// restarted while banned, and the list may say so late.
+// restarted while banned, and the list may show it late.
 func (b *Balancer) Unban(now Micros, id uint32) {
 	if _, ok := b.bans.since[id]; !ok {
 		return
@@ -53,7 +53,7 @@
 	}
 	e.slowStart.budget, e.slowStart.refilledAt = 0, now
 	e.failures.value, e.serviceTime.average, e.breaker = 0, ewma{}, breaker{}
-	e.reinstateDueAt = now + reinstateDelay
+	e.reinstateAt = now + reinstateDelay
 	e.probing = false
 	b.sendLoadProbe(now, e)
 }
@@ -67,7 +67,7 @@
 	}
 	rules, cost := &b.settings.Rules, r.work*slowStartCharge
 	for _, e := range b.endpoints {
-		if e.reinstateDueAt == 0 || now < e.reinstateDueAt {
+		if e.reinstateAt == 0 || now < e.reinstateAt {
 			continue
 		}
 		bearable := rules.SlowStartMinCapacity * slowStartLoadFraction * rules.OverloadMultiple *
--- a/balancer/bans_test.go
+++ b/balancer/bans_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// traffic sends a steady load through a balancer, answers it all, and counts sends by endpoint.
+// traffic sends a steady load through a balancer, answers all of it and counts attempts by endpoint.
 type traffic struct {
 	b     *Balancer
 	r     *recorder
@@ -36,13 +36,13 @@
 	}
 }
 
-// A ban holds whatever lists say, and whenever the endpoint is listed.
+// A ban holds whatever updates say, and whenever the endpoint is listed.
 func TestBannedEndpointGetsNothing(t *testing.T) {
 	b, r := start(t, testSettings(), ready(3))
 	b.Ban(1000, 1)
 	b.Ban(1000, 4)
 	tr := newTraffic(b, r)
-	for i, news := range []func(now Micros){
+	for i, update := range []func(now Micros){
 		func(Micros) {},
 		func(now Micros) { b.UpdateEndpoints(now, UpdateDelta, []Endpoint{{ID: 1, State: Removed}}) },
 		func(now Micros) { b.UpdateEndpoints(now, UpdateFull, ready(4)) },
@@ -53,24 +53,25 @@
 	} {
 		now := Micros(i+1) * second
 		r.probes = r.probes[:0]
-		news(now)
+		update(now)
 		b.TimerFired(now, timerProbeRound)
 		tr.run(now, now+second, 10_000)
 		if slices.Contains(r.probes, 1) || slices.Contains(r.probes, 4) {
-			t.Errorf("after news %d: a banned endpoint was probed", i)
+			t.Errorf("after update %d: a banned endpoint was probed", i)
 		}
 	}
 	if tr.sends[1] != 0 || tr.sends[4] != 0 || tr.sends[2]+tr.sends[3] == 0 {
-		t.Errorf("sends by endpoint %v, want none to 1 and 4", tr.sends)
+		t.Errorf("attempts by endpoint %v, want none at 1 and 4", tr.sends)
 	}
 }
 
-// A call back ends the ban at once, and the endpoint gets a request within 5 s, cold or busy as it may seem.
+// Reinstating ends the ban at once, and the endpoint gets a request within 5 s, warming up or loaded as it
+// may seem.
 func TestReinstatedEndpointIsUsedAgain(t *testing.T) {
-	for name, news := range map[string]func(b *Balancer){
-		"no news of a restart": func(b *Balancer) {},
-		"restarted while out":  func(b *Balancer) { b.UpdateEndpoints(4*second, UpdateFull, listWithRestart(3*second)) },
-		"gone while out":       func(b *Balancer) { b.UpdateEndpoints(4*second, UpdateFull, ready(3)[1:]) },
+	for name, update := range map[string]func(b *Balancer){
+		"no restart reported":    func(b *Balancer) {},
+		"restarted while banned": func(b *Balancer) { b.UpdateEndpoints(4*second, UpdateFull, listWithRestart(3*second)) },
+		"removed while banned":   func(b *Balancer) { b.UpdateEndpoints(4*second, UpdateFull, ready(3)[1:]) },
 	} {
 		s := testSettings()
 		s.Rules.OverloadMultiple, s.Rules.OverloadDuration = 4, 3*second/2
@@ -78,7 +79,7 @@
 		tr := newTraffic(b, r)
 		tr.run(second, 2*second, 100_000)
 		b.Ban(2*second, 1)
-		news(b)
+		update(b)
 		before := tr.sends[1]
 		tr.run(4*second, 5*second, 100_000)
 		if tr.sends[1] != before {
@@ -87,12 +88,12 @@
 		r.probes = r.probes[:0]
 		b.Unban(5*second, 1)
 		b.Unban(5*second, 1)
-		if name != "gone while out" {
+		if name != "removed while banned" {
 			if !slices.Equal(r.probes, []uint32{1}) {
-				t.Errorf("%s: probes at the call back are %v, want one of 1", name, r.probes)
+				t.Errorf("%s: probes at the reinstatement are %v, want one of 1", name, r.probes)
 			}
 			if e := b.endpointsByID[1]; !b.isWarmingUp(5*second, e) {
-				t.Errorf("%s: it is not taken for cold", name)
+				t.Errorf("%s: it does not warm up", name)
 			}
 		} else {
 			b.UpdateEndpoints(5*second+second/2, UpdateFull, listWithRestart(5*second))
@@ -100,7 +101,7 @@
 		delete(tr.first, 1)
 		tr.run(5*second+second/2, 9*second, 100_000)
 		if at := tr.first[1]; at == 0 || at > 5*second+reinstateDelay+second {
-			t.Errorf("%s: first used at %d µs (0 for never), called back at 5 s", name, at)
+			t.Errorf("%s: first used at %d µs (0 for never), reinstated at 5 s", name, at)
 		}
 	}
 }
@@ -111,27 +112,28 @@
 	return list
 }
 
-// In a large fleet the first requests of all balancers together would push a cold endpoint over: each saves up.
+// In a large fleet the first requests of all balancers together would overload an endpoint that warms up:
+// each saves up for it.
 func TestReinstatedEndpointIsNotOverloaded(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1000
 	b, _ := start(t, s, ready(3))
 	b.Ban(second, 1)
 	b.Unban(2*second, 1)
-	due := func() bool {
+	getsFirstRequest := func() bool {
 		now := 2*second + reinstateDelay
 		r := b.newRequest(now, requestOf(1, 0, now))
 		r.work = b.classes[0].meanWork.value
 		return b.findReinstated(now, r) != nil
 	}
-	if due() {
+	if getsFirstRequest() {
 		t.Error("each of a thousand balancers sends it a first request")
 	}
 	s.Balancers = 1
 	b, _ = start(t, s, ready(3))
 	b.Ban(second, 1)
 	b.Unban(2*second, 1)
-	if !due() {
+	if !getsFirstRequest() {
 		t.Error("the only balancer does not send it a first request")
 	}
 }
--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -48,7 +48,7 @@
 		k.record(100*second, 0, 1)
 	}
 	if k.errorDropProbability(109*second) == 0 {
-		t.Error("failures of nine seconds ago are forgotten")
+		t.Error("failures of nine seconds ago have expired")
 	}
 	if got := k.errorDropProbability(110*second + 1); got != 0 || k.requests != 0 {
 		t.Errorf("after the window: chance %v, %d requests", got, k.requests)
@@ -68,7 +68,7 @@
 	if k.latencyBaseline != 100 || k.latencyCurrent != 100 {
 		t.Fatalf("first: base %v current %v", k.latencyBaseline, k.latencyCurrent)
 	}
-	k.recordLatency(60) // falls by a quarter of the way; current (60+3*100)/4
+	k.recordLatency(60) // falls by a quarter; current (60+3*100)/4
 	if !isNear(k.latencyBaseline, 90) || !isNear(k.latencyCurrent, 90) {
 		t.Fatalf("fall: base %v current %v", k.latencyBaseline, k.latencyCurrent)
 	}
@@ -86,7 +86,7 @@
 	}{
 		{"no sample", 0, 0, 1000, 0},
 		{"under three times the baseline", 100, 299, 1000, 0},
-		{"half way to the ceiling", 100, 625, 1000, 0.15}, // (625-300)/(950-300)*0.3
+		{"in the middle to the ceiling", 100, 625, 1000, 0.15}, // (625-300)/(950-300)*0.3
 		{"at the ceiling", 100, 950, 1000, 0.3},
 		{"capped", 100, 5000, 1000, 0.3},
 		{"ceiling under the threshold", 400, 5000, 1000, 0},
@@ -107,7 +107,7 @@
 	}
 	r := &request{}
 	if !b.breakerAllows(now, r, e) {
-		t.Fatal("the first is passed by force")
+		t.Fatal("the first is not forced")
 	}
 	passed := 0
 	for range 200 {
--- a/balancer/decisions_golden_test.go
+++ b/balancer/decisions_golden_test.go
@@ -37,7 +37,7 @@
 		{Name: "read", RetrySafety: Idempotent, LatencyObjective: 80_000, ClientTimeout: 500_000, PriorityWeight: 1},
 		{Name: "all", RetrySafety: IdempotentWithKey, DedupScope: DedupScopeFleet, DedupWindow: 200_000, LatencyObjective: 100_000, ClientTimeout: 600_000, PriorityWeight: 2},
 		{Name: "zone", RetrySafety: IdempotentWithKey, DedupScope: DedupScopeZone, DedupWindow: 400_000, LatencyObjective: 100_000, ClientTimeout: 600_000, PriorityWeight: 2},
-		{Name: "cell", RetrySafety: IdempotentWithKey, DedupScope: DedupScopePod, DedupWindow: 400_000, LatencyObjective: 150_000, ClientTimeout: 900_000, PriorityWeight: 1},
+		{Name: "pod", RetrySafety: IdempotentWithKey, DedupScope: DedupScopePod, DedupWindow: 400_000, LatencyObjective: 150_000, ClientTimeout: 900_000, PriorityWeight: 1},
 		{Name: "write", RetrySafety: NonIdempotent, LatencyObjective: 200_000, ClientTimeout: 900_000, PriorityWeight: 4, LateWeight: 0.5},
 	}
 	return []scriptOptions{
@@ -46,7 +46,7 @@
 		{name: "subscribe, sparse, keyed and unsafe",
 			settings: vary(func(s *Settings) { s.MustSubscribe, s.Classes, s.Costs.LoadProbe = true, keyed, 0.01 }),
 			servers:  160, rate: 400, work: 30_000, operators: true, length: 30_000_000},
-		{name: "tenants, overload, worth by work", settings: vary(func(s *Settings) {
+		{name: "tenants, overload, priority by work", settings: vary(func(s *Settings) {
 			s.Classes, s.PriorityPerWork, s.OverQuotaWeight = keyed, true, 0.3
 			s.Tenants = []Tenant{{Name: "a", Quota: 100, Fraction: 0.5}, {Name: "b", Quota: 50, Fraction: 0.5}, {}}
 			s.Limits.MaxUnanswered = 60
@@ -94,7 +94,7 @@
 		events: 45103, actions: 34574,
 		digest: "ea4e000a8ef3662dca6fc51692721f83917dabdb18d60c5d3aefe2a5df53cb48",
 	},
-	"tenants, overload, worth by work": {
+	"tenants, overload, priority by work": {
 		events: 30883, actions: 22529,
 		digest: "2c2b4df096d20610bc17bc933fa984d8fce0774a2afbd18ebea29333bceb1b40",
 	},
@@ -138,7 +138,7 @@
 		t.Run(options.name, func(t *testing.T) {
 			s := &script{t: t, options: options, random: 33, digest: sha256.New(), actions: map[byte]int{},
 				requests: map[uint64]*scriptRequest{}}
-			s.play()
+			s.run()
 			got := goldenResult{events: s.events, digest: hex.EncodeToString(s.digest.Sum(nil))}
 			for code, n := range s.actions {
 				got.actions += n
--- a/balancer/discovery_poll_test.go
+++ b/balancer/discovery_poll_test.go
@@ -31,7 +31,7 @@
 		} // else the answer is lost
 		fire()
 		if now-before > s.Rules.MaxPollInterval {
-			t.Fatalf("asked only after %d", now-before)
+			t.Fatalf("polled only after %d", now-before)
 		}
 	}
 	if len(b.endpoints) != 2 {
@@ -41,6 +41,6 @@
 	n := r.watches
 	b.TimerFired(now+100*second, timerDiscoveryPoll)
 	if r.watches != n {
-		t.Error("asked again while subscribed")
+		t.Error("polled while subscribed")
 	}
 }
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -40,8 +40,8 @@
 // # The rest
 //
 // endpoints.go applies endpoint updates and discovery_poll.go polls discovery. load_probes.go probes in
-// rounds and reads the answers, late_reports.go finds out when they can't be used, and gossip.go shares them
-// with other balancers. snapshot.go saves what a restart should not lose. stats.go has averages, rates and
-// the random source. settings.go (checked in settings_validate.go), events.go and actions.go are the
-// interface.
+// rounds and reads the answers, late_reports.go finds out when they can't be used, and gossip.go shares
+// them with other balancers. snapshot.go saves what a restart should not lose. stats.go has averages,
+// rates and the random source. settings.go (checked in settings_validate.go), events.go and actions.go
+// are the interface.
 package balancer
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -5,11 +5,11 @@
 // endpoint is what a balancer knows of an endpoint.
 type endpoint struct {
 	Endpoint
-	inUpdate       bool // named by the update being applied
-	banned         bool
-	bannedAt       Micros // start of the present ban, or of the last
-	reinstateDueAt Micros // from then on the next request goes there; 0 for none
-	slowStart      slowStart
+	inUpdate    bool // named by the update being applied
+	banned      bool
+	bannedAt    Micros // start of the present ban, or of the last
+	reinstateAt Micros // from then on the next request goes there; 0 for none
+	slowStart   slowStart
 
 	inFlight   int      // own attempts there
 	startTimes []Micros // of the attempts in flight, ascending
@@ -25,7 +25,7 @@
 }
 
 // zoneStats is what a balancer knows of the endpoints of a zone. It is learned by zone because a balancer
-// sees little of zones other than its own, and a slow zone says nothing of the others.
+// sees little of zones other than its own, and a slow zone is no sign that others are.
 type zoneStats struct {
 	roundTrip    ewma // least latency of a load probe, in microseconds
 	baselineLoad ewma // external load of an endpoint, over all reports
@@ -65,7 +65,7 @@
 	b.hasEndpointList = b.hasEndpointList || kind != UpdateCached || !b.settings.MustSubscribe
 }
 
-// applyEndpoint takes over an entry of discovery's. probeNew says whether a new or restarted endpoint is
+// applyEndpoint takes over an entry of discovery's. probeNew is whether a new or restarted endpoint is
 // probed.
 func (b *Balancer) applyEndpoint(now Micros, in *Endpoint, probeNew bool) {
 	e := b.endpointsByID[in.ID]
@@ -75,12 +75,12 @@
 		b.endpointsByID[in.ID] = e
 		b.endpoints = append(b.endpoints, e)
 	}
-	if dueAt, ok := b.bans.takeReinstatement(in.ID); ok {
-		e.reinstateDueAt = dueAt
+	if at, ok := b.bans.takeReinstatement(in.ID); ok {
+		e.reinstateAt = at
 	}
 	isRestarted := !isNew && in.StartTime != 0 && in.StartTime != e.StartTime
 	if isRestarted {
-		*e = endpoint{inFlight: e.inFlight, reinstateDueAt: e.reinstateDueAt}
+		*e = endpoint{inFlight: e.inFlight, reinstateAt: e.reinstateAt}
 	}
 	startTime := in.StartTime
 	if startTime == 0 && isNew && b.hasEndpointList {
@@ -103,7 +103,7 @@
 	}
 }
 
-// removeEndpoints forgets removed endpoints that have nothing in flight. isFull says that endpoints which
+// removeEndpoints forgets removed endpoints that have nothing in flight. isFull means that endpoints which
 // the update did not name are removed.
 func (b *Balancer) removeEndpoints(isFull bool) {
 	b.endpoints = slices.DeleteFunc(b.endpoints, func(e *endpoint) bool {
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -1,6 +1,6 @@
 package balancer
 
-// EndpointState is what discovery says of an endpoint.
+// EndpointState is the state of an endpoint by discovery.
 type EndpointState uint8
 
 // The states of an endpoint.
@@ -21,7 +21,7 @@
 	StartTime   Micros  // of its latest start; 0 for long ago
 }
 
-// UpdateKind says how the entries of an endpoint update are to be read.
+// UpdateKind defines how the entries of an endpoint update are read.
 type UpdateKind uint8
 
 // The kinds of endpoint update.
@@ -47,7 +47,7 @@
 	Class       uint8  // index in Settings.Classes
 }
 
-// Status says how an attempt or a load probe ended.
+// Status is the result of an attempt or of a load probe.
 type Status uint8
 
 // The ways in which an attempt may end. Rejected, ConnectFailed and NotSent prove that the endpoint did not
@@ -80,7 +80,7 @@
 	return s == Rejected || s == ConnectFailed || s == NotSent
 }
 
-// Outcome says how an attempt ended.
+// Outcome describes the end of an attempt.
 type Outcome struct {
 	ID           uint64 // of the request
 	Attempt      int    // number of the attempt, from 0
@@ -88,6 +88,6 @@
 	Status       Status
 	Latency      Micros    // from the start of the attempt
 	RequestDone  bool      // the client has its response: no answer is wanted
-	BodyConsumed bool      // part of the request's body is gone: it cannot be sent again
+	BodyConsumed bool      // part of the request's body is consumed: it cannot be sent again
 	LoadReport   []float32 // valid during the call only; no decision reads it
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -6,14 +6,14 @@
 	"bramblestand/balancer"
 )
 
-// host prints what a balancer asks for. A sidecar does these things.
+// host prints what a balancer asks for; a sidecar carries it out.
 type host struct{ sent []uint32 }
 
 func (h *host) StartAttempt(id uint64, endpoint uint32, timeout balancer.Micros) {
 	h.sent = append(h.sent, endpoint)
 	fmt.Printf("send request %d to endpoint %d\n", id, endpoint)
 }
-func (h *host) Reject(id uint64, after balancer.Micros)         { fmt.Printf("refuse request %d\n", id) }
+func (h *host) Reject(id uint64, after balancer.Micros)         { fmt.Printf("reject request %d\n", id) }
 func (h *host) Fail(id uint64)                                  { fmt.Printf("fail request %d\n", id) }
 func (h *host) CancelAttempt(id uint64, attempt int)            {}
 func (h *host) SetTimer(balancer.Micros, uint32)                {}
@@ -39,7 +39,7 @@
 	}
 	b.Start(0)
 	b.UpdateEndpoints(0, balancer.UpdateCached, []balancer.Endpoint{{ID: 7}, {ID: 8}})
-	b.LoadProbeResult(1_000, 7, balancer.OK, 500, []float32{2}) // endpoint 7 holds two requests,
+	b.LoadProbeResult(1_000, 7, balancer.OK, 500, []float32{2}) // endpoint 7 has two requests in flight,
 	b.LoadProbeResult(1_000, 8, balancer.OK, 500, []float32{0}) // endpoint 8 none
 
 	b.RequestArrived(2_000, balancer.Request{ID: 1, Deadline: 802_000})
@@ -51,5 +51,5 @@
 	// Output:
 	// send request 1 to endpoint 8
 	// send request 1 to endpoint 7
-	// refuse request 2
+	// reject request 2
 }
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -33,7 +33,7 @@
 	return append(data, g.inFlight, g.queueLength)
 }
 
-// decodeGossip reads the entries of a message. The error says that it is none of this version.
+// decodeGossip reads the entries of a message. The error means that it is none of this version.
 func decodeGossip(data []byte) ([]gossipEntry, error) {
 	if len(data) == 0 || len(data) > maxGossipBytes || data[0] != gossipVersion ||
 		(len(data)-1)%gossipEntryBytes != 0 {
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// largeFleetSettings are those of many balancers, each with few requests and dear probes.
+// largeFleetSettings are those of many balancers, each with few requests and expensive load probes.
 func largeFleetSettings() Settings {
 	s := testSettings()
 	s.Balancers = 80
@@ -18,20 +18,20 @@
 	return s
 }
 
-// What one balancer's probe is answered, all are told of; where each can ask often enough itself, none is.
+// The answer to a load probe is shared with all balancers, unless each can probe often enough itself.
 func TestReportsAreSharedWithOtherBalancers(t *testing.T) {
 	b, r := start(t, largeFleetSettings(), ready(60))
 	b.TimerFired(second, timerProbeRound)
 	b.LoadProbeResult(second+500, r.probes[0], OK, 500, []float32{7, 3})
 	if len(r.gossip) != 1 {
-		t.Fatalf("%d messages after one answer", len(r.gossip))
+		t.Fatalf("%d messages after one report", len(r.gossip))
 	}
 	other, _ := start(t, largeFleetSettings(), ready(60))
 	other.TimerFired(second, timerProbeRound)
 	other.ReceiveGossip(second+2000, r.gossip[0])
 	e := other.endpointsByID[r.probes[0]]
 	if got := other.estimateLoad(second+2000, e); got != 7 || other.concurrencyOf(e) != 4 {
-		t.Errorf("load %v and %v worked at after a message of 7 held and 3 waiting", got, other.concurrencyOf(e))
+		t.Errorf("load %v and concurrency %v after a message of 7 in flight and 3 queued", got, other.concurrencyOf(e))
 	}
 
 	few := largeFleetSettings()
@@ -43,11 +43,11 @@
 	b.TimerFired(2*second, timerProbeRound)
 	b.LoadProbeResult(2*second+500, r.probes[0], OK, 500, []float32{7, 3})
 	if len(r.gossip) != 0 {
-		t.Errorf("%d messages though a turn of the fleet takes no second", len(r.gossip))
+		t.Errorf("%d messages though a round over the fleet takes less than a second", len(r.gossip))
 	}
 }
 
-// What a message says is forgotten within about a request's time: many choose by it at once.
+// A shared report counts for about the time of a request: many balancers act on it together.
 func TestSharedLoadDecaysToBaseline(t *testing.T) {
 	b, _ := start(t, largeFleetSettings(), ready(60))
 	b.TimerFired(second, timerProbeRound)
@@ -58,12 +58,12 @@
 	e := b.endpointsByID[1]
 	soon, late := b.estimateLoad(second, e), b.estimateLoad(second+10*Micros(b.classes[0].meanWork.value), e)
 	if soon != 0 || late < 3 {
-		t.Errorf("load %v at once and %v after ten requests' time, want 0 and about the 4 of all others", soon, late)
+		t.Errorf("load %v at once and %v after the time of ten requests, want 0 and about the 4 of the others", soon, late)
 	}
 }
 
-// Where loads are shared news, a slow answer may have stood in a queue that nobody has told of: it is no reason to
-// think all requests heavier. The servers tell how long they take to serve.
+// While reports are shared, a slow response may have waited in a queue that no report shows: it does not
+// make requests heavier. The service time of the reports tells their work.
 func TestReportsTellMeanWork(t *testing.T) {
 	s := largeFleetSettings()
 	s.LoadReportFields, s.Classes = []LoadField{LoadFieldInFlight, LoadFieldQueueLength, LoadFieldServiceTime}, s.Classes[:1]
@@ -78,47 +78,49 @@
 		}
 	}
 	if got := b.classes[0].meanWork.value; got != work {
-		t.Errorf("work %.0f us after slow answers, want the %.0f of before", got, work)
+		t.Errorf("work %.0f us after slow responses, want the %.0f of before", got, work)
 	}
 	for i := range Micros(200) {
 		b.LoadProbeResult(2*second+i, 1, OK, 500, []float32{2, 0, 50})
 	}
 	if got := b.classes[0].meanWork.value; got > 51_000 || got < 49_000 {
-		t.Errorf("work %.0f us where reports tell 50 ms", got)
+		t.Errorf("work %.0f us with reports of 50 ms", got)
 	}
 }
 
-// A message may be cut, foreign, of an unknown endpoint or of an earlier life of one: it changes nothing.
+// A message that is truncated, foreign, or of an unknown endpoint or an earlier process of it changes
+// nothing.
 func TestInvalidGossipIsDropped(t *testing.T) {
 	list := ready(3)
 	list[0].StartTime = 5000
 	for name, data := range map[string][]byte{
-		"empty":         {},
-		"foreign":       []byte("hi, there"),
-		"cut":           gossipEntry{endpointID: 2, inFlight: 9}.encode()[:7],
-		"other version": append([]byte{9}, gossipEntry{endpointID: 2, inFlight: 9}.encode()[1:]...),
-		"too long":      make([]byte, 257),
-		"unknown":       gossipEntry{endpointID: 77, inFlight: 9}.encode(),
-		"earlier life":  gossipEntry{endpointID: 1, startMark: 4, inFlight: 9}.encode(),
+		"empty":           {},
+		"foreign":         []byte("hi, there"),
+		"truncated":       gossipEntry{endpointID: 2, inFlight: 9}.encode()[:7],
+		"other version":   append([]byte{9}, gossipEntry{endpointID: 2, inFlight: 9}.encode()[1:]...),
+		"too long":        make([]byte, 257),
+		"unknown":         gossipEntry{endpointID: 77, inFlight: 9}.encode(),
+		"earlier process": gossipEntry{endpointID: 1, startMark: 4, inFlight: 9}.encode(),
 	} {
 		b, r := start(t, largeFleetSettings(), list)
 		b.ReceiveGossip(10*second, data)
 		for _, e := range b.endpoints {
 			if e.report.known {
-				t.Errorf("%s: endpoint %d has a load now", name, e.ID)
+				t.Errorf("%s: endpoint %d has a report now", name, e.ID)
 			}
 		}
-		proper := name == "unknown" || name == "earlier life"
-		if told := len(r.logs) == 1 && strings.HasPrefix(r.logs[0], "gossip message dropped error="); told == proper {
+		isWellFormed := name == "unknown" || name == "earlier process"
+		if isLogged := len(r.logs) == 1 && strings.HasPrefix(r.logs[0], "gossip message dropped error="); isLogged == isWellFormed {
 			t.Errorf("%s: log %q", name, r.logs)
 		}
 	}
 }
 
-// A sidecar whose own zone is lost still chooses among three, or half of its requests would go where it is full.
+// A balancer whose own zone is lost still chooses among three draws, or half of its requests would go to
+// full endpoints.
 func TestLostZoneLeavesAChoice(t *testing.T) {
 	s := largeFleetSettings()
-	s.Zone = 200 // nobody of it is listed any more
+	s.Zone = 200 // no endpoint of it is listed
 	b, r := start(t, s, ready(60))
 	b.TimerFired(second, timerProbeRound)
 	for id := uint32(1); id <= 60; id++ {
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -15,7 +15,7 @@
 			{Name: "read", RetrySafety: Idempotent, LatencyObjective: 400_000, ClientTimeout: second, PriorityWeight: 1},
 			{Name: "keyed-all", RetrySafety: IdempotentWithKey, DedupScope: DedupScopeFleet, DedupWindow: 500_000, LatencyObjective: 400_000, ClientTimeout: second, PriorityWeight: 1},
 			{Name: "keyed-zone", RetrySafety: IdempotentWithKey, DedupScope: DedupScopeZone, DedupWindow: 500_000, LatencyObjective: 400_000, ClientTimeout: second, PriorityWeight: 1},
-			{Name: "keyed-cell", RetrySafety: IdempotentWithKey, DedupScope: DedupScopePod, DedupWindow: 500_000, LatencyObjective: 400_000, ClientTimeout: second, PriorityWeight: 1},
+			{Name: "keyed-pod", RetrySafety: IdempotentWithKey, DedupScope: DedupScopePod, DedupWindow: 500_000, LatencyObjective: 400_000, ClientTimeout: second, PriorityWeight: 1},
 			{Name: "write", RetrySafety: NonIdempotent, LatencyObjective: 400_000, ClientTimeout: second, PriorityWeight: 1},
 		},
 		LoadReportFields: []LoadField{LoadFieldInFlight},
@@ -32,7 +32,7 @@
 	endpoint uint32
 }
 
-// recorder keeps what a balancer asks of its host.
+// recorder records what a balancer asks of its host.
 type recorder struct {
 	attempts []startedAttempt
 	rejected []uint64
@@ -75,7 +75,7 @@
 	r.logs = append(r.logs, line)
 }
 
-// ready returns n ready endpoints with ids from 1; pairs share a cell and a zone.
+// ready returns n ready endpoints with IDs from 1; pairs share a pod and a zone.
 func ready(n int) []Endpoint {
 	list := make([]Endpoint, n)
 	for i := range list {
--- a/balancer/late_reports_test.go
+++ b/balancer/late_reports_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// Reports that count fewer than this balancer has there itself are late; they
-// must not steer picks.
+// Reports that count fewer requests than this balancer has there itself are late; they must not steer
+// picks.
 func TestLateReportsAreDetected(t *testing.T) {
 	b, r := start(t, testSettings(), ready(2))
 	for id := range uint64(3) {
@@ -18,7 +18,7 @@
 		b.LoadProbeResult(23_000+i, busy.ID, OK, 500, []float32{0})
 	}
 	if !b.lateReports.detected {
-		t.Fatal("not found out")
+		t.Fatal("late reports are not detected")
 	}
 	if got := b.estimateLoad(1000, busy); got < float64(busy.inFlight) {
 		t.Errorf("load %v is under own in-flight %d", got, busy.inFlight)
@@ -29,12 +29,12 @@
 		b.LoadProbeResult(25_000+i, busy.ID, OK, 500, []float32{5})
 	}
 	if b.lateReports.detected {
-		t.Error("not left again")
+		t.Error("the recovery is not detected")
 	}
 }
 
-// An attempt still on its way, behind a handshake say, and one whose answer stands still half way are not at
-// the endpoint. That a report leaves them out must not make it late.
+// An attempt that has not arrived, behind a handshake for example, and one whose response has stalled are
+// not at the endpoint. A report without them is not late.
 func TestReportsWithoutAttemptsOnTheirWayAreNotLate(t *testing.T) {
 	for _, age := range []Micros{15_000, 500_000} {
 		b, r := start(t, testSettings(), ready(2))
@@ -46,13 +46,13 @@
 			b.LoadProbeResult(1000+age+10*i, busy.ID, OK, 500, []float32{0})
 		}
 		if b.lateReports.detected {
-			t.Errorf("reports are held to be late for an attempt %d ms old", age/1000)
+			t.Errorf("reports count as late for an attempt %d ms old", age/1000)
 		}
 	}
 }
 
-// While reports are late, averages decide; they must not refuse what an
-// endpoint that they cannot show would serve.
+// While reports are late, averages decide. They must not reject what an endpoint that they cannot show
+// would serve.
 func TestLateReportsAllowTheFullObjective(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(1))
 	r := &request{Request: requestOf(1, 0, 0), work: 50_000}
@@ -60,6 +60,34 @@
 	before := b.latencyBudget(0, r, b.endpoints[0])
 	b.lateReports.detected = true
 	if after := b.latencyBudget(0, r, b.endpoints[0]); after <= before || after != float64(b.settings.Classes[0].LatencyObjective) {
-		t.Errorf("limit %v before, %v while late", before, after)
+		t.Errorf("budget %v before, %v while late", before, after)
+	}
+}
+
+func TestLateReportsHaveHysteresis(t *testing.T) {
+	reports := lateReports{fraction: ewma{initialized: true}}
+	changes := 0
+	record := func(isLate bool, times int) {
+		for range times {
+			if reports.record(isLate) {
+				changes++
+			}
+		}
+	}
+	record(true, 5) // a fraction of 0.096
+	if reports.detected {
+		t.Error("detected below the threshold")
+	}
+	record(true, 5)
+	if !reports.detected || changes != 1 {
+		t.Errorf("detected %v after %d changes, want true after 1", reports.detected, changes)
+	}
+	record(false, 30) // a fraction of 0.1
+	if !reports.detected {
+		t.Error("recovered above a third of the threshold")
+	}
+	record(false, 200)
+	if reports.detected || changes != 2 {
+		t.Errorf("detected %v after %d changes, want false after 2", reports.detected, changes)
 	}
 }
--- a/balancer/latency_estimate.go
+++ b/balancer/latency_estimate.go
@@ -38,7 +38,7 @@
 		work*b.slowdown(now, e)*b.expectedServiceTime(now, e)*b.contention(now, e)
 }
 
-// learnServiceTime learns from the latency (microseconds) of an attempt. isLowerBound says that the
+// learnServiceTime learns from the latency (microseconds) of an attempt. isLowerBound means that the
 // attempt has not ended: it then only counts if it took longer than expected.
 func (b *Balancer) learnServiceTime(now Micros, r *request, a *attempt, latency float64, isLowerBound bool) {
 	e := a.endpoint
@@ -66,7 +66,7 @@
 	}
 }
 
-// learnHintExponent learns how far cost hints tell the work: rough ones overstate large requests and
+// learnHintExponent learns how far cost hints predict the work: rough ones overstate large requests and
 // understate small ones.
 func (b *Balancer) learnHintExponent(now Micros, r *request, e *endpoint, measured float64) {
 	if r.logHintRatio == 0 || measured <= 0 {
@@ -76,7 +76,7 @@
 	b.hintExponent = min(1, max(0, b.hintExponent+step))
 }
 
-// learnMeanWork learns a class's mean work from a service time, where no hints tell it. Attempts that met
+// learnMeanWork learns a class's mean work from a service time, where there are no hints. Attempts that met
 // contention are left out: it is estimated by the mean work, and the two would feed each other.
 func (b *Balancer) learnMeanWork(r *request, a *attempt, measured float64) {
 	if r.HasCostHint || a.contendedWork > r.work || b.learnsWorkFromReports() {
@@ -85,7 +85,7 @@
 	b.classes[r.Class].meanWork.add(measured*r.work, meanWorkWeight)
 }
 
-// learnsWorkFromReports reports whether load reports tell the mean work, as their service time. While
+// learnsWorkFromReports reports whether load reports give the mean work, as their service time. While
 // gossiping, the contention that a request meets is a guess, and its latency would count the queue there
 // as work.
 func (b *Balancer) learnsWorkFromReports() bool {
--- a/balancer/latency_estimate_test.go
+++ b/balancer/latency_estimate_test.go
@@ -4,26 +4,26 @@
 	"testing"
 )
 
-// Latencies on endpoints wrongly held to be busy say nothing of a class's work: each would make it less, and so
-// the queue that a probe's wait tells the longer.
+// Latencies at endpoints wrongly taken to be loaded say nothing of the work of a class: they would make it
+// less, and so any queue that a waiting probe shows longer.
 func TestWorkIsNotLearnedFromAssumedQueue(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	before := b.classes[0].meanWork.value
 	for i := range uint64(200) {
 		now := second + Micros(i)*10_000
-		b.LoadProbeResult(now, 1, OK, 500, []float32{0})                  // the way there
-		b.LoadProbeResult(now, 1, OK, 500+Micros(before/2), []float32{0}) // slow, though nothing is held
+		b.LoadProbeResult(now, 1, OK, 500, []float32{0})                  // the round-trip time
+		b.LoadProbeResult(now, 1, OK, 500+Micros(before/2), []float32{0}) // slow, though nothing is in flight
 		b.RequestArrived(now, requestOf(i, 0, now))
 		if n := len(r.attempts); n > 0 && r.attempts[n-1].id == i {
 			b.AttemptFinished(now+5000, Outcome{ID: i, Endpoint: 1, Status: OK, Latency: Micros(before), RequestDone: true})
 		}
 	}
 	if got := b.classes[0].meanWork.value; got < before*0.9 || len(r.attempts) < 100 {
-		t.Errorf("work of %.0f us is held to be %.0f after %d answers that took as long", before, got, len(r.attempts))
+		t.Errorf("work of %.0f us is estimated at %.0f after %d responses that took as long", before, got, len(r.attempts))
 	}
 }
 
-// A cold endpoint's slowness is no work of the request's.
+// The slowness of an endpoint that warms up is not work of the request.
 func TestWorkIsNotLearnedFromSlowStart(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(1)[:1])
 	b.UpdateEndpoints(second, UpdateDelta, []Endpoint{{ID: 1, Weight: 1, StartTime: second}})
@@ -36,11 +36,11 @@
 		b.learnServiceTime(now, r, a, before/e.slowStart.capacityFraction(now, &b.settings.Rules), false)
 	}
 	if got := b.classes[0].meanWork.value; got > 1.01*before || got < 0.99*before {
-		t.Errorf("work went from %.0f to %.0f by answers that were slow by coldness alone", before, got)
+		t.Errorf("work went from %.0f to %.0f by responses that were slow by the slow start alone", before, got)
 	}
 }
 
-// Where all that is warm of a zone is slow, what has just started there is not taken for slow.
+// An endpoint that has just started is not taken to be slow because the only other one of its zone is.
 func TestOneSlowEndpointDoesNotSlowItsZone(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(6)) // two a zone
 	learn := func(id uint32, latency float64, times int) {
@@ -61,40 +61,41 @@
 	}
 	fresh := b.endpointsByID[2]
 	if got := b.expectedServiceTime(second, fresh) * fresh.slowStart.capacityFraction(second, &b.settings.Rules); got > 2*usual {
-		t.Errorf("a new endpoint beside a slow one is expected at a pace of %.2f, the fleet's is %.2f", got, usual)
+		t.Errorf("a new endpoint beside a slow one has an expected service time of %.2f, the fleet %.2f", got, usual)
 	}
 	if got := b.expectedServiceTime(second, b.endpointsByID[1]); got < 3*usual {
-		t.Errorf("the slow one itself is expected at %.2f, the fleet's pace is %.2f", got, usual)
+		t.Errorf("the slow one has an expected service time of %.2f, the fleet %.2f", got, usual)
 	}
 }
 
-// What a cold endpoint can do grows with its warmth, and so must what is
-// expected of it, also once its pace has been learned.
+// The service time expected of an endpoint in its slow start falls with its growing capacity, also once it
+// has been learned.
 func TestWarmingEndpointIsExpectedToBeSlow(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
 	b.UpdateEndpoints(1000, UpdateDelta, []Endpoint{{ID: 9, State: Ready, StartTime: 1000}})
 	e := b.endpointsByID[9]
-	if got := b.expectedServiceTime(1000, e); !isNear(got, 5) { // warmth 0.2
-		t.Errorf("pace %v just started", got)
+	if got := b.expectedServiceTime(1000, e); !isNear(got, 5) { // capacity 0.2
+		t.Errorf("service time %v at the start", got)
 	}
 	e.serviceTime.average, e.serviceTime.updatedAt = ewma{value: 2, initialized: true}, 6*second
-	if got := b.expectedServiceTime(6*second, e); got < 2.9 || got > 3 { // warmth 0.68
-		t.Errorf("pace %v half way", got)
+	if got := b.expectedServiceTime(6*second, e); got < 2.9 || got > 3 { // capacity 0.68
+		t.Errorf("service time %v in the middle", got)
 	}
 	if got := b.expectedServiceTime(12*second, e); got > 2 {
-		t.Errorf("pace %v once warm", got)
+		t.Errorf("service time %v at the end", got)
 	}
 }
 
-// A hint must count for as much as it tells, or idle endpoints refuse what is only said to be large.
+// A cost hint counts for as much as it predicts, or idle endpoints would reject what is only hinted to be
+// large.
 func TestHintExponentIsLearned(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		latency  func(hint Micros) Micros
 		from, to float64
 	}{
-		{"hints tell nothing", func(Micros) Micros { return 20_000 }, 0, 0.15},
-		{"hints tell all", func(hint Micros) Micros { return hint }, 0.85, 1},
+		{"hints predict nothing", func(Micros) Micros { return 20_000 }, 0, 0.15},
+		{"hints predict all", func(hint Micros) Micros { return hint }, 0.85, 1},
 	} {
 		b, r := start(t, testSettings(), ready(4))
 		hints := randomSource(3)
@@ -108,7 +109,7 @@
 			}
 		}
 		if b.hintExponent < c.from || b.hintExponent > c.to {
-			t.Errorf("%s: trust %.2f, want %.2f to %.2f", c.name, b.hintExponent, c.from, c.to)
+			t.Errorf("%s: exponent %.2f, want %.2f to %.2f", c.name, b.hintExponent, c.from, c.to)
 		}
 	}
 }
--- a/balancer/latency_trend.go
+++ b/balancer/latency_trend.go
@@ -12,7 +12,7 @@
 
 // latencyTrend is the ratio of the latencies of a zone to their predictions. It moves within a few
 // outcomes, where the service times of endpoints that get few requests would take long, and fades without
-// outcomes, since rejected requests have none that could tell of a recovery.
+// outcomes, since rejected requests have none that could show a recovery.
 type latencyTrend struct {
 	value     float64 // at updatedAt; 1 for as predicted
 	updatedAt Micros
--- a/balancer/latency_trend_test.go
+++ b/balancer/latency_trend_test.go
@@ -1,11 +1,12 @@
 package balancer
 
 import (
+	"math"
 	"testing"
 )
 
-// When a whole zone turns slow, an endpoint known as fast must be expected to be slow, too, and
-// must be trusted again soon after the recovery.
+// When a zone turns slow, an endpoint known to be fast is expected to be slow, too, and trusted again soon
+// after the recovery.
 func TestZoneWideSlowdownIsLearnedAtOnce(t *testing.T) {
 	list := ready(4)
 	for i := range list {
@@ -19,7 +20,7 @@
 			b.LoadProbeResult(now, 1, OK, 500, []float32{9}) // the others serve
 			b.RequestArrived(now, Request{ID: id, Deadline: now + second, CostHint: 10_000, HasCostHint: true})
 			if len(r.attempts) == 0 || r.attempts[len(r.attempts)-1].id != id {
-				continue // refused
+				continue // rejected
 			}
 			latency := Micros(times * b.requests[id].attempts[0].expectedLatency)
 			b.AttemptFinished(now, Outcome{ID: id, Endpoint: r.attempts[len(r.attempts)-1].endpoint, Status: OK,
@@ -43,8 +44,8 @@
 	}
 }
 
-// Many requests sent at one time that take twice as long as expected make the trend twice as high, not as many
-// times: each tells the same.
+// Many requests started together that take twice as long as expected make the trend twice as high, not
+// more: each says the same.
 func TestTrendCountsABatchOnce(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.classes[0].meanWork.value = 1000
@@ -61,20 +62,39 @@
 	}
 }
 
-// Where all is refused nothing comes back that could tell of a recovery: the refusals must end by themselves.
+// While every request is rejected, no outcome can show a recovery: the rejections end by themselves.
 func TestTrendFadesWithoutOutcomes(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.classes[0].meanWork.value = 100_000
 	b.zones[0].trend.value, b.zones[0].trend.updatedAt, b.forcedAdmission.interval = maxTrend, 10*second, maxForcedAdmissionInterval
 	for i, c := range []struct {
-		at      Micros
-		refused int
+		at       Micros
+		rejected int
 	}{{10*second + 1, 1}, {16 * second, 1}} {
 		b.LoadProbeResult(c.at, 1, OK, 500, []float32{0})
-		b.classes[0].forcedAt = c.at // no pass is due
+		b.classes[0].forcedAt = c.at // none is forced
 		b.RequestArrived(c.at, requestOf(uint64(i), 0, c.at))
-		if len(r.rejected) != c.refused || len(r.attempts) != i {
-			t.Errorf("%d refused and %d sent by %.1f s", len(r.rejected), len(r.attempts), float64(c.at)/1e6)
+		if len(r.rejected) != c.rejected || len(r.attempts) != i {
+			t.Errorf("%d rejected and %d sent by %.1f s", len(r.rejected), len(r.attempts), float64(c.at)/1e6)
 		}
 	}
 }
+
+func TestTrendIsBoundedAndFades(t *testing.T) {
+	trend := latencyTrend{value: 1}
+	for range 200 {
+		trend.record(second, 1000)
+	}
+	if got := trend.current(second); got != maxTrend {
+		t.Errorf("trend %v after many slow outcomes, want %v", got, maxTrend)
+	}
+	if got, want := trend.current(second+trendHalfLife), math.Sqrt(maxTrend); !isNear(got, want) {
+		t.Errorf("trend %v after a half-life, want %v", got, want)
+	}
+	for range 200 {
+		trend.record(second, 0)
+	}
+	if got := trend.current(second); got != 1/maxTrend {
+		t.Errorf("trend %v after many fast outcomes, want %v", got, 1/maxTrend)
+	}
+}
--- a/balancer/load_estimate.go
+++ b/balancer/load_estimate.go
@@ -5,7 +5,7 @@
 const (
 	baselineLoadWeight = 0.1 // of the latest report in the baseline load
 	gossipHalfLife     = 0.7 // of a shared report's difference from the baseline, in mean work
-	defaultConcurrency = 2.0 // until a report tells
+	defaultConcurrency = 2.0 // until a report shows it
 )
 
 // loadReport is the latest load report of an endpoint.
@@ -117,7 +117,7 @@
 func (b *Balancer) sharedLoad(now Micros, e *endpoint) float64 {
 	baseline := b.zones[e.Zone].baselineLoad.value
 	if e.slowStart.active || e.failures.value > ejectionThreshold {
-		baseline = e.report.externalLoad // an endpoint of which others keep away
+		baseline = e.report.externalLoad // other balancers avoid such an endpoint
 	}
 	age := float64(now - e.report.at)
 	remaining := math.Exp2(-age / (gossipHalfLife * b.classes[0].meanWork.value))
--- a/balancer/load_estimate_test.go
+++ b/balancer/load_estimate_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// An endpoint works at several requests side by side, and its reports tell how many: those that it holds and that
-// do not wait. Nobody waits where fewer are held.
+// An endpoint serves several requests at a time: those in flight that are not queued. No request queues
+// below that.
 func TestReportsTellConcurrency(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1
@@ -34,18 +34,18 @@
 	}
 	b.LoadProbeResult(2000, 2, OK, 500, []float32{5, 0})
 	if got, want := b.predictLatency(2000, b.endpointsByID[2], work), b.zones[0].roundTrip.value+work; got > 1.05*want {
-		t.Errorf("%.0f us expected of an endpoint that holds 5 of the 6 it works at, want %.0f", got, want)
+		t.Errorf("%.0f us expected of an endpoint with 5 requests of the 6 it serves at a time, want %.0f", got, want)
 	}
-	b.classes[0].meanWork.value = 250_000 // too much to stand in line, but in time if started at once
+	b.classes[0].meanWork.value = 250_000 // late after a queue, but in time if started at once
 	b.RequestArrived(3000, requestOf(1, 0, 3000))
 	if len(r.attempts) != 1 || r.attempts[0].endpoint != 2 {
-		t.Errorf("sends %v, want one to the endpoint where nobody waits", r.attempts)
+		t.Errorf("attempts %v, want one at the endpoint without a queue", r.attempts)
 	}
 }
 
 // In a large fleet all balancers learn of the same idle endpoint: none may fill it alone.
 func TestOneLowReportDrawsNoHerd(t *testing.T) {
-	for _, c := range []struct{ balancers, most int }{{1, 5}, {3, 3}, {15, 2}} {
+	for _, c := range []struct{ balancers, maxAttempts int }{{1, 5}, {3, 3}, {15, 2}} {
 		s := testSettings()
 		s.Balancers = c.balancers
 		b, r := start(t, s, ready(4))
@@ -61,9 +61,9 @@
 				n++
 			}
 		}
-		if len(r.attempts) != 8 || n == 0 || n > c.most {
-			t.Errorf("%d balancers: %d of %d sends to the idle endpoint, want 1 to %d",
-				c.balancers, n, len(r.attempts), c.most)
+		if len(r.attempts) != 8 || n == 0 || n > c.maxAttempts {
+			t.Errorf("%d balancers: %d of %d attempts at the idle endpoint, want 1 to %d",
+				c.balancers, n, len(r.attempts), c.maxAttempts)
 		}
 	}
 }
--- a/balancer/load_probes.go
+++ b/balancer/load_probes.go
@@ -1,16 +1,16 @@
 package balancer
 
 const (
-	maxProbeRoundInterval = second / 10
-	maxProbesPerRound     = 3
-	maxProbeDrawsPerRound = 4 * maxProbesPerRound
-	maxProbesPerRequest   = 4.0
-	probeCostLimit        = 0.005 // of the result per request, for probes in rounds
-	minAdmittedFraction   = 0.3   // of the requests, assumed where most are rejected
-	ownLoadThreshold      = 0.1   // own requests per endpoint from which their latencies tell the load
-	localProbeFraction    = 0.5   // of the probes, beside the own zone's part of the others
-	oldestReportDraws     = 4     // random endpoints of which the one with the oldest report is probed
-	probeTimeout          = 5 * second
+	maxProbeRoundInterval   = second / 10
+	maxProbesPerRound       = 3
+	maxProbeSamplesPerRound = 4 * maxProbesPerRound
+	maxProbesPerRequest     = 4.0
+	probeCostLimit          = 0.005 // of the result per request, for probes in rounds
+	minAdmittedFraction     = 0.3   // of the requests, assumed where most are rejected
+	ownLoadThreshold        = 0.1   // own requests per endpoint from which their latencies show the load
+	localProbeFraction      = 0.5   // of the probes, beside the own zone's part of the others
+	oldestReportSamples     = 4     // random endpoints of which the one with the oldest report is probed
+	probeTimeout            = 5 * second
 
 	roundTripRiseWeight = 0.01 // of a slower probe in the round-trip time, which seldom rises
 	fractionWeight      = 0.02 // of the latest sample in a fraction of all
@@ -50,8 +50,8 @@
 	}
 	probes := max(1, min(maxProbesPerRound, int(rate*float64(maxProbeRoundInterval)/float64(second))))
 	interval := float64(probes) / rate * float64(second)
-	for draws := 0; probes > 0 && draws < maxProbeDrawsPerRound && len(b.endpoints) > 0; draws++ {
-		if e := b.drawForProbe(); e.isUsable() && !e.probing {
+	for draws := 0; probes > 0 && draws < maxProbeSamplesPerRound && len(b.endpoints) > 0; draws++ {
+		if e := b.probeCandidate(); e.isUsable() && !e.probing {
 			b.sendLoadProbe(now, e)
 			probes--
 		}
@@ -60,7 +60,7 @@
 }
 
 // chooseProbing sets probesOnDemand and gossiping. Where a round over the fleet takes longer than a
-// report stays fresh, reports come with single requests (if own requests tell little of the load), or are
+// report stays fresh, reports come with single requests (if own requests show little of the load), or are
 // shared with the other balancers (if that costs less than probes of their own).
 func (b *Balancer) chooseProbing(now Micros, rate float64) {
 	size := float64(len(b.endpoints))
@@ -76,15 +76,15 @@
 		gossipCost < costs.LoadProbe
 }
 
-// drawForProbe returns a random endpoint of the list, which must not be empty. While gossiping it is one
+// probeCandidate returns a random endpoint of the list, which must not be empty. While gossiping it is one
 // whose latest report, of any balancer, is old.
-func (b *Balancer) drawForProbe() *endpoint {
+func (b *Balancer) probeCandidate() *endpoint {
 	list := b.endpoints
 	if len(b.localEndpoints) > 0 && !b.gossiping && b.random.float() < localProbeFraction {
 		list = b.localEndpoints
 	}
 	oldest := b.random.element(list)
-	for i := 1; b.gossiping && i < oldestReportDraws; i++ {
+	for i := 1; b.gossiping && i < oldestReportSamples; i++ {
 		if e := b.random.element(list); e.State == Ready && e.report.at < oldest.report.at {
 			oldest = e
 		}
@@ -133,7 +133,7 @@
 }
 
 // applyLoadReport learns from a load report whose probe waited in a queue for some microseconds. It
-// returns the number of requests in flight there, -1 if nothing tells it.
+// returns the number of requests in flight there, -1 if unknown.
 func (b *Balancer) applyLoadReport(now Micros, e *endpoint, values *loadValues, queued float64) float64 {
 	if values.inFlight >= 0 {
 		b.learnConcurrency(e, values.inFlight, values.queueLength)
@@ -159,7 +159,7 @@
 	}
 	isFleetBusy := b.zones[e.Zone].baselineLoad.value >= concurrency
 	if b.queuedProbeFraction.value > queuedProbeThreshold && !hasQueued && !isFleetBusy {
-		// Other probes wait in queues and this one did not: whatever an old report says, it is free.
+		// Other probes wait in queues and this one did not: whatever an old report shows, it is free.
 		e.report.externalLoad = min(e.report.externalLoad, concurrency-1)
 	}
 	return inFlight
--- a/balancer/load_probes_test.go
+++ b/balancer/load_probes_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A balancer that refuses everything must still learn when it may stop.
+// A balancer that rejects every request must find out when there is capacity again.
 func TestProbesContinueWhileAllIsRejected(t *testing.T) {
 	s := testSettings()
 	s.Costs.LoadProbe = probeCostLimit // one probe a request
@@ -16,15 +16,15 @@
 	now := 5 * second
 	b.rejectedFraction.value = 0
 	all := b.loadProbeRate(now)
-	for _, c := range []struct{ refused, want float64 }{{0.5, 0.5}, {0.9, minAdmittedFraction}, {1, minAdmittedFraction}} {
-		b.rejectedFraction.value = c.refused
+	for _, c := range []struct{ rejected, want float64 }{{0.5, 0.5}, {0.9, minAdmittedFraction}, {1, minAdmittedFraction}} {
+		b.rejectedFraction.value = c.rejected
 		if got := b.loadProbeRate(now) / all; math.Abs(got-c.want) > 0.001 {
-			t.Errorf("refused %v: %v of the pace, want %v", c.refused, got, c.want)
+			t.Errorf("rejected %v: %v of the rate, want %v", c.rejected, got, c.want)
 		}
 	}
 }
 
-// Where reports are old or hold no count, a probe that waited in line still shows that there is one.
+// A load probe that waited shows a queue, where reports are old or count no requests.
 func TestQueuedProbeShowsLoad(t *testing.T) {
 	s := testSettings()
 	s.LoadReportFields = []LoadField{LoadFieldThroughput, LoadFieldUtilization}
@@ -36,10 +36,10 @@
 	}
 	b.LoadProbeResult(2000, 1, OK, 160_500, []float32{90, 0.5})
 	if got := b.estimateLoad(1000, e); got < 2*defaultConcurrency {
-		t.Errorf("load %v, though the probe waited for two requests' work", got)
+		t.Errorf("load %v, though the probe waited for the work of two requests", got)
 	}
 	b.LoadProbeResult(3000, 1, Rejected, 500, nil)
 	if e.report.at != 0 {
-		t.Error("an endpoint that turns probes away keeps its place in the pool")
+		t.Error("an endpoint that rejects probes stays in the pool")
 	}
 }
--- a/balancer/outliers_test.go
+++ b/balancer/outliers_test.go
@@ -33,14 +33,14 @@
 		step()
 	}
 	if sends[1] > 300 {
-		t.Errorf("a fast failing endpoint got %d of 3000", sends[1])
+		t.Errorf("an endpoint that fails fast got %d of 3000", sends[1])
 	}
 	if sends[1] < 2 {
-		t.Errorf("a failing endpoint is never tried again: %d sends", sends[1])
+		t.Errorf("a failing endpoint is never tried again: %d attempts", sends[1])
 	}
 }
 
-// When all endpoints fail at once, ejection must not leave the few last ones with everything.
+// When all endpoints fail together, ejection must not leave the load to the last few.
 func TestLoadStaysSpreadWhileAllFail(t *testing.T) {
 	b, r := start(t, testSettings(), ready(8))
 	sends := map[uint32]int{}
@@ -57,7 +57,7 @@
 	}
 	for e, n := range sends {
 		if n > 3*len(r.attempts)/8 {
-			t.Errorf("endpoint %d got %d of %d sends", e, n, len(r.attempts))
+			t.Errorf("endpoint %d got %d of %d attempts", e, n, len(r.attempts))
 		}
 	}
 	if b.endpoints[0].failures.isOutlier(60 * second) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// One connection broken now and then is no failing endpoint; several failures in a row are.
+// A connection that breaks now and then does not eject an endpoint; failures in a row do.
 func TestSingleFailureDoesNotEject(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	id, now := uint64(0), second
@@ -97,3 +97,24 @@
 		t.Error("not ejected after three failures in a row")
 	}
 }
+
+func TestFailureRateFadesToZero(t *testing.T) {
+	var failures failureRate
+	for range 3 {
+		failures.recordFailure(second)
+	}
+	before := failures.current(second)
+	if !failures.isOutlier(second) {
+		t.Fatalf("no outlier at a failure rate of %v", before)
+	}
+	if got := failures.current(second + failureHalfLife); !isNear(got, before/2) {
+		t.Errorf("failure rate %v after a half-life, want half of %v", got, before)
+	}
+	if got := failures.current(60 * second); got != 0 {
+		t.Errorf("failure rate %v after a minute, want 0", got)
+	}
+	failures.recordSuccess(second)
+	if got, want := failures.current(second), before*(1-failureWeight); !isNear(got, want) {
+		t.Errorf("failure rate %v after a success, want %v", got, want)
+	}
+}
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -7,7 +7,7 @@
 	poolAgeRounds             = 3      // rounds over the fleet for which a report is fresh
 	onDemandReportAgeFraction = 0.25   // of the latency objective, for which a report is fresh on demand
 
-	weightedDraws   = 8    // random draws by weight before the list is searched
+	weightedSamples = 8    // random draws by weight before the list is searched
 	loadCostWeight  = 0.05 // of the delay that a request causes to those in flight there
 	crossZoneWeight = 2.0  // latency objectives that the cost of a zone crossing counts as
 )
@@ -39,9 +39,9 @@
 	}
 	// Two draws of three are local: by size alone most would be in other zones.
 	for _, list := range [...][]*endpoint{b.localEndpoints, b.localEndpoints, b.endpoints} {
-		e := b.drawRandom(now, r, list, excluded, float64(r.Deadline))
+		e := b.randomCandidate(now, r, list, excluded, float64(r.Deadline))
 		if e == nil || e.failures.isOutlier(now) {
-			e = b.drawRandom(now, r, b.endpoints, excluded, float64(r.Deadline))
+			e = b.randomCandidate(now, r, b.endpoints, excluded, float64(r.Deadline))
 		}
 		if e != nil {
 			consider(e)
@@ -82,16 +82,16 @@
 	return cost + crossZoneWeight*b.settings.Costs.CrossZone*objective*indicator(!b.isLocal(e))
 }
 
-// drawRandom returns a random endpoint of a list that an attempt may start at, or nil; an ejected one
+// randomCandidate returns a random endpoint of a list that an attempt may start at, or nil; an ejected one
 // only if there is no other. The first draws go by weight and to zones within a round-trip time
 // (microseconds; 0 for the own zone); then the list is searched from a random place.
-func (b *Balancer) drawRandom(
+func (b *Balancer) randomCandidate(
 	now Micros, r *request, list []*endpoint, excluded *endpoint, maxRoundTrip float64,
 ) *endpoint {
 	var fallback *endpoint
 	at := int(b.random.float() * float64(len(list)))
-	for i := 0; len(list) > 0 && i < weightedDraws+len(list); i++ {
-		isWeighted := i < weightedDraws
+	for i := 0; len(list) > 0 && i < weightedSamples+len(list); i++ {
+		isWeighted := i < weightedSamples
 		if isWeighted {
 			at = int(b.random.float() * float64(len(list)))
 		}
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -14,17 +14,17 @@
 	for id := range uint64(4) {
 		b.RequestArrived(2000, requestOf(id, 0, 2000))
 	}
-	// Endpoint 2 stays least until it holds as many as endpoint 1 reported.
+	// Endpoint 2 has the lowest load until it has as many in flight as endpoint 1 reported.
 	for i, s := range r.attempts {
 		if s.endpoint != 2 {
-			t.Errorf("send %d went to %d", i, s.endpoint)
+			t.Errorf("attempt %d went to %d", i, s.endpoint)
 		}
 	}
 	if len(r.attempts) != 4 {
-		t.Fatalf("%d sends", len(r.attempts))
+		t.Fatalf("%d attempts", len(r.attempts))
 	}
 	if got := b.estimateLoad(1000, b.endpointsByID[2]); got != 4 {
-		t.Errorf("load with own sends: %v", got)
+		t.Errorf("load with own attempts: %v", got)
 	}
 }
 
@@ -40,11 +40,11 @@
 		seen[r.attempts[len(r.attempts)-1].endpoint] = true
 	}
 	if len(seen) != 2 {
-		t.Error("an answer beyond its age still decides: two random draws expected")
+		t.Error("a report beyond its age still decides: two random draws expected")
 	}
 }
 
-// At a start only few endpoints have answered; they must not get everything.
+// After a start only few endpoints have reported; they must not get every request.
 func TestFewReportsDoNotAttractAll(t *testing.T) {
 	b, r := start(t, testSettings(), ready(8))
 	b.LoadProbeResult(1000, 3, OK, 500, []float32{0})
@@ -56,12 +56,12 @@
 		seen[s.endpoint]++
 	}
 	if len(r.attempts) != 24 || len(seen) < 4 || seen[3] > 12 {
-		t.Errorf("%d sends, by endpoint %v", len(r.attempts), seen)
+		t.Errorf("%d attempts, by endpoint %v", len(r.attempts), seen)
 	}
 }
 
-// Of five zones four fifths of all endpoints are away, and each crossing is paid for: with all else alike,
-// requests stay at home, and most probes tell of those that they may go to.
+// Of five zones four fifths of the endpoints are remote, and crossing costs: all else alike, requests stay
+// in the zone, and most probes go to the endpoints that they may go to.
 func TestRequestsAndProbesStayInTheZone(t *testing.T) {
 	s := testSettings()
 	s.Balancers, s.Zone = 80, 2
@@ -90,12 +90,12 @@
 		probes += int(indicator(at(id)))
 	}
 	if sends < 380 || 2*probes < len(r.probes) {
-		t.Errorf("%d of %d requests and %d of %d probes stay at home", sends, len(r.attempts), probes, len(r.probes))
+		t.Errorf("%d of %d requests and %d of %d probes stay in the zone", sends, len(r.attempts), probes, len(r.probes))
 	}
 }
 
-// A zone that turns slow says nothing of the others: what it cannot serve in time goes there, but for the few
-// whose draw of the whole list falls on the own zone.
+// A slow zone says nothing of the others: what it cannot serve in time goes there, but for the few
+// requests whose draw from the full list falls on the own zone.
 func TestSlowZoneSpillsOver(t *testing.T) {
 	s := testSettings()
 	s.Costs = Costs{LoadProbe: 0.08, CrossZone: 0.11}
@@ -109,7 +109,7 @@
 		now := second + 10_000*Micros(i)
 		b.RequestArrived(now, requestOf(i, 0, now))
 		if n := len(r.attempts); n == 0 || r.attempts[n-1].id != i {
-			continue // refused
+			continue // rejected
 		}
 		a := &b.requests[i].attempts[0]
 		latency := Micros(40_000)
@@ -119,11 +119,11 @@
 		b.AttemptFinished(now+1000, Outcome{ID: i, Endpoint: a.endpoint.ID, Status: OK, Latency: latency, RequestDone: true})
 	}
 	if len(r.rejected) > 40 {
-		t.Errorf("%d of 200 requests are refused though four zones of five are quick", len(r.rejected))
+		t.Errorf("%d of 200 requests are rejected though four zones of five are fast", len(r.rejected))
 	}
 }
 
-// Random tries must not use up a short list, nor a list without shares.
+// Random draws must not use up a short list, nor one without weights.
 func TestRandomDrawFindsAnyEndpoint(t *testing.T) {
 	for n := range 12 {
 		list := ready(n)
@@ -132,7 +132,7 @@
 		}
 		b, _ := start(t, testSettings(), list)
 		for range 50 {
-			if e := b.drawRandom(1000, &request{Request: requestOf(1, 0, 1000)}, b.endpoints, nil, 0); (e == nil) != (n == 0) {
+			if e := b.randomCandidate(1000, &request{Request: requestOf(1, 0, 1000)}, b.endpoints, nil, 0); (e == nil) != (n == 0) {
 				t.Fatalf("%d endpoints: drew %v", n, e)
 			}
 		}
--- a/balancer/probe_wait.go
+++ b/balancer/probe_wait.go
@@ -21,7 +21,7 @@
 	objective := float64(b.classOf(r).LatencyObjective)
 	wait := min(maxProbeWaitFraction*objective, float64(r.Deadline-now)/probeWaitDivisor)
 	for i := range int(b.probesPerRequest) {
-		e := b.drawRandom(now, r, b.endpoints, nil, b.maxProbeDistance(i, wait))
+		e := b.randomCandidate(now, r, b.endpoints, nil, b.maxProbeDistance(i, wait))
 		if e == nil {
 			return false
 		}
--- a/balancer/probe_wait_test.go
+++ b/balancer/probe_wait_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// A quiet balancer in a large fleet cannot keep a fresh pool: it must ask when a request comes, and send to
-// the best answer, without losing what it holds.
+// A balancer with few requests in a large fleet cannot have fresh reports of all: it probes when a request
+// arrives and sends to the best answer, without losing the request.
 func TestIdleBalancerProbesBeforeItSends(t *testing.T) {
 	quiet := func() (*Balancer, *recorder) {
 		s := testSettings()
@@ -18,7 +18,7 @@
 		r.probes, r.timers = nil, nil
 		b.RequestArrived(2*second, requestOf(1, 0, 2*second))
 		if len(r.attempts) != 0 || len(r.probes) < 2 {
-			t.Fatalf("%d sends and %d probes before any answer", len(r.attempts), len(r.probes))
+			t.Fatalf("%d attempts and %d probes before any answer", len(r.attempts), len(r.probes))
 		}
 		return b, r
 	}
@@ -31,19 +31,19 @@
 		answer(b, r, i, float32(4-i))
 	}
 	if last := r.probes[len(r.probes)-1]; len(r.attempts) != 1 || r.attempts[0].endpoint != last {
-		t.Errorf("sends %v, want one to %d, the least loaded of %v", r.attempts, last, r.probes)
+		t.Errorf("attempts %v, want one at %d, the least loaded of %v", r.attempts, last, r.probes)
 	}
 
 	b, r = quiet()
 	answer(b, r, 0, 0)
 	if len(r.attempts) != 1 || r.attempts[0].endpoint != r.probes[0] {
-		t.Errorf("sends %v, want one to the idle endpoint %d at once", r.attempts, r.probes[0])
+		t.Errorf("attempts %v, want one at the idle endpoint %d at once", r.attempts, r.probes[0])
 	}
 
 	b, r = quiet() // no answer at all
 	b.TimerFired(2*second+50_000, r.timers[len(r.timers)-1])
 	if len(r.attempts) != 1 {
-		t.Errorf("%d sends after the wait for probes", len(r.attempts))
+		t.Errorf("%d attempts after the wait for probes", len(r.attempts))
 	}
 
 	b, r = quiet()
@@ -53,11 +53,12 @@
 	}
 	b.TimerFired(2*second+50_000, r.timers[len(r.timers)-1])
 	if len(r.attempts)+len(r.rejected)+len(r.failed) != 0 || len(b.probeWaiters) != 0 {
-		t.Error("a request that its client left is still acted on")
+		t.Error("a request is acted on after its client disconnected")
 	}
 }
 
-// Only idle endpoints answer a probe in time. In a jam the silent ones must count, or the fleet looks idle.
+// Under overload only free endpoints answer a probe in time. Those that do not must count, or the fleet
+// looks idle.
 func TestUnansweredProbesCountAsLoad(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1000
@@ -70,14 +71,14 @@
 		b.TimerFired(now+40_000, r.timers[len(r.timers)-1])
 	}
 	if b.zones[0].baselineLoad.value < defaultConcurrency {
-		t.Errorf("usual load %v though no probe is answered", b.zones[0].baselineLoad.value)
+		t.Errorf("baseline load %v though no probe is answered", b.zones[0].baselineLoad.value)
 	}
 	if len(r.rejected) == 0 {
-		t.Error("nothing refused though no probe is answered")
+		t.Error("nothing is rejected though no probe is answered")
 	}
 }
 
-// Answers from afar come too late for a short wait: probes stay at home then.
+// Reports from far zones come too late for a short wait.
 func TestProbesOnDemandStayNear(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1000
--- a/balancer/quota.go
+++ b/balancer/quota.go
@@ -1,6 +1,6 @@
 package balancer
 
-// quotaSlack is what the admitted fraction is multiplied by: a small rejected fraction says nothing of
+// quotaSlack is what the admitted fraction is multiplied by: a small rejected fraction is no sign of full
 // quotas.
 const quotaSlack = 1.25
 
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -18,7 +18,7 @@
 	over, within := &request{Request: Request{Tenant: 0}}, &request{Request: Request{Tenant: 1}}
 	b.rejectedFraction.value = 0.5
 	if o, w := b.quotaWeight(100_000, over), b.quotaWeight(100_000, within); w != 1 || o > 0.6 {
-		t.Errorf("weights %v over, %v within the share", o, w)
+		t.Errorf("weights %v over, %v within the quota", o, w)
 	}
 	if got := b.quotaWeight(100_000, &request{Request: Request{Tenant: 9}}); got != 1 {
 		t.Errorf("unknown tenant: %v", got)
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -28,7 +28,7 @@
 	inTime           float64 // 1 once it got a response within the latency objective
 	awaitingProbes   bool
 	awaitedEndpoints []*endpoint // whose load probes it waits for
-	bodyConsumed     bool        // part of its body is gone: no retry
+	bodyConsumed     bool        // part of its body is consumed: no retry
 }
 
 // RequestArrived handles a client's request. It is answered in this call or later, exactly once. An ID
--- a/balancer/requests_test.go
+++ b/balancer/requests_test.go
@@ -9,7 +9,7 @@
 	b.RequestArrived(1000, requestOf(1, 4, 1000))
 	b.RequestArrived(1000, Request{ID: 2, Deadline: 500})
 	if len(r.rejected) != 2 || b.unansweredCount != 0 || len(b.requests) != 0 {
-		t.Errorf("refused %v, open %d", r.rejected, b.unansweredCount)
+		t.Errorf("rejected %v, %d unanswered", r.rejected, b.unansweredCount)
 	}
 }
 
@@ -26,7 +26,7 @@
 		t.Error("a late outcome must still feed the statistics")
 	}
 	b.RequestArrived(3*second, requestOf(2, 0, 3*second))
-	b.TimerFired(3*second, token) // of the ended request, whose slot is in use again
+	b.TimerFired(3*second, token) // of the finished request, whose slot is in use again
 	if len(r.failed) != 1 || len(r.rejected) != 0 {
 		t.Error("an old timer ended another request")
 	}
@@ -38,15 +38,15 @@
 	b.ResponseStarted(2000, 1, 0, 1000)
 	b.TimerFired(2*second, b.requests[1].timerToken)
 	if len(r.attempts) != 1 || len(r.rejected)+len(r.failed) != 0 {
-		t.Error("a stream that began was given an end or a copy")
+		t.Error("a response that began was followed by an answer or a retry")
 	}
 	b.AttemptFinished(3*second, Outcome{ID: 1, Endpoint: r.attempts[0].endpoint, Status: OK, Latency: 3 * second, RequestDone: true})
 	if len(b.requests) != 0 {
-		t.Error("record kept")
+		t.Error("the request is still in the table")
 	}
 }
 
-// A second copy doubles the work of an endpoint that is slow because it has too much.
+// A hedged request would double the work of an endpoint that is slow because it has too much.
 func TestRequestsAreNotHedged(t *testing.T) {
 	b, r := start(t, testSettings(), ready(3))
 	b.RequestArrived(1000, requestOf(1, 0, 1000))
@@ -55,11 +55,11 @@
 	}
 	b.TimerFired(900_000, r.timers[len(r.timers)-1])
 	if len(r.attempts) != 1 {
-		t.Errorf("%d sends while the first is out", len(r.attempts))
+		t.Errorf("%d attempts while the first is outstanding", len(r.attempts))
 	}
 }
 
-// Whatever is odd about a request, it is taken once and answered once.
+// Any request is taken once and answered once.
 func TestUnusualRequestsAreAnsweredOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		list  []Endpoint
@@ -72,7 +72,7 @@
 		"empty list":          {in: Request{ID: 1, Deadline: second}},
 		"all draining":        {list: []Endpoint{{ID: 1, State: Draining}}, in: Request{ID: 1, Deadline: second}},
 		"repeated id":         {list: ready(2), in: Request{ID: 1, Deadline: second}, twice: true},
-		"hint without sense":  {list: ready(2), in: Request{ID: 1, Deadline: second, CostHint: -5, HasCostHint: true}},
+		"negative hint":       {list: ready(2), in: Request{ID: 1, Deadline: second, CostHint: -5, HasCostHint: true}},
 	} {
 		b, r := start(t, testSettings(), c.list)
 		b.RequestArrived(1000, c.in)
@@ -85,30 +85,30 @@
 			}
 		}
 		if n := len(r.rejected) + len(r.failed); n != 1 || len(r.attempts) > 1 {
-			t.Errorf("%s: %d final answers, %d sends", name, n, len(r.attempts))
+			t.Errorf("%s: %d answers, %d attempts", name, n, len(r.attempts))
 		}
 	}
 }
 
-// A request whose body still comes is in flight nowhere, and its time runs from its last byte. Once part of the body
-// is gone it is not sent again.
+// A request whose body is still arriving is in flight nowhere, and its time counts from its last byte.
+// Once part of the body is consumed it is not retried.
 func TestUploadIsInFlightFromItsLastByte(t *testing.T) {
 	b, r := start(t, testSettings(), ready(2))
 	in := requestOf(1, 0, 1000)
 	in.IsUploading = true
 	b.RequestArrived(1000, in)
 	if len(r.attempts) != 1 {
-		t.Fatalf("sent %v, want one", r.attempts)
+		t.Fatalf("attempts %v, want one", r.attempts)
 	}
 	e := b.endpointsByID[r.attempts[0].endpoint]
 	if e.inFlight != 0 {
-		t.Errorf("in flight while its body comes: %d", e.inFlight)
+		t.Errorf("in flight while its body arrives: %d", e.inFlight)
 	}
 	for _, token := range r.timers {
 		b.TimerFired(10*second, token)
 	}
 	if len(r.rejected)+len(r.failed) != 0 {
-		t.Fatal("ended while its body comes")
+		t.Fatal("ended while its body arrives")
 	}
 	b.BodySent(10*second, 1, 11*second)
 	if e.inFlight != 1 {
@@ -129,11 +129,11 @@
 	b.RequestArrived(1000, in)
 	b.AttemptFinished(2000, Outcome{ID: 2, Status: ConnectFailed})
 	if len(r.attempts) != 2 {
-		t.Fatalf("sent %v, want a second try with the whole body", r.attempts)
+		t.Fatalf("attempts %v, want a retry with the full body", r.attempts)
 	}
 	b.AttemptFinished(3000, Outcome{ID: 2, Attempt: 1, Status: ConnectFailed, BodyConsumed: true})
 	if len(r.attempts) != 2 || len(r.rejected) != 1 {
-		t.Errorf("sent %v, refused %v; want no third try and a refusal", r.attempts, r.rejected)
+		t.Errorf("attempts %v, rejected %v; want no second retry and a rejection", r.attempts, r.rejected)
 	}
 	for id, e := range b.endpointsByID {
 		if e.inFlight != 0 {
--- a/balancer/retry_safety_test.go
+++ b/balancer/retry_safety_test.go
@@ -4,13 +4,13 @@
 	"testing"
 )
 
-// Each kind of effect against each outcome of its first attempt.
+// Each kind of retry safety against each outcome of the first attempt.
 func TestRetryByClassAndStatus(t *testing.T) {
 	never := map[Status]bool{Rejected: true, ConnectFailed: true, NotSent: true}
 	for class := range uint8(5) {
 		for status := Error; status <= NotSent; status++ {
 			s := testSettings()
-			b, r := start(t, s, ready(4)) // endpoints 1, 2 share a zone and a cell; so do 3, 4
+			b, r := start(t, s, ready(4)) // endpoints 1 and 2 share a zone and a pod; so do 3 and 4
 			b.RequestArrived(1000, requestOf(1, class, 1000))
 			a := b.requests[1].attempts[0]
 			b.AttemptFinished(2000, Outcome{ID: 1, Endpoint: a.endpoint.ID, Status: status, Latency: 1000})
@@ -18,13 +18,13 @@
 			switch kind := s.Classes[class]; {
 			case kind.RetrySafety == NonIdempotent && !never[status]:
 				if sends != 1 || len(r.failed) != 1 {
-					t.Errorf("unsafe, status %d: %d sends, %d failed", status, sends, len(r.failed))
+					t.Errorf("not idempotent, status %d: %d attempts, %d failed", status, sends, len(r.failed))
 				}
 			case sends != 2:
-				t.Errorf("class %d status %d: %d sends, 2 wanted", class, status, sends)
+				t.Errorf("class %d status %d: %d attempts, want 2", class, status, sends)
 			case kind.RetrySafety == IdempotentWithKey && kind.DedupScope != DedupScopeFleet && !never[status]:
 				if (r.attempts[0].endpoint-1)/2 != (r.attempts[1].endpoint-1)/2 {
-					t.Errorf("class %d status %d left its group", class, status)
+					t.Errorf("class %d status %d left its dedup scope", class, status)
 				}
 			}
 		}
@@ -39,29 +39,29 @@
 	first := r.attempts[0].endpoint
 	b.AttemptFinished(1000+s.Classes[3].DedupWindow, Outcome{ID: 1, Endpoint: first, Status: Reset})
 	if len(r.attempts) != 1 || len(r.failed) != 1 || len(r.rejected) != 0 {
-		t.Errorf("after the window: sends %v, failed %v, refused %v", r.attempts, r.failed, r.rejected)
+		t.Errorf("after the window: attempts %v, failed %v, rejected %v", r.attempts, r.failed, r.rejected)
 	}
 }
 
-// A request that may have run and whose group is its cell cannot be refused. It is sent again while it can be
-// in time, to its own endpoint if that is alone in its cell: else it is lost.
+// A request that may have run and whose dedup scope is a pod cannot be rejected. It is retried while it
+// can be in time, at its own endpoint if the pod has no other; else it fails.
 func TestRequestThatCannotBeRejectedIsRetried(t *testing.T) {
 	for name, c := range map[string]struct {
 		at   Micros // of the reset
 		want int
 	}{
 		"soon":             {2000, 2},
-		"past the usual":   {100_000, 2}, // it would take more than the share of the aim that may be waited
+		"past the budget":  {100_000, 2}, // it takes longer than a request that can be rejected may
 		"too late by then": {390_000, 1},
 	} {
 		b, r := start(t, testSettings(), ready(1))
 		b.classes[3].meanWork.value = 100_000
 		b.LoadProbeResult(500, 1, OK, 500, []float32{0})
 		b.RequestArrived(1000, requestOf(1, 3, 1000))
-		b.LoadProbeResult(c.at-100, 1, OK, 500, []float32{5}) // of which one is ours
+		b.LoadProbeResult(c.at-100, 1, OK, 500, []float32{5}) // of which one is its own
 		b.AttemptFinished(c.at, Outcome{ID: 1, Endpoint: 1, Status: Reset, Latency: c.at - 1000})
 		if len(r.attempts) != c.want || len(r.failed) != 2-c.want {
-			t.Errorf("%s: %d sends and %d failed, want %d sends", name, len(r.attempts), len(r.failed), c.want)
+			t.Errorf("%s: %d attempts and %d failed, want %d attempts", name, len(r.attempts), len(r.failed), c.want)
 		}
 	}
 }
--- a/balancer/safety_test.go
+++ b/balancer/safety_test.go
@@ -7,30 +7,28 @@
 	"testing"
 )
 
-// safetyChecker hosts a balancer and asserts the rules on every action.
+// safetyChecker hosts a balancer and checks the safety rules on every action.
 type safetyChecker struct {
-	settings Settings
-	now      Micros
-	states   map[uint32]Endpoint
-	banned   map[uint32]bool
-	cold     map[uint32]Micros          // endpoint: told start
-	coldWork map[uint32]float64         // requests sent while cold
-	requests map[uint64]*checkedRequest // open and ended
-	faults   []string
-	timers   []pendingTimer
-	probes   []uint32
+	settings  Settings
+	now       Micros
+	endpoints map[uint32]Endpoint // as last updated
+	banned    map[uint32]bool
+	requests  map[uint64]*checkedRequest // unanswered and finished
+	faults    []string
+	timers    []pendingTimer
+	probes    []uint32
 }
 
 type checkedRequest struct {
 	request        Request
 	answered       int
-	clientInformed bool // it was told that the request is over
+	clientInformed bool // by a response, or it has left
 	attempts       []checkedAttempt
 }
 
 type checkedAttempt struct {
-	ep          Endpoint
-	at          Micros
+	endpoint    Endpoint // as it was at the start
+	startedAt   Micros
 	outstanding bool
 	mayHaveRun  bool
 }
@@ -44,7 +42,11 @@
 	c.faults = append(c.faults, fmt.Sprintf("at %d: ", c.now)+fmt.Sprintf(format, args...))
 }
 
-func (r *checkedRequest) bound() *checkedAttempt {
+// isOver reports whether the client has an answer or a response, or has left.
+func (r *checkedRequest) isOver() bool { return r.answered > 0 || r.clientInformed }
+
+// firstThatMayHaveRun returns the first attempt that may have run, or nil.
+func (r *checkedRequest) firstThatMayHaveRun() *checkedAttempt {
 	for i := range r.attempts {
 		if r.attempts[i].mayHaveRun {
 			return &r.attempts[i]
@@ -56,45 +58,44 @@
 func (c *safetyChecker) StartAttempt(id uint64, endpoint uint32, _ Micros) {
 	r := c.requests[id]
 	if r == nil {
-		c.fault("send for unknown request %d", id)
+		c.fault("attempt of unknown request %d", id)
 		return
 	}
-	e, known := c.states[endpoint]
+	e, known := c.endpoints[endpoint]
 	class := c.settings.Classes[r.request.Class]
-	if r.answered > 0 || r.clientInformed {
-		c.fault("send after the end of %d", id)
+	if r.isOver() {
+		c.fault("attempt after the answer to %d", id)
 	}
 	if c.banned[endpoint] {
-		c.fault("send to endpoint %d, which is banned", endpoint)
+		c.fault("attempt at endpoint %d, which is banned", endpoint)
 	}
 	if !known || e.State != Ready {
-		c.fault("send to endpoint %d in state %d", endpoint, e.State)
+		c.fault("attempt at endpoint %d in state %d", endpoint, e.State)
 	}
 	if len(r.attempts) >= c.settings.Limits.MaxAttempts {
 		c.fault("attempt %d of %d", len(r.attempts), id)
 	}
 	for _, a := range r.attempts {
 		if a.outstanding && !c.settings.Limits.AllowHedging {
-			c.fault("second copy of %d", id)
+			c.fault("hedged request %d", id)
 		}
 	}
-	if b := r.bound(); b != nil && class.RetrySafety != Idempotent {
-		same := class.DedupScope == DedupScopeFleet || class.DedupScope == DedupScopeZone && b.ep.Zone == e.Zone ||
-			class.DedupScope == DedupScopePod && b.ep.Pod == e.Pod
-		if class.RetrySafety == NonIdempotent || !same || c.now > b.at+class.DedupWindow {
-			c.fault("repeat of %d (%s) may have a second effect", id, class.Name)
+	if first := r.firstThatMayHaveRun(); first != nil && class.RetrySafety != Idempotent {
+		isInScope := class.DedupScope == DedupScopeFleet ||
+			class.DedupScope == DedupScopeZone && first.endpoint.Zone == e.Zone ||
+			class.DedupScope == DedupScopePod && first.endpoint.Pod == e.Pod
+		if class.RetrySafety == NonIdempotent || !isInScope || c.now > first.startedAt+class.DedupWindow {
+			c.fault("retry of %d (%s) may have a second effect", id, class.Name)
 		}
 	}
-	if _, cold := c.cold[endpoint]; cold {
-		c.coldWork[endpoint]++
-	}
-	r.attempts = append(r.attempts, checkedAttempt{ep: e, at: c.now, outstanding: true, mayHaveRun: true})
+	r.attempts = append(r.attempts, checkedAttempt{endpoint: e, startedAt: c.now, outstanding: true, mayHaveRun: true})
 }
 
-func (c *safetyChecker) final(id uint64) *checkedRequest {
+// answer counts an answer to a request.
+func (c *safetyChecker) answer(id uint64) *checkedRequest {
 	r := c.requests[id]
-	if r == nil || r.answered > 0 || r.clientInformed {
-		c.fault("final answer for %d, which is not open", id)
+	if r == nil || r.isOver() {
+		c.fault("answer to %d, which is not unanswered", id)
 		return nil
 	}
 	r.answered++
@@ -102,15 +103,15 @@
 }
 
 func (c *safetyChecker) Reject(id uint64, _ Micros) {
-	if r := c.final(id); r != nil && r.bound() != nil {
+	if r := c.answer(id); r != nil && r.firstThatMayHaveRun() != nil {
 		class := c.settings.Classes[r.request.Class]
 		if class.RetrySafety == NonIdempotent || class.RetrySafety == IdempotentWithKey && class.DedupScope != DedupScopeFleet {
-			c.fault("refusal of %d (%s), which may have run", id, class.Name)
+			c.fault("rejection of %d (%s), which may have run", id, class.Name)
 		}
 	}
 }
 
-func (c *safetyChecker) Fail(id uint64) { c.final(id) }
+func (c *safetyChecker) Fail(id uint64) { c.answer(id) }
 
 func (c *safetyChecker) CancelAttempt(id uint64, attempt int) {
 	if r := c.requests[id]; r == nil || attempt >= len(r.attempts) {
@@ -126,7 +127,7 @@
 }
 
 func (c *safetyChecker) SendLoadProbe(e uint32) {
-	if _, known := c.states[e]; !known {
+	if _, known := c.endpoints[e]; !known {
 		c.fault("probe of unknown endpoint %d", e)
 	}
 	c.probes = append(c.probes, e)
@@ -140,149 +141,193 @@
 
 func (c *safetyChecker) WatchEndpoints(bool) {
 	if !c.settings.MustSubscribe {
-		c.fault("subscription where changes come unasked")
+		c.fault("subscription where updates come without")
 	}
 }
 
 func (c *safetyChecker) Log(string, ...LogField) {}
 
-// playRandomEvents runs legal random events from a seed and returns the faults found.
-func playRandomEvents(t *testing.T, s Settings, seed int64) []string {
+// randomEvents plays legal random events against a balancer whose actions are checked.
+type randomEvents struct {
+	*safetyChecker
+	balancer   *Balancer
+	random     *rand.Rand
+	list       []Endpoint // as discovery knows them
+	restarts   int        // of all endpoints together, still to come
+	requestIDs []uint64
+	maxWaiting int // requests that waited for load probes at one time
+}
+
+// runRandomEvents runs legal random events from a seed and returns the faults found.
+func runRandomEvents(t *testing.T, s Settings, seed int64) []string {
 	t.Helper()
-	rnd := rand.New(rand.NewSource(seed))
-	c := &safetyChecker{settings: s, now: 1_000_000, states: map[uint32]Endpoint{}, banned: map[uint32]bool{}, cold: map[uint32]Micros{},
-		coldWork: map[uint32]float64{}, requests: map[uint64]*checkedRequest{}}
-	b, err := New(s, uint64(seed), c)
-	if err != nil {
+	e := &randomEvents{
+		safetyChecker: &safetyChecker{settings: s, now: 1_000_000, endpoints: map[uint32]Endpoint{},
+			banned: map[uint32]bool{}, requests: map[uint64]*checkedRequest{}},
+		random: rand.New(rand.NewSource(seed)),
+	}
+	var err error
+	if e.balancer, err = New(s, uint64(seed), e.safetyChecker); err != nil {
 		t.Fatal(err)
 	}
-	members := func(kind UpdateKind, entries []Endpoint) {
-		if kind != UpdateDelta && kind != UpdateFailed {
-			clear(c.states)
-		}
-		for _, e := range entries {
-			c.states[e.ID] = e
-		}
-		b.UpdateEndpoints(c.now, kind, entries)
-	}
-	b.Start(c.now)
-	pause := 20_000 // at most, between events
-	list := ready(1 + rnd.Intn(6))
-	if s.Balancers > 2 { // a sliver of a large fleet
-		pause, list = 400_000, ready(20+rnd.Intn(60))
-	}
-	starts := rnd.Intn(3) // of all at once, cold
-	held := 0
-	members(UpdateCached, slices.Clone(list))
-	var open []uint64
-	next := uint64(1)
-	statuses := []Status{OK, OK, OK, Error, Rejected, Timeout, ConnectFailed, Reset, Cancelled, NotSent}
+	e.balancer.Start(e.now)
+	maxPause := 20_000 // between events, in microseconds
+	e.list = ready(1 + e.random.Intn(6))
+	if s.Balancers > 2 { // one balancer of a large fleet
+		maxPause, e.list = 400_000, ready(20+e.random.Intn(60))
+	}
+	e.restarts = e.random.Intn(3)
+	e.update(UpdateCached, slices.Clone(e.list))
 	for range 3000 {
-		c.now += Micros(rnd.Intn(pause))
-		held = max(held, len(b.probeWaiters))
-		for i := 0; i < len(c.timers); {
-			if p := c.timers[i]; p.at <= c.now {
-				c.timers = slices.Delete(c.timers, i, i+1)
-				b.TimerFired(c.now, p.token)
-				continue
-			}
+		e.now += Micros(e.random.Intn(maxPause))
+		e.maxWaiting = max(e.maxWaiting, len(e.balancer.probeWaiters))
+		e.fireTimers(0)
+		e.step()
+	}
+	// All that is unanswered must be answered by its deadline.
+	for range 400 {
+		e.now += 5000
+		e.fireTimers(firstRequestTimer)
+	}
+	for id, r := range e.requests {
+		if !r.isOver() {
+			e.fault("request %d was never answered", id)
+		}
+	}
+	waits := s.Balancers > 2 && s.Limits.AllowLoadProbes && s.Costs.LoadProbe < onDemandProbeCostLimit
+	if waits && e.maxWaiting == 0 {
+		e.fault("no request ever waited for probes: the run does not cover those")
+	}
+	return e.faults
+}
+
+// fireTimers fires the timers that are due, with tokens from minToken.
+func (e *randomEvents) fireTimers(minToken uint32) {
+	for i := 0; i < len(e.timers); {
+		timer := e.timers[i]
+		if timer.at > e.now || timer.token < minToken {
 			i++
+			continue
 		}
-		switch n := rnd.Intn(20); {
-		case n < 8:
-			in := Request{ID: next, Class: uint8(rnd.Intn(len(s.Classes))),
-				Deadline: c.now + Micros(rnd.Intn(1_000_000)) - 50_000}
-			next++
-			c.requests[in.ID] = &checkedRequest{request: in}
-			open = append(open, in.ID)
-			b.RequestArrived(c.now, in)
-		case n < 15 && len(open) > 0:
-			at := rnd.Intn(len(open))
-			r := c.requests[open[at]]
-			for i := range r.attempts {
-				a := &r.attempts[i]
-				if !a.outstanding {
-					continue
-				}
-				a.outstanding = false
-				status := statuses[rnd.Intn(len(statuses))]
-				if status == Rejected || status == ConnectFailed || status == NotSent {
-					a.mayHaveRun = false
-				}
-				if status == OK && r.answered == 0 && !r.clientInformed {
-					r.clientInformed = true
-				}
-				settled := r.answered > 0 || r.clientInformed
-				b.AttemptFinished(c.now, Outcome{ID: r.request.ID, Attempt: i, Endpoint: a.ep.ID, Status: status,
-					Latency: c.now - a.at, RequestDone: settled})
-				break
-			}
-		case n < 16 && len(open) > 0:
-			r := c.requests[open[rnd.Intn(len(open))]]
-			if r.answered == 0 {
-				r.clientInformed = true
-			}
-			b.ClientDisconnected(c.now, r.request.ID)
-		case n < 18:
-			for _, e := range c.probes {
-				load := []float32{float32(rnd.Intn(8)), rnd.Float32() * 2}[:rnd.Intn(3)]
-				b.LoadProbeResult(c.now, e, statuses[rnd.Intn(len(statuses))], 500+Micros(rnd.Intn(200_000)), load)
-			}
-			c.probes = c.probes[:0]
-		default:
-			e := &list[rnd.Intn(len(list))]
-			e.State = EndpointState(rnd.Intn(3))
-			if rnd.Intn(4) == 0 {
-				e.State, e.StartTime = Ready, c.now-Micros(rnd.Intn(1_000_000))
-			}
-			if e.State == Ready && rnd.Intn(4) == 0 {
-				e.Zone = uint8(rnd.Intn(3))
-			}
-			if starts > 0 && rnd.Intn(50) == 0 {
-				starts--
-				for i := range list {
-					list[i].State, list[i].StartTime = Ready, c.now-Micros(rnd.Intn(1000))
-				}
-				members(UpdateFull, slices.Clone(list))
-				continue
-			}
-			switch rnd.Intn(7) {
-			case 6:
-				if c.banned[e.ID] = !c.banned[e.ID]; c.banned[e.ID] {
-					b.Ban(c.now, e.ID)
-				} else {
-					b.Unban(c.now, e.ID)
-				}
-			case 0:
-				members(UpdateFull, slices.Clone(list[:rnd.Intn(len(list)+1)]))
-			case 1:
-				members(UpdateFailed, nil)
-			default:
-				members(UpdateDelta, []Endpoint{*e, *e})
-			}
+		e.timers = slices.Delete(e.timers, i, i+1)
+		e.balancer.TimerFired(e.now, timer.token)
+	}
+}
+
+// step plays one event.
+func (e *randomEvents) step() {
+	switch n := e.random.Intn(20); {
+	case n < 8:
+		e.arrive()
+	case n < 15 && len(e.requestIDs) > 0:
+		e.finishAttempt(e.requests[e.requestIDs[e.random.Intn(len(e.requestIDs))]])
+	case n < 16 && len(e.requestIDs) > 0:
+		r := e.requests[e.requestIDs[e.random.Intn(len(e.requestIDs))]]
+		if r.answered == 0 {
+			r.clientInformed = true
 		}
+		e.balancer.ClientDisconnected(e.now, r.request.ID)
+	case n < 18:
+		e.answerProbes()
+	default:
+		e.changeEndpoints()
 	}
-	// All that is still open must be answered by its deadline.
-	for range 400 {
-		c.now += 5000
-		for i := 0; i < len(c.timers); {
-			if p := c.timers[i]; p.at <= c.now && p.token >= firstRequestTimer {
-				c.timers = slices.Delete(c.timers, i, i+1)
-				b.TimerFired(c.now, p.token)
-				continue
-			}
-			i++
+}
+
+// arrive lets a request arrive, sometimes past its deadline.
+func (e *randomEvents) arrive() {
+	in := Request{ID: uint64(len(e.requestIDs) + 1), Class: uint8(e.random.Intn(len(e.settings.Classes))),
+		Deadline: e.now + Micros(e.random.Intn(1_000_000)) - 50_000}
+	e.requests[in.ID] = &checkedRequest{request: in}
+	e.requestIDs = append(e.requestIDs, in.ID)
+	e.balancer.RequestArrived(e.now, in)
+}
+
+// randomStatus draws a status, most often OK.
+func (e *randomEvents) randomStatus() Status {
+	statuses := []Status{OK, OK, OK, Error, Rejected, Timeout, ConnectFailed, Reset, Cancelled, NotSent}
+	return statuses[e.random.Intn(len(statuses))]
+}
+
+// finishAttempt ends the outstanding attempt of a request, if there is one.
+func (e *randomEvents) finishAttempt(r *checkedRequest) {
+	for i := range r.attempts {
+		a := &r.attempts[i]
+		if !a.outstanding {
+			continue
+		}
+		a.outstanding = false
+		status := e.randomStatus()
+		if status == Rejected || status == ConnectFailed || status == NotSent {
+			a.mayHaveRun = false
 		}
+		if status == OK && !r.isOver() {
+			r.clientInformed = true
+		}
+		e.balancer.AttemptFinished(e.now, Outcome{ID: r.request.ID, Attempt: i, Endpoint: a.endpoint.ID,
+			Status: status, Latency: e.now - a.startedAt, RequestDone: r.isOver()})
+		return
+	}
+}
+
+// answerProbes answers all load probes.
+func (e *randomEvents) answerProbes() {
+	for _, id := range e.probes {
+		load := []float32{float32(e.random.Intn(8)), e.random.Float32() * 2}[:e.random.Intn(3)]
+		e.balancer.LoadProbeResult(e.now, id, e.randomStatus(), 500+Micros(e.random.Intn(200_000)), load)
 	}
-	for id, r := range c.requests {
-		if r.answered == 0 && !r.clientInformed {
-			c.fault("request %d never got a final answer", id)
+	e.probes = e.probes[:0]
+}
+
+// changeEndpoints changes an endpoint, or restarts all of them, and updates the list or a ban.
+func (e *randomEvents) changeEndpoints() {
+	changed := &e.list[e.random.Intn(len(e.list))]
+	changed.State = EndpointState(e.random.Intn(3))
+	if e.random.Intn(4) == 0 {
+		changed.State, changed.StartTime = Ready, e.now-Micros(e.random.Intn(1_000_000))
+	}
+	if changed.State == Ready && e.random.Intn(4) == 0 {
+		changed.Zone = uint8(e.random.Intn(3))
+	}
+	if e.restarts > 0 && e.random.Intn(50) == 0 {
+		e.restarts--
+		for i := range e.list {
+			e.list[i].State, e.list[i].StartTime = Ready, e.now-Micros(e.random.Intn(1000))
 		}
+		e.update(UpdateFull, slices.Clone(e.list))
+		return
 	}
-	if s.Balancers > 2 && s.Limits.AllowLoadProbes && s.Costs.LoadProbe < onDemandProbeCostLimit && held == 0 {
-		c.fault("no request ever waited for probes: the run says nothing of those that do")
+	switch e.random.Intn(7) {
+	case 0:
+		e.update(UpdateFull, slices.Clone(e.list[:e.random.Intn(len(e.list)+1)]))
+	case 1:
+		e.update(UpdateFailed, nil)
+	case 6:
+		e.toggleBan(changed.ID)
+	default:
+		e.update(UpdateDelta, []Endpoint{*changed, *changed})
+	}
+}
+
+// update gives entries to the balancer and to the checker.
+func (e *randomEvents) update(kind UpdateKind, entries []Endpoint) {
+	if kind != UpdateDelta && kind != UpdateFailed {
+		clear(e.endpoints)
+	}
+	for _, entry := range entries {
+		e.endpoints[entry.ID] = entry
+	}
+	e.balancer.UpdateEndpoints(e.now, kind, entries)
+}
+
+// toggleBan bans an endpoint or reinstates it.
+func (e *randomEvents) toggleBan(id uint32) {
+	e.banned[id] = !e.banned[id]
+	if e.banned[id] {
+		e.balancer.Ban(e.now, id)
+	} else {
+		e.balancer.Unban(e.now, id)
 	}
-	return c.faults
 }
 
 func TestSafetyRulesUnderRandomEvents(t *testing.T) {
@@ -299,7 +344,7 @@
 			s.Tenants = []Tenant{{Name: "one", Quota: 50}, {Name: "two"}}[:seed%3]
 			s.Limits.AllowCancel, s.Limits.AllowRetryAfter = seed%3 != 0, seed%4 != 0
 		}
-		for i, bad := range playRandomEvents(t, s, seed) {
+		for i, bad := range runRandomEvents(t, s, seed) {
 			if i < 5 {
 				t.Errorf("seed %d: %s", seed, bad)
 			}
@@ -310,9 +355,9 @@
 // The checker itself must see each rule broken.
 func TestSafetyCheckerSeesBrokenRules(t *testing.T) {
 	fresh := func() *safetyChecker {
-		c := &safetyChecker{settings: testSettings(), states: map[uint32]Endpoint{}, requests: map[uint64]*checkedRequest{}}
+		c := &safetyChecker{settings: testSettings(), endpoints: map[uint32]Endpoint{}, requests: map[uint64]*checkedRequest{}}
 		for _, e := range ready(4) {
-			c.states[e.ID] = e
+			c.endpoints[e.ID] = e
 		}
 		for class := range uint8(5) {
 			c.requests[uint64(class)] = &checkedRequest{request: requestOf(uint64(class), class, 0)}
@@ -320,14 +365,14 @@
 		return c
 	}
 	for name, do := range map[string]func(*safetyChecker){
-		"two final answers":      func(c *safetyChecker) { c.Reject(0, 0); c.Fail(0) },
-		"send after the end":     func(c *safetyChecker) { c.Fail(0); c.StartAttempt(0, 1, 0) },
-		"send to the drained":    func(c *safetyChecker) { c.states[1] = Endpoint{ID: 1, State: Draining}; c.StartAttempt(0, 1, 0) },
-		"unsafe sent twice":      func(c *safetyChecker) { c.StartAttempt(4, 1, 0); c.StartAttempt(4, 2, 0) },
-		"unsafe refused":         func(c *safetyChecker) { c.StartAttempt(4, 1, 0); c.Reject(4, 0) },
-		"keyed outside its zone": func(c *safetyChecker) { c.StartAttempt(2, 1, 0); c.StartAttempt(2, 3, 0) },
-		"keyed outside its cell": func(c *safetyChecker) { c.StartAttempt(3, 1, 0); c.StartAttempt(3, 3, 0) },
-		"keyed after its window": func(c *safetyChecker) { c.StartAttempt(1, 1, 0); c.now = second; c.StartAttempt(1, 2, 0) },
+		"two answers":                    func(c *safetyChecker) { c.Reject(0, 0); c.Fail(0) },
+		"attempt after the answer":       func(c *safetyChecker) { c.Fail(0); c.StartAttempt(0, 1, 0) },
+		"attempt at a draining endpoint": func(c *safetyChecker) { c.endpoints[1] = Endpoint{ID: 1, State: Draining}; c.StartAttempt(0, 1, 0) },
+		"not idempotent, retried":        func(c *safetyChecker) { c.StartAttempt(4, 1, 0); c.StartAttempt(4, 2, 0) },
+		"not idempotent, rejected":       func(c *safetyChecker) { c.StartAttempt(4, 1, 0); c.Reject(4, 0) },
+		"retry outside the zone":         func(c *safetyChecker) { c.StartAttempt(2, 1, 0); c.StartAttempt(2, 3, 0) },
+		"retry outside the pod":          func(c *safetyChecker) { c.StartAttempt(3, 1, 0); c.StartAttempt(3, 3, 0) },
+		"retry after the window":         func(c *safetyChecker) { c.StartAttempt(1, 1, 0); c.now = second; c.StartAttempt(1, 2, 0) },
 		"too many attempts": func(c *safetyChecker) {
 			c.StartAttempt(0, 1, 0)
 			c.StartAttempt(0, 2, 0)
--- a/balancer/script_test.go
+++ b/balancer/script_test.go
@@ -43,7 +43,7 @@
 type scriptEvent struct {
 	at       Micros
 	sequence int
-	run      func(now Micros)
+	handle   func(now Micros)
 }
 
 type scriptQueue []scriptEvent
@@ -87,10 +87,10 @@
 	servers   int
 	rate      float64 // requests a second
 	work      float64 // mean service time, in microseconds
-	hints     float64 // part of the requests with a hint
+	hints     float64 // fraction of the requests with a cost hint
 	uploads   float64
 	operators bool    // bans, limits and restarts occur
-	outages   float64 // mean time between changes of the whole fleet's state, in microseconds; 0 for none
+	outages   float64 // mean time between changes of the fleet's state, in microseconds; 0 for none
 	lateLoad  bool    // load reports are often late
 	length    Micros
 }
@@ -127,7 +127,7 @@
 	}})
 }
 
-// every repeats an event for the whole of the script, with random pauses.
+// every repeats an event until the end of the script, with random pauses.
 func (s *script) every(mean float64, run func(now Micros)) {
 	s.sequence++
 	heap.Push(&s.queue, scriptEvent{s.now + s.random.micros(mean), s.sequence, func(now Micros) {
@@ -208,20 +208,20 @@
 }
 
 func (s *script) load(server *scriptServer) []float32 {
-	held := float64(server.inflight)
+	inFlight := float64(server.inflight)
 	if s.options.lateLoad && s.random.chance(0.5) {
-		held = 0
+		inFlight = 0
 	}
 	var load []float32
 	for _, field := range s.options.settings.LoadReportFields {
 		value := math.NaN()
 		switch field {
 		case LoadFieldInFlight:
-			value = held
+			value = inFlight
 		case LoadFieldQueueLength:
-			value = max(0, held-2)
+			value = max(0, inFlight-2)
 		case LoadFieldUtilization:
-			value = min(1, held/2)
+			value = min(1, inFlight/2)
 		case LoadFieldServiceTime:
 			value = s.options.work / server.speed / 1000 * (0.8 + 0.4*s.random.float())
 		case LoadFieldThroughput:
@@ -241,7 +241,7 @@
 func (s *script) Reject(id uint64, after Micros) { s.record(recordReject, id, uint64(after)) }
 func (s *script) Fail(id uint64)                 { s.record(recordFail, id) }
 
-// CancelAttempt ends an attempt soon; its own end then comes a second time.
+// CancelAttempt ends an attempt soon; its own outcome then comes a second time.
 func (s *script) CancelAttempt(id uint64, attempt int) {
 	s.record(recordCancel, id, uint64(attempt))
 	s.post(1000, func(now Micros) {
@@ -312,7 +312,7 @@
 
 func (s *script) Log(string, ...LogField) {}
 
-// list is the whole list as discovery has it now.
+// list is the full list as discovery has it now.
 func (s *script) list() []Endpoint {
 	var list []Endpoint
 	for _, server := range s.servers {
@@ -452,7 +452,7 @@
 	}
 }
 
-// outage makes the whole fleet slow or lets it fail, or ends that.
+// outage makes the fleet slow or lets it fail, or ends that.
 func (s *script) outage(Micros) {
 	s.slowness, s.failures = 1, 0.02
 	switch s.random.below(4) {
@@ -463,7 +463,7 @@
 	}
 }
 
-func (s *script) play() {
+func (s *script) run() {
 	s.slowness, s.failures = 1, 0.02
 	for range s.options.servers {
 		s.addServer(0)
@@ -480,7 +480,7 @@
 	for s.queue.Len() > 0 && s.now < s.options.length {
 		event := heap.Pop(&s.queue).(scriptEvent)
 		s.now = event.at
-		event.run(event.at)
+		event.handle(event.at)
 	}
 	s.snapshot(s.now)
 }
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -6,7 +6,7 @@
 // host; the host's clock never runs backwards.
 type Micros = int64
 
-// RetrySafety says what executing a request of a class twice does.
+// RetrySafety classifies the effect of executing a request twice.
 type RetrySafety uint8
 
 // The kinds of retry safety.
@@ -51,7 +51,7 @@
 	ClientTimeout    Micros     // over all attempts
 	PriorityWeight   float64    // of a request answered within the objective
 	LateWeight       float64    // 0 to 1: part of it that a later response still has; no decision reads it
-	Streaming        bool       // responses are streamed; no decision reads it, as ResponseStarted tells
+	Streaming        bool       // responses are streamed; no decision reads it: ResponseStarted reports them
 }
 
 // Tenant describes one tenant and its quota. No decision reads Name and Fraction.
--- a/balancer/settings_validate.go
+++ b/balancer/settings_validate.go
@@ -9,8 +9,9 @@
 	atLeastOne  = "must be at least 1"
 )
 
-// validator keeps the first error that it finds. Its keys are those that operators know from errors of their
-// configuration: the names of their settings in Go's case. They stay, whatever the fields are called.
+// validator keeps the first error that it finds. Its keys are those that operators know from errors of
+// their configuration: the names of their settings in Go's case. They stay, whatever the fields are
+// called.
 type validator struct{ first *SettingError }
 
 // check notes a setting as invalid unless valid is true.
--- a/balancer/slow_start_fleet_test.go
+++ b/balancer/slow_start_fleet_test.go
@@ -9,22 +9,23 @@
 )
 
 const (
-	slowStartWork      = 80_000 // of a request on one core of a warm endpoint
-	slowStartCores     = 2
-	slowStartRoundTrip = 300 // to an endpoint, and back again
+	slowStartWork   = 80_000 // of a request on one core of a warm endpoint
+	slowStartCores  = 2
+	slowStartOneWay = 300 // delay to an endpoint, and back again
 )
 
-// slowStartFleet is many balancers and their endpoints on a simulated clock. Each endpoint works at a few requests
-// side by side, in order, slower while it is cold; requests come at random, and to any balancer alike.
+// slowStartFleet is many balancers and their endpoints on a virtual clock. Each endpoint serves a few
+// requests at a time, in order, slower in its slow start; requests arrive at random times at random
+// balancers.
 type slowStartFleet struct {
-	t         *testing.T
 	settings  Settings
 	now       Micros
 	events    fleetEvents
 	random    *rand.Rand
 	balancers []*slowStartBalancer
 	endpoints map[uint32]*slowStartEndpoint
-	lastID    uint64
+	sequence  int    // of the latest event
+	requests  uint64 // so far
 	served    int
 }
 
@@ -36,9 +37,9 @@
 }
 
 type fleetEvent struct {
-	at Micros
-	n  int // those of one instant come in order
-	do func()
+	at       Micros
+	sequence int // orders the events of one instant
+	handle   func()
 }
 
 type fleetEvents []fleetEvent
@@ -46,7 +47,7 @@
 func (h fleetEvents) Len() int { return len(h) }
 
 func (h fleetEvents) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].n < h[j].n
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
 }
 
 func (h fleetEvents) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
@@ -60,39 +61,42 @@
 	return last
 }
 
-func (f *slowStartFleet) in(delay Micros, do func()) {
-	f.lastID++
-	heap.Push(&f.events, fleetEvent{f.now + delay, int(f.lastID), do})
+// after runs an event after a delay.
+func (f *slowStartFleet) after(delay Micros, do func()) {
+	f.sequence++
+	heap.Push(&f.events, fleetEvent{f.now + delay, f.sequence, do})
 }
 
+// run runs the events until an instant.
 func (f *slowStartFleet) run(until Micros) {
 	for len(f.events) > 0 && f.events[0].at <= until {
 		e := heap.Pop(&f.events).(fleetEvent)
 		f.now = e.at
-		e.do()
+		e.handle()
 	}
 	f.now = until
 }
 
-// warmth is what an endpoint's capacity is of a warm one's.
-func (f *slowStartFleet) warmth(e *slowStartEndpoint, at Micros) float64 {
-	c := &f.settings.Rules
-	if e.startedAt == 0 || at-e.startedAt >= c.SlowStartDuration {
+// capacityFraction returns an endpoint's capacity as a fraction of its full one.
+func (f *slowStartFleet) capacityFraction(e *slowStartEndpoint, at Micros) float64 {
+	rules := &f.settings.Rules
+	if e.startedAt == 0 || at-e.startedAt >= rules.SlowStartDuration {
 		return 1
 	}
-	return c.SlowStartMinCapacity + (1-c.SlowStartMinCapacity)*float64(at-e.startedAt)/float64(c.SlowStartDuration)
+	from := rules.SlowStartMinCapacity
+	return from + (1-from)*float64(at-e.startedAt)/float64(rules.SlowStartDuration)
 }
 
 // slowStartBalancer is one of the balancers, and carries out its actions.
 type slowStartBalancer struct {
-	f *slowStartFleet
-	b *Balancer
+	fleet    *slowStartFleet
+	balancer *Balancer
 }
 
 func (c *slowStartBalancer) StartAttempt(id uint64, endpoint uint32, _ Micros) {
-	f, e := c.f, c.f.endpoints[endpoint]
-	sent, attempt := f.now, len(c.b.requests[id].attempts)-1
-	f.in(slowStartRoundTrip, func() {
+	f, e := c.fleet, c.fleet.endpoints[endpoint]
+	sent, attempt := f.now, len(c.balancer.requests[id].attempts)-1
+	f.after(slowStartOneWay, func() {
 		e.arrivals = append(e.arrivals, f.now)
 		e.inFlight++
 		core := 0
@@ -103,27 +107,28 @@
 		}
 		start := max(f.now, e.freeAt[core])
 		work := slowStartWork * (0.5 + f.random.ExpFloat64()/2)
-		e.freeAt[core] = start + Micros(work/f.warmth(e, start))
-		f.in(e.freeAt[core]-f.now, func() {
+		e.freeAt[core] = start + Micros(work/f.capacityFraction(e, start))
+		f.after(e.freeAt[core]-f.now, func() {
 			e.inFlight--
-			f.in(slowStartRoundTrip, func() {
+			f.after(slowStartOneWay, func() {
 				f.served++
-				c.b.AttemptFinished(f.now, Outcome{ID: id, Attempt: attempt, Endpoint: endpoint, Status: OK, Latency: f.now - sent, RequestDone: true})
+				c.balancer.AttemptFinished(f.now, Outcome{ID: id, Attempt: attempt, Endpoint: endpoint, Status: OK,
+					Latency: f.now - sent, RequestDone: true})
 			})
 		})
 	})
 }
 
 func (c *slowStartBalancer) SendLoadProbe(endpoint uint32) {
-	f, e := c.f, c.f.endpoints[endpoint]
-	f.in(slowStartRoundTrip, func() {
+	f, e := c.fleet, c.fleet.endpoints[endpoint]
+	f.after(slowStartOneWay, func() {
 		load := []float32{float32(e.inFlight)}
-		f.in(slowStartRoundTrip, func() { c.b.LoadProbeResult(f.now, endpoint, OK, 2*slowStartRoundTrip, load) })
+		f.after(slowStartOneWay, func() { c.balancer.LoadProbeResult(f.now, endpoint, OK, 2*slowStartOneWay, load) })
 	})
 }
 
 func (c *slowStartBalancer) SetTimer(delay Micros, token uint32) {
-	c.f.in(delay, func() { c.b.TimerFired(c.f.now, token) })
+	c.fleet.after(delay, func() { c.balancer.TimerFired(c.fleet.now, token) })
 }
 
 func (c *slowStartBalancer) Reject(uint64, Micros) {}
@@ -138,109 +143,158 @@
 
 func (c *slowStartBalancer) Log(string, ...LogField) {}
 
-// playSlowStart has an endpoint join beside nine warm ones, another start anew a second later, and a burst of requests come
-// some time after: it returns the most that came to either of them within the time that the settings name, as a share
-// of what is let pass.
-func playSlowStart(t *testing.T, s Settings, balancers int, believed Settings, seed uint64, quiet float64, after Micros) (most float64, served int) {
+// slowStartRun is one run of a fleet in which an endpoint joins nine warm ones, another restarts a second later,
+// and a burst of requests arrives some time after.
+type slowStartRun struct {
+	settings  Settings // of the endpoints
+	believed  Settings // of the balancers
+	balancers int
+	seed      uint64
+	quietLoad float64 // fraction of the capacity of the warm endpoints, before the burst
+	burstAt   Micros  // after the first join
+}
+
+// The timing and the load of a slowStartRun.
+const (
+	joinAt        = 5 * second
+	burstLoad     = 1.5 // fraction of the capacity of the warm endpoints
+	burstDuration = 3 * second
+	joiningID     = 10
+	restartingID  = 4
+)
+
+// run runs the fleet. It returns the most that came to one of the two endpoints within the overload duration, as
+// a fraction of what is allowed, and the number of requests served.
+func (run slowStartRun) run(t *testing.T) (highest float64, served int) {
 	t.Helper()
-	const joins, burst, lasts = 5 * second, 1.5, 3 * second
-	f := &slowStartFleet{t: t, settings: s, random: rand.New(rand.NewPCG(seed, 0xc01d)), endpoints: map[uint32]*slowStartEndpoint{}}
+	f := &slowStartFleet{settings: run.settings, random: rand.New(rand.NewPCG(run.seed, 0xc01d)),
+		endpoints: map[uint32]*slowStartEndpoint{}}
 	list := ready(9)
 	for _, e := range list {
 		f.endpoints[e.ID] = &slowStartEndpoint{}
 	}
-	for i := range balancers {
-		c := &slowStartBalancer{f: f}
+	for i := range run.balancers {
+		host := &slowStartBalancer{fleet: f}
 		var err error
-		if c.b, err = New(believed, seed*1000+uint64(i), c); err != nil {
+		if host.balancer, err = New(run.believed, run.seed*1000+uint64(i), host); err != nil {
 			t.Fatal(err)
 		}
-		f.balancers = append(f.balancers, c)
-		c.b.Start(0)
-		c.b.UpdateEndpoints(0, UpdateFull, list)
+		f.balancers = append(f.balancers, host)
+		host.balancer.Start(0)
+		host.balancer.UpdateEndpoints(0, UpdateFull, list)
 	}
 	capacity := 9 * slowStartCores * float64(second) / slowStartWork // requests a second
-	var come func()
-	id := uint64(0)
-	come = func() {
-		rate := quiet * capacity
-		if f.now >= joins+after && f.now < joins+after+lasts {
-			rate = burst * capacity
-		}
-		c := f.balancers[f.random.IntN(balancers)]
-		id++
-		c.b.RequestArrived(f.now, Request{ID: id, Deadline: f.now + second})
-		f.in(1+Micros(f.random.ExpFloat64()*float64(second)/rate), come)
+	f.after(1, func() { run.arrive(f, capacity) })
+	f.after(joinAt, func() { f.startEndpoint(joiningID) })
+	f.after(joinAt+second, func() { f.startEndpoint(restartingID) })
+	f.run(joinAt + second + run.burstAt + burstDuration)
+	for _, id := range []uint32{joiningID, restartingID} {
+		highest = max(highest, f.highestLoad(f.endpoints[id]))
 	}
-	f.in(1, come)
-	for _, cold := range []struct {
-		id uint32
-		at Micros
-	}{{10, joins}, {4, joins + second}} {
-		f.in(cold.at, func() {
-			f.endpoints[cold.id] = &slowStartEndpoint{startedAt: f.now}
-			for _, c := range f.balancers {
-				c.b.UpdateEndpoints(f.now, UpdateDelta, []Endpoint{{ID: cold.id, Zone: uint8(cold.id / 2), Weight: 1, StartTime: f.now}})
-			}
-		})
+	return highest, f.served
+}
+
+// arrive lets a request arrive, and the next one later.
+func (run slowStartRun) arrive(f *slowStartFleet, capacity float64) {
+	rate := run.quietLoad * capacity
+	if burst := joinAt + run.burstAt; f.now >= burst && f.now < burst+burstDuration {
+		rate = burstLoad * capacity
 	}
-	f.run(joins + second + after + lasts)
-	for _, id := range []uint32{10, 4} {
-		e := f.endpoints[id]
-		for from, to := 0, 0; from < len(e.arrivals); from++ {
-			for to < len(e.arrivals) && e.arrivals[to] < e.arrivals[from]+s.Rules.OverloadDuration {
-				to++
-			}
-			n := s.Rules.OverloadMultiple * f.warmth(e, e.arrivals[from]) * slowStartCores * float64(s.Rules.OverloadDuration) / slowStartWork
-			most = max(most, float64(to-from)/(n+2*math.Sqrt(n)+2))
+	host := f.balancers[f.random.IntN(run.balancers)]
+	f.requests++
+	host.balancer.RequestArrived(f.now, Request{ID: f.requests, Deadline: f.now + second})
+	f.after(1+Micros(f.random.ExpFloat64()*float64(second)/rate), func() { run.arrive(f, capacity) })
+}
+
+// startEndpoint starts an endpoint and updates all balancers.
+func (f *slowStartFleet) startEndpoint(id uint32) {
+	f.endpoints[id] = &slowStartEndpoint{startedAt: f.now}
+	entry := Endpoint{ID: id, Zone: uint8(id / 2), Weight: 1, StartTime: f.now}
+	for _, host := range f.balancers {
+		host.balancer.UpdateEndpoints(f.now, UpdateDelta, []Endpoint{entry})
+	}
+}
+
+// highestLoad returns the most that came to an endpoint within the overload duration, as a fraction of what is
+// allowed by its capacity at the beginning of it.
+func (f *slowStartFleet) highestLoad(e *slowStartEndpoint) float64 {
+	rules, highest := &f.settings.Rules, 0.0
+	for from, to := 0, 0; from < len(e.arrivals); from++ {
+		for to < len(e.arrivals) && e.arrivals[to] < e.arrivals[from]+rules.OverloadDuration {
+			to++
 		}
+		budget := rules.OverloadMultiple * f.capacityFraction(e, e.arrivals[from]) * slowStartCores *
+			float64(rules.OverloadDuration) / slowStartWork
+		highest = max(highest, float64(to-from)/(budget+2*math.Sqrt(budget)+2))
 	}
-	return most, f.served
+	return highest
 }
 
-// maxSumOfBudgets is the part of what is let pass that the balancers may come to: some is kept for networks less even.
+// maxSumOfBudgets is the fraction of what is allowed that the balancers may reach: the rest is for uneven
+// networks.
 const maxSumOfBudgets = 0.6
 
-// What is sent to a cold endpoint by all balancers together stays within its budget of N requests and chance, 2 x root
-// of N + 2, with few balancers and many, in a burst out of little traffic or much at any time after its start.
+// What all balancers together send to an endpoint in its slow start stays within its budget of N requests
+// and chance, 2 x root of N + 2, with few balancers and many, in a burst out of little traffic or much, at
+// any time after its start.
 func TestWarmingEndpointBearsTheSumOfAllBalancers(t *testing.T) {
-	small, usual := testSettings(), testSettings()
+	small, large := testSettings(), testSettings()
 	small.Rules.OverloadMultiple, small.Rules.SlowStartMinCapacity = 1.5, 0.1
-	usual.Rules.OverloadMultiple, usual.Rules.OverloadDuration, usual.Rules.SlowStartDuration = 4, 1_500_000, 15*second
-	for name, s := range map[string]Settings{"N from 4": small, "N from 30": usual} {
-		s.Classes = []Class{{Name: "read", RetrySafety: Idempotent, LatencyObjective: 400_000, ClientTimeout: second, PriorityWeight: 1}}
+	large.Rules.OverloadMultiple, large.Rules.OverloadDuration, large.Rules.SlowStartDuration = 4, 1_500_000, 15*second
+	for name, s := range map[string]Settings{"N from 4": small, "N from 30": large} {
+		s.Classes = []Class{{Name: "read", RetrySafety: Idempotent, LatencyObjective: 400_000, ClientTimeout: second,
+			PriorityWeight: 1}}
 		for _, balancers := range []int{5, 30} {
 			t.Run(fmt.Sprintf("%s, %d balancers", name, balancers), func(t *testing.T) {
 				t.Parallel()
-				worst, careless, selfish := 0.0, 0.0, 0.0
-				s := s // the others run beside this one
+				s := s // the subtests run in parallel
 				s.Balancers = balancers
-				reckless, alone := s, s
+				highest := checkSumOfBudgets(t, s, balancers)
+				withoutSlowStart, alone := s, s
+				withoutSlowStart.Rules.SlowStartDuration = 0
 				alone.Balancers = 1
-				reckless.Rules.SlowStartDuration = 0 // told to these balancers: nothing is cold
+				careless, selfish := 0.0, 0.0
 				for seed := range uint64(3) {
-					for _, quiet := range []float64{0.05, 0.4} {
-						for _, after := range []Micros{100_000, second, 3 * second} {
-							most, served := playSlowStart(t, s, balancers, s, seed+1, quiet, after)
-							if served < 500 {
-								t.Fatalf("only %d requests were served", served)
-							}
-							if worst = max(worst, most); most > maxSumOfBudgets {
-								t.Errorf("seed %d, from %.2f to 1.5 of capacity after %.1f s: %.2f of what is let pass",
-									seed+1, quiet, float64(after)/float64(second), most)
-							}
-						}
-					}
-					most, _ := playSlowStart(t, s, balancers, reckless, seed+1, 0.05, second)
-					careless = max(careless, most)
-					most, _ = playSlowStart(t, s, balancers, alone, seed+1, 0.4, second)
-					selfish = max(selfish, most)
+					run := slowStartRun{settings: s, balancers: balancers, seed: seed + 1, burstAt: second}
+					run.believed, run.quietLoad = withoutSlowStart, 0.05
+					load, _ := run.run(t)
+					careless = max(careless, load)
+					run.believed, run.quietLoad = alone, 0.4
+					load, _ = run.run(t)
+					selfish = max(selfish, load)
 				}
-				t.Logf("at most %.2f of what is let pass; %.2f by balancers that know of no cold, %.2f by such as believe to be alone", worst, careless, selfish)
-				if s.Rules == small.Rules && (careless <= maxSumOfBudgets || balancers == 30 && selfish <= maxSumOfBudgets) {
-					t.Errorf("the check does not see balancers that know of no cold, or of each other: %.2f, %.2f", careless, selfish)
+				t.Logf("at most %.2f of what is allowed; %.2f by balancers without slow start, "+
+					"%.2f by such as believe to be alone", highest, careless, selfish)
+				isSeen := careless > maxSumOfBudgets && (balancers != 30 || selfish > maxSumOfBudgets)
+				if s.Rules == small.Rules && !isSeen {
+					t.Errorf("the check does not see balancers without slow start, or without knowledge of each "+
+						"other: %.2f, %.2f", careless, selfish)
 				}
 			})
 		}
 	}
 }
+
+// checkSumOfBudgets plays bursts out of little traffic and much, at several times, and returns the highest load.
+func checkSumOfBudgets(t *testing.T, s Settings, balancers int) float64 {
+	t.Helper()
+	highest := 0.0
+	for seed := range uint64(3) {
+		for _, quietLoad := range []float64{0.05, 0.4} {
+			for _, burstAt := range []Micros{100_000, second, 3 * second} {
+				run := slowStartRun{settings: s, believed: s, balancers: balancers, seed: seed + 1,
+					quietLoad: quietLoad, burstAt: burstAt}
+				load, served := run.run(t)
+				if served < 500 {
+					t.Fatalf("only %d requests were served", served)
+				}
+				if load > maxSumOfBudgets {
+					t.Errorf("seed %d, from %.2f to 1.5 of capacity after %.1f s: %.2f of what is allowed",
+						seed+1, quietLoad, float64(burstAt)/float64(second), load)
+				}
+				highest = max(highest, load)
+			}
+		}
+	}
+	return highest
+}
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// slowStartSends counts sends to a cold endpoint over the overload window just
-// after its start, beside nine warm ones under a steady load.
+// slowStartSends counts the attempts at endpoints in the first second of their slow start, beside ten warm
+// ones under a steady load (requests a second), and the mean of the warm ones.
 func slowStartSends(t *testing.T, rate int, colds int) (cold []int, warm float64) {
 	t.Helper()
 	s := testSettings()
@@ -48,9 +48,9 @@
 	for _, c := range []struct{ rate, colds int }{{100, 1}, {500, 1}, {500, 2}, {2000, 2}} {
 		cold, warm := slowStartSends(t, c.rate, c.colds)
 		for _, n := range cold {
-			// Warmth goes from 0.2 to 0.28 in this second; one request may round up.
+			// Capacity goes from 0.2 to 0.28 in this second; one request may round up.
 			if float64(n) > 0.28*warm+1 {
-				t.Errorf("rate %d: a cold endpoint got %d, a warm one %.1f", c.rate, n, warm)
+				t.Errorf("rate %d: a warming endpoint got %d, a warm one %.1f", c.rate, n, warm)
 			}
 		}
 	}
@@ -67,11 +67,12 @@
 		}
 	}
 	if n := len(r.attempts); n < 20 || n > 250 {
-		t.Errorf("%d of 400 sent to the only, cold, endpoint", n)
+		t.Errorf("%d of 400 sent to the only endpoint, which warms up", n)
 	}
 }
 
-// Where most is refused, little is sent: what is cold must not be left idle for that, or all would go on being refused.
+// While most requests are rejected, little is sent: an endpoint that warms up must not be idle for that,
+// or the rejections would go on.
 func TestSlowStartBudgetDoesNotFollowRejections(t *testing.T) {
 	saved := func(balancers, processes int) float64 {
 		s := testSettings()
@@ -85,9 +86,9 @@
 		return e.slowStart.budget
 	}
 	alone := saved(2, 1)
-	// A fifth of what one of two can have sent to an endpoint of two cores, less what no burst may save up.
+	// A fifth of what one of two balancers may send to an endpoint of two cores, up to the burst.
 	if want := 0.28 * 0.7 * float64(second) / 2; math.Abs(alone-want) > 1 {
-		t.Errorf("with nothing sent, %.0f µs of work may go to a cold endpoint after a second, want %.0f", alone, want)
+		t.Errorf("with nothing sent, the budget is %.0f µs of work after a second, want %.0f", alone, want)
 	}
 	if two := saved(2, 2); math.Abs(two-alone/2) > 1 {
 		t.Errorf("for each of two processes %.0f µs, want half of %.0f", two, alone)
@@ -97,7 +98,7 @@
 	}
 }
 
-// A quiet balancer earns one send to a cold endpoint in minutes: all must not start from nothing.
+// A balancer with few requests takes minutes to earn the budget of one: not all may start from nothing.
 func TestManyIdleBalancersServeWarmingEndpoint(t *testing.T) {
 	allowed, all := 0, 200
 	s := testSettings()
@@ -110,7 +111,7 @@
 		b.Start(0)
 		b.UpdateEndpoints(0, UpdateCached, ready(10))
 		for i := range Micros(10) {
-			b.startedWork.add(i*second, 80_000) // one request a second
+			b.startedWork.add(i*second, 80_000) // one request per second
 		}
 		b.UpdateEndpoints(10*second, UpdateDelta, []Endpoint{{ID: 11, Weight: 1, StartTime: 10 * second}})
 		for i := range Micros(6) {
@@ -121,8 +122,37 @@
 			allowed++
 		}
 	}
-	// In 5 s a warm endpoint gets half a request of each; this one 0.2 to 0.6 of seven tenths of that.
+	// In 5 s a warm endpoint gets half a request of each balancer; this one 0.2 to 0.6 of seven tenths of that.
 	if allowed < 5 || allowed > 60 {
-		t.Errorf("%d of %d quiet balancers may send to a cold endpoint within 5 s", allowed, all)
+		t.Errorf("%d of %d idle balancers may send to a warming endpoint within 5 s", allowed, all)
+	}
+}
+
+func TestSlowStartCapacityGrowsToTheFull(t *testing.T) {
+	rules := &Rules{SlowStartMinCapacity: 0.2, SlowStartDuration: 10 * second}
+	for _, c := range []struct {
+		now  Micros
+		want float64
+	}{{second, 0.2}, {6 * second, 0.6}, {11 * second, 1}, {60 * second, 1}} {
+		s := slowStart{active: true, startedAt: second}
+		if got := s.capacityFraction(c.now, rules); !isNear(got, c.want) {
+			t.Errorf("after %d s: capacity %v, want %v", (c.now-second)/second, got, c.want)
+		}
+	}
+	var never slowStart
+	if got := never.capacityFraction(second, rules); got != 1 {
+		t.Errorf("without a slow start: capacity %v, want 1", got)
+	}
+}
+
+func TestSlowStartBudgetRefillsUpToItsBurst(t *testing.T) {
+	s := slowStart{active: true, budget: -100}
+	s.refill(second, 500, 2000)
+	if s.budget != 400 {
+		t.Errorf("budget %v after a second, want 400", s.budget)
+	}
+	s.refill(60*second, 500, 2000)
+	if s.budget != 2000 {
+		t.Errorf("budget %v after a minute, want 2000", s.budget)
 	}
 }
