--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -7,6 +7,7 @@
 	// many once such requests were late indeed.
 	minForcedAdmissionInterval = 10
 	maxForcedAdmissionInterval = 640
+	minForcedAdmissionGap      = second // between two of a class
 
 	// Fraction of the time left to the latency objective that a request may wait: of the highest
 	// priority, and of any. Latencies vary, so that not all of it can be planned.
@@ -36,7 +37,7 @@
 // take counts a request of a class that seems too late and reports whether it is admitted.
 func (f *forcedAdmission) take(now Micros, class *classStats, isFirst bool) bool {
 	class.lateSinceForced++
-	if !isFirst || class.lateSinceForced < f.interval || now-class.forcedAt < forcedPassInterval {
+	if !isFirst || class.lateSinceForced < f.interval || now-class.forcedAt < minForcedAdmissionGap {
 		return false
 	}
 	class.forcedAt, class.lateSinceForced = now, 0
--- a/balancer/breaker.go
+++ b/balancer/breaker.go
@@ -4,13 +4,13 @@
 const (
 	breakerWindow         = 10 * second
 	breakerBuckets        = 40
-	maxAcceptMultiplier   = 1.5 // k: requests allowed per accepted one
-	minAcceptMultiplier   = 1.1 // k once all buckets are failing
-	protectedRequests     = 5   // never dropped for errors
-	forcedPassInterval    = second
-	latencyMultiple       = 3    // of the baseline, from which latency counts
-	latencyCeiling        = 0.95 // of the timeout, at which the drop probability is greatest
-	maxLatencyDrop        = 0.3  // probability
+	maxAcceptMultiplier   = 1.5    // k: requests allowed per accepted one
+	minAcceptMultiplier   = 1.1    // k once all buckets are failing
+	protectedRequests     = 5      // never dropped for errors
+	forcedPassInterval    = second // at an endpoint
+	latencyMultiple       = 3      // of the baseline, from which latency counts
+	latencyCeiling        = 0.95   // of the timeout, at which the drop probability is greatest
+	maxLatencyDrop        = 0.3    // probability
 	baselineFallDivisor   = 4
 	baselineRiseDivisor   = 100
 	currentLatencyDivisor = 4
--- a/balancer/load_probes.go
+++ b/balancer/load_probes.go
@@ -50,7 +50,7 @@
 	}
 	probes := max(1, min(maxProbesPerRound, int(rate*float64(maxProbeRoundInterval)/float64(second))))
 	interval := float64(probes) / rate * float64(second)
-	for draws := 0; probes > 0 && draws < maxProbeSamplesPerRound && len(b.endpoints) > 0; draws++ {
+	for samples := 0; probes > 0 && samples < maxProbeSamplesPerRound && len(b.endpoints) > 0; samples++ {
 		if e := b.probeCandidate(); e.isUsable() && !e.probing {
 			b.sendLoadProbe(now, e)
 			probes--
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -25,7 +25,7 @@
 	}
 	b.expirePool(now, b.classOf(r).LatencyObjective)
 	// The start is random because other balancers may have the same reports. Shared ones are left to the
-	// draws below: by them all balancers would send to the same endpoint.
+	// random candidates below: by them all balancers would send to the same endpoint.
 	start := int(b.random.float() * float64(len(b.probedPool)))
 	for i := 0; !b.gossiping && i < len(b.probedPool); i++ {
 		e := b.probedPool[(start+i)%len(b.probedPool)]
@@ -37,11 +37,12 @@
 	if best != nil && !isPoolSmall {
 		return best
 	}
-	// Two draws of three are local: by size alone most would be in other zones.
+	// Two of three are local: by size alone most would be in other zones.
+	anyRoundTrip := float64(r.Deadline) // as an instant it is longer than any
 	for _, list := range [...][]*endpoint{b.localEndpoints, b.localEndpoints, b.endpoints} {
-		e := b.randomCandidate(now, r, list, excluded, float64(r.Deadline))
+		e := b.randomCandidate(now, r, list, excluded, anyRoundTrip)
 		if e == nil || e.failures.isOutlier(now) {
-			e = b.randomCandidate(now, r, b.endpoints, excluded, float64(r.Deadline))
+			e = b.randomCandidate(now, r, b.endpoints, excluded, anyRoundTrip)
 		}
 		if e != nil {
 			consider(e)
@@ -83,7 +84,7 @@
 }
 
 // randomCandidate returns a random endpoint of a list that an attempt may start at, or nil; an ejected one
-// only if there is no other. The first draws go by weight and to zones within a round-trip time
+// only if there is no other. The first samples go by weight and to zones within a round-trip time
 // (microseconds; 0 for the own zone); then the list is searched from a random place.
 func (b *Balancer) randomCandidate(
 	now Micros, r *request, list []*endpoint, excluded *endpoint, maxRoundTrip float64,
