--- a/internal/datagram/golden_test.go
+++ b/internal/datagram/golden_test.go
@@ -7,19 +7,17 @@
 	"encoding/binary"
 	"encoding/hex"
 	"encoding/json"
-	"flag"
 	"io"
 	"net/netip"
-	"os"
 	"path/filepath"
 	"slices"
 	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
-)
 
-var updateGolden = flag.Bool("update-golden", false, "write the golden files again; only for a form that is new on the wire")
+	"bramblestand/internal/goldentest"
+)
 
 // goldenDatagram is one datagram as it is on the wire.
 type goldenDatagram struct {
@@ -38,28 +36,11 @@
 }
 
 // compareGolden compares datagrams with those of a golden file, byte for byte, and returns the file's.
-func compareGolden(t *testing.T, file string, got []goldenDatagram) []goldenDatagram {
+func compareGolden(t *testing.T, got []goldenDatagram, file string) []goldenDatagram {
 	t.Helper()
-	path := filepath.Join("testdata", file)
-	text, err := json.MarshalIndent(got, "", " ")
-	if err != nil {
-		t.Fatal(err)
-	}
-	text = append(text, '\n')
-	if *updateGolden {
-		if err := os.WriteFile(path, text, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(text, want) {
-		t.Errorf("%s: differs on the wire:\n%s\nwant\n%s", path, text, want)
-	}
+	text := goldentest.EqualBytes(t, goldentest.JSON(t, got), filepath.Join("testdata", file))
 	var list []goldenDatagram
-	if err := json.Unmarshal(want, &list); err != nil {
+	if err := json.Unmarshal(text, &list); err != nil {
 		t.Fatal(err)
 	}
 	return list
@@ -89,7 +70,7 @@
 			t.Fatal(p.name, err)
 		}
 	}
-	for i, g := range compareGolden(t, "datagrams.json", sent) {
+	for i, g := range compareGolden(t, sent, "datagrams.json") {
 		in := New(nil, Options{})
 		var got []byte
 		in.Handle(g.Channel, func(from netip.AddrPort, data []byte) bool {
@@ -193,7 +174,7 @@
 		}
 		forward("acknowledgement of the answer", dialer, nil, here)
 
-		replay := replayQuestion(t, question, compareGolden(t, "stream.json", all))
+		replay := replayQuestion(t, question, compareGolden(t, all, "stream.json"))
 		for _, side := range []*goldenSide{dialer, listener, replay} {
 			side.Close()
 		}
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -4,46 +4,21 @@
 	"bytes"
 	"context"
 	"encoding/json"
-	"flag"
 	"log/slog"
 	"net/netip"
-	"os"
 	"path/filepath"
 	"testing"
 	"time"
 
 	"bramblestand/internal/datagram"
+	"bramblestand/internal/goldentest"
 	"bramblestand/internal/membership"
 )
 
-var updateGolden = flag.Bool("update-golden", false, "write the golden files again; only for a form that is new to operators or on the disk")
-
 // compareGolden compares text with a golden file, byte for byte, and returns the file's.
-func compareGolden(t *testing.T, file string, text []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", file)
-	if *updateGolden {
-		if err := os.WriteFile(path, text, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(text, want) {
-		t.Errorf("%s differs:\n%s\nwant\n%s", path, text, want)
-	}
-	return want
-}
-
-func asJSON(t *testing.T, value any) []byte {
+func compareGolden(t *testing.T, text []byte, file string) []byte {
 	t.Helper()
-	text, err := json.MarshalIndent(value, "", " ")
-	if err != nil {
-		t.Fatal(err)
-	}
-	return append(text, '\n')
+	return goldentest.EqualBytes(t, text, filepath.Join("testdata", file))
 }
 
 var goldenTime = time.Date(2026, 12, 3, 9, 31, 0, 0, time.UTC)
@@ -67,19 +42,19 @@
 // The status has the form of the golden files: full, brief and as text.
 func TestGoldenStatus(t *testing.T) {
 	status := goldenStatus()
-	text := compareGolden(t, "status.json", asJSON(t, status))
+	text := compareGolden(t, goldentest.JSON(t, status), "status.json")
 	var read Status
 	if err := json.Unmarshal(text, &read); err != nil {
 		t.Fatal(err)
 	}
-	if again := asJSON(t, read); !bytes.Equal(again, text) {
+	if again := goldentest.JSON(t, read); !bytes.Equal(again, text) {
 		t.Errorf("read and written again it is\n%s", again)
 	}
-	compareGolden(t, "status.txt", []byte(status.Text()))
+	compareGolden(t, []byte(status.Text()), "status.txt")
 	status.Members, status.Traffic, status.Counters = nil, nil, nil
 	status.Isolated = false
-	compareGolden(t, "status_brief.json", asJSON(t, status))
-	compareGolden(t, "status_brief.txt", []byte(status.Text()))
+	compareGolden(t, goldentest.JSON(t, status), "status_brief.json")
+	compareGolden(t, []byte(status.Text()), "status_brief.txt")
 }
 
 // A sidecar that starts alone with a snapshot has a status with the golden file's keys and values (but for its clock's),
@@ -110,8 +85,8 @@
 		traffic.SentPerSecond, traffic.SentBytesPerSecond, traffic.Sent, traffic.SentBytes = 0, 0, 0, 0
 		status.Traffic[channel] = traffic
 	}
-	compareGolden(t, "status_alone.json", asJSON(t, status))
-	if text := compareGolden(t, "kept.json", append(f.Snapshot(), '\n')); !bytes.Equal(text, append(snapshot, '\n')) {
+	compareGolden(t, goldentest.JSON(t, status), "status_alone.json")
+	if text := compareGolden(t, append(f.Snapshot(), '\n'), "kept.json"); !bytes.Equal(text, append(snapshot, '\n')) {
 		t.Errorf("the snapshot is %s, started with %s", text, snapshot)
 	}
 }
@@ -119,7 +94,7 @@
 // The settings are read and written as the golden file has them.
 func TestGoldenSettings(t *testing.T) {
 	all := Settings{Enabled: true, Advertise: "10.0.0.1:7946", StabilizationSeconds: 2.5, ProbeIntervalMillis: 300, MaxMembers: 50, MaxDatagramsPerSecond: 80}
-	text := compareGolden(t, "settings.json", asJSON(t, all))
+	text := compareGolden(t, goldentest.JSON(t, all), "settings.json")
 	if got, err := ParseSettings(text); err != nil || got != all {
 		t.Errorf("read as %+v, %v", got, err)
 	}
@@ -127,5 +102,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	compareGolden(t, "settings_default.json", asJSON(t, defaults))
+	compareGolden(t, goldentest.JSON(t, defaults), "settings_default.json")
 }
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -6,7 +6,6 @@
 	"bytes"
 	"encoding/hex"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"io"
 	"net/netip"
@@ -17,36 +16,25 @@
 	"time"
 
 	"bramblestand/internal/datagram"
+	"bramblestand/internal/goldentest"
 )
 
-var updateGolden = flag.Bool("update-golden", false, "write the golden files again; only for a form that is new on the wire or on the disk")
-
-// compareGolden compares got as JSON with a golden file, byte for byte.
-func compareGolden(t *testing.T, file string, got any) {
+// compareGolden compares a value as JSON with a golden file, byte for byte.
+func compareGolden(t *testing.T, got any, file string) {
 	t.Helper()
-	path := filepath.Join("testdata", file)
-	text, err := json.MarshalIndent(got, "", " ")
-	if err != nil {
-		t.Fatal(err)
-	}
-	text = append(text, '\n')
-	if *updateGolden {
-		if err := os.WriteFile(path, text, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	if want := readGolden(t, file); !bytes.Equal(text, want) {
-		t.Errorf("%s differs:\n%s\nwant\n%s", path, text, want)
-	}
+	goldentest.EqualBytes(t, goldentest.JSON(t, got), filepath.Join("testdata", file))
 }
 
-func readGolden(t *testing.T, file string) []byte {
+// readGolden decodes a golden file.
+func readGolden(t *testing.T, file string, into any) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", file))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return text
+	if err := json.Unmarshal(text, into); err != nil {
+		t.Fatal(err)
+	}
 }
 
 func unhex(t *testing.T, text string) []byte {
@@ -83,10 +71,8 @@
 	for _, m := range goldenMembers {
 		list = append(list, goldenMeta{m.Name, m.Zone, m.Version, m.StartTime.UnixMilli(), m.Features.Names(), hex.EncodeToString(m.encodeMeta())})
 	}
-	compareGolden(t, "meta.json", list)
-	if err := json.Unmarshal(readGolden(t, "meta.json"), &list); err != nil {
-		t.Fatal(err)
-	}
+	compareGolden(t, list, "meta.json")
+	readGolden(t, "meta.json", &list)
 	for i, g := range list {
 		m := goldenMembers[i]
 		for _, later := range []string{"", "0102"} { // a later version's fields are ignored
@@ -130,9 +116,7 @@
 func recheckGolden(t *testing.T, file string, isStream bool) []checkResult {
 	t.Helper()
 	var list []checkResult
-	if err := json.Unmarshal(readGolden(t, file), &list); err != nil {
-		t.Fatal(err)
-	}
+	readGolden(t, file, &list)
 	if len(list) == 0 {
 		t.Fatalf("%s: no messages", file)
 	}
@@ -146,9 +130,14 @@
 
 type fields = map[string]any
 
-// Messages of every kind, valid and invalid ones, are checked as the golden file has them. Msgpack writes their fields in
-// any order, so that the bytes are made once.
-func TestGoldenPackets(t *testing.T) {
+// namedMessage is a message to check.
+type namedMessage struct {
+	name string
+	data []byte
+}
+
+// goldenPackets returns packets of every kind, valid and invalid ones.
+func goldenPackets() []namedMessage {
 	dead := encodeMessage(msgDead, fields{"Incarnation": 4, "Node": "s1", "From": "s1"})
 	ack := encodeMessage(msgAck, fields{"SeqNo": 7})
 	address := []byte{10, 0, 0, 1}
@@ -162,69 +151,72 @@
 		m[field] = value
 		return encodeMessage(msgPing, m)
 	}
-	if *updateGolden {
+	return []namedMessage{
+		{"ping", ping("SeqNo", 8)},
+		{"ping of nobody by name", ping("Node", "")},
+		{"ping without a source", encodeMessage(msgPing, fields{"SeqNo": 7, "Node": "s1"})},
+		{"ping of a name with a slash", ping("Node", "a/b")},
+		{"ping from an IPv6 address", ping("SourceAddr", make([]byte, 16))},
+		{"ping, truncated", ping("SeqNo", 8)[:20]},
+		{"indirect ping", indirect("SeqNo", 8)},
+		{"indirect ping to nowhere", indirect("Target", []byte{1})},
+		{"indirect ping from a name to log", indirect("SourceNode", "s\n2")},
+		{"ack", ack},
+		{"ack with a payload", encodeMessage(msgAck, fields{"SeqNo": 7, "Payload": []byte("x")})},
+		{"nack", encodeMessage(msgNack, fields{"SeqNo": 7})},
+		{"suspect", encodeMessage(msgSuspect, fields{"Incarnation": 4, "Node": "s1", "From": "s2"})},
+		{"suspect of nobody", encodeMessage(msgSuspect, fields{"Node": "", "From": "s2"})},
+		{"suspect from nobody", encodeMessage(msgSuspect, fields{"Node": "s1"})},
+		{"dead", encodeMessage(msgDead, fields{"Incarnation": 4, "Node": "s1", "From": "s2"})},
+		{"dead, told by itself", dead},
+		{"dead of a name too long", encodeMessage(msgDead, fields{"Node": string(bytes.Repeat([]byte("n"), MaxNameLength+1)), "From": "s2"})},
+		{"alive", encodeMessage(msgAlive, memberState("", nil))},
+		{"alive of the longest name", encodeMessage(msgAlive, memberState("Node", string(bytes.Repeat([]byte("n"), MaxNameLength))))},
+		{"alive of a later meta", encodeMessage(msgAlive, memberState("Meta", append(bytes.Clone(validMeta), 7)))},
+		{"alive without a name", encodeMessage(msgAlive, memberState("Node", ""))},
+		{"alive with a name to log", encodeMessage(msgAlive, memberState("Node", "s1\nfake"))},
+		{"alive at no address", encodeMessage(msgAlive, memberState("Addr", []byte{}))},
+		{"alive at an IPv6 address", encodeMessage(msgAlive, memberState("Addr", make([]byte, 16)))},
+		{"alive at port 0", encodeMessage(msgAlive, memberState("Port", 0))},
+		{"alive with fewer versions", encodeMessage(msgAlive, memberState("Vsn", []byte{1, 5}))},
+		{"alive of another protocol", encodeMessage(msgAlive, memberState("Vsn", []byte{4, 5, 5, 0, 0, 0}))},
+		{"alive of another delegate", encodeMessage(msgAlive, memberState("Vsn", []byte{1, 5, 2, 1, 1, 1}))},
+		{"alive with torn meta", encodeMessage(msgAlive, memberState("Meta", validMeta[:4]))},
+		{"alive with meta of another version", encodeMessage(msgAlive, memberState("Meta", append([]byte{2}, validMeta[1:]...)))},
+		{"alive with meta too long", encodeMessage(msgAlive, memberState("Meta", append(bytes.Clone(validMeta), make([]byte, maxMetaSize)...)))},
+		{"compound", encodeCompound(ack, dead)},
+		{"compound of nothing", encodeCompound()},
+		{"compound in compound", encodeCompound(encodeCompound(dead))},
+		{"compound with one that is not good", encodeCompound(ack, []byte{8, 1, 2})},
+		{"compound, truncated", encodeCompound(dead)[:20]},
+		{"compound of nothing said", []byte{msgCompound, 9, 0}},
+		{"checksum that is wrong", append([]byte{msgHasCRC, 0, 0, 0, 0}, dead...)},
+		{"push/pull as a packet", encodeMessage(msgPushPull, fields{"Nodes": 1})},
+		{"user message", []byte{8, 1, 2}},
+		{"compressed", encodeMessage(9, fields{"Algo": 0})},
+		{"encrypted", []byte{10, 1, 2}},
+		{"error as a packet", encodeMessage(msgErr, fields{"Error": "e"})},
+		{"of no kind", []byte{200, 0x80}},
+		{"empty", nil},
+	}
+}
+
+// Messages of every kind, valid and invalid ones, are checked as the golden file has them. Msgpack writes their fields in
+// any order, so that the bytes are made once.
+func TestGoldenPackets(t *testing.T) {
+	if goldentest.Updating() {
 		var list []checkResult
-		for _, c := range []struct {
-			name string
-			data []byte
-		}{
-			{"ping", ping("SeqNo", 8)},
-			{"ping of nobody by name", ping("Node", "")},
-			{"ping without a source", encodeMessage(msgPing, fields{"SeqNo": 7, "Node": "s1"})},
-			{"ping of a name with a slash", ping("Node", "a/b")},
-			{"ping from an IPv6 address", ping("SourceAddr", make([]byte, 16))},
-			{"ping, truncated", ping("SeqNo", 8)[:20]},
-			{"indirect ping", indirect("SeqNo", 8)},
-			{"indirect ping to nowhere", indirect("Target", []byte{1})},
-			{"indirect ping from a name to log", indirect("SourceNode", "s\n2")},
-			{"ack", ack},
-			{"ack with a payload", encodeMessage(msgAck, fields{"SeqNo": 7, "Payload": []byte("x")})},
-			{"nack", encodeMessage(msgNack, fields{"SeqNo": 7})},
-			{"suspect", encodeMessage(msgSuspect, fields{"Incarnation": 4, "Node": "s1", "From": "s2"})},
-			{"suspect of nobody", encodeMessage(msgSuspect, fields{"Node": "", "From": "s2"})},
-			{"suspect from nobody", encodeMessage(msgSuspect, fields{"Node": "s1"})},
-			{"dead", encodeMessage(msgDead, fields{"Incarnation": 4, "Node": "s1", "From": "s2"})},
-			{"dead, told by itself", dead},
-			{"dead of a name too long", encodeMessage(msgDead, fields{"Node": string(bytes.Repeat([]byte("n"), MaxNameLength+1)), "From": "s2"})},
-			{"alive", encodeMessage(msgAlive, memberState("", nil))},
-			{"alive of the longest name", encodeMessage(msgAlive, memberState("Node", string(bytes.Repeat([]byte("n"), MaxNameLength))))},
-			{"alive of a later meta", encodeMessage(msgAlive, memberState("Meta", append(bytes.Clone(validMeta), 7)))},
-			{"alive without a name", encodeMessage(msgAlive, memberState("Node", ""))},
-			{"alive with a name to log", encodeMessage(msgAlive, memberState("Node", "s1\nfake"))},
-			{"alive at no address", encodeMessage(msgAlive, memberState("Addr", []byte{}))},
-			{"alive at an IPv6 address", encodeMessage(msgAlive, memberState("Addr", make([]byte, 16)))},
-			{"alive at port 0", encodeMessage(msgAlive, memberState("Port", 0))},
-			{"alive with fewer versions", encodeMessage(msgAlive, memberState("Vsn", []byte{1, 5}))},
-			{"alive of another protocol", encodeMessage(msgAlive, memberState("Vsn", []byte{4, 5, 5, 0, 0, 0}))},
-			{"alive of another delegate", encodeMessage(msgAlive, memberState("Vsn", []byte{1, 5, 2, 1, 1, 1}))},
-			{"alive with torn meta", encodeMessage(msgAlive, memberState("Meta", validMeta[:4]))},
-			{"alive with meta of another version", encodeMessage(msgAlive, memberState("Meta", append([]byte{2}, validMeta[1:]...)))},
-			{"alive with meta too long", encodeMessage(msgAlive, memberState("Meta", append(bytes.Clone(validMeta), make([]byte, maxMetaSize)...)))},
-			{"compound", encodeCompound(ack, dead)},
-			{"compound of nothing", encodeCompound()},
-			{"compound in compound", encodeCompound(encodeCompound(dead))},
-			{"compound with one that is not good", encodeCompound(ack, []byte{8, 1, 2})},
-			{"compound, truncated", encodeCompound(dead)[:20]},
-			{"compound of nothing said", []byte{msgCompound, 9, 0}},
-			{"checksum that is wrong", append([]byte{msgHasCRC, 0, 0, 0, 0}, dead...)},
-			{"push/pull as a packet", encodeMessage(msgPushPull, fields{"Nodes": 1})},
-			{"user message", []byte{8, 1, 2}},
-			{"compressed", encodeMessage(9, fields{"Algo": 0})},
-			{"encrypted", []byte{10, 1, 2}},
-			{"error as a packet", encodeMessage(msgErr, fields{"Error": "e"})},
-			{"of no kind", []byte{200, 0x80}},
-			{"empty", nil},
-		} {
-			list = append(list, check(c.name, c.data, false))
+		for _, m := range goldenPackets() {
+			list = append(list, check(m.name, m.data, false))
 		}
-		compareGolden(t, "packets.json", list)
+		compareGolden(t, list, "packets.json")
 	}
 	recheckGolden(t, "packets.json", false)
 }
 
 // Messages of streams are checked, with goldenMaxMembers members at most, as the golden file has them.
 func TestGoldenStreams(t *testing.T) {
-	if *updateGolden {
+	if goldentest.Updating() {
 		var list []checkResult
 		for _, c := range []struct {
 			name string
@@ -249,7 +241,7 @@
 		} {
 			list = append(list, check(c.name, c.data, true))
 		}
-		compareGolden(t, "streams.json", list)
+		compareGolden(t, list, "streams.json")
 	}
 	recheckGolden(t, "streams.json", true)
 }
@@ -316,10 +308,10 @@
 
 // What members of a simulated fleet sent, as recorded, is accepted with the same reports.
 func TestGoldenFleet(t *testing.T) {
-	if *updateGolden {
+	if goldentest.Updating() {
 		packets, streams := recordFleet(t)
-		compareGolden(t, "fleet_packets.json", packets)
-		compareGolden(t, "fleet_streams.json", streams)
+		compareGolden(t, packets, "fleet_packets.json")
+		compareGolden(t, streams, "fleet_streams.json")
 	}
 	for _, g := range slices.Concat(recheckGolden(t, "fleet_packets.json", false), recheckGolden(t, "fleet_streams.json", true)) {
 		if !g.Accepted {
@@ -329,16 +321,17 @@
 }
 
 // A snapshot is written and read as the golden file has it, and is an agent's first view.
-func TestGoldenKept(t *testing.T) {
+func TestGoldenSnapshot(t *testing.T) {
 	snapshot := Snapshot{Epoch: 1 << 40, Members: []SnapshotMember{{"s0", netip.MustParseAddrPort("10.0.0.1:7946")}, {"s1", netip.AddrPort{}},
 		{"Zürich", netip.MustParseAddrPort("10.0.0.3:1")}}}
-	compareGolden(t, "kept.json", snapshot)
+	compareGolden(t, snapshot, "kept.json")
 	var got Snapshot
-	if err := json.Unmarshal(readGolden(t, "kept.json"), &got); err != nil || got.Epoch != snapshot.Epoch || !slices.Equal(got.Members, snapshot.Members) {
-		t.Errorf("read as %+v, %v, want %+v", got, err, snapshot)
+	readGolden(t, "kept.json", &got)
+	if got.Epoch != snapshot.Epoch || !slices.Equal(got.Members, snapshot.Members) {
+		t.Errorf("read as %+v, want %+v", got, snapshot)
 	}
 	inSimulation(t, 1, 1, func(s *simulation) {
 		s.nodes[0].start(Options{Snapshot: got})
-		compareGolden(t, "kept_again.json", s.nodes[0].agent.Snapshot())
+		compareGolden(t, s.nodes[0].agent.Snapshot(), "kept_again.json")
 	})
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -124,6 +124,7 @@
 // metaError says why metadata cannot be decoded.
 type metaError string
 
+// Error returns the reason after the subject.
 func (e metaError) Error() string { return "member metadata: " + string(e) }
 
 // encodeMeta returns what a member tells beside its name and address.
