--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -52,7 +52,7 @@
 	if configPath == "" {
 		return errNoConfigPath
 	}
-	config, err := sidecar.LoadConfig(configPath)
+	config, err := sidecar.Load(configPath)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
@@ -81,7 +81,7 @@
 		case <-ctx.Done():
 			return
 		}
-		config, err := sidecar.LoadConfig(path)
+		config, err := sidecar.Load(path)
 		if err != nil {
 			log.Error("configuration not reloaded; the old one stays in force", "error", err)
 			continue
--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -32,7 +32,7 @@
 
 // listenAdmin opens the operators' address of a configuration that has one.
 func listenAdmin(cfg *Config) (net.Listener, error) {
-	listener, err := net.Listen("tcp", cfg.Ops)
+	listener, err := net.Listen("tcp", cfg.AdminAddress)
 	if err != nil {
 		return nil, fmt.Errorf("ops: %w", err)
 	}
--- a/internal/sidecar/admin_golden_test.go
+++ b/internal/sidecar/admin_golden_test.go
@@ -100,13 +100,13 @@
 	plain.openAdmin()
 	w := &world{t: t, dir: newDirectory(t, hosts...)}
 	cfg := configure(t, w.dir.address, nil, hosts...)
-	cfg.Ops = "127.0.0.1:0" // control is counted
+	cfg.AdminAddress = "127.0.0.1:0" // control is counted
 	cfg.Fleet = fleet.Settings{Enabled: true, StabilizationSeconds: 1, ProbeIntervalMillis: 400, MaxMembers: 10, MaxDatagramsPerSecond: 100}
 	peers, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.peerListen = netip.MustParseAddrPort(peers.LocalAddr().String())
+	cfg.PeerListen = netip.MustParseAddrPort(peers.LocalAddr().String())
 	peers.Close()
 	w.launch(cfg)
 	w.until("serving", func() bool { return w.server.isServing() })
@@ -114,8 +114,8 @@
 	file := filepath.Join(w.handoverFolder, "pinedale-n0.json")
 	tr := &transcript{t: t, w: w, norm: func(text string) string {
 		text = strings.ReplaceAll(text, w.handoverFolder, "DIR")
-		text = strings.ReplaceAll(text, fmt.Sprintf("%-21s", cfg.peerListen), "ADDRESS")
-		text = strings.ReplaceAll(text, cfg.peerListen.String(), "ADDRESS")
+		text = strings.ReplaceAll(text, fmt.Sprintf("%-21s", cfg.PeerListen), "ADDRESS")
+		text = strings.ReplaceAll(text, cfg.PeerListen.String(), "ADDRESS")
 		text = strings.ReplaceAll(text, fmt.Sprintf("%-8s", fleet.Version), "VERSION")
 		text = strings.ReplaceAll(text, `"`+fleet.Version+`"`, `"VERSION"`)
 		text = volatileNumber.ReplaceAllString(text, "${1}0")
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -25,26 +25,26 @@
 
 // Config is what a sidecar is told at its start. Make one with LoadConfig.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Ops       string        // where operators call; empty where nobody does
-	StateDir  string        // where state is kept over a crash; empty for none (the platform gives no lasting disk)
-	StateAge  time.Duration // the oldest kept list that is served from at a start
-	Fleet     fleet.Settings
-	Seed      uint64
-	Limits    Limits
-	Settings  balancer.Settings
-
-	peerListen netip.AddrPort   // not valid where there are no peers
-	peers      []netip.AddrPort // of the whole tier, by their numbers
-	peersAll   netip.AddrPort   // reaches all of them
-
-	known  discovery.List
-	zones  []string // names, by the numbers that the balancer uses
-	kinds  []string
-	fields []string      // of a load report, in the order of Settings.Fields
-	idle   time.Duration // after which an endpoint may close a connection
+	Name             string
+	ListenAddress    string
+	DiscoveryAddress string
+	AdminAddress     string        // where operators call; empty where nobody does
+	StateDir         string        // where state is kept over a crash; empty for none (the platform gives no lasting disk)
+	MaxSnapshotAge   time.Duration // the oldest kept list that is served from at a start
+	Fleet            fleet.Settings
+	Seed             uint64
+	Limits           Limits
+	Settings         balancer.Settings
+
+	PeerListen    netip.AddrPort   // not valid where there are no peers
+	Peers         []netip.AddrPort // of the whole tier, by their numbers
+	PeerBroadcast netip.AddrPort   // reaches all of them
+
+	KnownEndpoints   discovery.List
+	Zones            []string // names, by the numbers that the balancer uses
+	MachineTypes     []string
+	LoadReportFields []string      // of a load report, in the order of Settings.Fields
+	KeepaliveTimeout time.Duration // after which an endpoint may close a connection
 }
 
 // Limits is what the platform grants a sidecar.
@@ -53,11 +53,11 @@
 	Sockets  int `json:"sockets"`
 }
 
-// leastSockets is what a sidecar needs to serve anything at all.
-const leastSockets = 64
+// minSockets is what a sidecar needs to serve anything at all.
+const minSockets = 64
 
-// LoadConfig reads a configuration file. Its errors name the key at fault.
-func LoadConfig(path string) (*Config, error) {
+// Load reads a configuration file. Its errors name the key at fault.
+func Load(path string) (*Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -105,26 +105,26 @@
 	if file.Limits.MemoryMB <= 0 {
 		return nil, fmt.Errorf("limits.memory_mb: %d is not positive", file.Limits.MemoryMB)
 	}
-	if file.Limits.Sockets < leastSockets {
-		return nil, fmt.Errorf("limits.sockets: %d is under %d", file.Limits.Sockets, leastSockets)
+	if file.Limits.Sockets < minSockets {
+		return nil, fmt.Errorf("limits.sockets: %d is under %d", file.Limits.Sockets, minSockets)
 	}
 	if err := file.Known.Validate(); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
-	age := stateAge
+	age := defaultMaxSnapshotAge
 	if file.StateAgeS != nil {
 		if *file.StateAgeS <= 0 || *file.StateAgeS > 7*24*3600 {
 			return nil, fmt.Errorf("state_max_age_s: %v is not in (0, 604800]", *file.StateAgeS)
 		}
 		age = time.Duration(*file.StateAgeS * float64(time.Second))
 	}
-	cfg := &Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Ops: ops,
-		StateDir: cmp.Or(os.Getenv("BALANCER_STATE"), file.StateDir), StateAge: age,
-		Seed: seed, Limits: file.Limits, known: file.Known}
-	if cfg.peerListen, err = peerAddress("peer_listen", file.PeerListen); err != nil {
+	cfg := &Config{Name: file.Name, ListenAddress: file.Listen, DiscoveryAddress: file.Discovery, AdminAddress: ops,
+		StateDir: cmp.Or(os.Getenv("BALANCER_STATE"), file.StateDir), MaxSnapshotAge: age,
+		Seed: seed, Limits: file.Limits, KnownEndpoints: file.Known}
+	if cfg.PeerListen, err = peerAddress("peer_listen", file.PeerListen); err != nil {
 		return nil, err
 	}
-	if cfg.peersAll, err = peerAddress("peers_all", file.PeersAll); err != nil {
+	if cfg.PeerBroadcast, err = peerAddress("peers_all", file.PeersAll); err != nil {
 		return nil, err
 	}
 	for i, text := range file.Peers {
@@ -132,7 +132,7 @@
 		if err != nil {
 			return nil, err
 		}
-		cfg.peers = append(cfg.peers, a)
+		cfg.Peers = append(cfg.Peers, a)
 	}
 	if err := cfg.readSettings(file.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -172,7 +172,7 @@
 		return err
 	}
 	var text strings.Builder
-	flatten(&text, "", tree)
+	writeSettingsText(&text, "", tree)
 	var err error
 	if c.Settings, err = simwire.ParseSettings(text.String()); err != nil {
 		return err
@@ -199,14 +199,14 @@
 	if c.Settings.Limits.DialTimeout <= 0 {
 		return fmt.Errorf("limits.dial-timeout: %d is not positive", c.Settings.Limits.DialTimeout)
 	}
-	c.zones, c.kinds, c.fields = own.Areas, own.Skus, own.Reporting.Fields
-	c.idle = time.Duration(own.Limits.Keepalive) * time.Microsecond
+	c.Zones, c.MachineTypes, c.LoadReportFields = own.Areas, own.Skus, own.Reporting.Fields
+	c.KeepaliveTimeout = time.Duration(own.Limits.Keepalive) * time.Microsecond
 	return nil
 }
 
-// flatten writes a JSON value as the path=value lines of the simulator's first
+// writeSettingsText writes a JSON value as the path=value lines of the simulator's first
 // message: lists of objects by their length and index, other lists by commas.
-func flatten(out *strings.Builder, path string, value any) {
+func writeSettingsText(out *strings.Builder, path string, value any) {
 	below := func(key string) string {
 		if path == "" {
 			return key
@@ -217,32 +217,32 @@
 	case nil: // as if absent
 	case map[string]any:
 		for key, item := range v {
-			flatten(out, below(key), item)
+			writeSettingsText(out, below(key), item)
 		}
 	case []any:
 		if len(v) > 0 {
 			if _, objects := v[0].(map[string]any); objects {
 				fmt.Fprintf(out, "%s=%d\n", below("count"), len(v))
 				for i, item := range v {
-					flatten(out, below(strconv.Itoa(i)), item)
+					writeSettingsText(out, below(strconv.Itoa(i)), item)
 				}
 				return
 			}
 		}
 		words := make([]string, len(v))
 		for i, item := range v {
-			words[i] = scalar(item)
+			words[i] = scalarText(item)
 		}
 		fmt.Fprintf(out, "%s=%s\n", path, strings.Join(words, ","))
 	default:
-		fmt.Fprintf(out, "%s=%s\n", path, scalar(v))
+		fmt.Fprintf(out, "%s=%s\n", path, scalarText(v))
 	}
 }
 
 // separators may not stand in a value of the settings text.
 var separators = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
 
-func scalar(v any) string { return separators.Replace(fmt.Sprint(v)) }
+func scalarText(v any) string { return separators.Replace(fmt.Sprint(v)) }
 
 // UnknownIndex numbers a zone or kind that the settings do not list.
 const UnknownIndex = 255
--- a/internal/sidecar/config_golden_test.go
+++ b/internal/sidecar/config_golden_test.go
@@ -22,37 +22,37 @@
 	var out strings.Builder
 	line := func(key string, value any) { fmt.Fprintf(&out, "%s=%v\n", key, value) }
 	line("name", c.Name)
-	line("listen", c.Listen)
-	line("discovery", c.Discovery)
-	line("ops", c.Ops)
+	line("listen", c.ListenAddress)
+	line("discovery", c.DiscoveryAddress)
+	line("ops", c.AdminAddress)
 	line("seed", strconv.FormatUint(c.Seed, 16))
 	line("limits.memory_mb", c.Limits.MemoryMB)
 	line("limits.sockets", c.Limits.Sockets)
-	line("peer_listen", c.peerListen)
-	for i, peer := range c.peers {
+	line("peer_listen", c.PeerListen)
+	for i, peer := range c.Peers {
 		line(fmt.Sprintf("peers.%d", i), peer)
 	}
-	line("peers_all", c.peersAll)
+	line("peers_all", c.PeerBroadcast)
 	line("state_dir", c.StateDir)
-	line("state_max_age_s", c.StateAge.Seconds())
+	line("state_max_age_s", c.MaxSnapshotAge.Seconds())
 	line("fleet.on", c.Fleet.Enabled)
 	line("fleet.advertise", c.Fleet.Advertise)
 	line("fleet.quiet_s", c.Fleet.StabilizationSeconds)
 	line("fleet.probe_ms", c.Fleet.ProbeIntervalMillis)
 	line("fleet.members", c.Fleet.MaxMembers)
 	line("fleet.datagrams_per_s", c.Fleet.MaxDatagramsPerSecond)
-	out.WriteString(discoverytest.ListText("known.", c.known))
+	out.WriteString(discoverytest.ListText("known.", c.KnownEndpoints))
 	out.WriteString(settingsLines(&c.Settings))
-	for i, name := range c.zones {
+	for i, name := range c.Zones {
 		line(fmt.Sprintf("settings.areas.%d", i), name)
 	}
-	for i, name := range c.kinds {
+	for i, name := range c.MachineTypes {
 		line(fmt.Sprintf("settings.skus.%d", i), name)
 	}
-	for i, name := range c.fields {
+	for i, name := range c.LoadReportFields {
 		line(fmt.Sprintf("settings.reporting.fields.%d (by name)", i), name)
 	}
-	line("settings.limits.keepalive", c.idle.Microseconds())
+	line("settings.limits.keepalive", c.KeepaliveTimeout.Microseconds())
 	return out.String()
 }
 
@@ -130,7 +130,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Setenv("BALANCER_OPS", c.opsEnv)
 			t.Setenv("BALANCER_STATE", c.stateEnv)
-			cfg, err := LoadConfig(filepath.Join("testdata", "config", c.file))
+			cfg, err := Load(filepath.Join("testdata", "config", c.file))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -57,11 +57,11 @@
 		}
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	if _, err := LoadConfig(path); err == nil {
+	if _, err := Load(path); err == nil {
 		t.Error("a missing file is no error")
 	}
 	os.WriteFile(path, []byte(good[:100]), 0o600)
-	if _, err := LoadConfig(path); err == nil {
+	if _, err := Load(path); err == nil {
 		t.Error("half a file is no error")
 	}
 }
@@ -69,11 +69,11 @@
 // The settings text is the simulator's, value by value.
 func TestFlatten(t *testing.T) {
 	var out strings.Builder
-	flatten(&out, "", map[string]any{"a": map[string]any{"b": []any{
+	writeSettingsText(&out, "", map[string]any{"a": map[string]any{"b": []any{
 		map[string]any{"name": "x, y\nz=1"}, map[string]any{"on": true}}}})
-	flatten(&out, "areas", []any{"p q", "r"})
-	flatten(&out, "none", []any{})
-	flatten(&out, "absent", nil)
+	writeSettingsText(&out, "areas", []any{"p q", "r"})
+	writeSettingsText(&out, "none", []any{})
+	writeSettingsText(&out, "absent", nil)
 	want := "a.b.count=2\na.b.0.name=x__y_z=1\na.b.1.on=true\nareas=p_q,r\nnone=\n"
 	if out.String() != want {
 		t.Errorf("got\n%swant\n%s", out.String(), want)
--- a/internal/sidecar/control_test.go
+++ b/internal/sidecar/control_test.go
@@ -153,7 +153,7 @@
 				settings["limits"].(map[string]any)["probes"] = true
 				settings["prices"] = map[string]any{"probe": 1.0}
 			})
-			cfg.Ops = "127.0.0.1:0"
+			cfg.AdminAddress = "127.0.0.1:0"
 			w.launch(cfg)
 			w.openAdmin()
 			seen := func(of *counted) uint64 {
@@ -239,7 +239,7 @@
 func TestControlIsTold(t *testing.T) {
 	w := &world{t: t, dir: newDirectory(t, ready("s-1", newEndpoint(t, always(served)).address))}
 	cfg := configure(t, w.dir.address, nil)
-	cfg.Ops = "127.0.0.1:0"
+	cfg.AdminAddress = "127.0.0.1:0"
 	w.launch(cfg)
 	w.openAdmin()
 	ask := func() (s controltraffic.Status) {
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -27,13 +27,13 @@
 
 // All new connections go to the later of two listeners while both are open, and to the remaining one after that.
 func TestNewConnectionsGoToTheNewestProcess(t *testing.T) {
-	cfg := &Config{Listen: "127.0.0.1:0", Ops: "127.0.0.1:0"}
+	cfg := &Config{ListenAddress: "127.0.0.1:0", AdminAddress: "127.0.0.1:0"}
 	earlier, err := listen(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { earlier.Close() })
-	cfg.Listen = earlier.Addr().String()
+	cfg.ListenAddress = earlier.Addr().String()
 	later, err := listen(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -46,7 +46,7 @@
 	acceptAll := func(from net.Listener) {
 		t.Helper()
 		for range connectionCount {
-			conn, err := net.Dial("tcp", cfg.Listen)
+			conn, err := net.Dial("tcp", cfg.ListenAddress)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -137,12 +137,12 @@
 		stopWatch: func() {},
 	}
 	var calls discovery.Options
-	if cfg.Ops != "" {
+	if cfg.AdminAddress != "" {
 		l.control = &controltraffic.Accounting{Started: time.Now()}
 		l.up.probes = &l.control.LoadProbes
 		calls.Traffic = &l.control.Discovery
 	}
-	l.disc = discovery.NewClient(cfg.Discovery, calls)
+	l.disc = discovery.NewClient(cfg.DiscoveryAddress, calls)
 	var err error
 	l.balancer, err = balancer.New(cfg.Settings, cfg.Seed, l)
 	return l, err
@@ -329,7 +329,7 @@
 	for _, h := range list.Endpoints {
 		id := l.number(h.Name)
 		named[id] = true
-		e := balancer.Endpoint{ID: id, Zone: indexOf(l.cfg.zones, h.Zone), MachineType: indexOf(l.cfg.kinds, h.MachineType),
+		e := balancer.Endpoint{ID: id, Zone: indexOf(l.cfg.Zones, h.Zone), MachineType: indexOf(l.cfg.MachineTypes, h.MachineType),
 			Pod: h.Pod, State: discovery.StateOf(h), Weight: h.Weight}
 		if h.StartedAtMillis > 0 {
 			e.StartTime = h.StartedAtMillis * 1000
@@ -552,8 +552,8 @@
 		select {
 		case cfg := <-reloads:
 			l.post(func(balancer.Micros) {
-				if cfg.Discovery != l.disc.Address() {
-					l.rediscover(cfg.Discovery)
+				if cfg.DiscoveryAddress != l.disc.Address() {
+					l.rediscover(cfg.DiscoveryAddress)
 				}
 			})
 		case <-l.ctx.Done():
--- a/internal/sidecar/membership.go
+++ b/internal/sidecar/membership.go
@@ -23,15 +23,15 @@
 		Settings:        c.Fleet,
 		Name:            c.Name,
 		PersistentState: c.StateDir != "",
-		Listen:          c.peerListen,
-		Peers:           c.peers,
+		Listen:          c.PeerListen,
+		Peers:           c.Peers,
 		PeerIndex:       c.Settings.Index,
-		PeerBroadcast:   c.peersAll,
+		PeerBroadcast:   c.PeerBroadcast,
 	}
-	if c.Settings.Zone < len(c.zones) {
-		o.Zone = c.zones[c.Settings.Zone]
+	if c.Settings.Zone < len(c.Zones) {
+		o.Zone = c.Zones[c.Settings.Zone]
 	}
-	if c.Ops != "" { // a second process may share the address during an upgrade
+	if c.AdminAddress != "" { // a second process may share the address during an upgrade
 		o.ControlSocket = sharePort
 	}
 	return o
@@ -42,7 +42,7 @@
 	if !c.Fleet.Enabled {
 		return nil
 	}
-	if !c.peerListen.IsValid() {
+	if !c.PeerListen.IsValid() {
 		return errNoPeerListen
 	}
 	o := c.fleetSettings()
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -87,7 +87,7 @@
 		l.snapshots = state.NewWriter(loopCtx, cfg.StateDir, log)
 	}
 	paired := false
-	if cfg.Ops != "" {
+	if cfg.AdminAddress != "" {
 		calls, err := listenAdmin(cfg)
 		if err != nil {
 			return err
@@ -146,11 +146,11 @@
 // listen opens the clients' address. Where operators may start a second process, both share it.
 func listen(cfg *Config) (net.Listener, error) {
 	var config net.ListenConfig
-	if cfg.Ops != "" {
+	if cfg.AdminAddress != "" {
 		config.Control = sharePort
 		config.SetMultipathTCP(false) // which is the default of listeners, and cannot be steered
 	}
-	return config.Listen(context.Background(), "tcp", cfg.Listen)
+	return config.Listen(context.Background(), "tcp", cfg.ListenAddress)
 }
 
 // sharePort lets a second process of this sidecar use a socket's address, too.
@@ -186,7 +186,7 @@
 // a time.
 func connections(cfg *Config) int {
 	spare := socketSpare
-	if cfg.Ops != "" {
+	if cfg.AdminAddress != "" {
 		spare += maxAdminConnections
 	}
 	return (cfg.Limits.Sockets - spare) / 2
--- a/internal/sidecar/snapshot.go
+++ b/internal/sidecar/snapshot.go
@@ -14,8 +14,8 @@
 	"bramblestand/internal/state"
 )
 
-// stateAge is the age beyond which a persisted list is not served from, unless state_max_age_s gives another.
-const stateAge = 10 * time.Minute
+// defaultMaxSnapshotAge is the age beyond which a persisted list is not served from, unless state_max_age_s gives another.
+const defaultMaxSnapshotAge = 10 * time.Minute
 
 // loadSnapshot reads what an earlier process of this sidecar persisted. It returns nil where there is nothing, or
 // nothing usable: then it logs why.
@@ -46,16 +46,16 @@
 // and, as a cached list that is probed before it is trusted, the persisted list. It returns the list to begin with:
 // the persisted one, or the configuration's where that is newer or the persisted one is too old or not valid.
 func (l *loop) restore(now balancer.Micros, persisted *state.Snapshot) discovery.List {
-	known := l.cfg.known
+	known := l.cfg.KnownEndpoints
 	if persisted == nil {
 		return known
 	}
 	l.setBans(now, persisted.Admin.Banned)
-	isFresh := state.IsFresh(persisted.ListedAt, time.Now(), l.cfg.StateAge)
+	isFresh := state.IsFresh(persisted.ListedAt, time.Now(), l.cfg.MaxSnapshotAge)
 	isOutdated := len(known.Endpoints) > 0 && persisted.ListVersion < known.Version
 	if !isFresh || isOutdated {
 		l.log.Info("persisted endpoint list not used", "listed_at", persisted.ListedAt, "list_version", persisted.ListVersion,
-			"known_version", known.Version, "max_age", l.cfg.StateAge)
+			"known_version", known.Version, "max_age", l.cfg.MaxSnapshotAge)
 		return known
 	}
 	l.listedAt = persisted.ListedAt
--- a/internal/sidecar/snapshot_test.go
+++ b/internal/sidecar/snapshot_test.go
@@ -40,19 +40,19 @@
 		{"fresh and newer", time.Minute, 7, persistedEndpoint, true, 6},
 		{"fresh and the same version", time.Minute, 7, persistedEndpoint, true, 7},
 		{"fresh and older than the configuration's", time.Minute, 7, persistedEndpoint, false, 8},
-		{"too old", stateAge + time.Second, 7, persistedEndpoint, false, 6},
+		{"too old", defaultMaxSnapshotAge + time.Second, 7, persistedEndpoint, false, 6},
 		{"dated in the future", -2 * time.Minute, 7, persistedEndpoint, false, 6},
 		{"not valid", time.Minute, 7, invalidEndpoint, false, 6},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := configure(t, "127.0.0.1:1", nil, knownEndpoint)
-			cfg.known.Version = c.knownVersion
+			cfg.KnownEndpoints.Version = c.knownVersion
 			l := newIdleLoop(t, cfg)
 			list := l.restore(l.clock.now(), &state.Snapshot{
 				ListedAt: time.Now().Add(-c.age), ListVersion: c.version, IsFullList: true, Endpoints: []discovery.Endpoint{c.endpoint},
 				Admin: state.AdminSettings{Banned: []string{"s-1"}},
 			})
-			want := cfg.known
+			want := cfg.KnownEndpoints
 			if c.isInUse {
 				want = discovery.List{Version: c.version, IsFull: true, Endpoints: []discovery.Endpoint{c.endpoint}}
 			}
--- a/internal/sidecar/told_test.go
+++ b/internal/sidecar/told_test.go
@@ -199,7 +199,7 @@
 		hosts = append(hosts, ready("s-1", "127.0.0.1:1"))
 	}
 	cfg := configure(t, "127.0.0.1:1", alter, hosts...)
-	cfg.known.Version = 1
+	cfg.KnownEndpoints.Version = 1
 	cfg.Seed = uint64(a.back.UnixNano())
 	l, err := newLoop(ctx, cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -215,7 +215,7 @@
 			return a.dial(ctx, network, address)
 		}
 	}
-	l.disc = discovery.NewClient(cfg.Discovery, discovery.Options{Dial: dial})
+	l.disc = discovery.NewClient(cfg.DiscoveryAddress, discovery.Options{Dial: dial})
 	spy := &tellings{decider: l.balancer, id: l.number("s-2"), told: make(chan time.Time, 1), enough: stop}
 	l.balancer = spy
 	ended := make(chan struct{})
--- a/internal/sidecar/world_test.go
+++ b/internal/sidecar/world_test.go
@@ -322,7 +322,7 @@
 // launch runs a sidecar until the test ends.
 func (w *world) launch(cfg *Config) {
 	w.t.Helper()
-	listener, err := net.Listen("tcp", cfg.Listen)
+	listener, err := net.Listen("tcp", cfg.ListenAddress)
 	if err != nil {
 		w.t.Fatal(err)
 	}
