--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -22,6 +22,7 @@
 	"os/signal"
 	"syscall"
 
+	"bramblestand/internal/config"
 	"bramblestand/internal/sidecar"
 )
 
@@ -52,16 +53,16 @@
 	if configPath == "" {
 		return errNoConfigPath
 	}
-	config, err := sidecar.Load(configPath)
+	cfg, err := config.Load(configPath)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	log := newLogger().With("sidecar", config.Name)
-	reloads := make(chan *sidecar.Config)
+	log := newLogger().With("sidecar", cfg.Name)
+	reloads := make(chan *config.Config)
 	go reloadOnHangup(ctx, configPath, hangups, reloads, log)
-	return sidecar.Run(ctx, config, reloads, log)
+	return sidecar.Run(ctx, cfg, reloads, log)
 }
 
 // newLogger returns a logger to standard error in the format that the environment asks for.
@@ -74,20 +75,20 @@
 
 // reloadOnHangup reads the configuration again at each SIGHUP and sends it to reloads, until ctx ends. One that cannot be
 // used is logged, and the old one stays in force.
-func reloadOnHangup(ctx context.Context, path string, hangups <-chan os.Signal, reloads chan<- *sidecar.Config, log *slog.Logger) {
+func reloadOnHangup(ctx context.Context, path string, hangups <-chan os.Signal, reloads chan<- *config.Config, log *slog.Logger) {
 	for {
 		select {
 		case <-hangups:
 		case <-ctx.Done():
 			return
 		}
-		config, err := sidecar.Load(path)
+		cfg, err := config.Load(path)
 		if err != nil {
 			log.Error("configuration not reloaded; the old one stays in force", "error", err)
 			continue
 		}
 		select {
-		case reloads <- config:
+		case reloads <- cfg:
 		case <-ctx.Done():
 			return
 		}
--- a/internal/sidecar/config.go
+++ b/internal/config/config.go
@@ -1,13 +1,11 @@
-// Package sidecar runs a balancer.Balancer on real sockets: one HTTP server
-// for the application, connections to endpoints, and a watch of discovery.
-// Every decision is the balancer's; this package carries it out and reports
-// what came of it.
-package sidecar
+// Package config reads and validates the configuration of a sidecar.
+package config
 
 import (
 	"bytes"
 	"cmp"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net"
 	"net/netip"
@@ -23,7 +21,7 @@
 	"bramblestand/internal/simwire"
 )
 
-// Config is what a sidecar is told at its start. Make one with LoadConfig.
+// Config is what a sidecar is told at its start. Make one with Load.
 type Config struct {
 	Name             string
 	ListenAddress    string
@@ -56,20 +54,22 @@
 // minSockets is what a sidecar needs to serve anything at all.
 const minSockets = 64
 
+const defaultMaxSnapshotAge = 10 * time.Minute // the oldest kept list served from, unless state_max_age_s says otherwise
+
 // Load reads a configuration file. Its errors name the key at fault.
 func Load(path string) (*Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	cfg, err := parseConfig(data)
+	cfg, err := Parse(data)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return cfg, nil
 }
 
-func parseConfig(data []byte) (*Config, error) {
+func Parse(data []byte) (*Config, error) {
 	var file struct {
 		Name       string          `json:"name"`
 		Listen     string          `json:"listen"`
@@ -247,9 +247,42 @@
 // UnknownIndex numbers a zone or kind that the settings do not list.
 const UnknownIndex = 255
 
-func indexOf(names []string, name string) uint8 {
+func IndexOf(names []string, name string) uint8 {
 	if i := slices.Index(names, name); i >= 0 && i < UnknownIndex {
 		return uint8(i)
 	}
 	return UnknownIndex
 }
+
+// errNoPeerListen is a configuration's membership without an address for datagrams.
+var errNoPeerListen = errors.New("on: needs peer_listen")
+
+// FleetOptions returns the part of a fleet's options that the configuration decides.
+func (c *Config) FleetOptions() fleet.Options {
+	o := fleet.Options{
+		Settings:        c.Fleet,
+		Name:            c.Name,
+		PersistentState: c.StateDir != "",
+		Listen:          c.PeerListen,
+		Peers:           c.Peers,
+		PeerIndex:       c.Settings.Index,
+		PeerBroadcast:   c.PeerBroadcast,
+	}
+	if c.Settings.Zone < len(c.Zones) {
+		o.Zone = c.Zones[c.Settings.Zone]
+	}
+	return o
+}
+
+// validateFleet checks the fleet's settings against the rest of the configuration. Its errors begin with the key.
+func (c *Config) validateFleet() error {
+	if !c.Fleet.Enabled {
+		return nil
+	}
+	if !c.PeerListen.IsValid() {
+		return errNoPeerListen
+	}
+	o := c.FleetOptions()
+	_, err := o.Self()
+	return err
+}
--- a/internal/sidecar/config_test.go
+++ b/internal/config/config_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package config
 
 import (
 	"os"
@@ -7,6 +7,7 @@
 	"testing"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/config/configtest"
 )
 
 // A configuration that makes no sense stops the program with the key at fault.
@@ -14,8 +15,8 @@
 	good := `{"name":"n3","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",` +
 		`"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},` +
 		`"known":{"seq":4,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.1:3","health":"Ready"}]},` +
-		`"settings":` + settingsText + `}`
-	if cfg, err := parseConfig([]byte(good)); err != nil {
+		`"settings":` + configtest.Settings + `}`
+	if cfg, err := Parse([]byte(good)); err != nil {
 		t.Fatal(err)
 	} else if cfg.Settings.Limits.MaxRetryAfter != 1_500_000 || len(cfg.Settings.Classes) != 4 ||
 		cfg.Settings.Classes[1].RetrySafety != balancer.IdempotentWithKey || len(cfg.Settings.LoadReportFields) != 2 || !cfg.Settings.MustSubscribe {
@@ -51,7 +52,7 @@
 		if bad == good {
 			t.Fatalf("%q is not in the configuration", c.old)
 		}
-		_, err := parseConfig([]byte(bad))
+		_, err := Parse([]byte(bad))
 		if err == nil || !strings.Contains(err.Error(), c.key) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v, want one line with %q", c.new, err, c.key)
 		}
--- a/internal/sidecar/config_golden_test.go
+++ b/internal/config/golden_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package config
 
 import (
 	"encoding/json"
@@ -130,11 +130,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Setenv("BALANCER_OPS", c.opsEnv)
 			t.Setenv("BALANCER_STATE", c.stateEnv)
-			cfg, err := Load(filepath.Join("testdata", "config", c.file))
+			cfg, err := Load(filepath.Join("testdata", c.file))
 			if err != nil {
 				t.Fatal(err)
 			}
-			goldentest.EqualLines(t, configText(cfg), filepath.Join("testdata", "config", c.name+".golden"))
+			goldentest.EqualLines(t, configText(cfg), filepath.Join("testdata", c.name+".golden"))
 		})
 	}
 }
@@ -210,7 +210,7 @@
 func TestBrokenKeyIsNamedAsBefore(t *testing.T) {
 	t.Setenv("BALANCER_OPS", "")
 	t.Setenv("BALANCER_STATE", "")
-	full, err := os.ReadFile(filepath.Join("testdata", "config", "full.json"))
+	full, err := os.ReadFile(filepath.Join("testdata", "full.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -226,7 +226,7 @@
 			t.Fatal(err)
 		}
 		result := "ok"
-		if _, err := parseConfig(broken); err != nil {
+		if _, err := Parse(broken); err != nil {
 			result = goldentest.ErrorText(err)
 		}
 		value := c.value
@@ -235,5 +235,5 @@
 		}
 		fmt.Fprintf(&out, "%s: %s -> %s\n", c.path, value, result)
 	}
-	goldentest.EqualLines(t, out.String(), filepath.Join("testdata", "config", "errors.golden"))
+	goldentest.EqualLines(t, out.String(), filepath.Join("testdata", "errors.golden"))
 }
--- a/internal/lab/scale/chain.go
+++ b/internal/lab/scale/chain.go
@@ -16,6 +16,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"bramblestand/internal/config"
 	"bramblestand/internal/lab"
 	"bramblestand/internal/sidecar"
 )
@@ -342,7 +343,7 @@
 	}
 	exp := &lab.Experiment{Name: "chain", Seed: c.spec.Seed + uint64(level), Load: lab.Load{Deadline: c.spec.Deadline},
 		Fleet: lab.Fleet{Sidecars: c.spec.Size, Servers: c.spec.Size, Zones: []string{"z0"}}}
-	cfg, err := sidecar.ParseConfig(exp.SidecarConfig(i, c.spec.Size, "127.0.0.1:1", "127.0.0.1:2", ""))
+	cfg, err := config.Parse(exp.SidecarConfig(i, c.spec.Size, "127.0.0.1:1", "127.0.0.1:2", ""))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -14,6 +14,7 @@
 	"syscall"
 	"time"
 
+	"bramblestand/internal/config"
 	"bramblestand/internal/datagram"
 	"bramblestand/internal/lab"
 	"bramblestand/internal/sidecar"
@@ -144,7 +145,7 @@
 		}
 		// The number gives zone and seed: another for each process and life.
 		number := i + f.spec.Zones*(k+f.spec.Scope*m.lives+m.lives)*MachinesMost
-		cfg, err := sidecar.ParseConfig(f.exp.SidecarConfig(number, total, "127.0.0.1:1", "127.0.0.1:2", more))
+		cfg, err := config.Parse(f.exp.SidecarConfig(number, total, "127.0.0.1:1", "127.0.0.1:2", more))
 		if err != nil {
 			return fmt.Errorf("sidecar %d: %w", i, err)
 		}
--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -12,6 +12,7 @@
 
 	"bramblestand/balancer"
 	"bramblestand/internal/admin"
+	"bramblestand/internal/config"
 	"bramblestand/internal/controltraffic"
 	"bramblestand/internal/fleet"
 	"bramblestand/internal/handover"
@@ -31,7 +32,7 @@
 }
 
 // listenAdmin opens the operators' address of a configuration that has one.
-func listenAdmin(cfg *Config) (net.Listener, error) {
+func listenAdmin(cfg *config.Config) (net.Listener, error) {
 	listener, err := net.Listen("tcp", cfg.AdminAddress)
 	if err != nil {
 		return nil, fmt.Errorf("ops: %w", err)
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -5,6 +5,8 @@
 	"net/http"
 	"testing"
 	"time"
+
+	"bramblestand/internal/config"
 )
 
 // A process beside another admits as many clients as there can be: soon all of them connect to it.
@@ -27,7 +29,7 @@
 
 // All new connections go to the later of two listeners while both are open, and to the remaining one after that.
 func TestNewConnectionsGoToTheNewestProcess(t *testing.T) {
-	cfg := &Config{ListenAddress: "127.0.0.1:0", AdminAddress: "127.0.0.1:0"}
+	cfg := &config.Config{ListenAddress: "127.0.0.1:0", AdminAddress: "127.0.0.1:0"}
 	earlier, err := listen(cfg)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -12,6 +12,7 @@
 
 	"bramblestand/balancer"
 	"bramblestand/internal/admin"
+	"bramblestand/internal/config"
 	"bramblestand/internal/controltraffic"
 	"bramblestand/internal/datagram"
 	"bramblestand/internal/discovery"
@@ -63,7 +64,7 @@
 // its Actions. It never waits for the network; what it starts reports back
 // through events.
 type loop struct {
-	cfg                *Config
+	cfg                *config.Config
 	log                *slog.Logger
 	clock              clock
 	up                 *upstream
@@ -126,7 +127,7 @@
 	stream     *stream // the rest of the body, or nil
 }
 
-func newLoop(ctx context.Context, cfg *Config, log *slog.Logger) (*loop, error) {
+func newLoop(ctx context.Context, cfg *config.Config, log *slog.Logger) (*loop, error) {
 	l := &loop{
 		cfg: cfg, log: log, clock: clock{time.Now()}, ctx: ctx,
 		up: newUpstream(cfg, connections(cfg)), told: make(chan struct{}),
@@ -329,7 +330,7 @@
 	for _, h := range list.Endpoints {
 		id := l.number(h.Name)
 		named[id] = true
-		e := balancer.Endpoint{ID: id, Zone: indexOf(l.cfg.Zones, h.Zone), MachineType: indexOf(l.cfg.MachineTypes, h.MachineType),
+		e := balancer.Endpoint{ID: id, Zone: config.IndexOf(l.cfg.Zones, h.Zone), MachineType: config.IndexOf(l.cfg.MachineTypes, h.MachineType),
 			Pod: h.Pod, State: discovery.StateOf(h), Weight: h.Weight}
 		if h.StartedAtMillis > 0 {
 			e.StartTime = h.StartedAtMillis * 1000
@@ -547,7 +548,7 @@
 }
 
 // follow takes new configurations until the loop's context ends.
-func (l *loop) follow(reloads <-chan *Config) {
+func (l *loop) follow(reloads <-chan *config.Config) {
 	for {
 		select {
 		case cfg := <-reloads:
--- a/internal/sidecar/membership.go
+++ b/internal/sidecar/membership.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"syscall"
 	"time"
 
@@ -14,45 +13,12 @@
 
 const openRetryInterval = time.Second // between attempts to open the peers' socket
 
-// errNoPeerListen is a configuration's membership without an address for datagrams.
-var errNoPeerListen = errors.New("on: needs peer_listen")
-
-// fleetSettings returns the part of a fleet's options that the configuration decides.
-func (c *Config) fleetSettings() fleet.Options {
-	o := fleet.Options{
-		Settings:        c.Fleet,
-		Name:            c.Name,
-		PersistentState: c.StateDir != "",
-		Listen:          c.PeerListen,
-		Peers:           c.Peers,
-		PeerIndex:       c.Settings.Index,
-		PeerBroadcast:   c.PeerBroadcast,
-	}
-	if c.Settings.Zone < len(c.Zones) {
-		o.Zone = c.Zones[c.Settings.Zone]
-	}
-	if c.AdminAddress != "" { // a second process may share the address during an upgrade
-		o.ControlSocket = sharePort
-	}
-	return o
-}
-
-// validateFleet checks the fleet's settings against the rest of the configuration. Its errors begin with the key.
-func (c *Config) validateFleet() error {
-	if !c.Fleet.Enabled {
-		return nil
-	}
-	if !c.PeerListen.IsValid() {
-		return errNoPeerListen
-	}
-	o := c.fleetSettings()
-	_, err := o.Self()
-	return err
-}
-
 // fleetOptions returns the configuration's options with the restored view and with handlers that post to the event loop.
 func (l *loop) fleetOptions() fleet.Options {
-	o := l.cfg.fleetSettings()
+	o := l.cfg.FleetOptions()
+	if l.cfg.AdminAddress != "" { // a second process may share the address during an upgrade
+		o.ControlSocket = sharePort
+	}
 	o.Snapshot, o.Logger = l.restoredMembership, l.log
 	if o.PeerBroadcast.IsValid() && l.cfg.Settings.Limits.AllowGossip {
 		o.OnGossip = func(data []byte) {
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -18,6 +18,7 @@
 	"golang.org/x/sys/unix"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/config"
 	"bramblestand/internal/handover"
 	"bramblestand/internal/state"
 )
@@ -68,7 +69,7 @@
 // Run serves until ctx ends, then answers what it has taken and returns. Each
 // configuration from reloads replaces the address of discovery; all else in it
 // holds from a start on only.
-func Run(ctx context.Context, cfg *Config, reloads <-chan *Config, log *slog.Logger) error {
+func Run(ctx context.Context, cfg *config.Config, reloads <-chan *config.Config, log *slog.Logger) error {
 	// The loop outlives ctx: requests in hand still need it.
 	loopCtx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -144,13 +145,13 @@
 }
 
 // listen opens the clients' address. Where operators may start a second process, both share it.
-func listen(cfg *Config) (net.Listener, error) {
-	var config net.ListenConfig
+func listen(cfg *config.Config) (net.Listener, error) {
+	var socket net.ListenConfig
 	if cfg.AdminAddress != "" {
-		config.Control = sharePort
-		config.SetMultipathTCP(false) // which is the default of listeners, and cannot be steered
+		socket.Control = sharePort
+		socket.SetMultipathTCP(false) // which is the default of listeners, and cannot be steered
 	}
-	return config.Listen(context.Background(), "tcp", cfg.ListenAddress)
+	return socket.Listen(context.Background(), "tcp", cfg.ListenAddress)
 }
 
 // sharePort lets a second process of this sidecar use a socket's address, too.
@@ -184,7 +185,7 @@
 
 // connections is the most that clients may hold, and the most to endpoints: every client's request has one attempt at
 // a time.
-func connections(cfg *Config) int {
+func connections(cfg *config.Config) int {
 	spare := socketSpare
 	if cfg.AdminAddress != "" {
 		spare += maxAdminConnections
--- a/internal/sidecar/snapshot.go
+++ b/internal/sidecar/snapshot.go
@@ -9,17 +9,15 @@
 	"time"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/config"
 	"bramblestand/internal/discovery"
 	"bramblestand/internal/handover"
 	"bramblestand/internal/state"
 )
 
-// defaultMaxSnapshotAge is the age beyond which a persisted list is not served from, unless state_max_age_s gives another.
-const defaultMaxSnapshotAge = 10 * time.Minute
-
 // loadSnapshot reads what an earlier process of this sidecar persisted. It returns nil where there is nothing, or
 // nothing usable: then it logs why.
-func loadSnapshot(cfg *Config, log *slog.Logger) *state.Snapshot {
+func loadSnapshot(cfg *config.Config, log *slog.Logger) *state.Snapshot {
 	if cfg.StateDir == "" {
 		return nil
 	}
--- a/internal/sidecar/snapshot_test.go
+++ b/internal/sidecar/snapshot_test.go
@@ -8,12 +8,13 @@
 	"time"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/config"
 	"bramblestand/internal/discovery"
 	"bramblestand/internal/state"
 )
 
 // newIdleLoop returns an event loop that is not run.
-func newIdleLoop(t *testing.T, cfg *Config) *loop {
+func newIdleLoop(t *testing.T, cfg *config.Config) *loop {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
@@ -40,7 +41,7 @@
 		{"fresh and newer", time.Minute, 7, persistedEndpoint, true, 6},
 		{"fresh and the same version", time.Minute, 7, persistedEndpoint, true, 7},
 		{"fresh and older than the configuration's", time.Minute, 7, persistedEndpoint, false, 8},
-		{"too old", defaultMaxSnapshotAge + time.Second, 7, persistedEndpoint, false, 6},
+		{"too old (state_max_age_s is 600)", 600*time.Second + time.Second, 7, persistedEndpoint, false, 6},
 		{"dated in the future", -2 * time.Minute, 7, persistedEndpoint, false, 6},
 		{"not valid", time.Minute, 7, invalidEndpoint, false, 6},
 	} {
--- a/internal/sidecar/world_test.go
+++ b/internal/sidecar/world_test.go
@@ -15,22 +15,14 @@
 	"time"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/config"
+	"bramblestand/internal/config/configtest"
 	"bramblestand/internal/discovery"
 )
 
 // patience is how long a test waits for what must come.
 const patience = 20 * time.Second
 
-const settingsText = `{"areas":["a","b"],"skus":["m1"],"stages":["s"],"tenants":[],"discovery":"subscribe",
- "classes":[
- {"name":"read","repeat":"pure","target":600000,"give-up":3000000,"credit":1},
- {"name":"pay","repeat":"token","group":"all","window":5000000,"target":600000,"give-up":3000000,"credit":1},
- {"name":"close","repeat":"token","group":"cell","window":5000000,"target":600000,"give-up":3000000,"credit":1},
- {"name":"order","repeat":"side_effect","target":600000,"give-up":3000000,"credit":1}],
- "contract":{"answer-slack":20000,"ask-within":1000000,"cold-from":0.3,"drain-grace":1000000,"fall-multiple":2.5,"overload-for":1000000,"ramp-time":1},
- "limits":{"cancel":true,"dial-timeout":2000000,"keepalive":5000000,"max-retry-after":1500000,"most-held":1000,"most-tries":3,"multiplex":1,"probes":false,"retry-after":true,"second-copies":true},
- "reporting":{"how":"probe","fields":["failed_ps","pending"]},"peers-total":1,"position":0,"zone":0}`
-
 // endpoint is a TCP server whose answers a test writes byte by byte.
 type endpoint struct {
 	address string
@@ -280,10 +272,10 @@
 }
 
 // configure returns a configuration that knows the given list.
-func configure(t *testing.T, discoveryAddress string, alter func(settings map[string]any), hosts ...discovery.Endpoint) *Config {
+func configure(t *testing.T, discoveryAddress string, alter func(settings map[string]any), hosts ...discovery.Endpoint) *config.Config {
 	t.Helper()
 	var settings map[string]any
-	if err := json.Unmarshal([]byte(settingsText), &settings); err != nil {
+	if err := json.Unmarshal([]byte(configtest.Settings), &settings); err != nil {
 		t.Fatal(err)
 	}
 	if alter != nil {
@@ -296,7 +288,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := parseConfig(text)
+	cfg, err := config.Parse(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -320,7 +312,7 @@
 }
 
 // launch runs a sidecar until the test ends.
-func (w *world) launch(cfg *Config) {
+func (w *world) launch(cfg *config.Config) {
 	w.t.Helper()
 	listener, err := net.Listen("tcp", cfg.ListenAddress)
 	if err != nil {
