--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,13 +1,16 @@
 package config
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 
 	"bramblestand/balancer"
 	"bramblestand/internal/config/configtest"
+	"bramblestand/internal/discovery"
 )
 
 // A configuration that makes no sense stops the program with the key at fault.
@@ -61,14 +64,16 @@
 	if _, err := Load(path); err == nil {
 		t.Error("a missing file is no error")
 	}
-	os.WriteFile(path, []byte(good[:100]), 0o600)
+	if err := os.WriteFile(path, []byte(good[:100]), 0o600); err != nil {
+		t.Fatal(err)
+	}
 	if _, err := Load(path); err == nil {
 		t.Error("half a file is no error")
 	}
 }
 
 // The settings text is the simulator's, value by value.
-func TestFlatten(t *testing.T) {
+func TestSettingsTextIsTheSimulators(t *testing.T) {
 	var out strings.Builder
 	writeSettingsText(&out, "", map[string]any{"a": map[string]any{"b": []any{
 		map[string]any{"name": "x, y\nz=1"}, map[string]any{"on": true}}}})
@@ -80,3 +85,57 @@
 		t.Errorf("got\n%swant\n%s", out.String(), want)
 	}
 }
+
+// keysOf returns the keys that an error names, from the outermost on.
+func keysOf(err error) []string {
+	var keys []string
+	var keyError *KeyError
+	for errors.As(err, &keyError) {
+		keys = append(keys, keyError.Key)
+		err = keyError.Err
+	}
+	return keys
+}
+
+func TestErrorsCarryTheKey(t *testing.T) {
+	for _, c := range []struct {
+		path, value string
+		keys        []string
+	}{
+		{"listen", `7`, []string{"listen"}},
+		{"ops", `"x"`, []string{"ops"}},
+		{"seed", `"x"`, []string{"seed"}},
+		{"limits.sockets", `"x"`, []string{"limits.sockets"}},
+		{"peers.1", `"x"`, []string{"peers[1]"}},
+		{"state_max_age_s", `0`, []string{"state_max_age_s"}},
+		{"known.hosts.0.dial", `"x"`, []string{"known"}},
+		{"settings", ``, []string{"settings"}},
+		{"settings.limits.keepalive", `0`, []string{"settings", "limits.keepalive"}},
+		{"settings.limits.keepalive", `"x"`, []string{"settings", "limits.keepalive"}},
+		{"settings.limits.most-tries", `0`, []string{"settings"}},
+		{"fleet.members", `1`, []string{"fleet"}},
+		{"fleet.on", `1`, []string{"fleet", "on"}},
+		{"peer_listen", ``, []string{"fleet", "on"}},
+	} {
+		_, err := Parse(fullConfigWith(t, c.path, c.value))
+		if keys := keysOf(err); !slices.Equal(keys, c.keys) {
+			t.Errorf("%s = %s: keys %q of %v, want %q", c.path, c.value, keys, err, c.keys)
+		}
+	}
+	var malformed *discovery.MalformedError
+	_, err := Parse(fullConfigWith(t, "known.hosts.0.dial", `"x"`))
+	if !errors.As(err, &malformed) || malformed.Index != 0 || malformed.Field != "dial" {
+		t.Errorf("a list that cannot be used: %v", err)
+	}
+	var setting *balancer.SettingError
+	if _, err := Parse(fullConfigWith(t, "settings.limits.most-tries", `0`)); !errors.As(err, &setting) {
+		t.Errorf("a setting that makes no sense: %v", err)
+	}
+}
+
+func TestConnectionsLeaveDescriptorsForTheRest(t *testing.T) {
+	limits := Limits{Sockets: 1024}
+	if without, with := limits.MaxConnections(false), limits.MaxConnections(true); without != 496 || with != 488 {
+		t.Errorf("%d connections without and %d with an operators' address, want 496 and 488", without, with)
+	}
+}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -141,6 +141,7 @@
 
 // setKey puts a JSON value at a dotted path of a decoded JSON document; the value "" takes the key away.
 func setKey(t *testing.T, document any, path, value string) {
+	t.Helper()
 	t.Helper()
 	key, rest, below := strings.Cut(path, ".")
 	switch node := document.(type) {
@@ -171,6 +172,25 @@
 	}
 }
 
+// fullConfigWith is the full configuration with another value at a path, "" for none.
+func fullConfigWith(t *testing.T, path, value string) []byte {
+	t.Helper()
+	full, err := os.ReadFile(filepath.Join("testdata", "full.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var document any
+	if err := json.Unmarshal(full, &document); err != nil {
+		t.Fatal(err)
+	}
+	setKey(t, document, path, value)
+	text, err := json.Marshal(document)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
 // brokenKeys are changes of the full configuration that must not pass, but for those that the golden file gives "ok".
 var brokenKeys = []struct{ path, value string }{
 	{"name", `7`}, {"name", `"a/b"`}, {"name", ``},
@@ -210,23 +230,10 @@
 func TestBrokenKeyIsNamedAsBefore(t *testing.T) {
 	t.Setenv("BALANCER_OPS", "")
 	t.Setenv("BALANCER_STATE", "")
-	full, err := os.ReadFile(filepath.Join("testdata", "full.json"))
-	if err != nil {
-		t.Fatal(err)
-	}
 	var out strings.Builder
 	for _, c := range brokenKeys {
-		var document any
-		if err := json.Unmarshal(full, &document); err != nil {
-			t.Fatal(err)
-		}
-		setKey(t, document, c.path, c.value)
-		broken, err := json.Marshal(document)
-		if err != nil {
-			t.Fatal(err)
-		}
 		result := "ok"
-		if _, err := Parse(broken); err != nil {
+		if _, err := Parse(fullConfigWith(t, c.path, c.value)); err != nil {
 			result = goldentest.ErrorText(err)
 		}
 		value := c.value
--- /dev/null
+++ b/internal/config/settings.go
@@ -0,0 +1,132 @@
+package config
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+
+	"bramblestand/balancer"
+	"bramblestand/internal/simwire"
+)
+
+// socketSettings are the settings that only a sidecar on real sockets needs, beside limits.dial-timeout.
+// All others are read by simwire.ParseSettings, which skips keys that nothing needs: callers, family-info,
+// kind-of-service, stages, tier, weight-kind, limits.cpu-*, limits.multiplex and further prices.
+type socketSettings struct {
+	Zones        []string `json:"areas"`
+	MachineTypes []string `json:"skus"`
+	Limits       struct {
+		KeepaliveMicros int64 `json:"keepalive"`
+	} `json:"limits"`
+	LoadReport struct {
+		Fields []string `json:"fields"`
+	} `json:"reporting"`
+}
+
+func (c *Config) setSettings(f *file) error {
+	if err := c.parseSettings(f.Settings); err != nil {
+		return &KeyError{Key: "settings", Err: err}
+	}
+	return nil
+}
+
+// parseSettings reads the settings as the simulator's adapter does, and those of sockets.
+func (c *Config) parseSettings(raw json.RawMessage) error {
+	if len(raw) == 0 {
+		return errors.New("is missing")
+	}
+	settings, err := parseBalancerSettings(raw)
+	if err != nil {
+		return err
+	}
+	var sockets socketSettings
+	if err := json.Unmarshal(raw, &sockets); err != nil {
+		return decodeError(err)
+	}
+	if micros := sockets.Limits.KeepaliveMicros; micros <= 0 {
+		return keyErrorf("limits.keepalive", "%d is not positive", micros)
+	}
+	if settings.Limits.DialTimeout <= 0 {
+		return keyErrorf("limits.dial-timeout", "%d is not positive", settings.Limits.DialTimeout)
+	}
+	c.Settings = settings
+	c.Zones = sockets.Zones
+	c.MachineTypes = sockets.MachineTypes
+	c.LoadReportFields = sockets.LoadReport.Fields
+	c.KeepaliveTimeout = time.Duration(sockets.Limits.KeepaliveMicros) * time.Microsecond
+	return nil
+}
+
+// parseBalancerSettings reads nested JSON through the parser of the simulator's settings text, so that a key
+// means the same in both.
+func parseBalancerSettings(raw json.RawMessage) (balancer.Settings, error) {
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.UseNumber() // keeps the text: 5000000 must not become 5e+06
+	tree := map[string]any{}
+	if err := decoder.Decode(&tree); err != nil {
+		return balancer.Settings{}, decodeError(err)
+	}
+	var text strings.Builder
+	writeSettingsText(&text, "", tree)
+	settings, err := simwire.ParseSettings(text.String())
+	if err != nil {
+		return balancer.Settings{}, err
+	}
+	return settings, settings.Validate()
+}
+
+// writeSettingsText writes a JSON value as the path=value lines of the simulator's settings text: a list of
+// objects as its length and its items by index, any other list separated by commas. Null is left out.
+func writeSettingsText(out *strings.Builder, path string, value any) {
+	switch value := value.(type) {
+	case nil:
+	case map[string]any:
+		for key, item := range value {
+			writeSettingsText(out, joinPath(path, key), item)
+		}
+	case []any:
+		if !isObjectList(value) {
+			fmt.Fprintf(out, "%s=%s\n", path, listText(value))
+			return
+		}
+		fmt.Fprintf(out, "%s=%d\n", joinPath(path, "count"), len(value))
+		for i, item := range value {
+			writeSettingsText(out, joinPath(path, strconv.Itoa(i)), item)
+		}
+	default:
+		fmt.Fprintf(out, "%s=%s\n", path, scalarText(value))
+	}
+}
+
+func joinPath(path, key string) string {
+	if path == "" {
+		return key
+	}
+	return path + "." + key
+}
+
+// isObjectList goes by the first item, as the lists of the settings are of one kind.
+func isObjectList(list []any) bool {
+	if len(list) == 0 {
+		return false
+	}
+	_, isObject := list[0].(map[string]any)
+	return isObject
+}
+
+func listText(list []any) string {
+	items := make([]string, len(list))
+	for i, item := range list {
+		items[i] = scalarText(item)
+	}
+	return strings.Join(items, ",")
+}
+
+// separators may not stand in a value of the settings text.
+var separators = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
+
+func scalarText(value any) string { return separators.Replace(fmt.Sprint(value)) }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// CallTimeout bounds a call that does not wait for changes, and connecting: discovery works through
-	// calls in turn, and a later one gets an answer.
+	// CallTimeout bounds a call that does not wait for changes, and connecting: discovery
+	// answers calls in turn, and a later one may succeed.
 	CallTimeout = 4 * time.Second
 	// MaxWait is how long a call may wait for changes.
 	MaxWait = 20 * time.Second
 
-	// A change counts as known 2 s after the end of a wait, whether the answer arrived or not: by then
-	// the list has been asked for again.
+	// By the protocol a sidecar is expected to know a change 2 s after the end of a wait, whether the
+	// answer arrived or not: this leaves a second to call again.
 	waitGrace = time.Second
 
 	listPath     = "/registry/instances"
 	maxListBytes = 8 << 20
 )
 
-// ErrOlderVersion says that a delta is of an earlier version than the list that the caller holds:
-// discovery has started anew, and only a full list says what is in it.
+// ErrOlderVersion is returned for a delta with a lower version than the caller's list: discovery has
+// restarted, and the delta does not apply to that list. The caller needs a full list.
 var ErrOlderVersion = errors.New("changes of an older version")
 
 // StatusError says that discovery answered with a status other than 200.
--- a/internal/discovery/codec.go
+++ b/internal/discovery/codec.go
@@ -33,8 +33,9 @@
 // StateOf returns the state that an entry's health stands for. The entry must be of a valid List.
 func StateOf(endpoint Endpoint) balancer.EndpointState { return endpointStates[endpoint.Health] }
 
-// MalformedError says which part of a list cannot be used. Index is the entry's, -1 where the fault is
-// not in one entry. Field is the protocol's name, "" where the list is not JSON.
+// MalformedError is returned for a list that cannot be used. Index is the entry's, -1 where the fault is
+// not in one entry. Field is the protocol's name, "" where the list could not be decoded: then Err is
+// that of encoding/json.
 type MalformedError struct {
 	Index int
 	Field string
@@ -67,7 +68,7 @@
 
 // ParseList decodes and validates an answer of discovery. Its errors are *MalformedError.
 func ParseList(body []byte) (List, error) {
-	// Pointers: without its version, or without the word on whether it is full, an answer that was cut
+	// Pointers: without its version, or without saying whether it is full, an answer that was cut
 	// short, or that is something else, would pass for an empty delta.
 	var answer struct {
 		Version   *uint64    `json:"seq"`
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// A watch is taken for ended when its next call comes later than 200 ms after the last answer;
-	// without any pause, calls could become a flood.
+	// Discovery regards a watch as ended when its next call comes more than 200 ms after the last
+	// answer; without any pause, calls could become a flood.
 	callInterval = 20 * time.Millisecond
 	// resubscribeDelay is the pause after a failure where the watch goes on by itself.
 	resubscribeDelay = 500 * time.Millisecond
@@ -24,10 +24,10 @@
 // Watch follows the list of a Client.
 type Watch struct {
 	Client *Client
-	After  *uint64 // version of the list that is held; nil where there is none
+	After  *uint64 // version of the caller's list; nil where it has none
 	Notify NotifyFunc
-	// Resubscribes says that the watch goes on after a failure, as it must where lists are pushed and
-	// the balancer never polls. Otherwise when to call again is the balancer's decision.
+	// Resubscribes continues the watch after a failure, which is needed where lists are pushed and the
+	// balancer never polls. Otherwise the balancer decides when to call again.
 	Resubscribes bool
 	Log          *slog.Logger
 }
@@ -46,8 +46,8 @@
 	}
 }
 
-// runOnce watches until a call fails, and notifies of that, too. Its first call does not wait for
-// changes: the answer tells the balancer that the watch has begun.
+// runOnce watches until a call fails, and notifies of the failure. Its first call does not wait for
+// changes: the answer is the balancer's sign that the watch has begun.
 func (w *Watch) runOnce(ctx context.Context) error {
 	for wait := time.Duration(0); ; wait = MaxWait {
 		list, err := w.Client.List(ctx, w.After, wait)
--- a/internal/lab/descriptors.go
+++ b/internal/lab/descriptors.go
@@ -5,6 +5,8 @@
 	"math"
 
 	"golang.org/x/sys/unix"
+
+	"bramblestand/internal/config"
 )
 
 const (
@@ -28,11 +30,7 @@
 //	spare        64
 func (e *Experiment) Descriptors() int {
 	f := &e.Fleet
-	spare := 32 // the sidecar's own, as internal/sidecar divides its sockets
-	if e.Ops.On {
-		spare += 16
-	}
-	connections := (sidecarSockets - spare) / 2
+	connections := config.Limits{Sockets: sidecarSockets}.MaxConnections(e.Ops.On)
 	factor := 1.0
 	if e.Load.Shape == "bursts" {
 		factor = max(1, e.Load.BurstFactor)
--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -18,10 +18,7 @@
 	"bramblestand/internal/handover"
 )
 
-const (
-	maxAdminConnections = 16
-	adminTimeout        = 2 * time.Second // for a whole call, and for its answer
-)
+const adminTimeout = 2 * time.Second // for a whole call, and for its answer
 
 // adminServer serves the operators' calls at an address of their own. It bounds their connections as the clients' are
 // bounded, so that callers who send nothing keep nobody out.
@@ -41,7 +38,7 @@
 }
 
 func newAdminServer(s *server) *adminServer {
-	a := &adminServer{log: s.loop.log, connections: newClients(maxAdminConnections)}
+	a := &adminServer{log: s.loop.log, connections: newClients(config.MaxAdminConnections)}
 	if s.loop.control != nil {
 		a.connections.flow = &s.loop.control.Admin
 	}
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"bramblestand/internal/admin"
+	"bramblestand/internal/config"
 	"bramblestand/internal/discovery"
 	"bramblestand/internal/handover"
 )
@@ -77,7 +78,7 @@
 	w := start(t, nil, ready("s-1", newEndpoint(t, always(served)).address))
 	call := w.openAdmin()
 	var stalled []net.Conn
-	for i := range 2 * maxAdminConnections {
+	for i := range 2 * config.MaxAdminConnections {
 		conn, err := net.Dial("tcp", w.adminAddress)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/config"
 	"bramblestand/internal/handover"
 	"bramblestand/internal/mutant"
 )
@@ -97,11 +98,11 @@
 // must not reject them. Only the idle connections to endpoints are split.
 func (s *server) splitLimits(hasOtherProcess bool) {
 	limits := s.loop.cfg.Limits
-	maxConnections := connections(s.loop.cfg)
+	maxConnections := s.loop.cfg.MaxConnections()
 	if hasOtherProcess {
 		s.loop.log.Info("another process of this sidecar runs; limits are shared")
 		maxClients := min(maxConnections, limits.Sockets/clientsPart)
-		maxIdle := (limits.Sockets - 2*maxClients - 2*socketSpare) / 2
+		maxIdle := (limits.Sockets - 2*maxClients - 2*config.ReservedSockets) / 2
 		s.loop.up.bound(maxClients, max(maxIdle, 0))
 		if !s.limitsSplit {
 			s.clients.bound(maxClients)
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -130,9 +130,9 @@
 func newLoop(ctx context.Context, cfg *config.Config, log *slog.Logger) (*loop, error) {
 	l := &loop{
 		cfg: cfg, log: log, clock: clock{time.Now()}, ctx: ctx,
-		up: newUpstream(cfg, connections(cfg)), told: make(chan struct{}),
+		up: newUpstream(cfg, cfg.MaxConnections()), told: make(chan struct{}),
 		events:   make(chan func(balancer.Micros), eventsMost),
-		urgent:   make(chan func(balancer.Micros), maxAdminConnections),
+		urgent:   make(chan func(balancer.Micros), config.MaxAdminConnections),
 		listings: map[uint32]listing{}, banned: map[uint32]bool{},
 		requests: map[uint64]*request{}, ids: map[string]uint32{}, names: map[uint32]string{}, targets: map[uint32]*target{},
 		stopWatch: func() {},
@@ -330,7 +330,7 @@
 	for _, h := range list.Endpoints {
 		id := l.number(h.Name)
 		named[id] = true
-		e := balancer.Endpoint{ID: id, Zone: config.IndexOf(l.cfg.Zones, h.Zone), MachineType: config.IndexOf(l.cfg.MachineTypes, h.MachineType),
+		e := balancer.Endpoint{ID: id, Zone: l.cfg.ZoneIndex(h.Zone), MachineType: l.cfg.MachineTypeIndex(h.MachineType),
 			Pod: h.Pod, State: discovery.StateOf(h), Weight: h.Weight}
 		if h.StartedAtMillis > 0 {
 			e.StartTime = h.StartedAtMillis * 1000
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -30,7 +30,6 @@
 	acceptOut          = time.Millisecond        // after SIGTERM, with another process there to take clients
 	listWait           = 1500 * time.Millisecond // a process beside another waits so long for discovery: its yes is owed in 6 s
 	idleSweep          = 100 * time.Millisecond  // between looks for connections at rest while drained
-	socketSpare        = 32                      // descriptors for discovery, logs and the runtime
 	busyRetry          = time.Second             // wait told to clients that find all connections in use
 	timeLeftMost       = time.Minute             // that a request gets
 	reportEvery        = time.Second             // between log lines of what the sidecar holds
@@ -183,16 +182,6 @@
 	}
 }
 
-// connections is the most that clients may hold, and the most to endpoints: every client's request has one attempt at
-// a time.
-func connections(cfg *config.Config) int {
-	spare := socketSpare
-	if cfg.AdminAddress != "" {
-		spare += maxAdminConnections
-	}
-	return (cfg.Limits.Sockets - spare) / 2
-}
-
 func (s *server) serve(ctx context.Context, listener net.Listener) error {
 	go s.report(ctx)
 	go s.clients.sweep(ctx)
@@ -230,7 +219,7 @@
 
 func newServer(l *loop) *server {
 	s := &server{loop: l, classes: map[string]uint8{}, tenants: map[string]uint16{},
-		clients: newClients(connections(l.cfg)), acceptFor: acceptAfter}
+		clients: newClients(l.cfg.MaxConnections()), acceptFor: acceptAfter}
 	for i, c := range l.cfg.Settings.Classes {
 		s.classes[c.Name] = uint8(i)
 	}
