--- a/internal/membership/message_check_test.go
+++ b/internal/membership/message_check_test.go
@@ -70,6 +70,8 @@
 		"ack with a payload":                     {encodeMessage(msgAck, map[string]any{"SeqNo": 1, "Payload": []byte("x")}), false},
 		"suspect without a member":               {encodeMessage(msgSuspect, map[string]any{"Node": "", "From": "s1"}), false},
 		"indirect ping without an address":       {encodeMessage(msgIndirectPing, map[string]any{"Target": []byte{1}}), false},
+		"indirect ping without a target":         {encodeMessage(msgIndirectPing, map[string]any{"SeqNo": 1, "Node": "s1"}), false},
+		"alive of another delegate":              {encodeMessage(msgAlive, memberState("Vsn", []byte{1, 5, 2, 0, 0, 1})), false},
 	} {
 		if _, err := checkPacket(c.data, ignore); (err == nil) != c.isValid {
 			t.Errorf("%s: %v", name, err)
