--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -25,7 +25,7 @@
 type adminServer struct {
 	log         *slog.Logger
 	http        http.Server
-	connections *clients
+	connections *clientConns
 }
 
 // listenAdmin opens the operators' address of a configuration that has one.
@@ -38,9 +38,9 @@
 }
 
 func newAdminServer(s *server) *adminServer {
-	a := &adminServer{log: s.loop.log, connections: newClients(config.MaxAdminConnections)}
+	a := &adminServer{log: s.loop.log, connections: newClientConns(config.MaxAdminConnections)}
 	if s.loop.control != nil {
-		a.connections.flow = &s.loop.control.Admin
+		a.connections.traffic = &s.loop.control.Admin
 	}
 	calls := admin.NewHandler(adminController{s}, a.log, a.keepConnection)
 	a.http = http.Server{
@@ -49,21 +49,23 @@
 		WriteTimeout:   adminTimeout,
 		MaxHeaderBytes: headMost,
 		ErrorLog:       slog.NewLogLogger(a.log.Handler(), slog.LevelWarn),
-		ConnState:      a.connections.note,
-		ConnContext:    a.connections.name,
+		ConnState:      a.connections.connState,
+		ConnContext:    a.connections.connContext,
 	}
 	a.http.SetKeepAlivesEnabled(false)
 	return a
 }
 
 // keepConnection has the connection of a complete call kept when others are closed to make room.
-func (a *adminServer) keepConnection(in *http.Request) { a.connections.markProper(connOf(in)) }
+func (a *adminServer) keepConnection(in *http.Request) {
+	a.connections.markValidRequest(clientConnOf(in))
+}
 
 // counted counts each call and its answer as control traffic, besides the bytes that the connections count.
 func (a *adminServer) counted(calls http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, in *http.Request) {
-		a.connections.flow.AddReceived(0, true)
-		defer a.connections.flow.AddSent(0, true)
+		a.connections.traffic.AddReceived(0, true)
+		defer a.connections.traffic.AddSent(0, true)
 		calls.ServeHTTP(w, in)
 	})
 }
--- a/internal/sidecar/client_conn.go
+++ b/internal/sidecar/client_conn.go
@@ -25,7 +25,7 @@
 // clientListener accepts clients' connections as clientConn.
 type clientListener struct {
 	net.Listener
-	clients *clients
+	clients *clientConns
 }
 
 // Accept waits for the next client.
@@ -49,7 +49,7 @@
 type clientConn struct {
 	net.Conn                         // the socket; its own Read and Close do none of the above
 	rawConn          syscall.RawConn // the same socket
-	owner            *clients
+	owner            *clientConns
 	disconnected     context.Context // ends when the client has disconnected or the connection is closed
 	markDisconnected context.CancelFunc
 
@@ -66,7 +66,7 @@
 }
 
 // newClientConn wraps a connection. It closes conn if it returns an error.
-func newClientConn(conn net.Conn, owner *clients) (*clientConn, error) {
+func newClientConn(conn net.Conn, owner *clientConns) (*clientConn, error) {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
 		return nil, errors.Join(fmt.Errorf("client connection %T has no socket", conn), conn.Close())
@@ -130,7 +130,7 @@
 // Write writes to the client.
 func (c *clientConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.owner.flow.AddSent(n, false)
+	c.owner.traffic.AddSent(n, false)
 	return n, err
 }
 
@@ -152,7 +152,7 @@
 
 // observe evaluates what was read. The caller holds c.mu.
 func (c *clientConn) observe(data []byte) {
-	c.owner.flow.AddReceived(len(data), false)
+	c.owner.traffic.AddReceived(len(data), false)
 	c.framing.observe(data)
 	if !c.framing.isInHead {
 		c.headStart = time.Time{}
@@ -161,7 +161,7 @@
 	}
 	if c.isAwaitingResponse { // net/http reads one byte past a request, and then no longer sees the client disconnect
 		c.isAwaitingResponse = false
-		c.owner.watch(c)
+		c.owner.watchDisconnect(c)
 	}
 }
 
@@ -192,7 +192,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if hasUnreadBody || c.hasRequestInProgressLocked() || c.framing.isDone { // nobody reads on, or not far enough
-		c.owner.watch(c)
+		c.owner.watchDisconnect(c)
 	} else {
 		c.isAwaitingResponse = true
 	}
@@ -200,7 +200,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.isAwaitingResponse = false
-		c.owner.unwatch(c)
+		c.owner.unwatchDisconnect(c)
 	}
 }
 
--- a/internal/sidecar/client_conn_test.go
+++ b/internal/sidecar/client_conn_test.go
@@ -51,11 +51,11 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			w := start(t, nil, ready("s-1", e.address))
-			w.until("no connection", func() bool { return w.server.clients.open() == 0 })
+			w.until("no connection", func() bool { return w.server.clients.count() == 0 })
 			k := w.connect()
 			io.WriteString(k.conn, c.sent+strings.Repeat("z", 64<<10))
 			w.only()
-			w.until("the connection's end", func() bool { return w.server.clients.open() == 0 })
+			w.until("the connection's end", func() bool { return w.server.clients.count() == 0 })
 			got, err := io.ReadAll(k.in)
 			if err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 "+c.code) {
 				t.Errorf("read %.40q, %v; want a response %s and a clean end", got, err, c.code)
@@ -69,7 +69,7 @@
 func TestRequestAfterTheIdleCheckIsNeverRead(t *testing.T) {
 	e := newEndpoint(t, always(served))
 	w := start(t, nil, ready("s-1", e.address))
-	w.until("no connection", func() bool { return w.server.clients.open() == 0 })
+	w.until("no connection", func() bool { return w.server.clients.count() == 0 })
 	k := w.connect()
 	k.roundTrip()
 	conn := w.atRest()
@@ -89,7 +89,7 @@
 		t.Errorf("after the close %d bytes are read (%v)", n, err)
 	}
 	k.conn.Close()
-	w.until("the connection's end", func() bool { return w.server.clients.open() == 0 })
+	w.until("the connection's end", func() bool { return w.server.clients.count() == 0 })
 	w.do(func() {
 		if w.loop.lastID != 1 {
 			t.Errorf("%d requests were taken, want 1", w.loop.lastID)
@@ -104,7 +104,7 @@
 func TestIdleCloseSparesARequestInProgress(t *testing.T) {
 	e := newEndpoint(t, always(served))
 	w := start(t, nil, ready("s-1", e.address))
-	w.until("no connection", func() bool { return w.server.clients.open() == 0 })
+	w.until("no connection", func() bool { return w.server.clients.count() == 0 })
 	k := w.connect()
 	for n := range 4 {
 		k.roundTrip()
@@ -129,7 +129,7 @@
 func TestNothingIsReadAfterTheClose(t *testing.T) {
 	e := newEndpoint(t, always(served))
 	w := start(t, nil, ready("s-1", e.address))
-	w.until("no connection", func() bool { return w.server.clients.open() == 0 })
+	w.until("no connection", func() bool { return w.server.clients.count() == 0 })
 	w.server.acceptFor = 0
 	k := w.connect()
 	k.roundTrip()
@@ -152,25 +152,25 @@
 func TestEvictionSparesATakenRequest(t *testing.T) {
 	for _, taken := range []bool{false, true} {
 		near, far := socketPair(t)
-		clients := newClients(1)
+		clients := newClientConns(1)
 		conn, err := newClientConn(far, clients)
 		if err != nil {
 			t.Fatal(err)
 		}
-		clients.note(conn, http.StateNew)
+		clients.connState(conn, http.StateNew)
 		io.WriteString(near, "GET /a HTTP/1.1\r\n\r\n")
 		if _, err := conn.Read(make([]byte, 64)); err != nil {
 			t.Fatal(err)
 		}
-		clients.note(conn, http.StateActive)
-		if taken && !clients.markProper(conn) {
+		clients.connState(conn, http.StateActive)
+		if taken && !clients.markValidRequest(conn) {
 			t.Fatal("a request of an open connection was not taken")
 		}
-		clients.evict()
-		if isKept := clients.open() == 1; isKept != taken {
+		clients.evictOne()
+		if isKept := clients.count() == 1; isKept != taken {
 			t.Errorf("taken %v: the connection is kept: %v", taken, isKept)
 		}
-		if !taken && clients.markProper(conn) {
+		if !taken && clients.markValidRequest(conn) {
 			t.Error("the request of an evicted connection was taken")
 		}
 	}
@@ -179,14 +179,14 @@
 // A connection ends whatever arrives while it is closed: the socket's close waits for a read in progress, and the read must not
 // wait for the close.
 func TestCloseDuringARead(t *testing.T) {
-	clients := newClients(1)
+	clients := newClientConns(1)
 	for i := range 300 {
 		near, far := socketPair(t)
 		conn, err := newClientConn(far, clients)
 		if err != nil {
 			t.Fatal(err)
 		}
-		clients.note(conn, http.StateNew)
+		clients.connState(conn, http.StateNew)
 		read, closed := make(chan struct{}), make(chan struct{})
 		go func() {
 			for {
@@ -214,13 +214,13 @@
 				t.Fatalf("%d: the %s does not return", i, what)
 			}
 		}
-		await(t, "the connection's end", func() bool { return clients.open() == 0 })
+		await(t, "the connection's end", func() bool { return clients.count() == 0 })
 	}
 }
 
 // Connections that are only drained are evicted first.
 func TestDrainingConnectionsAreEvictedFirst(t *testing.T) {
-	clients := newClients(3)
+	clients := newClientConns(3)
 	var conns []*clientConn
 	for i := range 3 {
 		_, far := socketPair(t)
@@ -228,19 +228,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		clients.note(conn, http.StateNew)
+		clients.connState(conn, http.StateNew)
 		if i > 0 { // the last one is closed, and its client does not close its side
-			clients.markProper(conn)
-			clients.note(conn, http.StateActive)
+			clients.markValidRequest(conn)
+			clients.connState(conn, http.StateActive)
 		}
 		conns = append(conns, conn)
 	}
 	conns[2].Close()
-	clients.note(conns[2], http.StateClosed)
-	if n := clients.open(); n != 3 {
+	clients.connState(conns[2], http.StateClosed)
+	if n := clients.count(); n != 3 {
 		t.Fatalf("%d connections are open, want the draining one among them", n)
 	}
-	clients.evict()
+	clients.evictOne()
 	clients.mu.Lock()
 	defer clients.mu.Unlock()
 	if clients.conns[conns[2]] != nil || len(clients.conns) != 2 {
@@ -299,7 +299,7 @@
 			}
 		}
 	}
-	w.until("their connections to be gone", func() bool { return w.server.clients.open() == 0 })
+	w.until("their connections to be gone", func() bool { return w.server.clients.count() == 0 })
 }
 
 // With few descriptors, a flood of misbehaving connections of every kind leaves room for other clients.
@@ -339,8 +339,8 @@
 		if got := w.send(w.request("read", "", 3*time.Second)); got.code != http.StatusOK {
 			t.Fatalf("a request: %+v", got)
 		}
-		if n := w.server.clients.open(); n > w.server.clients.most {
-			t.Fatalf("%d connections are held, %d at most", n, w.server.clients.most)
+		if n := w.server.clients.count(); n > w.server.clients.maxConns {
+			t.Fatalf("%d connections are held, %d at most", n, w.server.clients.maxConns)
 		}
 	}
 }
--- a/internal/sidecar/departure_test.go
+++ b/internal/sidecar/departure_test.go
@@ -105,16 +105,16 @@
 }
 
 // awaited counts the connections whose request waits for its answer.
-func awaited(c *clients) (n int) {
+func awaited(c *clientConns) (n int) {
 	c.mu.Lock()
 	var all []*clientConn
 	for conn := range c.conns {
 		all = append(all, conn)
 	}
 	c.mu.Unlock()
-	c.watching.Lock()
+	c.watchMu.Lock()
 	n = len(c.watched)
-	c.watching.Unlock()
+	c.watchMu.Unlock()
 	for _, conn := range all {
 		conn.mu.Lock()
 		if conn.isAwaitingResponse {
--- a/internal/sidecar/departure_unread_test.go
+++ b/internal/sidecar/departure_unread_test.go
@@ -67,7 +67,7 @@
 				r.Write(conn)
 			}
 			w.until("all requests to wait", func() bool { return awaited(w.server.clients) >= clients && dials.Load() >= clients })
-			all := w.server.clients.where(func(*client) bool { return true })
+			all := w.server.clients.filter(func(*clientConnState) bool { return true })
 			for _, conn := range all {
 				conn.mu.Lock() // its reader gets no further
 			}
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -105,11 +105,11 @@
 		maxIdle := (limits.Sockets - 2*maxClients - 2*config.ReservedSockets) / 2
 		s.loop.up.bound(maxClients, max(maxIdle, 0))
 		if !s.limitsSplit {
-			s.clients.bound(maxClients)
+			s.clients.setMaxConns(maxClients)
 		}
 	} else {
 		s.loop.up.bound(maxConnections, maxConnections)
-		s.clients.bound(maxConnections)
+		s.clients.setMaxConns(maxConnections)
 	}
 	s.hasOtherProcess, s.limitsSplit = hasOtherProcess, true
 	maxHeap := int64(limits.MemoryMB) << 20 / 10 * heapTenths / int64(processCount(hasOtherProcess))
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -13,7 +13,7 @@
 func TestNewProcessAdmitsAllClients(t *testing.T) {
 	w := start(t, nil, ready("s-1", newEndpoint(t, always(served)).address))
 	w.server.clients.mu.Lock()
-	w.server.clients.rest = 0 // idle connections may be closed at once to make room
+	w.server.clients.minIdle = 0 // idle connections may be closed at once to make room
 	w.server.clients.mu.Unlock()
 	w.server.splitLimits(true)
 	var clients []*clientConnection
--- a/internal/sidecar/request_framing_test.go
+++ b/internal/sidecar/request_framing_test.go
@@ -47,7 +47,7 @@
 // A client may send its next request as soon as it has its response, before the server counts the connection as idle.
 func TestRequestMayStartBeforeTheLastIsDone(t *testing.T) {
 	near, far := socketPair(t)
-	clients := newClients(1)
+	clients := newClientConns(1)
 	conn, err := newClientConn(far, clients)
 	if err != nil {
 		t.Fatal(err)
@@ -68,10 +68,10 @@
 		t.Error("a request that was taken is reported as in progress")
 	}
 	read("GET /b")
-	clients.note(conn, http.StateNew)
-	clients.note(conn, http.StateIdle) // only now
+	clients.connState(conn, http.StateNew)
+	clients.connState(conn, http.StateIdle) // only now
 	clients.closeIdle(0)
-	if clients.open() != 1 || conn.isClosing {
+	if clients.count() != 1 || conn.isClosing {
 		t.Error("the connection was closed amid a head")
 	}
 }
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -49,7 +49,7 @@
 	http    http.Server
 	classes map[string]uint8
 	tenants map[string]uint16
-	clients *clients
+	clients *clientConns
 	up      atomic.Bool // it takes connections
 	ending  atomic.Bool // after SIGTERM
 	drained atomic.Bool // by an operator
@@ -184,7 +184,7 @@
 
 func (s *server) serve(ctx context.Context, listener net.Listener) error {
 	go s.report(ctx)
-	go s.clients.sweep(ctx)
+	go s.clients.closeIdlePeriodically(ctx)
 	served := make(chan error, 1)
 	go func() { served <- s.http.Serve(clientListener{listener, s.clients}) }()
 	s.up.Store(true)
@@ -219,7 +219,7 @@
 
 func newServer(l *loop) *server {
 	s := &server{loop: l, classes: map[string]uint8{}, tenants: map[string]uint16{},
-		clients: newClients(l.cfg.MaxConnections()), acceptFor: acceptAfter}
+		clients: newClientConns(l.cfg.MaxConnections()), acceptFor: acceptAfter}
 	for i, c := range l.cfg.Settings.Classes {
 		s.classes[c.Name] = uint8(i)
 	}
@@ -228,7 +228,7 @@
 	}
 	// Not a ServeMux: it would redirect paths that endpoints are to see as they are.
 	handler := func(w http.ResponseWriter, in *http.Request) {
-		if connOf(in).takeRequest() {
+		if clientConnOf(in).takeRequest() {
 			s.improper(w, in, bad("both a length and a transfer coding are given"))
 			return
 		}
@@ -240,7 +240,7 @@
 	}
 	s.http = http.Server{Handler: http.HandlerFunc(handler), ReadHeaderTimeout: paceSlack, // no IdleTimeout: see clients.sweep
 		WriteTimeout: timeLeftMost + writeTimeout, MaxHeaderBytes: headMost, ErrorLog: slog.NewLogLogger(l.log.Handler(), slog.LevelWarn),
-		ConnState: s.clients.note, ConnContext: s.clients.name}
+		ConnState: s.clients.connState, ConnContext: s.clients.connContext}
 	return s
 }
 
@@ -275,7 +275,7 @@
 // rest when clients no longer connect are closed.
 func (s *server) end(listener net.Listener) error {
 	s.ending.Store(true)
-	s.loop.log.Info("ending", "clients", s.clients.open())
+	s.loop.log.Info("ending", "clients", s.clients.count())
 	if l, ok := listener.(*net.TCPListener); ok && s.handover != nil && s.handover.HasOtherProcess() {
 		l.SetDeadline(time.Now().Add(acceptOut)) // new clients go to the other process from here on
 	}
@@ -286,11 +286,11 @@
 	// may take longer than any deadline, and its pace bounds it: when that is too long is the platform's decision.
 	for until := time.Now().Add(endMost); time.Now().Before(until); time.Sleep(endSweep) {
 		s.clients.closeIdle(0)
-		if s.clients.open() == 0 {
+		if s.clients.count() == 0 {
 			break
 		}
 	}
-	s.loop.log.Info("ended", "clients", s.clients.open())
+	s.loop.log.Info("ended", "clients", s.clients.count())
 	if err := s.http.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 		return fmt.Errorf("close: %w", err)
 	}
@@ -321,7 +321,7 @@
 // request takes one request and gives its one final answer.
 func (s *server) request(w http.ResponseWriter, in *http.Request) {
 	arrived := s.loop.clock.now()
-	if s.clients.full() {
+	if s.clients.isOverLimit() {
 		// Beyond this the process runs out of descriptors, and then it can
 		// neither accept nor send.
 		w.Header().Set("Connection", "close")
@@ -349,8 +349,8 @@
 		s.improper(w, in, err)
 		return
 	}
-	conn := connOf(in)
-	if !s.clients.markProper(conn) {
+	conn := clientConnOf(in)
+	if !s.clients.markValidRequest(conn) {
 		panic(http.ErrAbortHandler) // it had to make room, and its client was told
 	}
 	if m.rest != nil {
@@ -419,7 +419,7 @@
 // first.
 func (s *server) finish(in *http.Request, control *http.ResponseController) {
 	if control.Flush() == nil {
-		connOf(in).Close()
+		clientConnOf(in).Close()
 	}
 }
 
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -449,7 +449,7 @@
 		}
 	}
 	use()
-	for range 2 * w.server.clients.most {
+	for range 2 * w.server.clients.maxConns {
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
@@ -458,10 +458,10 @@
 	}
 	w.until("all to be accepted", func() bool {
 		accepted, _, _, _ := w.server.clients.counts()
-		return accepted > 2*w.server.clients.most
+		return accepted > 2*w.server.clients.maxConns
 	})
-	if n := w.server.clients.open(); n > w.server.clients.most {
-		t.Errorf("%d connections are held, %d at most", n, w.server.clients.most)
+	if n := w.server.clients.count(); n > w.server.clients.maxConns {
+		t.Errorf("%d connections are held, %d at most", n, w.server.clients.maxConns)
 	}
 	if got := w.send(w.request("read", "", 3*time.Second)); got.code != http.StatusOK {
 		t.Errorf("on a new connection: %+v", got)
@@ -475,10 +475,10 @@
 	e := newEndpoint(t, always(served))
 	w := start(t, nil, ready("s-1", e.address))
 	w.server.clients.mu.Lock()
-	w.server.clients.rest = time.Hour
+	w.server.clients.minIdle = time.Hour
 	w.server.clients.mu.Unlock()
 	var held []net.Conn
-	for range w.server.clients.most {
+	for range w.server.clients.maxConns {
 		conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
@@ -498,7 +498,7 @@
 	for _, conn := range held {
 		conn.Close()
 	}
-	w.until("the connections to end", func() bool { return w.server.clients.open() == 0 })
+	w.until("the connections to end", func() bool { return w.server.clients.count() == 0 })
 	if got := w.send(w.request("read", "", 3*time.Second)); got.code != http.StatusOK {
 		t.Errorf("with room again: %+v", got)
 	}
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -301,7 +301,7 @@
 	}
 	w.until("all to be freed", func() bool {
 		open, _ := w.loop.up.connections()
-		return open == 0 && w.server.clients.open() == 0
+		return open == 0 && w.server.clients.count() == 0
 	})
 }
 
