--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -183,7 +183,7 @@
 	idle, sending := w.connect(), w.connect()
 	idle.roundTrip()
 	sending.roundTrip()
-	w.until("both idle", func() bool { _, _, _, idleCount := w.server.clients.counts(); return idleCount == 2 })
+	w.until("both idle", func() bool { return w.server.clients.counts().idle == 2 })
 	var header strings.Builder
 	w.request("read", "", time.Minute).Write(&header)
 	io.WriteString(sending.conn, header.String()[:10])
--- a/internal/sidecar/client_conn.go
+++ b/internal/sidecar/client_conn.go
@@ -14,9 +14,6 @@
 	"golang.org/x/sys/unix"
 )
 
-// disconnectPollInterval is the time between polls for clients that disconnected while nobody reads from them.
-const disconnectPollInterval = 20 * time.Millisecond
-
 // maxDrainTime is how long a closed connection may go on sending before it is reset. A misbehaving client has to be
 // disconnected within 3 s of connecting; one that sent a valid request may first have to write a long body, and gets the time
 // that its pace earns.
@@ -161,7 +158,7 @@
 	}
 	if c.isAwaitingResponse { // net/http reads one byte past a request, and then no longer sees the client disconnect
 		c.isAwaitingResponse = false
-		c.owner.watchDisconnect(c)
+		c.owner.disconnects.add(c)
 	}
 }
 
@@ -192,7 +189,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if hasUnreadBody || c.hasRequestInProgressLocked() || c.framing.isDone { // nobody reads on, or not far enough
-		c.owner.watchDisconnect(c)
+		c.owner.disconnects.add(c)
 	} else {
 		c.isAwaitingResponse = true
 	}
@@ -200,7 +197,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.isAwaitingResponse = false
-		c.owner.unwatchDisconnect(c)
+		c.owner.disconnects.remove(c)
 	}
 }
 
--- a/internal/sidecar/client_conn_test.go
+++ b/internal/sidecar/client_conn_test.go
@@ -30,7 +30,7 @@
 func (w *world) atRest() *clientConn {
 	w.t.Helper()
 	conn := w.only()
-	w.until("the connection to be idle", func() bool { _, _, _, idle := w.server.clients.counts(); return idle == 1 })
+	w.until("the connection to be idle", func() bool { return w.server.clients.counts().idle == 1 })
 	return conn
 }
 
--- a/internal/sidecar/departure_test.go
+++ b/internal/sidecar/departure_test.go
@@ -112,9 +112,9 @@
 		all = append(all, conn)
 	}
 	c.mu.Unlock()
-	c.watchMu.Lock()
-	n = len(c.watched)
-	c.watchMu.Unlock()
+	c.disconnects.mu.Lock()
+	n = len(c.disconnects.conns)
+	c.disconnects.mu.Unlock()
 	for _, conn := range all {
 		conn.mu.Lock()
 		if conn.isAwaitingResponse {
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -264,9 +264,9 @@
 
 // holds logs the counts. The loop runs it.
 func (s *server) holds(balancer.Micros) {
-	accepted, fresh, active, idle := s.clients.counts()
+	clients := s.clients.counts()
 	open, spare := s.loop.up.connections()
-	s.loop.log.Info("holds", "taken", s.loop.lastID, "accepted", accepted, "clients_new", fresh, "clients_active", active, "clients_idle", idle,
+	s.loop.log.Info("holds", "taken", s.loop.lastID, "accepted", clients.accepted, "clients_new", clients.fresh, "clients_active", clients.active, "clients_idle", clients.idle,
 		"upstream_open", open, "upstream_idle", spare, "requests", len(s.loop.requests),
 		"events", len(s.loop.events), "goroutines", runtime.NumGoroutine())
 }
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -457,8 +457,7 @@
 		defer conn.Close()
 	}
 	w.until("all to be accepted", func() bool {
-		accepted, _, _, _ := w.server.clients.counts()
-		return accepted > 2*w.server.clients.maxConns
+		return w.server.clients.counts().accepted > 2*w.server.clients.maxConns
 	})
 	if n := w.server.clients.count(); n > w.server.clients.maxConns {
 		t.Errorf("%d connections are held, %d at most", n, w.server.clients.maxConns)
@@ -610,7 +609,7 @@
 	w.server.acceptFor = 0
 	k := w.connect()
 	k.roundTrip()
-	w.until("the connection at rest", func() bool { _, _, _, idle := w.server.clients.counts(); return idle == 1 })
+	w.until("the connection at rest", func() bool { return w.server.clients.counts().idle == 1 })
 	var head strings.Builder
 	w.request("read", "", time.Minute).Write(&head)
 	io.WriteString(k.conn, head.String()[:10])
