--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -128,7 +128,8 @@
 	PriorityPerWork bool    // PriorityWeight counts per unit of work, not per request
 }
 
-// SettingError names an invalid setting: its key, its value and why it is invalid.
+// SettingError names an invalid setting: its key, its value and why it is invalid. In errors of Validate the
+// key is the path of the field, such as Limits.MaxAttempts or Classes[1].DedupWindow.
 type SettingError struct{ Key, Value, Reason string }
 
 // Error implements error.
@@ -140,19 +141,19 @@
 func (s *Settings) Validate() error {
 	var v validator
 	v.check("Balancers", s.Balancers, s.Balancers >= 1, atLeastOne)
-	v.check("Position", s.Index, s.Index >= 0, notNegative)
+	v.check("Index", s.Index, s.Index >= 0, notNegative)
 	v.check("Zone", s.Zone, s.Zone >= 0, notNegative)
-	v.check("Kinds", s.MachineTypes, s.MachineTypes >= 0, notNegative)
+	v.check("MachineTypes", s.MachineTypes, s.MachineTypes >= 0, notNegative)
 	v.check("Tick", s.Tick, s.Tick >= 0, notNegative)
 	v.check("Classes", "none", len(s.Classes) > 0, "at least one class is needed")
 	for i := range s.Classes {
 		v.checkClass(fmt.Sprintf("Classes[%d].", i), &s.Classes[i])
 	}
 	for i, tenant := range s.Tenants {
-		v.check(fmt.Sprintf("Tenants[%d].Allowance", i), tenant.Quota, tenant.Quota >= 0, notNegative)
+		v.check(fmt.Sprintf("Tenants[%d].Quota", i), tenant.Quota, tenant.Quota >= 0, notNegative)
 	}
 	v.checkObjective(&s.Objective)
-	v.check("OverShareWorth", s.OverQuotaWeight, s.OverQuotaWeight >= 0, notNegative)
+	v.check("OverQuotaWeight", s.OverQuotaWeight, s.OverQuotaWeight >= 0, notNegative)
 	v.checkLimits(&s.Limits)
 	v.checkRules(&s.Rules)
 	v.checkCosts(&s.Costs)
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -12,11 +12,11 @@
 	}{
 		{"Balancers", func(s *Settings) { s.Balancers = 0 }},
 		{"Classes", func(s *Settings) { s.Classes = nil }},
-		{"Classes[0].Aim", func(s *Settings) { s.Classes[0].LatencyObjective = 0 }},
-		{"Classes[1].Window", func(s *Settings) { s.Classes[1].DedupWindow = -1 }},
-		{"Contract.ColdFrom", func(s *Settings) { s.Rules.SlowStartMinCapacity = 0 }},
+		{"Classes[0].LatencyObjective", func(s *Settings) { s.Classes[0].LatencyObjective = 0 }},
+		{"Classes[1].DedupWindow", func(s *Settings) { s.Classes[1].DedupWindow = -1 }},
+		{"Rules.SlowStartMinCapacity", func(s *Settings) { s.Rules.SlowStartMinCapacity = 0 }},
 		{"Limits.MaxAttempts", func(s *Settings) { s.Limits.MaxAttempts = 0 }},
-		{"Prices.Probe", func(s *Settings) { s.Costs.LoadProbe = -1 }},
+		{"Costs.LoadProbe", func(s *Settings) { s.Costs.LoadProbe = -1 }},
 	} {
 		s := testSettings()
 		c.spoil(&s)
--- a/balancer/settings_validate.go
+++ b/balancer/settings_validate.go
@@ -9,9 +9,8 @@
 	atLeastOne  = "must be at least 1"
 )
 
-// validator keeps the first error that it finds. Its keys are those that operators know from errors of
-// their configuration: the names of their settings in Go's case. They stay, whatever the fields are
-// called.
+// validator keeps the first error that it finds. Its keys are the paths of the fields, which the codec of
+// the settings maps to the keys that operators know.
 type validator struct{ first *SettingError }
 
 // check notes a setting as invalid unless valid is true.
@@ -22,44 +21,44 @@
 }
 
 func (v *validator) checkClass(prefix string, c *Class) {
-	v.check(prefix+"Repeat", c.RetrySafety, c.RetrySafety <= NonIdempotent, "not a known kind")
-	v.check(prefix+"Group", c.DedupScope, c.DedupScope <= DedupScopePod, "not a known group")
-	v.check(prefix+"Window", c.DedupWindow, c.DedupWindow >= 0, notNegative)
-	v.check(prefix+"Aim", c.LatencyObjective, c.LatencyObjective > 0, positive)
-	v.check(prefix+"GiveUp", c.ClientTimeout, c.ClientTimeout > 0, positive)
-	v.check(prefix+"Worth", c.PriorityWeight, c.PriorityWeight >= 0, notNegative)
-	v.check(prefix+"LateWorth", c.LateWeight, c.LateWeight >= 0 && c.LateWeight <= 1, "must be in 0..1")
+	v.check(prefix+"RetrySafety", c.RetrySafety, c.RetrySafety <= NonIdempotent, "not a known kind")
+	v.check(prefix+"DedupScope", c.DedupScope, c.DedupScope <= DedupScopePod, "not a known group")
+	v.check(prefix+"DedupWindow", c.DedupWindow, c.DedupWindow >= 0, notNegative)
+	v.check(prefix+"LatencyObjective", c.LatencyObjective, c.LatencyObjective > 0, positive)
+	v.check(prefix+"ClientTimeout", c.ClientTimeout, c.ClientTimeout > 0, positive)
+	v.check(prefix+"PriorityWeight", c.PriorityWeight, c.PriorityWeight >= 0, notNegative)
+	v.check(prefix+"LateWeight", c.LateWeight, c.LateWeight >= 0 && c.LateWeight <= 1, "must be in 0..1")
 }
 
 func (v *validator) checkObjective(o *Objective) {
-	v.check("Goal", o.Overall, o.Overall >= 0, notNegative)
-	v.check("Goal", o.WorstWindow, o.WorstWindow >= 0, notNegative)
-	v.check("Goal", o.WorstClass, o.WorstClass >= 0, notNegative)
-	v.check("Goal", o.WorstTenant, o.WorstTenant >= 0, notNegative)
+	v.check("Objective.Overall", o.Overall, o.Overall >= 0, notNegative)
+	v.check("Objective.WorstWindow", o.WorstWindow, o.WorstWindow >= 0, notNegative)
+	v.check("Objective.WorstClass", o.WorstClass, o.WorstClass >= 0, notNegative)
+	v.check("Objective.WorstTenant", o.WorstTenant, o.WorstTenant >= 0, notNegative)
 }
 
 func (v *validator) checkLimits(l *Limits) {
 	v.check("Limits.MaxAttempts", l.MaxAttempts, l.MaxAttempts >= 1, atLeastOne)
-	v.check("Limits.MaxOpen", l.MaxUnanswered, l.MaxUnanswered >= 1, atLeastOne)
+	v.check("Limits.MaxUnanswered", l.MaxUnanswered, l.MaxUnanswered >= 1, atLeastOne)
 	v.check("Limits.MaxRetryAfter", l.MaxRetryAfter, l.MaxRetryAfter >= 0, notNegative)
 	v.check("Limits.DialTimeout", l.DialTimeout, l.DialTimeout >= 0, notNegative)
 }
 
 func (v *validator) checkRules(r *Rules) {
-	v.check("Contract.DrainGrace", r.DrainGrace, r.DrainGrace >= 0, notNegative)
-	v.check("Contract.ColdFrom", r.SlowStartMinCapacity,
+	v.check("Rules.DrainGrace", r.DrainGrace, r.DrainGrace >= 0, notNegative)
+	v.check("Rules.SlowStartMinCapacity", r.SlowStartMinCapacity,
 		r.SlowStartMinCapacity > 0 && r.SlowStartMinCapacity <= 1, "must be in 0..1, not 0")
-	v.check("Contract.RampTime", r.SlowStartDuration, r.SlowStartDuration >= 0, notNegative)
-	v.check("Contract.FallMultiple", r.OverloadMultiple, r.OverloadMultiple > 0, positive)
-	v.check("Contract.OverloadFor", r.OverloadDuration, r.OverloadDuration >= 0, notNegative)
-	v.check("Contract.AskWithin", r.MaxPollInterval, r.MaxPollInterval >= 0, notNegative)
-	v.check("Contract.AnswerSlack", r.ResponseSlack, r.ResponseSlack >= 0, notNegative)
+	v.check("Rules.SlowStartDuration", r.SlowStartDuration, r.SlowStartDuration >= 0, notNegative)
+	v.check("Rules.OverloadMultiple", r.OverloadMultiple, r.OverloadMultiple > 0, positive)
+	v.check("Rules.OverloadDuration", r.OverloadDuration, r.OverloadDuration >= 0, notNegative)
+	v.check("Rules.MaxPollInterval", r.MaxPollInterval, r.MaxPollInterval >= 0, notNegative)
+	v.check("Rules.ResponseSlack", r.ResponseSlack, r.ResponseSlack >= 0, notNegative)
 }
 
 func (v *validator) checkCosts(c *Costs) {
-	v.check("Prices.CrossZone", c.CrossZone, c.CrossZone >= 0, notNegative)
-	v.check("Prices.Probe", c.LoadProbe, c.LoadProbe >= 0, notNegative)
-	v.check("Prices.Peer", c.GossipMessage, c.GossipMessage >= 0, notNegative)
-	v.check("Prices.Waste", c.WastedWork, c.WastedWork >= 0, notNegative)
-	v.check("Prices.LateFail", c.LateFailure, c.LateFailure >= 0, notNegative)
+	v.check("Costs.CrossZone", c.CrossZone, c.CrossZone >= 0, notNegative)
+	v.check("Costs.LoadProbe", c.LoadProbe, c.LoadProbe >= 0, notNegative)
+	v.check("Costs.GossipMessage", c.GossipMessage, c.GossipMessage >= 0, notNegative)
+	v.check("Costs.WastedWork", c.WastedWork, c.WastedWork >= 0, notNegative)
+	v.check("Costs.LateFailure", c.LateFailure, c.LateFailure >= 0, notNegative)
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -42,7 +42,7 @@
 		{`"dial":"127.0.0.1:3"`, `"dial":"nowhere"`, "known: hosts[0].dial"},
 		{`"settings":`, `"other":`, "settings"},
 		{`"keepalive":5000000`, `"keepalive":0`, "limits.keepalive"},
-		{`"dial-timeout":2000000`, `"dial-timeout":-1`, "DialTimeout"},
+		{`"dial-timeout":2000000`, `"dial-timeout":-1`, "limits.dial-timeout"},
 		{`"most-tries":3`, `"most-tries":"3.5"`, "limits.most-tries"},
 		{`"name":"read","repeat":"pure"`, `"name":"read","repeat":"twice"`, "classes.0.repeat"},
 		{`"name":"read","repeat":"pure"`, `"name":"read"`, "classes.0.repeat"},
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -11,81 +11,83 @@
 // defaultMaxPollInterval applies where the settings do not say how often a balancer without a subscription must poll.
 const defaultMaxPollInterval balancer.Micros = 10_000_000
 
-// ParseSettings reads a settings text: lines of path=value, where a list of objects gives its length under .count and its
-// items under .0, .1 and so on, and a list of plain values is separated by commas. The functions below it map the keys to
-// the balancer's terms. Keys that they do not name are skipped.
+// ParseSettings reads and validates a settings text: lines of path=value, where a list of objects gives its length under
+// .count and its items under .0, .1 and so on, and a list of plain values is separated by commas. settingKeys maps the keys to
+// the balancer's terms; other keys are skipped.
 //
-// Its errors are *balancer.SettingError and name the key in the text. Whether values make sense together is for
-// [balancer.Settings.Validate] to say. No decision reads position, areas, skus, limits.dial-timeout, contract.drain-grace,
-// contract.answer-slack, prices.waste, prices.late-fail and goal.worst-tenant.
+// Its errors are *balancer.SettingError and name the key in the text. No decision reads position, areas, skus, tick,
+// limits.dial-timeout, contract.drain-grace, contract.answer-slack, prices.waste, prices.late-fail and goal.worst-tenant.
 func ParseSettings(text string) (balancer.Settings, error) {
 	t, err := splitSettings(text)
 	if err != nil {
 		return balancer.Settings{}, err
 	}
 	settings := balancer.Settings{
-		Balancers:        int(t.integer("peers-total", 1)),
-		Index:            int(t.integer("position", 0)),
-		Zone:             int(t.integer("zone", 0)),
-		Zones:            itemCount(t.values["areas"]),
-		MachineTypes:     itemCount(t.values["skus"]),
-		MustSubscribe:    enum(t, "discovery", false, map[string]bool{"automatic": false, "subscribe": true}),
-		Tick:             t.integer("tick", 0),
+		Balancers:        int(t.integer("Balancers", 1)),
+		Index:            int(t.integer("Index", 0)),
+		Zone:             int(t.integer("Zone", 0)),
+		Zones:            itemCount(t.text("Zones")),
+		MachineTypes:     itemCount(t.text("MachineTypes")),
+		MustSubscribe:    enum(t, "MustSubscribe", false, map[string]bool{"automatic": false, "subscribe": true}),
+		Tick:             t.integer("Tick", 0),
 		Limits:           parseLimits(t),
 		Rules:            parseRules(t),
 		Costs:            parseCosts(t),
 		Objective:        parseObjective(t),
-		OverQuotaWeight:  t.number("over-share-worth", 1),
-		PriorityPerWork:  enum(t, "value-by", false, map[string]bool{"request": false, "work": true}),
+		OverQuotaWeight:  t.number("OverQuotaWeight", 1),
+		PriorityPerWork:  enum(t, "PriorityPerWork", false, map[string]bool{"request": false, "work": true}),
 		LoadReportFields: parseLoadReportFields(t),
 		Classes:          parseClasses(t),
 		Tenants:          parseTenants(t),
 	}
-	return settings, t.err
+	if t.err != nil {
+		return settings, t.err
+	}
+	return settings, withSettingKey(settings.Validate())
 }
 
 func parseLimits(t *settingsText) balancer.Limits {
 	return balancer.Limits{
-		AllowCancel:     t.bool("limits.cancel", false),
-		AllowLoadProbes: t.bool("limits.probes", false),
-		AllowHedging:    t.bool("limits.second-copies", false),
-		AllowRetryAfter: t.bool("limits.retry-after", false),
-		AllowGossip:     t.bool("limits.may-tell", false),
-		MaxAttempts:     int(t.integer("limits.most-tries", 1)),
-		MaxUnanswered:   int(t.integer("limits.most-held", math.MaxInt32)),
-		MaxRetryAfter:   t.integer("limits.max-retry-after", 0),
-		DialTimeout:     t.integer("limits.dial-timeout", 0),
+		AllowCancel:     t.bool("Limits.AllowCancel", false),
+		AllowLoadProbes: t.bool("Limits.AllowLoadProbes", false),
+		AllowHedging:    t.bool("Limits.AllowHedging", false),
+		AllowRetryAfter: t.bool("Limits.AllowRetryAfter", false),
+		AllowGossip:     t.bool("Limits.AllowGossip", false),
+		MaxAttempts:     int(t.integer("Limits.MaxAttempts", 1)),
+		MaxUnanswered:   int(t.integer("Limits.MaxUnanswered", math.MaxInt32)),
+		MaxRetryAfter:   t.integer("Limits.MaxRetryAfter", 0),
+		DialTimeout:     t.integer("Limits.DialTimeout", 0),
 	}
 }
 
 func parseRules(t *settingsText) balancer.Rules {
 	return balancer.Rules{
-		DrainGrace:           t.integer("contract.drain-grace", 0),
-		SlowStartMinCapacity: t.number("contract.cold-from", 1),
-		SlowStartDuration:    t.integer("contract.ramp-time", 0),
-		OverloadMultiple:     t.number("contract.fall-multiple", 1),
-		OverloadDuration:     t.integer("contract.overload-for", 0),
-		MaxPollInterval:      t.integer("contract.ask-within", defaultMaxPollInterval),
-		ResponseSlack:        t.integer("contract.answer-slack", 0),
+		DrainGrace:           t.integer("Rules.DrainGrace", 0),
+		SlowStartMinCapacity: t.number("Rules.SlowStartMinCapacity", 1),
+		SlowStartDuration:    t.integer("Rules.SlowStartDuration", 0),
+		OverloadMultiple:     t.number("Rules.OverloadMultiple", 1),
+		OverloadDuration:     t.integer("Rules.OverloadDuration", 0),
+		MaxPollInterval:      t.integer("Rules.MaxPollInterval", defaultMaxPollInterval),
+		ResponseSlack:        t.integer("Rules.ResponseSlack", 0),
 	}
 }
 
 func parseCosts(t *settingsText) balancer.Costs {
 	return balancer.Costs{
-		CrossZone:     t.number("prices.cross-zone", 0),
-		LoadProbe:     t.number("prices.probe", 0),
-		GossipMessage: t.number("prices.peer", 0),
-		WastedWork:    t.number("prices.waste", 0),
-		LateFailure:   t.number("prices.late-fail", 0),
+		CrossZone:     t.number("Costs.CrossZone", 0),
+		LoadProbe:     t.number("Costs.LoadProbe", 0),
+		GossipMessage: t.number("Costs.GossipMessage", 0),
+		WastedWork:    t.number("Costs.WastedWork", 0),
+		LateFailure:   t.number("Costs.LateFailure", 0),
 	}
 }
 
 func parseObjective(t *settingsText) balancer.Objective {
 	return balancer.Objective{
-		Overall:     t.number("goal.whole", 1),
-		WorstWindow: t.number("goal.worst-window", 0),
-		WorstClass:  t.number("goal.worst-class", 0),
-		WorstTenant: t.number("goal.worst-tenant", 0),
+		Overall:     t.number("Objective.Overall", 1),
+		WorstWindow: t.number("Objective.WorstWindow", 0),
+		WorstClass:  t.number("Objective.WorstClass", 0),
+		WorstTenant: t.number("Objective.WorstTenant", 0),
 	}
 }
 
@@ -101,8 +103,8 @@
 
 // parseLoadReportFields returns the figures of a load report in their order, nil where endpoints send no reports.
 func parseLoadReportFields(t *settingsText) []balancer.LoadField {
-	sendsReports := enum(t, "reporting.how", false, map[string]bool{"answers": true, "probe": true, "none": false})
-	names := t.values["reporting.fields"]
+	sendsReports := enumAt(t, reportingKey, false, map[string]bool{"answers": true, "probe": true, "none": false})
+	names := t.text("LoadReportFields")
 	if !sendsReports || names == "" {
 		return nil
 	}
@@ -129,23 +131,23 @@
 
 // parseClasses reads the request classes, which must be there.
 func parseClasses(t *settingsText) []balancer.Class {
-	t.require("classes.count")
+	t.require(countKey("Classes"))
 	var classes []balancer.Class
-	for i := range t.listLength("classes") {
-		prefix := fmt.Sprintf("classes.%d.", i)
-		t.require(prefix + "target")
-		t.require(prefix + "give-up")
-		t.require(prefix + "repeat")
+	for i := range t.listLength("Classes") {
+		prefix := fmt.Sprintf("Classes[%d].", i)
+		t.require(mustSettingKey(prefix + "LatencyObjective"))
+		t.require(mustSettingKey(prefix + "ClientTimeout"))
+		t.require(mustSettingKey(prefix + "RetrySafety"))
 		classes = append(classes, balancer.Class{
-			Name:             t.values[prefix+"name"],
-			RetrySafety:      enum(t, prefix+"repeat", balancer.NonIdempotent, retrySafeties),
-			DedupScope:       enum(t, prefix+"group", balancer.DedupScopePod, dedupScopes),
-			DedupWindow:      t.integer(prefix+"window", 0),
-			LatencyObjective: t.integer(prefix+"target", 0),
-			ClientTimeout:    t.integer(prefix+"give-up", 0),
-			PriorityWeight:   t.number(prefix+"credit", 1),
-			LateWeight:       t.number(prefix+"late-value", 0),
-			Streaming:        t.bool(prefix+"stream", false),
+			Name:             t.text(prefix + "Name"),
+			RetrySafety:      enum(t, prefix+"RetrySafety", balancer.NonIdempotent, retrySafeties),
+			DedupScope:       enum(t, prefix+"DedupScope", balancer.DedupScopePod, dedupScopes),
+			DedupWindow:      t.integer(prefix+"DedupWindow", 0),
+			LatencyObjective: t.integer(prefix+"LatencyObjective", 0),
+			ClientTimeout:    t.integer(prefix+"ClientTimeout", 0),
+			PriorityWeight:   t.number(prefix+"PriorityWeight", 1),
+			LateWeight:       t.number(prefix+"LateWeight", 0),
+			Streaming:        t.bool(prefix+"Streaming", false),
 		})
 	}
 	return classes
@@ -154,12 +156,12 @@
 // parseTenants reads the tenants, of which there may be none.
 func parseTenants(t *settingsText) []balancer.Tenant {
 	var tenants []balancer.Tenant
-	for i := range t.listLength("tenants") {
-		prefix := fmt.Sprintf("tenants.%d.", i)
+	for i := range t.listLength("Tenants") {
+		prefix := fmt.Sprintf("Tenants[%d].", i)
 		tenants = append(tenants, balancer.Tenant{
-			Name:     t.values[prefix+"name"],
-			Quota:    t.number(prefix+"allowance-per-s", 0),
-			Fraction: t.number(prefix+"share", 0),
+			Name:     t.text(prefix + "Name"),
+			Quota:    t.number(prefix+"Quota", 0),
+			Fraction: t.number(prefix+"Fraction", 0),
 		})
 	}
 	return tenants
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"reflect"
 	"strings"
 	"testing"
 
@@ -70,6 +71,11 @@
 		{"probes=true", "probes=maybe", "limits.probes"},
 		{"discovery=subscribe", "discovery=magic", "discovery"},
 		{"value-by=work", "no pair", "line 25"},
+		{"window=400000", "window=-1", "classes.1.window"},
+		{"limits.most-tries=3", "limits.most-tries=0", "limits.most-tries"},
+		{"cold-from=0.14", "cold-from=0", "contract.cold-from"},
+		{"allowance-per-s=137.0", "allowance-per-s=-1", "tenants.0.allowance-per-s"},
+		{"goal.whole=0.6", "goal.whole=-1", "goal.whole"},
 	} {
 		text := strings.Replace(validSettings, c.old, c.new, 1)
 		_, err := ParseSettings(text)
@@ -78,12 +84,36 @@
 			t.Errorf("%s -> %s: %v", c.old, c.new, err)
 		}
 	}
-	// Values that can be parsed but make no sense are the constructor's to reject.
-	s, err := ParseSettings(strings.Replace(validSettings, "window=400000", "window=-1", 1))
-	if err != nil {
-		t.Fatal(err)
+}
+
+// Every field of the settings has a key, and every key a field. So an invalid setting can be named by its key.
+func TestEverySettingHasAKey(t *testing.T) {
+	fields := map[string]bool{}
+	addFields(fields, reflect.TypeFor[balancer.Settings](), "")
+	for field := range fields {
+		if _, ok := settingKeys[field]; !ok {
+			t.Errorf("no key for %s", field)
+		}
 	}
-	if _, err = balancer.New(s, 1, nil); err == nil || !strings.Contains(err.Error(), "Window=-1") {
-		t.Errorf("negative window: %v", err)
+	for field := range settingKeys {
+		if !fields[field] {
+			t.Errorf("no field %s", field)
+		}
+	}
+}
+
+// addFields adds the paths of a structure's fields.
+func addFields(fields map[string]bool, structure reflect.Type, prefix string) {
+	for i := range structure.NumField() {
+		field := structure.Field(i)
+		path := prefix + field.Name
+		switch {
+		case field.Type.Kind() == reflect.Struct:
+			addFields(fields, field.Type, path+".")
+			continue
+		case field.Type.Kind() == reflect.Slice && field.Type.Elem().Kind() == reflect.Struct:
+			addFields(fields, field.Type.Elem(), path+"[].")
+		}
+		fields[path] = true
 	}
 }
--- a/internal/simwire/settings_text.go
+++ b/internal/simwire/settings_text.go
@@ -12,7 +12,8 @@
 // maxListItems is the maximum length of a list of objects in a settings text.
 const maxListItems = 256
 
-// settingsText holds the key=value pairs of a settings text and the first error met while values are read.
+// settingsText holds the key=value pairs of a settings text and the first error met while values are read. Its methods take the
+// names of fields of balancer.Settings where a parameter is called field, and keys of the text where it is called key.
 type settingsText struct {
 	values map[string]string
 	err    error
@@ -57,9 +58,12 @@
 	return value
 }
 
+// text returns the text of a field, empty if it is absent.
+func (t *settingsText) text(field string) string { return t.values[mustSettingKey(field)] }
+
 // number returns a finite number.
-func (t *settingsText) number(key string, fallback float64) float64 {
-	return parseValue(t, key, fallback, "a finite number", func(text string) (float64, error) {
+func (t *settingsText) number(field string, fallback float64) float64 {
+	return parseValue(t, mustSettingKey(field), fallback, "a finite number", func(text string) (float64, error) {
 		value, err := strconv.ParseFloat(text, 64)
 		if err == nil && (math.IsNaN(value) || math.IsInf(value, 0)) {
 			err = strconv.ErrRange
@@ -69,19 +73,24 @@
 }
 
 // integer returns a whole number; durations are whole numbers of microseconds.
-func (t *settingsText) integer(key string, fallback int64) int64 {
-	return parseValue(t, key, fallback, "a whole number", func(text string) (int64, error) {
-		return strconv.ParseInt(text, 10, 64)
-	})
+func (t *settingsText) integer(field string, fallback int64) int64 {
+	return parseValue(t, mustSettingKey(field), fallback, "a whole number", parseInteger)
 }
 
+func parseInteger(text string) (int64, error) { return strconv.ParseInt(text, 10, 64) }
+
 // bool returns a truth value.
-func (t *settingsText) bool(key string, fallback bool) bool {
-	return parseValue(t, key, fallback, "true or false", strconv.ParseBool)
+func (t *settingsText) bool(field string, fallback bool) bool {
+	return parseValue(t, mustSettingKey(field), fallback, "true or false", strconv.ParseBool)
 }
 
 // enum returns the meaning of a word. A word that is not among words is an error.
-func enum[T any](t *settingsText, key string, fallback T, words map[string]T) T {
+func enum[T any](t *settingsText, field string, fallback T, words map[string]T) T {
+	return enumAt(t, mustSettingKey(field), fallback, words)
+}
+
+// enumAt is enum for a key.
+func enumAt[T any](t *settingsText, key string, fallback T, words map[string]T) T {
 	return parseValue(t, key, fallback, "a known word", func(text string) (T, error) {
 		if meaning, ok := words[text]; ok {
 			return meaning, nil
@@ -97,17 +106,20 @@
 	}
 }
 
+// countKey returns the key for the length of a list of objects.
+func countKey(field string) string { return mustSettingKey(field) + ".count" }
+
 // listLength returns the length of a list of objects, each of which must have a key.
-func (t *settingsText) listLength(key string) int {
-	countKey := key + ".count"
-	length := t.integer(countKey, 0)
+func (t *settingsText) listLength(field string) int {
+	countKey := countKey(field)
+	length := parseValue(t, countKey, 0, "a whole number", parseInteger)
 	lengthText := strconv.FormatInt(length, 10)
 	if length < 0 || length > maxListItems {
 		t.fail(countKey, lengthText, "out of range")
 		return 0
 	}
 	for i := range int(length) {
-		item := fmt.Sprintf("%s.%d", key, i)
+		item := fmt.Sprintf("%s.%d", mustSettingKey(field), i)
 		if !t.hasKeyUnder(item + ".") {
 			t.fail(countKey, lengthText, item+" is missing")
 		}
