--- a/internal/sidecar/client_conn.go
+++ b/internal/sidecar/client_conn.go
@@ -264,9 +264,9 @@
 func (c *clientConn) drainBeforeClose(hasValidRequest bool) {
 	defer c.closeSocket()
 	limit := time.Now().Add(maxDrainTime)
-	for p := (pace{}); p.bytes <= requestMost; time.Sleep(discardPause) {
+	for p := (pace{}); p.bytes <= maxRequestBody; time.Sleep(discardInterval) {
 		start := time.Now()
-		deadline := start.Add(min(maxDrainTime, p.allows()))
+		deadline := start.Add(min(maxDrainTime, p.remaining()))
 		if !hasValidRequest && limit.Before(deadline) {
 			deadline = limit
 		}
@@ -277,7 +277,7 @@
 		if n <= 0 {
 			return // the client closed its side or is too slow: nobody is left to receive the response
 		}
-		p.note(n, start)
+		p.add(n, start)
 	}
 }
 
@@ -286,8 +286,8 @@
 func (c *clientConn) discardOnce() int {
 	n := 0
 	waitErr := c.rawConn.Read(func(fd uintptr) bool {
-		buffer := buffers.Get().(*[bufferBytes]byte) // not held while there is nothing to read
-		defer buffers.Put(buffer)
+		buffer := copyBuffers.Get().(*[copyBufferSize]byte) // not held while there is nothing to read
+		defer copyBuffers.Put(buffer)
 		var err error
 		n, err = readNonblocking(fd, buffer[:])
 		return err != syscall.EAGAIN
--- a/internal/sidecar/client_conn_test.go
+++ b/internal/sidecar/client_conn_test.go
@@ -276,7 +276,7 @@
 					return
 				}
 				// What is discarded in maxDrainTime, and twice as much for the system's buffers.
-				if maxDiscarded := int(maxDrainTime/discardPause) * bufferBytes; sent > 3*maxDiscarded {
+				if maxDiscarded := int(maxDrainTime/discardInterval) * copyBufferSize; sent > 3*maxDiscarded {
 					done <- fmt.Errorf("%d bytes were read of it", sent)
 					return
 				}
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -124,7 +124,7 @@
 	retryAfter balancer.Micros
 	header     http.Header
 	body       []byte
-	stream     *stream // the rest of the body, or nil
+	stream     *responseStream // the rest of the body, or nil
 }
 
 func newLoop(ctx context.Context, cfg *config.Config, log *slog.Logger) (*loop, error) {
@@ -438,14 +438,14 @@
 		}
 	}
 	guard()
-	p := &passage{life: life,
-		begin: func() bool {
+	p := &forwarding{streamCtx: life,
+		mayStart: func() bool {
 			if r.look != nil {
 				r.look() // whoever reads the connection may be far behind, where many come at once
 			}
 			return unguard() && !r.departed()
 		},
-		uploaded: func() time.Time {
+		bodySent: func() time.Time {
 			began = l.clock.now()
 			deadline := began + r.left
 			l.post(func(at balancer.Micros) {
@@ -454,11 +454,11 @@
 			})
 			return l.clock.time(deadline)
 		},
-		answer: func(h *http.Response, kept []byte, s *stream) {
+		startResponse: func(h *http.Response, kept []byte, s *responseStream) {
 			ended = l.clock.now()
 			latency := ended - began
 			guard() // what is passed on as it comes has nobody else to come for
-			s.free = unguard
+			s.stopWatchingClient = unguard
 			l.post(func(at balancer.Micros) {
 				l.stream(at, r, o.Attempt, latency, answer{code: http.StatusOK, header: h.Header, body: kept, stream: s})
 			})
--- a/internal/sidecar/request_framing.go
+++ b/internal/sidecar/request_framing.go
@@ -68,7 +68,7 @@
 func (f *requestFraming) observeContentLength(value []byte) {
 	f.contentLength = 0
 	for _, digit := range value {
-		if digit < '0' || digit > '9' || f.contentLength > requestMost {
+		if digit < '0' || digit > '9' || f.contentLength > maxRequestBody {
 			f.isDone = true
 			return
 		}
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -54,7 +54,7 @@
 	ending  atomic.Bool // after SIGTERM
 	drained atomic.Bool // by an operator
 
-	incoming bodies
+	incoming requestBodies
 
 	acceptFor time.Duration // after SIGTERM, or a call to drain
 
@@ -238,7 +238,7 @@
 			s.request(w, in)
 		}
 	}
-	s.http = http.Server{Handler: http.HandlerFunc(handler), ReadHeaderTimeout: paceSlack, // no IdleTimeout: see clients.sweep
+	s.http = http.Server{Handler: http.HandlerFunc(handler), ReadHeaderTimeout: paceGrace, // no IdleTimeout: see clients.sweep
 		WriteTimeout: timeLeftMost + writeTimeout, MaxHeaderBytes: headMost, ErrorLog: slog.NewLogLogger(l.log.Handler(), slog.LevelWarn),
 		ConnState: s.clients.connState, ConnContext: s.clients.connContext}
 	return s
@@ -281,7 +281,7 @@
 	}
 	time.Sleep(s.acceptFor)
 	listener.Close()
-	s.incoming.cutOff()
+	s.incoming.abort()
 	// Not http.Server.Shutdown: it closes what is at rest though half a request has come on it. An answer on its way
 	// may take longer than any deadline, and its pace bounds it: when that is too long is the platform's decision.
 	for until := time.Now().Add(endMost); time.Now().Before(until); time.Sleep(endSweep) {
@@ -334,14 +334,14 @@
 		w.Header().Set("Connection", "close")
 	}
 	control := http.NewResponseController(w)
-	body := &clientBody{in: in.Body, control: control, length: in.ContentLength}
+	body := &requestBody{reader: in.Body, controller: control, contentLength: in.ContentLength}
 	if retry, ok := s.incoming.add(body); !ok {
 		s.turnAway(w, in, control, arrived, retry)
 		return
 	}
 	defer s.incoming.remove(body)
 	req, m, err := s.read(in, body)
-	if err != nil && body.isCut() {
+	if err != nil && body.wasAborted() {
 		s.turnAway(w, in, control, arrived, turnedRetry)
 		return
 	}
@@ -401,7 +401,7 @@
 	if a.code != http.StatusOK {
 		s.ended(in, arrived, a.code)
 	}
-	if s.leaving() || m.rest != nil && m.rest.unread() { // what is not read of its body stands before the next request
+	if s.leaving() || m.rest != nil && m.rest.hasUnread() { // what is not read of its body stands before the next request
 		w.Header().Set("Connection", "close")
 	}
 	if a.stream != nil {
@@ -410,7 +410,7 @@
 	}
 	control.SetWriteDeadline(time.Now().Add(writeTimeout)) // the write tells of a connection that is gone
 	writeAnswer(w, a)
-	if m.rest != nil && m.rest.unread() {
+	if m.rest != nil && m.rest.hasUnread() {
 		s.finish(in, control)
 	}
 }
@@ -426,10 +426,10 @@
 // stream passes an answer on as it comes. Where that fails the client can tell that the answer is not whole.
 func (s *server) stream(w http.ResponseWriter, in *http.Request, control *http.ResponseController, a answer) {
 	endToEnd(w.Header(), a.header)
-	if a.stream.length >= 0 {
-		w.Header().Set("Content-Length", strconv.FormatInt(a.stream.length, 10))
+	if a.stream.contentLength >= 0 {
+		w.Header().Set("Content-Length", strconv.FormatInt(a.stream.contentLength, 10))
 	}
-	err := passOn(w, control, a.body, a.stream)
+	err := forwardResponse(w, control, a.body, a.stream)
 	a.stream.end(err)
 	if err != nil {
 		s.logRequest("answer broken off", in, "error", err)
@@ -438,7 +438,7 @@
 }
 
 // read reads a request to its end, or as far as its body is kept.
-func (s *server) read(in *http.Request, body *clientBody) (balancer.Request, *message, *badRequest) {
+func (s *server) read(in *http.Request, body *requestBody) (balancer.Request, *message, *badRequest) {
 	if !in.ProtoAtLeast(1, 1) {
 		// HTTP/1.0 has no chunked coding: the parser takes such a body for the next request.
 		return balancer.Request{}, nil, &badRequest{http.StatusHTTPVersionNotSupported, "the version must be 1.1"}
@@ -447,15 +447,15 @@
 	if err != nil {
 		return req, nil, err
 	}
-	if in.ContentLength > requestMost {
-		return req, nil, &badRequest{http.StatusRequestEntityTooLarge, fmt.Sprintf("the body is over %d bytes", requestMost)}
+	if in.ContentLength > maxRequestBody {
+		return req, nil, &badRequest{http.StatusRequestEntityTooLarge, fmt.Sprintf("the body is over %d bytes", maxRequestBody)}
 	}
 	m := &message{method: in.Method, url: in.URL, host: in.Host, header: in.Header}
 	whole := false
-	if in.ContentLength <= bodyMost {
+	if in.ContentLength <= maxBufferedBody {
 		var failed error
-		if m.body, whole, failed = body.keep(bodyMost); failed != nil {
-			return req, nil, &badRequest{body.err.code, failed.Error()}
+		if m.body, whole, failed = body.buffer(maxBufferedBody); failed != nil {
+			return req, nil, &badRequest{body.err.status, failed.Error()}
 		}
 	}
 	if !whole {
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -311,7 +311,7 @@
 	if n, _ := e.seen(); n != 0 {
 		t.Errorf("%d malformed requests reached the endpoint", n)
 	}
-	r := w.request("pay", strings.Repeat("x", bodyMost), 3*time.Second)
+	r := w.request("pay", strings.Repeat("x", maxBufferedBody), 3*time.Second)
 	r.Header.Set("X-Account", "acme")
 	r.Header.Set("X-Weight-Hint", "90000")
 	r.Header.Set("X-Session-Key", "7f3a9c21e0b4d655")
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	requestMost  = 32 << 20                // bytes of a request's body
-	bufferBytes  = 32 << 10                // of a body on its way, each way
-	paceLeast    = 64 << 10                // bytes a second that a client has to take or give
-	paceSlack    = 2500 * time.Millisecond // beside that: a client may take 2 s, an improper peer is owed an end in 3 s
-	stallMost    = 5 * time.Second         // a single wait for a client, however much it has done before
-	stallServer  = 10 * time.Second        // a single wait for an endpoint amid a body
-	discardPause = 10 * time.Millisecond   // between reads of what nobody needs: it is worth no processor time
-	keepFor      = 50 * time.Millisecond   // an answer of unknown length is kept so long in the hope that it ends
+	maxRequestBody     = 32 << 20                // bytes of a request's body
+	copyBufferSize     = 32 << 10                // of a body on its way, each way
+	minPace            = 64 << 10                // bytes a second that a client has to take or give
+	paceGrace          = 2500 * time.Millisecond // beside that: a client may take 2 s, an improper peer is owed an end in 3 s
+	maxClientStall     = 5 * time.Second         // a single wait for a client, however much it has done before
+	maxEndpointStall   = 10 * time.Second        // a single wait for an endpoint amid a body
+	discardInterval    = 10 * time.Millisecond   // between reads of what nobody needs: it is worth no processor time
+	responseBufferTime = 50 * time.Millisecond   // an answer of unknown length is kept so long in the hope that it ends
 )
 
-// buffers are for bodies on their way. Not io.Copy between sockets: it would splice.
-var buffers = sync.Pool{New: func() any { return new([bufferBytes]byte) }}
+// copyBuffers are for bodies on their way. Not io.Copy between sockets: it would splice.
+var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
 // pace bounds how long one side of a body may be waited for: by what it has done, not by the whole. Time spent on
 // the other side does not count.
@@ -32,86 +32,86 @@
 	spent time.Duration
 }
 
-// allows is the longest wait from now on.
-func (p *pace) allows() time.Duration {
-	earned := time.Duration(p.bytes) * time.Second / paceLeast
-	return min(stallMost, paceSlack+earned-p.spent)
+// remaining is the longest wait from now on.
+func (p *pace) remaining() time.Duration {
+	earned := time.Duration(p.bytes) * time.Second / minPace
+	return min(maxClientStall, paceGrace+earned-p.spent)
 }
 
-// note counts a read or write that has ended.
-func (p *pace) note(n int, since time.Time) {
+// add counts a read or write that has ended.
+func (p *pace) add(n int, since time.Time) {
 	p.bytes += int64(n)
 	p.spent += time.Since(since)
 }
 
 // clientError is a failure of the client's side of a body: no endpoint's fault.
 type clientError struct {
-	code int // of the answer, where one can still be given
+	status int // of the answer, where one can still be given
 	error
 }
 
 func (e *clientError) Unwrap() error { return e.error }
 
-// clientBody reads the body of a client's request as it comes.
-type clientBody struct {
-	in      io.Reader
-	control *http.ResponseController
-	length  int64 // -1 where the client did not tell
-	pace    pace
-	taken   bool // bytes were read that are not kept
-	err     *clientError
+// requestBody reads the body of a client's request as it comes.
+type requestBody struct {
+	reader        io.Reader
+	controller    *http.ResponseController
+	contentLength int64 // -1 where the client did not tell
+	pace          pace
+	isConsumed    bool // bytes were read that are not kept
+	err           *clientError
 
-	mu    sync.Mutex
-	whole bool // it was read to its end
-	cut   bool // what still comes is not waited for
+	mu         sync.Mutex
+	isComplete bool // it was read to its end
+	isAborted  bool // what still comes is not waited for
 }
 
 // Read reads what has come, and gives a client up that is too slow.
-func (b *clientBody) Read(p []byte) (int, error) {
+func (b *requestBody) Read(p []byte) (int, error) {
 	if b.err != nil {
 		return 0, b.err
 	}
 	start := time.Now()
 	b.mu.Lock()
-	until := start.Add(b.pace.allows())
-	if b.cut {
+	until := start.Add(b.pace.remaining())
+	if b.isAborted {
 		until = longAgo
 	}
-	err := b.control.SetReadDeadline(until)
+	err := b.controller.SetReadDeadline(until)
 	b.mu.Unlock()
 	if err != nil {
-		return 0, b.failed(err)
+		return 0, b.fail(err)
 	}
-	n, err := b.in.Read(p)
-	b.pace.note(n, start)
-	if b.pace.bytes > requestMost {
-		b.err = &clientError{http.StatusRequestEntityTooLarge, fmt.Errorf("the body is over %d bytes", requestMost)}
+	n, err := b.reader.Read(p)
+	b.pace.add(n, start)
+	if b.pace.bytes > maxRequestBody {
+		b.err = &clientError{http.StatusRequestEntityTooLarge, fmt.Errorf("the body is over %d bytes", maxRequestBody)}
 		return 0, b.err
 	}
 	if err == io.EOF {
-		err = b.end()
+		err = b.complete()
 	}
 	if err != nil && err != io.EOF {
-		return n, b.failed(err)
+		return n, b.fail(err)
 	}
 	return n, err
 }
 
-// end notes that the body is whole.
-func (b *clientBody) end() error {
+// complete notes that the body is whole.
+func (b *requestBody) complete() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.whole = true
+	b.isComplete = true
 	// From here on a read only watches for the client's going, however long the answer takes.
-	if err := b.control.SetReadDeadline(time.Time{}); err != nil {
+	if err := b.controller.SetReadDeadline(time.Time{}); err != nil {
 		return err
 	}
 	return io.EOF
 }
 
-func (b *clientBody) failed(err error) error {
+func (b *requestBody) fail(err error) error {
 	code := http.StatusBadRequest
-	if b.isCut() {
+	if b.wasAborted() {
 		code = http.StatusServiceUnavailable // nobody has seen it to its end: it may be sent to another process
 	} else if errors.Is(err, os.ErrDeadlineExceeded) {
 		code = http.StatusRequestTimeout
@@ -120,98 +120,98 @@
 	return b.err
 }
 
-// cutOff ends the wait for a body that has not come whole.
-func (b *clientBody) cutOff() {
+// abort ends the wait for a body that has not come whole.
+func (b *requestBody) abort() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.whole {
-		b.cut = true
-		b.control.SetReadDeadline(longAgo) // a connection that is gone has nothing to wait for
+	if !b.isComplete {
+		b.isAborted = true
+		b.controller.SetReadDeadline(longAgo) // a connection that is gone has nothing to wait for
 	}
 }
 
-func (b *clientBody) isCut() bool {
+func (b *requestBody) wasAborted() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.cut
+	return b.isAborted
 }
 
-// unread says whether some of the body was not read.
-func (b *clientBody) unread() bool {
+// hasUnread says whether some of the body was not read.
+func (b *requestBody) hasUnread() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return !b.whole
+	return !b.isComplete
 }
 
-// bodies are the request bodies in hand, and the memory that they and their answers may take.
-type bodies struct {
-	mu   sync.Mutex
-	cut  bool
-	most int64 // bytes
-	used int64
-	open map[*clientBody]struct{} // those that still come in
+// requestBodies are the request bodies in hand, and the memory that they and their answers may take.
+type requestBodies struct {
+	mu         sync.Mutex
+	isAborted  bool
+	maxBytes   int64 // bytes
+	usedBytes  int64
+	incomplete map[*requestBody]struct{} // those that still come in
 }
 
-// takes is the most that a request holds in memory at once, with its answer: what is kept of its body, or passes
+// memoryNeeded is the most that a request holds in memory at once, with its answer: what is kept of its body, or passes
 // through, and a buffer for the answer.
-func (b *clientBody) takes() int64 {
+func (b *requestBody) memoryNeeded() int64 {
 	switch {
-	case b.length < 0:
-		return bodyMost + 2*bufferBytes
-	case b.length > bodyMost:
-		return 2 * bufferBytes
+	case b.contentLength < 0:
+		return maxBufferedBody + 2*copyBufferSize
+	case b.contentLength > maxBufferedBody:
+		return 2 * copyBufferSize
 	default:
-		return b.length + bufferBytes
+		return b.contentLength + copyBufferSize
 	}
 }
 
 // add takes in a body. Where there is no room for it, or none is waited for any more, it says when to come back.
-func (b *bodies) add(body *clientBody) (retry time.Duration, ok bool) {
+func (b *requestBodies) add(body *requestBody) (retry time.Duration, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.cut {
+	if b.isAborted {
 		return turnedRetry, false
 	}
-	if b.used+body.takes() > b.most {
+	if b.usedBytes+body.memoryNeeded() > b.maxBytes {
 		return busyRetry, false
 	}
-	b.used += body.takes()
-	if b.open == nil {
-		b.open = map[*clientBody]struct{}{}
+	b.usedBytes += body.memoryNeeded()
+	if b.incomplete == nil {
+		b.incomplete = map[*requestBody]struct{}{}
 	}
-	if body.length != 0 { // else nothing is to come that could be cut off
-		b.open[body] = struct{}{}
+	if body.contentLength != 0 { // else nothing is to come that could be cut off
+		b.incomplete[body] = struct{}{}
 	}
 	return 0, true
 }
 
 // remove ends a request that was added.
-func (b *bodies) remove(body *clientBody) {
+func (b *requestBodies) remove(body *requestBody) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.used -= body.takes()
-	delete(b.open, body)
+	b.usedBytes -= body.memoryNeeded()
+	delete(b.incomplete, body)
 }
 
-// bound sets how many bytes there may be.
-func (b *bodies) bound(most int64) {
+// setMaxBytes sets how many bytes there may be.
+func (b *requestBodies) setMaxBytes(most int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.most = most
+	b.maxBytes = most
 }
 
-// cutOff ends the wait for all that have not come whole, and for any further one.
-func (b *bodies) cutOff() {
+// abort ends the wait for all that have not come whole, and for any further one.
+func (b *requestBodies) abort() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.cut = true
-	for body := range b.open {
-		body.cutOff()
+	b.isAborted = true
+	for body := range b.incomplete {
+		body.abort()
 	}
 }
 
-// keep reads up to so many bytes; whole says that these are all.
-func (b *clientBody) keep(most int) (kept []byte, whole bool, err error) {
+// buffer reads up to so many bytes; whole says that these are all.
+func (b *requestBody) buffer(most int) (kept []byte, whole bool, err error) {
 	kept, err = io.ReadAll(io.LimitReader(b, int64(most)))
 	if err != nil || len(kept) < most {
 		return kept, true, err
@@ -224,65 +224,65 @@
 	return append(kept, more[:n]...), false, err
 }
 
-// rest reads what was not kept; from then on the request cannot be sent again.
-type rest struct{ *clientBody }
+// unbufferedBody reads what was not kept; from then on the request cannot be sent again.
+type unbufferedBody struct{ *requestBody }
 
-func (r rest) Read(p []byte) (int, error) {
-	n, err := r.clientBody.Read(p)
-	r.taken = r.taken || n > 0
+func (r unbufferedBody) Read(p []byte) (int, error) {
+	n, err := r.requestBody.Read(p)
+	r.isConsumed = r.isConsumed || n > 0
 	return n, err
 }
 
-// stream is an answer that is passed on as it comes.
-type stream struct {
-	length int64         // -1 where the endpoint did not tell
-	more   io.ReadCloser // beyond what is kept in the answer
-	done   chan error    // has room for the one
-	free   func() bool   // takes back that the client's leaving ends the attempt
+// responseStream is an answer that is passed on as it comes.
+type responseStream struct {
+	contentLength      int64         // -1 where the endpoint did not tell
+	remainder          io.ReadCloser // beyond what is kept in the answer
+	clientDone         chan error    // has room for the one
+	stopWatchingClient func() bool   // takes back that the client's leaving ends the attempt
 }
 
 // end tells the endpoint's side how the client's side ended.
-func (s *stream) end(err error) {
-	s.free() // what follows ends the connection, which is no client's leaving
-	s.more.Close()
-	s.done <- err
+func (s *responseStream) end(err error) {
+	s.stopWatchingClient() // what follows ends the connection, which is no client's leaving
+	s.remainder.Close()
+	s.clientDone <- err
 }
 
-// passage is what an attempt needs to pass on more than it can keep.
-type passage struct {
-	life     context.Context  // the attempt's, without a deadline
-	begin    func() bool      // asked before the first byte is written: whether the request is still wanted
-	uploaded func() time.Time // tells that the last byte of a body is written; returns the request's deadline
-	answer   func(h *http.Response, kept []byte, s *stream)
+// forwarding is what an attempt needs to pass on more than it can keep.
+type forwarding struct {
+	streamCtx     context.Context  // the attempt's, without a deadline
+	mayStart      func() bool      // asked before the first byte is written: whether the request is still wanted
+	bodySent      func() time.Time // tells that the last byte of a body is written; returns the request's deadline
+	startResponse func(h *http.Response, kept []byte, s *responseStream)
 }
 
-// endpointBody reads an answer's body from an endpoint.
-type endpointBody struct {
-	conn *conn
-	life context.Context
-	in   io.Reader
+// responseBody reads an answer's body from an endpoint.
+type responseBody struct {
+	conn   *conn
+	ctx    context.Context
+	reader io.Reader
 }
 
 // Read reads what has come, and gives an endpoint up that has fallen silent.
-func (b *endpointBody) Read(p []byte) (int, error) {
-	b.conn.until(b.life, time.Now().Add(stallServer))
-	return b.in.Read(p)
+func (b *responseBody) Read(p []byte) (int, error) {
+	b.conn.until(b.ctx, time.Now().Add(maxEndpointStall))
+	return b.reader.Read(p)
 }
 
-// passOn writes an answer as it comes. A nil error means that the client has all of it.
-func passOn(w http.ResponseWriter, control *http.ResponseController, kept []byte, s *stream) error {
-	buffer := buffers.Get().(*[bufferBytes]byte)
-	defer buffers.Put(buffer)
+// forwardResponse writes an answer as it comes. A nil error means that the client has all of it.
+func forwardResponse(w http.ResponseWriter, control *http.ResponseController, kept []byte, s *responseStream) error {
+	buffer := copyBuffers.Get().(*[copyBufferSize]byte)
+	defer copyBuffers.Put(buffer)
 	var p pace
 	write := func(data []byte) error {
 		start := time.Now()
-		err := control.SetWriteDeadline(start.Add(p.allows()))
+		err := control.SetWriteDeadline(start.Add(p.remaining()))
 		if err == nil {
 			if _, err = w.Write(data); err == nil {
 				err = control.Flush()
 			}
 		}
-		p.note(len(data), start)
+		p.add(len(data), start)
 		if err != nil {
 			return &clientError{error: err}
 		}
@@ -292,7 +292,7 @@
 		return err
 	}
 	for {
-		n, err := s.more.Read(buffer[:])
+		n, err := s.remainder.Read(buffer[:])
 		if n > 0 {
 			if failed := write(buffer[:n]); failed != nil {
 				return failed
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -68,7 +68,7 @@
 }
 
 // Many long answers at once go to slow readers byte for byte, in memory that does not depend on their lengths.
-func TestLongAnswersInSmallMemory(t *testing.T) {
+func TestLongResponsesUseLittleMemory(t *testing.T) {
 	// Together 384 MB, of which a twelfth is allowed: what is allocated while a collection runs counts as in use,
 	// and on a busy machine one runs long.
 	const many, each, allowed = 12, 4 * long, 32 << 20
@@ -118,7 +118,7 @@
 }
 
 // Request bodies of every framing arrive byte for byte, and count as sent with their last byte.
-func TestLongRequests(t *testing.T) {
+func TestLongRequestBodiesArriveByteForByte(t *testing.T) {
 	sums := make(chan string, 1)
 	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
 		for {
@@ -137,8 +137,8 @@
 	}{
 		"with a length":   {long, func(r *http.Request) { r.ContentLength = long }},
 		"in chunks":       {long, func(r *http.Request) { r.ContentLength = -1 }},
-		"just kept whole": {bodyMost, func(r *http.Request) { r.ContentLength = -1 }},
-		"a byte beyond":   {bodyMost + 1, func(r *http.Request) { r.ContentLength = -1 }},
+		"just kept whole": {maxBufferedBody, func(r *http.Request) { r.ContentLength = -1 }},
+		"a byte beyond":   {maxBufferedBody + 1, func(r *http.Request) { r.ContentLength = -1 }},
 		"with a trailer": {long, func(r *http.Request) {
 			r.ContentLength, r.Trailer = -1, http.Header{"X-Sum": {"1"}}
 		}},
@@ -166,8 +166,8 @@
 }
 
 // The first bytes of an answer that does not end at once are not held back, and ends of every kind are told right.
-func TestAnswersOfUnknownLength(t *testing.T) {
-	const size = 3 * bodyMost
+func TestResponsesOfUnknownLengthAreForwardedAtOnce(t *testing.T) {
+	const size = 3 * maxBufferedBody
 	for name, head := range map[string]string{
 		"in chunks":     "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nTrailer: X-Sum\r\nTransfer-Encoding: chunked\r\n\r\n",
 		"until a close": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
@@ -216,7 +216,7 @@
 }
 
 // A pin server that breaks off amid an answer: the client can tell, nothing is sent again, and it counts as a failure.
-func TestAnswerBrokenOff(t *testing.T) {
+func TestBrokenResponseIsAFailure(t *testing.T) {
 	for name, head := range map[string]string{
 		"with a length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", long),
 		"in chunks":     fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", long),
@@ -224,14 +224,14 @@
 		e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
 			e.next(in)
 			io.WriteString(conn, head)
-			io.CopyN(conn, &pattern{end: long}, 2*bodyMost)
+			io.CopyN(conn, &pattern{end: long}, 2*maxBufferedBody)
 		})
 		w := start(t, nil, ready("s-1", e.address))
 		response, err := http.DefaultClient.Do(w.request("read", "", time.Minute))
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if n, err := io.Copy(io.Discard, response.Body); err == nil || n > 2*bodyMost {
+		if n, err := io.Copy(io.Discard, response.Body); err == nil || n > 2*maxBufferedBody {
 			t.Errorf("%s: the client read %d bytes and %v, want an answer that is not whole", name, n, err)
 		}
 		response.Body.Close()
@@ -243,7 +243,7 @@
 }
 
 // A client that leaves amid an answer ends the attempt, which is no failure of the endpoint.
-func TestClientLeavesAmidAnAnswer(t *testing.T) {
+func TestClientDisconnectDuringAResponseIsNoFailure(t *testing.T) {
 	ended := make(chan struct{})
 	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
 		e.next(in)
@@ -256,7 +256,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.CopyN(io.Discard, response.Body, 4*bodyMost)
+	io.CopyN(io.Discard, response.Body, 4*maxBufferedBody)
 	response.Body.Close()
 	<-ended
 	w.until("its outcome", func() bool { return len(w.spy.statuses()) == 1 })
@@ -267,7 +267,7 @@
 }
 
 // A client that breaks off, or stops, amid a body: no endpoint gets a whole request, and none is blamed.
-func TestClientBreaksOffAmidABody(t *testing.T) {
+func TestClientDisconnectDuringABodyIsNoFailure(t *testing.T) {
 	t.Parallel()
 	whole := make(chan bool, 2)
 	e := newEndpoint(t, readsWhole(whole))
@@ -280,7 +280,7 @@
 		defer conn.Close()
 		fmt.Fprintf(conn, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\nX-Time-Left-Ms: 900\r\n"+
 			"Idempotency-Key: 1\r\nContent-Length: %d\r\n\r\n", long)
-		io.CopyN(conn, &pattern{end: long}, 2*bodyMost)
+		io.CopyN(conn, &pattern{end: long}, 2*maxBufferedBody)
 		if stops {
 			conn.SetReadDeadline(time.Now().Add(patience))
 			if got, _ := io.ReadAll(conn); !bytes.HasPrefix(got, []byte("HTTP/1.1 408")) {
@@ -335,7 +335,7 @@
 	cuts := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
 		if r, err := http.ReadRequest(in); err == nil {
 			tries.Add(1)
-			io.CopyN(io.Discard, r.Body, 4*bodyMost)
+			io.CopyN(io.Discard, r.Body, 4*maxBufferedBody)
 		}
 	})
 	w = start(t, nil, ready("s-1", cuts.address))
@@ -351,19 +351,19 @@
 }
 
 // A body that is too long is refused by its length alone; one that turns out so in chunks is cut off.
-func TestBodyTooLong(t *testing.T) {
+func TestTooLongBodyIsRejected(t *testing.T) {
 	whole := make(chan bool, 1)
 	e := newEndpoint(t, readsWhole(whole))
 	w := start(t, nil, ready("s-1", e.address))
 	for name, framing := range map[string]string{
-		"with a length": fmt.Sprintf("Content-Length: %d\r\n\r\n", requestMost+1),
-		"in chunks":     fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", requestMost+1),
+		"with a length": fmt.Sprintf("Content-Length: %d\r\n\r\n", maxRequestBody+1),
+		"in chunks":     fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", maxRequestBody+1),
 	} {
 		k := w.connect()
 		io.WriteString(k.conn, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\n"+
 			"X-Time-Left-Ms: 900\r\nIdempotency-Key: 1\r\n"+framing)
 		if name == "in chunks" {
-			go io.Copy(struct{ io.Writer }{k.conn}, &pattern{end: requestMost + 1})
+			go io.Copy(struct{ io.Writer }{k.conn}, &pattern{end: maxRequestBody + 1})
 		}
 		got, err := http.ReadResponse(k.in, nil)
 		if err != nil || got.StatusCode != http.StatusRequestEntityTooLarge {
@@ -375,31 +375,31 @@
 	}
 }
 
-func TestPace(t *testing.T) {
+func TestPaceBoundsTheWaitForAClient(t *testing.T) {
 	for _, c := range []struct {
 		p    pace
 		want time.Duration
 	}{
-		{pace{}, paceSlack},
-		{pace{bytes: paceLeast}, paceSlack + time.Second},
-		{pace{bytes: paceLeast, spent: 3 * time.Second}, paceSlack - 2*time.Second},
-		{pace{bytes: 100 * paceLeast}, stallMost},
-		{pace{bytes: 100 * paceLeast, spent: 103 * time.Second}, paceSlack - 3*time.Second},
+		{pace{}, paceGrace},
+		{pace{bytes: minPace}, paceGrace + time.Second},
+		{pace{bytes: minPace, spent: 3 * time.Second}, paceGrace - 2*time.Second},
+		{pace{bytes: 100 * minPace}, maxClientStall},
+		{pace{bytes: 100 * minPace, spent: 103 * time.Second}, paceGrace - 3*time.Second},
 	} {
-		if got := c.p.allows(); got != c.want {
+		if got := c.p.remaining(); got != c.want {
 			t.Errorf("%+v allows %v, want %v", c.p, got, c.want)
 		}
 	}
 }
 
 // SIGTERM amid a long answer: the answer goes on to its end, however long after the classes' deadlines.
-func TestTerminationAmidALongAnswer(t *testing.T) {
+func TestTerminationDuringALongResponse(t *testing.T) {
 	goOn := make(chan struct{})
 	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
 		for e.next(in) != nil {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", long)
 			body := &pattern{end: long}
-			io.CopyN(conn, body, bodyMost)
+			io.CopyN(conn, body, maxBufferedBody)
 			<-goOn
 			io.Copy(conn, body)
 		}
@@ -430,7 +430,7 @@
 }
 
 // A long request that is refused at once: the client gets the answer though it first writes all of its body.
-func TestRefusedAmidABody(t *testing.T) {
+func TestRejectionDuringABody(t *testing.T) {
 	w := start(t, nil, ready("s-1", closedAddress(t)))
 	for name, framing := range map[string]string{
 		"with a length": fmt.Sprintf("Content-Length: %d\r\n\r\n", long),
@@ -443,9 +443,9 @@
 		if name == "in chunks" {
 			body = httputil.NewChunkedWriter(k.conn)
 		}
-		io.CopyN(body, &pattern{end: long}, 2*bodyMost)
+		io.CopyN(body, &pattern{end: long}, 2*maxBufferedBody)
 		w.until("the request to be ended", func() bool { var n int; w.do(func() { n = len(w.loop.requests) }); return n == 0 })
-		if _, err := io.Copy(body, &pattern{at: 2 * bodyMost, end: long}); err != nil {
+		if _, err := io.Copy(body, &pattern{at: 2 * maxBufferedBody, end: long}); err != nil {
 			t.Errorf("%s: writing the body: %v", name, err)
 		}
 		if name == "in chunks" {
@@ -458,19 +458,19 @@
 }
 
 // SIGTERM amid a request's body, short or long: the client hears that it may try elsewhere, and no endpoint got it whole.
-func TestTerminationAmidABody(t *testing.T) {
-	for name, length := range map[string]int{"kept": bodyMost, "passed on": long} {
+func TestTerminationDuringABody(t *testing.T) {
+	for name, length := range map[string]int{"kept": maxBufferedBody, "passed on": long} {
 		e := newEndpoint(t, always(served))
 		w := start(t, nil, ready("s-1", e.address))
 		w.server.acceptFor = 0
 		k := w.connect()
 		fmt.Fprintf(k.conn, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\n"+
 			"X-Time-Left-Ms: 9000\r\nIdempotency-Key: 1\r\nContent-Length: %d\r\n\r\n", length)
-		io.CopyN(k.conn, &pattern{end: long}, bodyMost/2)
+		io.CopyN(k.conn, &pattern{end: long}, maxBufferedBody/2)
 		w.until("the body to be waited for", func() bool {
 			w.server.incoming.mu.Lock()
 			defer w.server.incoming.mu.Unlock()
-			return len(w.server.incoming.open) == 1
+			return len(w.server.incoming.incomplete) == 1
 		})
 		w.stop()
 		got, err := http.ReadResponse(k.in, nil)
@@ -490,7 +490,7 @@
 }
 
 // Where memory is short a request is refused before anything is sent of it, and taken again once there is room.
-func TestRefusedForWantOfMemory(t *testing.T) {
+func TestBodyBeyondMemoryIsRejected(t *testing.T) {
 	goOn := make(chan struct{})
 	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
 		for e.next(in) != nil {
@@ -499,13 +499,13 @@
 		}
 	})
 	w := start(t, nil, ready("s-1", e.address))
-	w.server.incoming.bound(2*bufferBytes + bodyMost)
+	w.server.incoming.setMaxBytes(2*copyBufferSize + maxBufferedBody)
 	first := make(chan reply)
-	go func() { first <- w.send(w.request("pay", strings.Repeat("x", bodyMost), time.Minute)) }()
+	go func() { first <- w.send(w.request("pay", strings.Repeat("x", maxBufferedBody), time.Minute)) }()
 	w.until("the first in hand", func() bool { n, _ := e.seen(); return n == 1 })
-	for _, length := range []int64{bodyMost, -1, long} {
+	for _, length := range []int64{maxBufferedBody, -1, long} {
 		r := w.request("pay", "", time.Minute)
-		r.Body, r.ContentLength = io.NopCloser(&pattern{end: bodyMost}), length
+		r.Body, r.ContentLength = io.NopCloser(&pattern{end: maxBufferedBody}), length
 		if length == long {
 			r.Body = io.NopCloser(&pattern{end: long})
 		}
@@ -518,7 +518,7 @@
 		t.Errorf("the first: %+v", got)
 	}
 	w.until("room again", func() bool {
-		return w.send(w.request("pay", strings.Repeat("x", bodyMost), time.Minute)).code == http.StatusOK
+		return w.send(w.request("pay", strings.Repeat("x", maxBufferedBody), time.Minute)).code == http.StatusOK
 	})
 	if n, _ := e.seen(); n != 2 {
 		t.Errorf("%d requests reached the endpoint, want 2", n)
