--- /dev/null
+++ b/internal/sidecar/body_pattern_test.go
@@ -0,0 +1,48 @@
+package sidecar
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"io"
+	"testing"
+	"time"
+)
+
+// pattern is a body of so many bytes that no other place of it looks like.
+type pattern struct{ at, end int64 }
+
+func (p *pattern) Read(b []byte) (int, error) {
+	if p.at >= p.end {
+		return 0, io.EOF
+	}
+	b = b[:min(int64(len(b)), p.end-p.at)]
+	for i := range b {
+		at := p.at + int64(i)
+		b[i] = byte(at ^ at>>8*31 ^ at>>16*17)
+	}
+	p.at += int64(len(b))
+	return len(b), nil
+}
+
+// sum is a body's digest and length.
+func sum(t *testing.T, r io.Reader) string {
+	t.Helper()
+	h := sha256.New()
+	n, err := io.Copy(h, r)
+	return fmt.Sprintf("%x of %d bytes, %v", h.Sum(nil)[:4], n, err)
+}
+
+// slowly reads in small pieces with a rest now and again, so that whoever writes is held back.
+type slowly struct {
+	io.Reader
+	reads int
+}
+
+func (s *slowly) Read(p []byte) (int, error) {
+	if s.reads++; s.reads%64 == 0 {
+		time.Sleep(time.Millisecond)
+	}
+	return s.Reader.Read(p[:min(len(p), 8<<10)])
+}
+
+const long = 8 << 20
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/request_body.go
@@ -1,7 +1,6 @@
 package sidecar
 
 import (
-	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -11,39 +10,6 @@
 	"time"
 )
 
-const (
-	maxRequestBody     = 32 << 20                // bytes of a request's body
-	copyBufferSize     = 32 << 10                // of a body on its way, each way
-	minPace            = 64 << 10                // bytes a second that a client has to take or give
-	paceGrace          = 2500 * time.Millisecond // beside that: a client may take 2 s, an improper peer is owed an end in 3 s
-	maxClientStall     = 5 * time.Second         // a single wait for a client, however much it has done before
-	maxEndpointStall   = 10 * time.Second        // a single wait for an endpoint amid a body
-	discardInterval    = 10 * time.Millisecond   // between reads of what nobody needs: it is worth no processor time
-	responseBufferTime = 50 * time.Millisecond   // an answer of unknown length is kept so long in the hope that it ends
-)
-
-// copyBuffers are for bodies on their way. Not io.Copy between sockets: it would splice.
-var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
-
-// pace bounds how long one side of a body may be waited for: by what it has done, not by the whole. Time spent on
-// the other side does not count.
-type pace struct {
-	bytes int64
-	spent time.Duration
-}
-
-// remaining is the longest wait from now on.
-func (p *pace) remaining() time.Duration {
-	earned := time.Duration(p.bytes) * time.Second / minPace
-	return min(maxClientStall, paceGrace+earned-p.spent)
-}
-
-// add counts a read or write that has ended.
-func (p *pace) add(n int, since time.Time) {
-	p.bytes += int64(n)
-	p.spent += time.Since(since)
-}
-
 // clientError is a failure of the client's side of a body: no endpoint's fault.
 type clientError struct {
 	status int // of the answer, where one can still be given
@@ -232,77 +198,3 @@
 	r.isConsumed = r.isConsumed || n > 0
 	return n, err
 }
-
-// responseStream is an answer that is passed on as it comes.
-type responseStream struct {
-	contentLength      int64         // -1 where the endpoint did not tell
-	remainder          io.ReadCloser // beyond what is kept in the answer
-	clientDone         chan error    // has room for the one
-	stopWatchingClient func() bool   // takes back that the client's leaving ends the attempt
-}
-
-// end tells the endpoint's side how the client's side ended.
-func (s *responseStream) end(err error) {
-	s.stopWatchingClient() // what follows ends the connection, which is no client's leaving
-	s.remainder.Close()
-	s.clientDone <- err
-}
-
-// forwarding is what an attempt needs to pass on more than it can keep.
-type forwarding struct {
-	streamCtx     context.Context  // the attempt's, without a deadline
-	mayStart      func() bool      // asked before the first byte is written: whether the request is still wanted
-	bodySent      func() time.Time // tells that the last byte of a body is written; returns the request's deadline
-	startResponse func(h *http.Response, kept []byte, s *responseStream)
-}
-
-// responseBody reads an answer's body from an endpoint.
-type responseBody struct {
-	conn   *conn
-	ctx    context.Context
-	reader io.Reader
-}
-
-// Read reads what has come, and gives an endpoint up that has fallen silent.
-func (b *responseBody) Read(p []byte) (int, error) {
-	b.conn.until(b.ctx, time.Now().Add(maxEndpointStall))
-	return b.reader.Read(p)
-}
-
-// forwardResponse writes an answer as it comes. A nil error means that the client has all of it.
-func forwardResponse(w http.ResponseWriter, control *http.ResponseController, kept []byte, s *responseStream) error {
-	buffer := copyBuffers.Get().(*[copyBufferSize]byte)
-	defer copyBuffers.Put(buffer)
-	var p pace
-	write := func(data []byte) error {
-		start := time.Now()
-		err := control.SetWriteDeadline(start.Add(p.remaining()))
-		if err == nil {
-			if _, err = w.Write(data); err == nil {
-				err = control.Flush()
-			}
-		}
-		p.add(len(data), start)
-		if err != nil {
-			return &clientError{error: err}
-		}
-		return nil
-	}
-	if err := write(kept); err != nil {
-		return err
-	}
-	for {
-		n, err := s.remainder.Read(buffer[:])
-		if n > 0 {
-			if failed := write(buffer[:n]); failed != nil {
-				return failed
-			}
-		}
-		if err == io.EOF {
-			return nil
-		}
-		if err != nil {
-			return err
-		}
-	}
-}
--- /dev/null
+++ b/internal/sidecar/response_stream_test.go
@@ -0,0 +1,214 @@
+package sidecar
+
+import (
+	"bufio"
+	"bytes"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httputil"
+	"runtime"
+	"runtime/metrics"
+	"testing"
+	"time"
+
+	"bramblestand/balancer"
+	"bramblestand/internal/discovery"
+)
+
+// liveHeap is the memory of objects that the last collection found in use, in bytes. Garbage that waits for the next
+// one is not in it: how much that is depends on how busy the machine is.
+func liveHeap() uint64 {
+	sample := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
+	metrics.Read(sample)
+	return sample[0].Value.Uint64()
+}
+
+// Many long answers at once go to slow readers byte for byte, in memory that does not depend on their lengths.
+func TestLongResponsesUseLittleMemory(t *testing.T) {
+	// Together 384 MB, of which a twelfth is allowed: what is allocated while a collection runs counts as in use,
+	// and on a busy machine one runs long.
+	const many, each, allowed = 12, 4 * long, 32 << 20
+	var hosts []discovery.Endpoint
+	for i := range many {
+		e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
+			for e.next(in) != nil {
+				fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", each)
+				io.CopyBuffer(struct{ io.Writer }{conn}, &pattern{end: each}, make([]byte, 16<<10))
+			}
+		})
+		hosts = append(hosts, ready(fmt.Sprint("s-", i), e.address))
+	}
+	w := start(t, nil, hosts...)
+	want := sum(t, &pattern{end: each})
+	runtime.GC()
+	before := liveHeap()
+	results := make(chan string, many)
+	for range many {
+		go func() {
+			r := w.request("read", "", time.Minute)
+			r.Close = true
+			response, err := http.DefaultClient.Do(r)
+			if err != nil {
+				results <- err.Error()
+				return
+			}
+			defer response.Body.Close()
+			results <- sum(t, &slowly{Reader: response.Body})
+		}()
+	}
+	var most uint64
+	for got := 0; got < many; {
+		select {
+		case result := <-results:
+			got++
+			if result != want {
+				t.Errorf("a client read %s, want %s", result, want)
+			}
+		case <-time.After(5 * time.Millisecond):
+			most = max(most, liveHeap())
+		}
+	}
+	if grown := int64(most) - int64(before); grown > allowed {
+		t.Errorf("%d MB of heap for %d answers of %d MB", grown>>20, many, each>>20)
+	}
+}
+
+// The first bytes of an answer that does not end at once are not held back, and ends of every kind are told right.
+func TestResponsesOfUnknownLengthAreForwardedAtOnce(t *testing.T) {
+	const size = 3 * maxBufferedBody
+	for name, head := range map[string]string{
+		"in chunks":     "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nTrailer: X-Sum\r\nTransfer-Encoding: chunked\r\n\r\n",
+		"until a close": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
+	} {
+		goOn := make(chan struct{})
+		e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
+			if e.next(in) == nil {
+				return
+			}
+			io.WriteString(conn, head)
+			body, end := io.Writer(conn), ""
+			if name == "in chunks" {
+				body, end = httputil.NewChunkedWriter(conn), "0\r\nX-Sum: 1\r\n\r\n"
+			}
+			data, _ := io.ReadAll(&pattern{end: size})
+			body.Write(data[:10])
+			if name == "in chunks" {
+				io.WriteString(conn, "00") // the beginning of the next one's head
+			}
+			<-goOn
+			for _, b := range data[10:1000] {
+				body.Write([]byte{b})
+			}
+			body.Write(data[1000:])
+			io.WriteString(conn, end)
+		})
+		w := start(t, nil, ready("s-1", e.address))
+		response, err := http.DefaultClient.Do(w.request("read", "", time.Minute))
+		if err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		var first [10]byte
+		if _, err := io.ReadFull(response.Body, first[:]); err != nil {
+			t.Errorf("%s: the first bytes: %v", name, err)
+		}
+		close(goOn)
+		if got, want := sum(t, io.MultiReader(bytes.NewReader(first[:]), response.Body)), sum(t, &pattern{end: size}); got != want {
+			t.Errorf("%s: the client got %s, want %s", name, got, want)
+		}
+		response.Body.Close()
+		w.until("its outcome", func() bool { return len(w.spy.statuses()) == 1 })
+		if got := w.spy.statuses()[0]; got != balancer.OK {
+			t.Errorf("%s: the attempt counts as %v", name, got)
+		}
+	}
+}
+
+// A pin server that breaks off amid an answer: the client can tell, nothing is sent again, and it counts as a failure.
+func TestBrokenResponseIsAFailure(t *testing.T) {
+	for name, head := range map[string]string{
+		"with a length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", long),
+		"in chunks":     fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", long),
+	} {
+		e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
+			e.next(in)
+			io.WriteString(conn, head)
+			io.CopyN(conn, &pattern{end: long}, 2*maxBufferedBody)
+		})
+		w := start(t, nil, ready("s-1", e.address))
+		response, err := http.DefaultClient.Do(w.request("read", "", time.Minute))
+		if err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		if n, err := io.Copy(io.Discard, response.Body); err == nil || n > 2*maxBufferedBody {
+			t.Errorf("%s: the client read %d bytes and %v, want an answer that is not whole", name, n, err)
+		}
+		response.Body.Close()
+		w.until("its outcome", func() bool { return len(w.spy.statuses()) == 1 })
+		if n, _ := e.seen(); n != 1 || w.spy.statuses()[0] != balancer.Reset {
+			t.Errorf("%s: %d requests, outcomes %v; want one, reset", name, n, w.spy.statuses())
+		}
+	}
+}
+
+// A client that leaves amid an answer ends the attempt, which is no failure of the endpoint.
+func TestClientDisconnectDuringAResponseIsNoFailure(t *testing.T) {
+	ended := make(chan struct{})
+	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
+		e.next(in)
+		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", int64(1)<<40)
+		io.Copy(struct{ io.Writer }{conn}, &pattern{end: 1 << 40})
+		close(ended)
+	})
+	w := start(t, nil, ready("s-1", e.address))
+	response, err := http.DefaultClient.Do(w.request("read", "", time.Minute))
+	if err != nil {
+		t.Fatal(err)
+	}
+	io.CopyN(io.Discard, response.Body, 4*maxBufferedBody)
+	response.Body.Close()
+	<-ended
+	w.until("its outcome", func() bool { return len(w.spy.statuses()) == 1 })
+	if got := w.spy.statuses()[0]; got != balancer.Cancelled {
+		t.Errorf("the attempt counts as %v, want cancelled", got)
+	}
+	w.until("all to be freed", func() bool { open, _ := w.loop.up.connections(); return open == 0 })
+}
+
+// SIGTERM amid a long answer: the answer goes on to its end, however long after the classes' deadlines.
+func TestTerminationDuringALongResponse(t *testing.T) {
+	goOn := make(chan struct{})
+	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
+		for e.next(in) != nil {
+			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", long)
+			body := &pattern{end: long}
+			io.CopyN(conn, body, maxBufferedBody)
+			<-goOn
+			io.Copy(conn, body)
+		}
+	})
+	const giveUp = 200 * time.Millisecond
+	w := start(t, func(settings map[string]any) {
+		for _, c := range settings["classes"].([]any) {
+			c.(map[string]any)["give-up"], c.(map[string]any)["target"] = giveUp.Microseconds(), giveUp.Microseconds()
+		}
+	}, ready("s-1", e.address))
+	w.server.acceptFor = 0
+	response, err := http.DefaultClient.Do(w.request("read", "", time.Minute))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer response.Body.Close()
+	w.stop()
+	select {
+	case err := <-w.ended:
+		t.Fatalf("the sidecar ended amid an answer: %v", err)
+	case <-time.After(3 * giveUp):
+	}
+	close(goOn)
+	if got, want := sum(t, response.Body), sum(t, &pattern{end: long}); got != want {
+		t.Errorf("the client got %s, want %s", got, want)
+	}
+	w.endedWell()
+}
