--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -42,7 +42,7 @@
 	if s.loop.control != nil {
 		a.connections.traffic = &s.loop.control.Admin
 	}
-	calls := admin.NewHandler(adminController{s}, a.log, a.keepConnection)
+	calls := admin.NewHandler(adminController{s}, a.log, a.retainConnection)
 	a.http = http.Server{
 		Handler:        a.counted(calls),
 		ReadTimeout:    adminTimeout,
@@ -56,8 +56,8 @@
 	return a
 }
 
-// keepConnection has the connection of a complete call kept when others are closed to make room.
-func (a *adminServer) keepConnection(in *http.Request) {
+// retainConnection protects the connection of a complete call when others are closed to make room.
+func (a *adminServer) retainConnection(in *http.Request) {
 	a.connections.markValidRequest(clientConnOf(in))
 }
 
