--- a/internal/sidecar/body_pattern_test.go
+++ b/internal/sidecar/body_pattern_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// pattern is a body of so many bytes that no other place of it looks like.
+// pattern is a body of end bytes in which no two places look alike.
 type pattern struct{ at, end int64 }
 
 func (p *pattern) Read(b []byte) (int, error) {
@@ -24,7 +24,7 @@
 	return len(b), nil
 }
 
-// sum is a body's digest and length.
+// sum returns a body's digest and length.
 func sum(t *testing.T, r io.Reader) string {
 	t.Helper()
 	h := sha256.New()
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("%x of %d bytes, %v", h.Sum(nil)[:4], n, err)
 }
 
-// slowly reads in small pieces with a rest now and again, so that whoever writes is held back.
+// slowly reads in small pieces with pauses, so that the writer has to wait.
 type slowly struct {
 	io.Reader
 	reads int
--- a/internal/sidecar/pace.go
+++ b/internal/sidecar/pace.go
@@ -5,35 +5,39 @@
 	"time"
 )
 
+// Limits of bodies.
 const (
-	maxRequestBody     = 32 << 20                // bytes of a request's body
-	copyBufferSize     = 32 << 10                // of a body on its way, each way
-	minPace            = 64 << 10                // bytes a second that a client has to take or give
-	paceGrace          = 2500 * time.Millisecond // beside that: a client may take 2 s, an improper peer is owed an end in 3 s
-	maxClientStall     = 5 * time.Second         // a single wait for a client, however much it has done before
-	maxEndpointStall   = 10 * time.Second        // a single wait for an endpoint amid a body
-	discardInterval    = 10 * time.Millisecond   // between reads of what nobody needs: it is worth no processor time
-	responseBufferTime = 50 * time.Millisecond   // an answer of unknown length is kept so long in the hope that it ends
+	maxRequestBody = 32 << 20 // bytes
+	copyBufferSize = 32 << 10 // bytes of a body that are in memory while it is forwarded, each way
 )
 
-// copyBuffers are for bodies on their way. Not io.Copy between sockets: it would splice.
+// Limits of waiting for the other side of a body.
+const (
+	minPace          = 64 << 10                // bytes a second that a client has to send or receive
+	paceGrace        = 2500 * time.Millisecond // beside that: a client may pause for 2 s, and a misbehaving one is disconnected within 3 s
+	maxClientStall   = 5 * time.Second         // a single wait for a client, however fast it was before
+	maxEndpointStall = 10 * time.Second        // a single wait for an endpoint during a body
+	discardInterval  = 10 * time.Millisecond   // between reads of discarded input, which is worth no processor time
+)
+
+// copyBuffers are for forwarding bodies. io.Copy is not used between sockets: it would splice them in the kernel.
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// pace bounds how long one side of a body may be waited for: by what it has done, not by the whole. Time spent on
-// the other side does not count.
+// pace limits how long one side of a body may be waited for, by what it has done so far and not by a total. Time spent on the
+// other side does not count. The zero value is the pace of a body that has not started.
 type pace struct {
-	bytes int64
-	spent time.Duration
+	bytes int64         // read or written
+	spent time.Duration // waiting for that
 }
 
-// remaining is the longest wait from now on.
+// remaining returns the longest next wait. It is negative if the side is already too slow.
 func (p *pace) remaining() time.Duration {
 	earned := time.Duration(p.bytes) * time.Second / minPace
 	return min(maxClientStall, paceGrace+earned-p.spent)
 }
 
-// add counts a read or write that has ended.
-func (p *pace) add(n int, since time.Time) {
+// add counts a read or write of n bytes that started at start and has just ended.
+func (p *pace) add(n int, start time.Time) {
 	p.bytes += int64(n)
-	p.spent += time.Since(since)
+	p.spent += time.Since(start)
 }
--- a/internal/sidecar/pace_test.go
+++ b/internal/sidecar/pace_test.go
@@ -17,7 +17,7 @@
 		{pace{bytes: 100 * minPace, spent: 103 * time.Second}, paceGrace - 3*time.Second},
 	} {
 		if got := c.p.remaining(); got != c.want {
-			t.Errorf("%+v allows %v, want %v", c.p, got, c.want)
+			t.Errorf("%+v has %v remaining, want %v", c.p, got, c.want)
 		}
 	}
 }
--- a/internal/sidecar/request_body.go
+++ b/internal/sidecar/request_body.go
@@ -10,42 +10,38 @@
 	"time"
 )
 
-// clientError is a failure of the client's side of a body: no endpoint's fault.
+// clientError is a failure of the client's side of a body. It counts against no endpoint.
 type clientError struct {
-	status int // of the answer, where one can still be given
+	status int // of the response, where one can still be written; else 0
 	error
 }
 
+// Unwrap returns the cause.
 func (e *clientError) Unwrap() error { return e.error }
 
-// requestBody reads the body of a client's request as it comes.
+// requestBody reads the body of a client's request as it arrives. One goroutine reads; any may call abort, wasAborted and
+// hasUnread.
 type requestBody struct {
 	reader        io.Reader
 	controller    *http.ResponseController
-	contentLength int64 // -1 where the client did not tell
+	contentLength int64 // -1 if unknown
 	pace          pace
-	isConsumed    bool // bytes were read that are not kept
-	err           *clientError
+	isConsumed    bool         // bytes were read that are not buffered: the request cannot be sent again
+	err           *clientError // what ended reading, or nil
 
-	mu         sync.Mutex
-	isComplete bool // it was read to its end
-	isAborted  bool // what still comes is not waited for
+	mu         sync.Mutex // guards the fields below, and that abort's read deadline is not overwritten
+	isComplete bool       // read to its end
+	isAborted  bool       // what has not arrived yet is not waited for
 }
 
-// Read reads what has come, and gives a client up that is too slow.
+// Read reads what has arrived. It fails with a *clientError, the same from then on, if the client is too slow or breaks off, if
+// the body is too long, and after abort.
 func (b *requestBody) Read(p []byte) (int, error) {
 	if b.err != nil {
 		return 0, b.err
 	}
 	start := time.Now()
-	b.mu.Lock()
-	until := start.Add(b.pace.remaining())
-	if b.isAborted {
-		until = longAgo
-	}
-	err := b.controller.SetReadDeadline(until)
-	b.mu.Unlock()
-	if err != nil {
+	if err := b.setReadDeadline(start); err != nil {
 		return 0, b.fail(err)
 	}
 	n, err := b.reader.Read(p)
@@ -63,63 +59,82 @@
 	return n, err
 }
 
-// complete notes that the body is whole.
+// setReadDeadline limits a read that starts now.
+func (b *requestBody) setReadDeadline(now time.Time) error {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	deadline := now.Add(b.pace.remaining())
+	if b.isAborted {
+		deadline = longAgo
+	}
+	return b.controller.SetReadDeadline(deadline)
+}
+
+// complete notes that the body was read to its end. It returns io.EOF, or an error of the connection.
 func (b *requestBody) complete() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.isComplete = true
-	// From here on a read only watches for the client's going, however long the answer takes.
+	// From here on net/http reads only to notice that the client disconnects, however long the response takes.
 	if err := b.controller.SetReadDeadline(time.Time{}); err != nil {
 		return err
 	}
 	return io.EOF
 }
 
+// fail ends reading and returns its *clientError.
 func (b *requestBody) fail(err error) error {
-	code := http.StatusBadRequest
+	status := http.StatusBadRequest
 	if b.wasAborted() {
-		code = http.StatusServiceUnavailable // nobody has seen it to its end: it may be sent to another process
+		status = http.StatusServiceUnavailable // no endpoint has all of it: it may be sent to another process
 	} else if errors.Is(err, os.ErrDeadlineExceeded) {
-		code = http.StatusRequestTimeout
+		status = http.StatusRequestTimeout
 	}
-	b.err = &clientError{code, fmt.Errorf("the body could not be read: %w", err)}
+	b.err = &clientError{status, fmt.Errorf("the body could not be read: %w", err)}
 	return b.err
 }
 
-// abort ends the wait for a body that has not come whole.
+// abort makes a current or next Read fail, unless the body was read to its end.
 func (b *requestBody) abort() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.isComplete {
 		b.isAborted = true
-		b.controller.SetReadDeadline(longAgo) // a connection that is gone has nothing to wait for
+		b.controller.SetReadDeadline(longAgo) // fails on a closed connection, on which no read waits
 	}
 }
 
+// wasAborted reports whether abort came before the end of the body.
 func (b *requestBody) wasAborted() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.isAborted
 }
 
-// hasUnread says whether some of the body was not read.
+// hasUnread reports whether part of the body was not read.
 func (b *requestBody) hasUnread() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return !b.isComplete
 }
 
-// requestBodies are the request bodies in hand, and the memory that they and their answers may take.
-type requestBodies struct {
-	mu         sync.Mutex
-	isAborted  bool
-	maxBytes   int64 // bytes
-	usedBytes  int64
-	incomplete map[*requestBody]struct{} // those that still come in
+// buffer reads up to maxBytes and reports whether the body is complete with them. If it is not, the result is longer by what
+// was read to find out.
+func (b *requestBody) buffer(maxBytes int) (buffered []byte, isComplete bool, err error) {
+	buffered, err = io.ReadAll(io.LimitReader(b, int64(maxBytes)))
+	if err != nil || len(buffered) < maxBytes {
+		return buffered, true, err
+	}
+	var next [1]byte
+	n, err := io.ReadFull(b, next[:])
+	if err == io.EOF {
+		return buffered, true, nil
+	}
+	return append(buffered, next[:n]...), false, err
 }
 
-// memoryNeeded is the most that a request holds in memory at once, with its answer: what is kept of its body, or passes
-// through, and a buffer for the answer.
+// memoryNeeded returns the bytes that a request holds in memory at most, its response included: what is buffered of its body
+// or a buffer for forwarding it, and a buffer for the response.
 func (b *requestBody) memoryNeeded() int64 {
 	switch {
 	case b.contentLength < 0:
@@ -131,8 +146,28 @@
 	}
 }
 
-// add takes in a body. Where there is no room for it, or none is waited for any more, it says when to come back.
-func (b *requestBodies) add(body *requestBody) (retry time.Duration, ok bool) {
+// unbufferedBody reads the part of a body that is not buffered. Once it was read from, the request cannot be sent again.
+type unbufferedBody struct{ *requestBody }
+
+// Read reads as requestBody.Read, and notes what is consumed.
+func (r unbufferedBody) Read(p []byte) (int, error) {
+	n, err := r.requestBody.Read(p)
+	r.isConsumed = r.isConsumed || n > 0
+	return n, err
+}
+
+// requestBodies is the registry of the bodies of requests in flight. It bounds the memory that they and their responses may
+// take. Its methods may be called from any goroutine.
+type requestBodies struct {
+	mu         sync.Mutex // guards the fields below; held over requestBody.abort
+	isAborted  bool
+	maxBytes   int64
+	usedBytes  int64
+	incomplete map[*requestBody]struct{} // those of which something may still arrive
+}
+
+// add registers a body. If there is no memory for it, or after abort, it returns false and the Retry-After for the client.
+func (b *requestBodies) add(body *requestBody) (retryAfter time.Duration, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.isAborted {
@@ -145,13 +180,13 @@
 	if b.incomplete == nil {
 		b.incomplete = map[*requestBody]struct{}{}
 	}
-	if body.contentLength != 0 { // else nothing is to come that could be cut off
+	if body.contentLength != 0 { // else nothing is to arrive that could be aborted
 		b.incomplete[body] = struct{}{}
 	}
 	return 0, true
 }
 
-// remove ends a request that was added.
+// remove drops a body whose add returned true, once its request is done.
 func (b *requestBodies) remove(body *requestBody) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -159,14 +194,14 @@
 	delete(b.incomplete, body)
 }
 
-// setMaxBytes sets how many bytes there may be.
-func (b *requestBodies) setMaxBytes(most int64) {
+// setMaxBytes sets how much memory the bodies may take. Those registered stay.
+func (b *requestBodies) setMaxBytes(maxBytes int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.maxBytes = most
+	b.maxBytes = maxBytes
 }
 
-// abort ends the wait for all that have not come whole, and for any further one.
+// abort aborts all bodies that are not complete, and lets no further one be added.
 func (b *requestBodies) abort() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -175,26 +210,3 @@
 		body.abort()
 	}
 }
-
-// buffer reads up to so many bytes; whole says that these are all.
-func (b *requestBody) buffer(most int) (kept []byte, whole bool, err error) {
-	kept, err = io.ReadAll(io.LimitReader(b, int64(most)))
-	if err != nil || len(kept) < most {
-		return kept, true, err
-	}
-	var more [1]byte
-	n, err := io.ReadFull(b, more[:])
-	if err == io.EOF {
-		return kept, true, nil
-	}
-	return append(kept, more[:n]...), false, err
-}
-
-// unbufferedBody reads what was not kept; from then on the request cannot be sent again.
-type unbufferedBody struct{ *requestBody }
-
-func (r unbufferedBody) Read(p []byte) (int, error) {
-	n, err := r.requestBody.Read(p)
-	r.isConsumed = r.isConsumed || n > 0
-	return n, err
-}
--- a/internal/sidecar/request_body_test.go
+++ b/internal/sidecar/request_body_test.go
@@ -16,7 +16,7 @@
 	"bramblestand/balancer"
 )
 
-// Request bodies of every framing arrive byte for byte, and count as sent with their last byte.
+// Request bodies of every framing arrive byte for byte, and the attempt starts with their last byte.
 func TestLongRequestBodiesArriveByteForByte(t *testing.T) {
 	sums := make(chan string, 1)
 	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
@@ -56,7 +56,7 @@
 			t.Errorf("%s: the endpoint got %s, want %s", name, got, want)
 		}
 	}
-	w.until("all to be freed", func() bool {
+	w.until("all resources to be freed", func() bool {
 		open, idle := w.loop.up.connections()
 		var left int
 		w.do(func() { left = len(w.loop.requests) })
@@ -64,7 +64,7 @@
 	})
 }
 
-// A client that breaks off, or stops, amid a body: no endpoint gets a whole request, and none is blamed.
+// A client that disconnects or stalls during a body: no endpoint receives a complete request, and it counts against none.
 func TestClientDisconnectDuringABodyIsNoFailure(t *testing.T) {
 	t.Parallel()
 	whole := make(chan bool, 2)
@@ -82,13 +82,13 @@
 		if stops {
 			conn.SetReadDeadline(time.Now().Add(patience))
 			if got, _ := io.ReadAll(conn); !bytes.HasPrefix(got, []byte("HTTP/1.1 408")) {
-				t.Errorf("%s: answered %q, want 408", name, got)
+				t.Errorf("%s: the response is %q, want 408", name, got)
 			}
 		} else {
 			conn.Close()
 		}
 		if <-whole {
-			t.Errorf("%s: the endpoint got a whole request", name)
+			t.Errorf("%s: the endpoint received a complete request", name)
 		}
 	}
 	w.until("both outcomes", func() bool { return len(w.spy.statuses()) == 2 })
@@ -97,13 +97,13 @@
 			t.Errorf("an attempt counts as %v, want cancelled", got)
 		}
 	}
-	w.until("all to be freed", func() bool {
+	w.until("all resources to be freed", func() bool {
 		open, _ := w.loop.up.connections()
 		return open == 0 && w.server.clients.count() == 0
 	})
 }
 
-// While nothing of a long body is gone it can be sent elsewhere; afterwards it is refused, as it never ran.
+// Until part of a long body is consumed the request can be sent elsewhere; afterwards it is rejected, as it never ran.
 func TestLongBodyIsSentOnce(t *testing.T) {
 	sums := make(chan string, 1)
 	good := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
@@ -140,7 +140,7 @@
 	r := w.request("pay", "", time.Minute)
 	r.Body, r.ContentLength = io.NopCloser(&pattern{end: long}), long
 	if got := w.send(r); got.err == nil && got.code != http.StatusServiceUnavailable { // or the client finds its connection ended
-		t.Errorf("cut amid a body: %+v, want 503", got)
+		t.Errorf("reset during a body: %+v, want 503", got)
 	}
 	w.until("its outcome", func() bool { return len(w.spy.statuses()) == 1 })
 	if got := w.spy.statuses()[0]; got != balancer.ConnectFailed || tries.Load() != 1 {
@@ -148,7 +148,7 @@
 	}
 }
 
-// A body that is too long is refused by its length alone; one that turns out so in chunks is cut off.
+// A body that is too long is rejected by its Content-Length alone; one in chunks once it is found to be.
 func TestTooLongBodyIsRejected(t *testing.T) {
 	whole := make(chan bool, 1)
 	e := newEndpoint(t, readsWhole(whole))
@@ -169,11 +169,11 @@
 		}
 	}
 	if <-whole {
-		t.Error("the endpoint got a whole request")
+		t.Error("the endpoint received a complete request")
 	}
 }
 
-// A long request that is refused at once: the client gets the answer though it first writes all of its body.
+// A long request that is rejected at once: the client receives the response although it first writes all of its body.
 func TestRejectionDuringABody(t *testing.T) {
 	w := start(t, nil, ready("s-1", closedAddress(t)))
 	for name, framing := range map[string]string{
@@ -201,7 +201,7 @@
 	}
 }
 
-// SIGTERM amid a request's body, short or long: the client hears that it may try elsewhere, and no endpoint got it whole.
+// SIGTERM during a request's body, short or long: the client is told to retry elsewhere, and no endpoint has all of it.
 func TestTerminationDuringABody(t *testing.T) {
 	for name, length := range map[string]int{"kept": maxBufferedBody, "passed on": long} {
 		e := newEndpoint(t, always(served))
@@ -211,7 +211,7 @@
 		fmt.Fprintf(k.conn, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\n"+
 			"X-Time-Left-Ms: 9000\r\nIdempotency-Key: 1\r\nContent-Length: %d\r\n\r\n", length)
 		io.CopyN(k.conn, &pattern{end: long}, maxBufferedBody/2)
-		w.until("the body to be waited for", func() bool {
+		w.until("the body to be awaited", func() bool {
 			w.server.incoming.mu.Lock()
 			defer w.server.incoming.mu.Unlock()
 			return len(w.server.incoming.incomplete) == 1
@@ -219,7 +219,7 @@
 		w.stop()
 		got, err := http.ReadResponse(k.in, nil)
 		if err != nil || got.StatusCode != http.StatusServiceUnavailable || !got.Close || got.Header.Get("Retry-After") == "" {
-			t.Errorf("%s: %v, %v; want 503, a time to come back and the end", name, got, err)
+			t.Errorf("%s: %v, %v; want 503, Retry-After and the end", name, got, err)
 		}
 		if n, _ := e.seen(); n != 0 {
 			t.Errorf("%s: the endpoint got the request", name)
@@ -233,7 +233,7 @@
 	}
 }
 
-// Where memory is short a request is refused before anything is sent of it, and taken again once there is room.
+// Without memory for it a request is rejected before any of it is sent; it is accepted again once there is memory.
 func TestBodyBeyondMemoryIsRejected(t *testing.T) {
 	goOn := make(chan struct{})
 	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
@@ -246,7 +246,7 @@
 	w.server.incoming.setMaxBytes(2*copyBufferSize + maxBufferedBody)
 	first := make(chan reply)
 	go func() { first <- w.send(w.request("pay", strings.Repeat("x", maxBufferedBody), time.Minute)) }()
-	w.until("the first in hand", func() bool { n, _ := e.seen(); return n == 1 })
+	w.until("the first to be in flight", func() bool { n, _ := e.seen(); return n == 1 })
 	for _, length := range []int64{maxBufferedBody, -1, long} {
 		r := w.request("pay", "", time.Minute)
 		r.Body, r.ContentLength = io.NopCloser(&pattern{end: maxBufferedBody}), length
@@ -254,14 +254,14 @@
 			r.Body = io.NopCloser(&pattern{end: long})
 		}
 		if got := w.send(r); got.code != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
-			t.Errorf("a body of %d with no room left: %+v, want 503 and a time to come back", length, got)
+			t.Errorf("a body of %d without memory for it: %+v, want 503 and Retry-After", length, got)
 		}
 	}
 	close(goOn)
 	if got := <-first; got.code != http.StatusOK {
 		t.Errorf("the first: %+v", got)
 	}
-	w.until("room again", func() bool {
+	w.until("free memory", func() bool {
 		return w.send(w.request("pay", strings.Repeat("x", maxBufferedBody), time.Minute)).code == http.StatusOK
 	})
 	if n, _ := e.seen(); n != 2 {
--- a/internal/sidecar/response_stream.go
+++ b/internal/sidecar/response_stream.go
@@ -7,76 +7,96 @@
 	"time"
 )
 
-// responseStream is an answer that is passed on as it comes.
+// responseBufferTime is how long a response of unknown length is buffered, in the hope that it ends.
+const responseBufferTime = 50 * time.Millisecond
+
+// responseStream is a response that is forwarded while it arrives. The attempt's goroutine makes it; the goroutine of the
+// client's request reads remainder and calls end exactly once.
 type responseStream struct {
-	contentLength      int64         // -1 where the endpoint did not tell
-	remainder          io.ReadCloser // beyond what is kept in the answer
-	clientDone         chan error    // has room for the one
-	stopWatchingClient func() bool   // takes back that the client's leaving ends the attempt
+	contentLength      int64         // -1 if unknown
+	remainder          io.ReadCloser // the body beyond what is buffered
+	clientDone         chan error    // receives end's error; has room for it
+	stopWatchingClient func() bool   // from here on a disconnect of the client does not end the attempt
 }
 
-// end tells the endpoint's side how the client's side ended.
+// end tells the attempt's goroutine how the client's side ended; nil means that the client has received everything.
 func (s *responseStream) end(err error) {
-	s.stopWatchingClient() // what follows ends the connection, which is no client's leaving
+	s.stopWatchingClient() // what follows closes the client's connection, which is no disconnect by the client
 	s.remainder.Close()
 	s.clientDone <- err
 }
 
-// forwarding is what an attempt needs to pass on more than it can keep.
+// forwarding is what an attempt needs to forward a request or a response that is too long to be buffered. The attempt's
+// goroutine calls the functions.
 type forwarding struct {
-	streamCtx     context.Context  // the attempt's, without a deadline
-	mayStart      func() bool      // asked before the first byte is written: whether the request is still wanted
-	bodySent      func() time.Time // tells that the last byte of a body is written; returns the request's deadline
-	startResponse func(h *http.Response, kept []byte, s *responseStream)
+	streamCtx context.Context // the attempt's, without a deadline
+
+	// mayStart is called before the first byte is written. It reports whether the request is still wanted.
+	mayStart func() bool
+	// bodySent is called after the last byte of a body that was not buffered. It returns the request's deadline, which counts
+	// from then on.
+	bodySent func() time.Time
+	// startResponse hands over a response to be forwarded, with the buffered start of its body.
+	startResponse func(response *http.Response, buffered []byte, stream *responseStream)
 }
 
-// responseBody reads an answer's body from an endpoint.
+// responseBody reads a response's body from an endpoint. It fails if the endpoint sends nothing for maxEndpointStall.
 type responseBody struct {
 	conn   *conn
 	ctx    context.Context
 	reader io.Reader
 }
 
-// Read reads what has come, and gives an endpoint up that has fallen silent.
+// Read reads what has arrived, or waits for it.
 func (b *responseBody) Read(p []byte) (int, error) {
 	b.conn.until(b.ctx, time.Now().Add(maxEndpointStall))
 	return b.reader.Read(p)
 }
 
-// forwardResponse writes an answer as it comes. A nil error means that the client has all of it.
-func forwardResponse(w http.ResponseWriter, control *http.ResponseController, kept []byte, s *responseStream) error {
-	buffer := copyBuffers.Get().(*[copyBufferSize]byte)
-	defer copyBuffers.Put(buffer)
-	var p pace
-	write := func(data []byte) error {
-		start := time.Now()
-		err := control.SetWriteDeadline(start.Add(p.remaining()))
-		if err == nil {
-			if _, err = w.Write(data); err == nil {
-				err = control.Flush()
-			}
-		}
-		p.add(len(data), start)
-		if err != nil {
-			return &clientError{error: err}
-		}
-		return nil
+// pacedWriter writes to a client and flushes. It fails with a *clientError if the client is too slow or has disconnected.
+type pacedWriter struct {
+	writer     io.Writer
+	controller *http.ResponseController
+	pace       pace
+}
+
+// Write writes and flushes data.
+func (w *pacedWriter) Write(data []byte) (int, error) {
+	start := time.Now()
+	defer func() { w.pace.add(len(data), start) }()
+	if err := w.controller.SetWriteDeadline(start.Add(w.pace.remaining())); err != nil {
+		return 0, &clientError{error: err}
+	}
+	if n, err := w.writer.Write(data); err != nil {
+		return n, &clientError{error: err}
 	}
-	if err := write(kept); err != nil {
+	if err := w.controller.Flush(); err != nil {
+		return len(data), &clientError{error: err}
+	}
+	return len(data), nil
+}
+
+// forwardResponse writes the buffered start of a body and then the remainder while it arrives. It returns nil once the client
+// was sent everything, a *clientError if the client's side failed, and else the endpoint's error.
+func forwardResponse(w http.ResponseWriter, controller *http.ResponseController, buffered []byte, stream *responseStream) error {
+	client := &pacedWriter{writer: w, controller: controller}
+	if _, err := client.Write(buffered); err != nil {
 		return err
 	}
+	buffer := copyBuffers.Get().(*[copyBufferSize]byte)
+	defer copyBuffers.Put(buffer)
 	for {
-		n, err := s.remainder.Read(buffer[:])
+		n, readErr := stream.remainder.Read(buffer[:])
 		if n > 0 {
-			if failed := write(buffer[:n]); failed != nil {
-				return failed
+			if _, err := client.Write(buffer[:n]); err != nil {
+				return err
 			}
 		}
-		if err == io.EOF {
+		if readErr == io.EOF {
 			return nil
 		}
-		if err != nil {
-			return err
+		if readErr != nil {
+			return readErr
 		}
 	}
 }
--- a/internal/sidecar/response_stream_test.go
+++ b/internal/sidecar/response_stream_test.go
@@ -17,15 +17,15 @@
 	"bramblestand/internal/discovery"
 )
 
-// liveHeap is the memory of objects that the last collection found in use, in bytes. Garbage that waits for the next
-// one is not in it: how much that is depends on how busy the machine is.
+// liveHeap returns the bytes that the last collection found in use. Garbage that waits for the next one is not counted: how
+// much that is depends on how busy the machine is.
 func liveHeap() uint64 {
 	sample := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
 	metrics.Read(sample)
 	return sample[0].Value.Uint64()
 }
 
-// Many long answers at once go to slow readers byte for byte, in memory that does not depend on their lengths.
+// Many long responses at once are forwarded to slow readers byte for byte, in memory that does not depend on their length.
 func TestLongResponsesUseLittleMemory(t *testing.T) {
 	// Together 384 MB, of which a twelfth is allowed: what is allocated while a collection runs counts as in use,
 	// and on a busy machine one runs long.
@@ -58,7 +58,7 @@
 			results <- sum(t, &slowly{Reader: response.Body})
 		}()
 	}
-	var most uint64
+	var maxHeap uint64
 	for got := 0; got < many; {
 		select {
 		case result := <-results:
@@ -67,15 +67,15 @@
 				t.Errorf("a client read %s, want %s", result, want)
 			}
 		case <-time.After(5 * time.Millisecond):
-			most = max(most, liveHeap())
+			maxHeap = max(maxHeap, liveHeap())
 		}
 	}
-	if grown := int64(most) - int64(before); grown > allowed {
-		t.Errorf("%d MB of heap for %d answers of %d MB", grown>>20, many, each>>20)
+	if grown := int64(maxHeap) - int64(before); grown > allowed {
+		t.Errorf("%d MB of heap for %d responses of %d MB", grown>>20, many, each>>20)
 	}
 }
 
-// The first bytes of an answer that does not end at once are not held back, and ends of every kind are told right.
+// The first bytes of a response that does not end at once are forwarded, and the end of every framing is forwarded as such.
 func TestResponsesOfUnknownLengthAreForwardedAtOnce(t *testing.T) {
 	const size = 3 * maxBufferedBody
 	for name, head := range map[string]string{
@@ -95,7 +95,7 @@
 			data, _ := io.ReadAll(&pattern{end: size})
 			body.Write(data[:10])
 			if name == "in chunks" {
-				io.WriteString(conn, "00") // the beginning of the next one's head
+				io.WriteString(conn, "00") // the start of the next chunk's head
 			}
 			<-goOn
 			for _, b := range data[10:1000] {
@@ -125,7 +125,7 @@
 	}
 }
 
-// A pin server that breaks off amid an answer: the client can tell, nothing is sent again, and it counts as a failure.
+// An endpoint that breaks off during a response: the client can tell, nothing is retried, and it counts as a failure.
 func TestBrokenResponseIsAFailure(t *testing.T) {
 	for name, head := range map[string]string{
 		"with a length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", long),
@@ -142,7 +142,7 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		if n, err := io.Copy(io.Discard, response.Body); err == nil || n > 2*maxBufferedBody {
-			t.Errorf("%s: the client read %d bytes and %v, want an answer that is not whole", name, n, err)
+			t.Errorf("%s: the client read %d bytes and %v, want an incomplete response", name, n, err)
 		}
 		response.Body.Close()
 		w.until("its outcome", func() bool { return len(w.spy.statuses()) == 1 })
@@ -152,7 +152,7 @@
 	}
 }
 
-// A client that leaves amid an answer ends the attempt, which is no failure of the endpoint.
+// A client that disconnects during a response ends the attempt, which is no failure of the endpoint.
 func TestClientDisconnectDuringAResponseIsNoFailure(t *testing.T) {
 	ended := make(chan struct{})
 	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
@@ -173,10 +173,10 @@
 	if got := w.spy.statuses()[0]; got != balancer.Cancelled {
 		t.Errorf("the attempt counts as %v, want cancelled", got)
 	}
-	w.until("all to be freed", func() bool { open, _ := w.loop.up.connections(); return open == 0 })
+	w.until("all resources to be freed", func() bool { open, _ := w.loop.up.connections(); return open == 0 })
 }
 
-// SIGTERM amid a long answer: the answer goes on to its end, however long after the classes' deadlines.
+// SIGTERM during a long response: it is forwarded to its end, however long after the classes' deadlines.
 func TestTerminationDuringALongResponse(t *testing.T) {
 	goOn := make(chan struct{})
 	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
@@ -203,7 +203,7 @@
 	w.stop()
 	select {
 	case err := <-w.ended:
-		t.Fatalf("the sidecar ended amid an answer: %v", err)
+		t.Fatalf("the sidecar ended during a response: %v", err)
 	case <-time.After(3 * giveUp):
 	}
 	close(goOn)
