--- a/internal/sidecar/admin_golden_test.go
+++ b/internal/sidecar/admin_golden_test.go
@@ -164,9 +164,9 @@
 	tr.t.Helper()
 	tr.section("ready")
 	tr.call("GET", "/ready", "")
-	tr.w.server.up.Store(false)
+	tr.w.server.isListening.Store(false)
 	tr.call("GET", "/ready", "")
-	tr.w.server.up.Store(true)
+	tr.w.server.isListening.Store(true)
 }
 
 func (tr *transcript) callSettings() {
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -96,7 +96,7 @@
 			t.Errorf("a stalled caller: %v, want the connection closed", err)
 		}
 	}
-	if w.server.drained.Load() {
+	if w.server.isDrained.Load() {
 		t.Error("an incomplete call was carried out")
 	}
 }
@@ -134,7 +134,7 @@
 
 func TestDrainAndUndrain(t *testing.T) {
 	w := start(t, nil, ready("s-1", newEndpoint(t, always(served)).address))
-	w.server.acceptFor = time.Minute // idle connections stay open in this test until they are used
+	w.server.acceptDuration = time.Minute // idle connections stay open in this test until they are used
 	call := w.openAdmin()
 	readiness := func() int {
 		r, _ := http.NewRequest("GET", w.url+"/health/ready", nil)
@@ -178,7 +178,7 @@
 // A drain closes idle connections, but not one on which a request is arriving.
 func TestDrainClosesIdleConnections(t *testing.T) {
 	w := start(t, nil, ready("s-1", newEndpoint(t, always(served)).address))
-	w.server.acceptFor = 0
+	w.server.acceptDuration = 0
 	call := w.openAdmin()
 	idle, sending := w.connect(), w.connect()
 	idle.roundTrip()
@@ -252,7 +252,7 @@
 			t.Errorf("%s: %d, want 503", path, code)
 		}
 	}
-	if w.server.drained.Load() || len(w.loop.banned) != 0 {
+	if w.server.isDrained.Load() || len(w.loop.banned) != 0 {
 		t.Error("a call that was answered 503 changed something")
 	}
 }
--- a/internal/sidecar/client_conn_test.go
+++ b/internal/sidecar/client_conn_test.go
@@ -130,7 +130,7 @@
 	e := newEndpoint(t, always(served))
 	w := start(t, nil, ready("s-1", e.address))
 	w.until("no connection", func() bool { return w.server.clients.count() == 0 })
-	w.server.acceptFor = 0
+	w.server.acceptDuration = 0
 	k := w.connect()
 	k.roundTrip()
 	w.atRest()
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -101,7 +101,7 @@
 	maxConnections := s.loop.cfg.MaxConnections()
 	if hasOtherProcess {
 		s.loop.log.Info("another process of this sidecar runs; limits are shared")
-		maxClients := min(maxConnections, limits.Sockets/clientsPart)
+		maxClients := min(maxConnections, limits.Sockets/clientsDescriptorDivisor)
 		maxIdle := (limits.Sockets - 2*maxClients - 2*config.ReservedSockets) / 2
 		s.loop.up.bound(maxClients, max(maxIdle, 0))
 		if !s.limitsSplit {
@@ -114,5 +114,5 @@
 	s.hasOtherProcess, s.limitsSplit = hasOtherProcess, true
 	maxHeap := int64(limits.MemoryMB) << 20 / 10 * heapTenths / int64(processCount(hasOtherProcess))
 	debug.SetMemoryLimit(maxHeap)
-	s.incoming.setMaxBytes(maxHeap / bodiesPart)
+	s.bodies.setMaxBytes(maxHeap / bodiesHeapDivisor)
 }
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -17,7 +17,7 @@
 	w.server.clients.mu.Unlock()
 	w.server.splitLimits(true)
 	var clients []*clientConnection
-	for range w.loop.cfg.Limits.Sockets / clientsPart {
+	for range w.loop.cfg.Limits.Sockets / clientsDescriptorDivisor {
 		clients = append(clients, w.connect())
 	}
 	for _, client := range clients {
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { later.Close() })
-	if err := steer(later.(*net.TCPListener)); err != nil {
+	if err := preferSocket(later.(*net.TCPListener)); err != nil {
 		t.Fatal(err)
 	}
 	const connectionCount = 50
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { next.Close() })
-	if err := steer(next.(*net.TCPListener)); err != nil {
+	if err := preferSocket(next.(*net.TCPListener)); err != nil {
 		t.Fatal(err)
 	}
 	acceptAll(next)
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -294,7 +294,7 @@
 	} else if res.fault != 0 {
 		a := answer{code: res.fault}
 		if a.code == http.StatusServiceUnavailable {
-			a.retryAfter = turnedRetry.Microseconds()
+			a.retryAfter = shutdownRetryAfter.Microseconds()
 		}
 		l.finish(r, a)
 	}
--- a/internal/sidecar/membership.go
+++ b/internal/sidecar/membership.go
@@ -17,7 +17,7 @@
 func (l *loop) fleetOptions() fleet.Options {
 	o := l.cfg.FleetOptions()
 	if l.cfg.AdminAddress != "" { // a second process may share the address during an upgrade
-		o.ControlSocket = sharePort
+		o.ControlSocket = reusePort
 	}
 	o.Snapshot, o.Logger = l.restoredMembership, l.log
 	if o.PeerBroadcast.IsValid() && l.cfg.Settings.Limits.AllowGossip {
@@ -98,7 +98,7 @@
 	o := l.fleetOptions()
 	if s.handover != nil { // a process of an earlier release may still have a socket of this address
 		o.OnSocket = func(socket syscall.Conn) {
-			if err := steer(socket); err != nil {
+			if err := preferSocket(socket); err != nil {
 				l.log.Warn("datagrams not steered to this process", "error", err)
 			}
 		}
--- a/internal/sidecar/request_body.go
+++ b/internal/sidecar/request_body.go
@@ -171,10 +171,10 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.isAborted {
-		return turnedRetry, false
+		return shutdownRetryAfter, false
 	}
 	if b.usedBytes+body.memoryNeeded() > b.maxBytes {
-		return busyRetry, false
+		return overloadRetryAfter, false
 	}
 	b.usedBytes += body.memoryNeeded()
 	if b.incomplete == nil {
--- a/internal/sidecar/response_stream_test.go
+++ b/internal/sidecar/response_stream_test.go
@@ -194,7 +194,7 @@
 			c.(map[string]any)["give-up"], c.(map[string]any)["target"] = giveUp.Microseconds(), giveUp.Microseconds()
 		}
 	}, ready("s-1", e.address))
-	w.server.acceptFor = 0
+	w.server.acceptDuration = 0
 	response, err := http.DefaultClient.Do(w.request("read", "", time.Minute))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -24,39 +24,39 @@
 )
 
 const (
-	answerMargin       = 10 * time.Millisecond   // of a client's time, at most, kept for writing the final answer
-	marginPart         = 20                      // and one part in so many of it: a deadline may be as short as that
-	acceptAfter        = 600 * time.Millisecond  // after SIGTERM or a drain: clients go on connecting for 0.4 s
-	acceptOut          = time.Millisecond        // after SIGTERM, with another process there to take clients
-	listWait           = 1500 * time.Millisecond // a process beside another waits so long for discovery: its yes is owed in 6 s
-	idleSweep          = 100 * time.Millisecond  // between looks for connections at rest while drained
-	busyRetry          = time.Second             // wait told to clients that find all connections in use
-	timeLeftMost       = time.Minute             // that a request gets
-	reportEvery        = time.Second             // between log lines of what the sidecar holds
-	controlLogInterval = 10                      // reports between log lines of control traffic
-	writeTimeout       = 2 * time.Second         // for an answer, from its first byte on
-	bodiesPart         = 2                       // one part in so many of the heap may be bodies
-	clientsPart        = 3                       // one part in so many of the descriptors is the most that clients hold
-	turnedRetry        = 50 * time.Millisecond   // wait told to clients that a process about to end turns away
-	endSweep           = 10 * time.Millisecond   // between looks for connections at rest at the end
-	endMost            = time.Minute             // after that, for what still goes on when it ends
-	idleTimeout        = 10 * time.Second        // between a client's requests
+	maxResponseMargin        = 10 * time.Millisecond   // of a client's time, at most, kept for writing the final answer
+	responseMarginDivisor    = 20                      // and one part in so many of it: a deadline may be as short as that
+	acceptAfterShutdown      = 600 * time.Millisecond  // after SIGTERM or a drain: clients go on connecting for 0.4 s
+	acceptAfterHandover      = time.Millisecond        // after SIGTERM, with another process there to take clients
+	endpointListWait         = 1500 * time.Millisecond // a process beside another waits so long for discovery: its yes is owed in 6 s
+	drainedCheckInterval     = 100 * time.Millisecond  // between looks for connections at rest while drained
+	overloadRetryAfter       = time.Second             // wait told to clients that find all connections in use
+	maxRequestTimeout        = time.Minute             // that a request gets
+	statusLogInterval        = time.Second             // between log lines of what the sidecar holds
+	controlLogInterval       = 10                      // reports between log lines of control traffic
+	writeTimeout             = 2 * time.Second         // for an answer, from its first byte on
+	bodiesHeapDivisor        = 2                       // one part in so many of the heap may be bodies
+	clientsDescriptorDivisor = 3                       // one part in so many of the descriptors is the most that clients hold
+	shutdownRetryAfter       = 50 * time.Millisecond   // wait told to clients that a process about to end turns away
+	shutdownCheckInterval    = 10 * time.Millisecond   // between looks for connections at rest at the end
+	maxShutdownTime          = time.Minute             // after that, for what still goes on when it ends
+	clientIdleTimeout        = 10 * time.Second        // between a client's requests
 )
 
 // server takes the application's requests.
 type server struct {
-	loop    *loop
-	http    http.Server
-	classes map[string]uint8
-	tenants map[string]uint16
-	clients *clientConns
-	up      atomic.Bool // it takes connections
-	ending  atomic.Bool // after SIGTERM
-	drained atomic.Bool // by an operator
+	loop           *loop
+	http           http.Server
+	classes        map[string]uint8
+	tenants        map[string]uint16
+	clients        *clientConns
+	isListening    atomic.Bool // it takes connections
+	isShuttingDown atomic.Bool // after SIGTERM
+	isDrained      atomic.Bool // by an operator
 
-	incoming requestBodies
+	bodies requestBodies
 
-	acceptFor time.Duration // after SIGTERM, or a call to drain
+	acceptDuration time.Duration // after SIGTERM, or a call to drain
 
 	handover        *handover.Store // nil without operators
 	applyMu         sync.Mutex      // guards the three below, and the order in which settings are applied
@@ -109,7 +109,7 @@
 	if cfg.Fleet.Enabled {
 		go s.runMembership(ctx)
 	}
-	if paired && !s.awaitList(ctx) { // the other process serves as yet
+	if paired && !s.awaitEndpointList(ctx) { // the other process serves as yet
 		return nil
 	}
 	listener, err := listen(cfg)
@@ -117,7 +117,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	if paired {
-		if err := steer(listener.(*net.TCPListener)); err != nil {
+		if err := preferSocket(listener.(*net.TCPListener)); err != nil {
 			// The old process empties its queue all the same: a few may be turned back as it closes.
 			log.Warn("new connections are not steered to this process", "error", err)
 		}
@@ -125,9 +125,9 @@
 	return s.serve(ctx, listener)
 }
 
-// steer has all new connections, or datagrams, come to the later of two sockets that share an address, so that no
+// preferSocket has all new connections, or datagrams, come to the later of two sockets that share an address, so that no
 // connection can come to the earlier one between its last accept and its close.
-func steer(socket syscall.Conn) error {
+func preferSocket(socket syscall.Conn) error {
 	raw, err := socket.SyscallConn()
 	if err != nil {
 		return err
@@ -147,14 +147,14 @@
 func listen(cfg *config.Config) (net.Listener, error) {
 	var socket net.ListenConfig
 	if cfg.AdminAddress != "" {
-		socket.Control = sharePort
+		socket.Control = reusePort
 		socket.SetMultipathTCP(false) // which is the default of listeners, and cannot be steered
 	}
 	return socket.Listen(context.Background(), "tcp", cfg.ListenAddress)
 }
 
-// sharePort lets a second process of this sidecar use a socket's address, too.
-func sharePort(_, _ string, raw syscall.RawConn) error {
+// reusePort lets a second process of this sidecar use a socket's address, too.
+func reusePort(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
 		failed = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
@@ -162,17 +162,17 @@
 	return errors.Join(err, failed)
 }
 
-// awaitList waits until this process can serve from a list that discovery has confirmed, or, where discovery is
+// awaitEndpointList waits until this process can serve from a list that discovery has confirmed, or, where discovery is
 // silent, from the one it was started with. It returns false if ctx ends before.
-func (s *server) awaitList(ctx context.Context) bool {
-	told, patience := s.loop.told, time.NewTimer(listWait)
+func (s *server) awaitEndpointList(ctx context.Context) bool {
+	told, patience := s.loop.told, time.NewTimer(endpointListWait)
 	defer patience.Stop()
 	for {
 		select {
 		case <-told:
 			told = nil // it stays closed
 		case <-patience.C:
-			patience.Reset(listWait)
+			patience.Reset(endpointListWait)
 		case <-ctx.Done():
 			return false
 		}
@@ -183,43 +183,45 @@
 }
 
 func (s *server) serve(ctx context.Context, listener net.Listener) error {
-	go s.report(ctx)
+	go s.logStatusPeriodically(ctx)
 	go s.clients.closeIdlePeriodically(ctx)
 	served := make(chan error, 1)
 	go func() { served <- s.http.Serve(clientListener{listener, s.clients}) }()
-	s.up.Store(true)
+	s.isListening.Store(true)
 	select {
 	case err := <-served:
 		return fmt.Errorf("serve: %w", err)
 	case <-ctx.Done():
 	}
-	return s.end(listener)
+	return s.shutDown(listener)
 }
 
 // isServing says whether this process serves clients, be it told to send them away or not.
-func (s *server) isServing() bool { return s.up.Load() && s.loop.listed.Load() && !s.ending.Load() }
+func (s *server) isServing() bool {
+	return s.isListening.Load() && s.loop.listed.Load() && !s.isShuttingDown.Load()
+}
 
-// leaving says whether clients are to go elsewhere: each answer ends its connection.
-func (s *server) leaving() bool { return s.ending.Load() || s.drained.Load() }
+// isDraining says whether clients are to go elsewhere: each answer ends its connection.
+func (s *server) isDraining() bool { return s.isShuttingDown.Load() || s.isDrained.Load() }
 
 // setDrained sends clients away, or takes them again.
 func (s *server) setDrained(on bool) {
-	if !s.drained.CompareAndSwap(!on, on) || !on {
+	if !s.isDrained.CompareAndSwap(!on, on) || !on {
 		return
 	}
 	go func() {
 		// By then most connections at rest have been used once more, and their clients were told; and no new ones come.
-		time.Sleep(s.acceptFor)
-		for s.drained.Load() && !s.ending.Load() {
+		time.Sleep(s.acceptDuration)
+		for s.isDrained.Load() && !s.isShuttingDown.Load() {
 			s.clients.closeIdle(0)
-			time.Sleep(idleSweep)
+			time.Sleep(drainedCheckInterval)
 		}
 	}()
 }
 
 func newServer(l *loop) *server {
 	s := &server{loop: l, classes: map[string]uint8{}, tenants: map[string]uint16{},
-		clients: newClientConns(l.cfg.MaxConnections()), acceptFor: acceptAfter}
+		clients: newClientConns(l.cfg.MaxConnections()), acceptDuration: acceptAfterShutdown}
 	for i, c := range l.cfg.Settings.Classes {
 		s.classes[c.Name] = uint8(i)
 	}
@@ -229,30 +231,30 @@
 	// Not a ServeMux: it would redirect paths that endpoints are to see as they are.
 	handler := func(w http.ResponseWriter, in *http.Request) {
 		if clientConnOf(in).takeRequest() {
-			s.improper(w, in, bad("both a length and a transfer coding are given"))
+			s.rejectInvalid(w, in, newInvalidRequest("both a length and a transfer coding are given"))
 			return
 		}
 		if in.URL.Path == "/health/ready" {
-			s.ready(w)
+			s.serveReadiness(w)
 		} else {
-			s.request(w, in)
+			s.serveRequest(w, in)
 		}
 	}
 	s.http = http.Server{Handler: http.HandlerFunc(handler), ReadHeaderTimeout: paceGrace, // no IdleTimeout: see clients.sweep
-		WriteTimeout: timeLeftMost + writeTimeout, MaxHeaderBytes: headMost, ErrorLog: slog.NewLogLogger(l.log.Handler(), slog.LevelWarn),
+		WriteTimeout: maxRequestTimeout + writeTimeout, MaxHeaderBytes: headMost, ErrorLog: slog.NewLogLogger(l.log.Handler(), slog.LevelWarn),
 		ConnState: s.clients.connState, ConnContext: s.clients.connContext}
 	return s
 }
 
-// report logs once in a while what the sidecar holds, so that a bad stretch can
+// logStatusPeriodically logs once in a while what the sidecar holds, so that a bad stretch can
 // be told from a good one.
-func (s *server) report(ctx context.Context) {
-	tick := time.NewTicker(reportEvery)
+func (s *server) logStatusPeriodically(ctx context.Context) {
+	tick := time.NewTicker(statusLogInterval)
 	defer tick.Stop()
 	for n := 1; ; n++ {
 		select {
 		case <-tick.C:
-			s.loop.post(s.holds)
+			s.loop.post(s.logStatus)
 			if s.loop.control != nil && n%controlLogInterval == 0 {
 				s.loop.control.Log(s.loop.log, s.loop.datagramCounts())
 			}
@@ -262,8 +264,8 @@
 	}
 }
 
-// holds logs the counts. The loop runs it.
-func (s *server) holds(balancer.Micros) {
+// logStatus logs the counts. The loop runs it.
+func (s *server) logStatus(balancer.Micros) {
 	clients := s.clients.counts()
 	open, spare := s.loop.up.connections()
 	s.loop.log.Info("holds", "taken", s.loop.lastID, "accepted", clients.accepted, "clients_new", clients.fresh, "clients_active", clients.active, "clients_idle", clients.idle,
@@ -271,20 +273,20 @@
 		"events", len(s.loop.events), "goroutines", runtime.NumGoroutine())
 }
 
-// end ends the service without losing a request. Every answer from here on ends its connection; those still at
+// shutDown ends the service without losing a request. Every answer from here on ends its connection; those still at
 // rest when clients no longer connect are closed.
-func (s *server) end(listener net.Listener) error {
-	s.ending.Store(true)
+func (s *server) shutDown(listener net.Listener) error {
+	s.isShuttingDown.Store(true)
 	s.loop.log.Info("ending", "clients", s.clients.count())
 	if l, ok := listener.(*net.TCPListener); ok && s.handover != nil && s.handover.HasOtherProcess() {
-		l.SetDeadline(time.Now().Add(acceptOut)) // new clients go to the other process from here on
+		l.SetDeadline(time.Now().Add(acceptAfterHandover)) // new clients go to the other process from here on
 	}
-	time.Sleep(s.acceptFor)
+	time.Sleep(s.acceptDuration)
 	listener.Close()
-	s.incoming.abort()
+	s.bodies.abort()
 	// Not http.Server.Shutdown: it closes what is at rest though half a request has come on it. An answer on its way
 	// may take longer than any deadline, and its pace bounds it: when that is too long is the platform's decision.
-	for until := time.Now().Add(endMost); time.Now().Before(until); time.Sleep(endSweep) {
+	for until := time.Now().Add(maxShutdownTime); time.Now().Before(until); time.Sleep(shutdownCheckInterval) {
 		s.clients.closeIdle(0)
 		if s.clients.count() == 0 {
 			break
@@ -297,36 +299,36 @@
 	return nil
 }
 
-// ready answers a check of readiness, and ends its connection: anyone may ask,
+// serveReadiness answers a check of readiness, and ends its connection: anyone may ask,
 // and one that stays would take an application's room.
-func (s *server) ready(w http.ResponseWriter) {
+func (s *server) serveReadiness(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
-	if s.leaving() || !s.loop.listed.Load() {
+	if s.isDraining() || !s.loop.listed.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// badRequest is what a client did wrong.
-type badRequest struct {
-	code   int
+// invalidRequest is what a client did wrong.
+type invalidRequest struct {
+	status int
 	reason string
 }
 
-func (e *badRequest) Error() string { return e.reason }
+func (e *invalidRequest) Error() string { return e.reason }
 
-func bad(format string, args ...any) *badRequest {
-	return &badRequest{http.StatusBadRequest, fmt.Sprintf(format, args...)}
+func newInvalidRequest(format string, args ...any) *invalidRequest {
+	return &invalidRequest{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// request takes one request and gives its one final answer.
-func (s *server) request(w http.ResponseWriter, in *http.Request) {
+// serveRequest takes one request and gives its one final answer.
+func (s *server) serveRequest(w http.ResponseWriter, in *http.Request) {
 	arrived := s.loop.clock.now()
 	if s.clients.isOverLimit() {
 		// Beyond this the process runs out of descriptors, and then it can
 		// neither accept nor send.
 		w.Header().Set("Connection", "close")
-		s.ended(in, arrived, http.StatusServiceUnavailable)
-		writeAnswer(w, answer{code: http.StatusServiceUnavailable, retryAfter: busyRetry.Microseconds()})
+		s.logNotServed(in, arrived, http.StatusServiceUnavailable)
+		writeBufferedResponse(w, answer{code: http.StatusServiceUnavailable, retryAfter: overloadRetryAfter.Microseconds()})
 		return
 	}
 	if len(in.TransferEncoding) > 0 {
@@ -335,18 +337,18 @@
 	}
 	control := http.NewResponseController(w)
 	body := &requestBody{reader: in.Body, controller: control, contentLength: in.ContentLength}
-	if retry, ok := s.incoming.add(body); !ok {
-		s.turnAway(w, in, control, arrived, retry)
+	if retry, ok := s.bodies.add(body); !ok {
+		s.rejectUnread(w, in, control, arrived, retry)
 		return
 	}
-	defer s.incoming.remove(body)
-	req, m, err := s.read(in, body)
+	defer s.bodies.remove(body)
+	req, m, err := s.readRequest(in, body)
 	if err != nil && body.wasAborted() {
-		s.turnAway(w, in, control, arrived, turnedRetry)
+		s.rejectUnread(w, in, control, arrived, shutdownRetryAfter)
 		return
 	}
 	if err != nil {
-		s.improper(w, in, err)
+		s.rejectInvalid(w, in, err)
 		return
 	}
 	conn := clientConnOf(in)
@@ -362,14 +364,14 @@
 	r := &request{answer: make(chan answer, 1), message: m, left: req.Deadline - s.loop.clock.now(), client: conn.disconnected, look: conn.checkDisconnected}
 	defer conn.watchDisconnect(m.rest != nil)()
 	if !s.loop.postFor(conn.disconnected, func(now balancer.Micros) { s.loop.take(now, r, req) }) {
-		s.ended(in, arrived, 0)
+		s.logNotServed(in, arrived, 0)
 		panic(http.ErrAbortHandler)
 	}
 	select {
 	case a := <-r.answer:
-		s.give(w, in, control, m, arrived, a)
+		s.writeResponse(w, in, control, m, arrived, a)
 	case <-conn.disconnected.Done():
-		s.ended(in, arrived, 0)
+		s.logNotServed(in, arrived, 0)
 		s.loop.post(func(now balancer.Micros) { s.loop.gone(now, r) })
 		// A client that has only stopped sending must not read a whole answer
 		// that no endpoint gave.
@@ -377,54 +379,54 @@
 	}
 }
 
-// turnAway refuses a request for which there is no memory, or that has come whole, or would, only after this process
+// rejectUnread refuses a request for which there is no memory, or that has come whole, or would, only after this process
 // has begun to end: what SIGKILL finds of it unanswered would be lost. The client's next try comes to another process.
-func (s *server) turnAway(w http.ResponseWriter, in *http.Request, control *http.ResponseController, arrived balancer.Micros, retry time.Duration) {
+func (s *server) rejectUnread(w http.ResponseWriter, in *http.Request, control *http.ResponseController, arrived balancer.Micros, retry time.Duration) {
 	w.Header().Set("Connection", "close")
-	s.ended(in, arrived, http.StatusServiceUnavailable)
-	writeAnswer(w, answer{code: http.StatusServiceUnavailable, retryAfter: retry.Microseconds()})
+	s.logNotServed(in, arrived, http.StatusServiceUnavailable)
+	writeBufferedResponse(w, answer{code: http.StatusServiceUnavailable, retryAfter: retry.Microseconds()})
 	if in.ContentLength != 0 {
-		s.finish(in, control)
+		s.flushAndClose(in, control)
 	}
 }
 
-// improper answers what is no proper request, and ends its connection: such peers keep what they are left, and
+// rejectInvalid answers what is no proper request, and ends its connection: such peers keep what they are left, and
 // clients need the room.
-func (s *server) improper(w http.ResponseWriter, in *http.Request, err *badRequest) {
+func (s *server) rejectInvalid(w http.ResponseWriter, in *http.Request, err *invalidRequest) {
 	s.logRequest("improper request", in, "error", err)
 	w.Header().Set("Connection", "close")
-	http.Error(w, err.reason, err.code)
+	http.Error(w, err.reason, err.status)
 }
 
-// give writes the final answer.
-func (s *server) give(w http.ResponseWriter, in *http.Request, control *http.ResponseController, m *message, arrived balancer.Micros, a answer) {
+// writeResponse writes the final answer.
+func (s *server) writeResponse(w http.ResponseWriter, in *http.Request, control *http.ResponseController, m *message, arrived balancer.Micros, a answer) {
 	if a.code != http.StatusOK {
-		s.ended(in, arrived, a.code)
+		s.logNotServed(in, arrived, a.code)
 	}
-	if s.leaving() || m.rest != nil && m.rest.hasUnread() { // what is not read of its body stands before the next request
+	if s.isDraining() || m.rest != nil && m.rest.hasUnread() { // what is not read of its body stands before the next request
 		w.Header().Set("Connection", "close")
 	}
 	if a.stream != nil {
-		s.stream(w, in, control, a)
+		s.streamResponse(w, in, control, a)
 		return
 	}
 	control.SetWriteDeadline(time.Now().Add(writeTimeout)) // the write tells of a connection that is gone
-	writeAnswer(w, a)
+	writeBufferedResponse(w, a)
 	if m.rest != nil && m.rest.hasUnread() {
-		s.finish(in, control)
+		s.flushAndClose(in, control)
 	}
 }
 
-// finish sends an answer off and ends its connection, where the request's body was not read: net/http would read on
+// flushAndClose sends an answer off and ends its connection, where the request's body was not read: net/http would read on
 // first.
-func (s *server) finish(in *http.Request, control *http.ResponseController) {
+func (s *server) flushAndClose(in *http.Request, control *http.ResponseController) {
 	if control.Flush() == nil {
 		clientConnOf(in).Close()
 	}
 }
 
-// stream passes an answer on as it comes. Where that fails the client can tell that the answer is not whole.
-func (s *server) stream(w http.ResponseWriter, in *http.Request, control *http.ResponseController, a answer) {
+// streamResponse passes an answer on as it comes. Where that fails the client can tell that the answer is not whole.
+func (s *server) streamResponse(w http.ResponseWriter, in *http.Request, control *http.ResponseController, a answer) {
 	endToEnd(w.Header(), a.header)
 	if a.stream.contentLength >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(a.stream.contentLength, 10))
@@ -437,25 +439,25 @@
 	}
 }
 
-// read reads a request to its end, or as far as its body is kept.
-func (s *server) read(in *http.Request, body *requestBody) (balancer.Request, *message, *badRequest) {
+// readRequest reads a request to its end, or as far as its body is kept.
+func (s *server) readRequest(in *http.Request, body *requestBody) (balancer.Request, *message, *invalidRequest) {
 	if !in.ProtoAtLeast(1, 1) {
 		// HTTP/1.0 has no chunked coding: the parser takes such a body for the next request.
-		return balancer.Request{}, nil, &badRequest{http.StatusHTTPVersionNotSupported, "the version must be 1.1"}
+		return balancer.Request{}, nil, &invalidRequest{http.StatusHTTPVersionNotSupported, "the version must be 1.1"}
 	}
-	req, err := s.parse(in)
+	req, err := s.parseRequest(in)
 	if err != nil {
 		return req, nil, err
 	}
 	if in.ContentLength > maxRequestBody {
-		return req, nil, &badRequest{http.StatusRequestEntityTooLarge, fmt.Sprintf("the body is over %d bytes", maxRequestBody)}
+		return req, nil, &invalidRequest{http.StatusRequestEntityTooLarge, fmt.Sprintf("the body is over %d bytes", maxRequestBody)}
 	}
 	m := &message{method: in.Method, url: in.URL, host: in.Host, header: in.Header}
 	whole := false
 	if in.ContentLength <= maxBufferedBody {
 		var failed error
 		if m.body, whole, failed = body.buffer(maxBufferedBody); failed != nil {
-			return req, nil, &badRequest{body.err.status, failed.Error()}
+			return req, nil, &invalidRequest{body.err.status, failed.Error()}
 		}
 	}
 	if !whole {
@@ -466,9 +468,9 @@
 	return req, m, nil
 }
 
-// ended logs a request that was not served; code 0 stands for a client that
+// logNotServed logs a request that was not served; code 0 stands for a client that
 // went away.
-func (s *server) ended(in *http.Request, arrived balancer.Micros, code int) {
+func (s *server) logNotServed(in *http.Request, arrived balancer.Micros, code int) {
 	s.logRequest("request not served", in, "code", code, "ms", (s.loop.clock.now()-arrived)/1000)
 }
 
@@ -479,7 +481,7 @@
 		"length", in.ContentLength, "coding", in.TransferEncoding).Info(what, args...)
 }
 
-func writeAnswer(w http.ResponseWriter, a answer) {
+func writeBufferedResponse(w http.ResponseWriter, a answer) {
 	endToEnd(w.Header(), a.header)
 	if a.retryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(float64(a.retryAfter)/1e6, 'f', 3, 64))
@@ -489,22 +491,22 @@
 	w.Write(a.body) // a client that is gone by now needs no answer
 }
 
-// allowance is the time that a request gets of its client's, told in milliseconds.
-func allowance(left int64) balancer.Micros {
-	left = min(left, timeLeftMost.Milliseconds())
-	return left*1000 - min(answerMargin.Microseconds(), left*1000/marginPart)
+// requestTimeout is the time that a request gets of its client's, told in milliseconds.
+func requestTimeout(left int64) balancer.Micros {
+	left = min(left, maxRequestTimeout.Milliseconds())
+	return left*1000 - min(maxResponseMargin.Microseconds(), left*1000/responseMarginDivisor)
 }
 
-// parse reads the headers of a request. Its deadline is told as the time left.
-func (s *server) parse(in *http.Request) (balancer.Request, *badRequest) {
+// parseRequest reads the headers of a request. Its deadline is told as the time left.
+func (s *server) parseRequest(in *http.Request) (balancer.Request, *invalidRequest) {
 	var req balancer.Request
 	h := in.Header
 	if h.Get("X-Correlation-Id") == "" {
-		return req, bad("X-Correlation-Id is missing")
+		return req, newInvalidRequest("X-Correlation-Id is missing")
 	}
 	class, ok := s.classes[h.Get("X-Service-Class")]
 	if !ok {
-		return req, bad("X-Service-Class: %q is not a known class", h.Get("X-Service-Class"))
+		return req, newInvalidRequest("X-Service-Class: %q is not a known class", h.Get("X-Service-Class"))
 	}
 	req.Class = class
 	method, keyed := http.MethodPost, h.Get("Idempotency-Key") != ""
@@ -513,20 +515,20 @@
 		method = http.MethodGet
 	case balancer.IdempotentWithKey:
 		if !keyed {
-			return req, bad("Idempotency-Key is missing")
+			return req, newInvalidRequest("Idempotency-Key is missing")
 		}
 	}
 	if in.Method != method {
-		return req, &badRequest{http.StatusMethodNotAllowed, fmt.Sprintf("requests of this class are %s", method)}
+		return req, &invalidRequest{http.StatusMethodNotAllowed, fmt.Sprintf("requests of this class are %s", method)}
 	}
 	left, err := strconv.ParseInt(h.Get("X-Time-Left-Ms"), 10, 64)
 	if err != nil || left < 0 {
-		return req, bad("X-Time-Left-Ms: %q is not a whole number of milliseconds", h.Get("X-Time-Left-Ms"))
+		return req, newInvalidRequest("X-Time-Left-Ms: %q is not a whole number of milliseconds", h.Get("X-Time-Left-Ms"))
 	}
-	req.Deadline = allowance(left)
+	req.Deadline = requestTimeout(left)
 	if len(s.tenants) > 0 {
 		if req.Tenant, ok = s.tenants[h.Get("X-Account")]; !ok {
-			return req, bad("X-Account: %q is not a known tenant", h.Get("X-Account"))
+			return req, newInvalidRequest("X-Account: %q is not a known tenant", h.Get("X-Account"))
 		}
 	}
 	if key := h.Get("X-Session-Key"); key != "" {
@@ -536,7 +538,7 @@
 	}
 	if hint := h.Get("X-Weight-Hint"); hint != "" {
 		if req.CostHint, err = strconv.ParseInt(hint, 10, 64); err != nil || req.CostHint < 0 {
-			return req, bad("X-Weight-Hint: %q is not a whole number of microseconds", hint)
+			return req, newInvalidRequest("X-Weight-Hint: %q is not a whole number of microseconds", hint)
 		}
 		req.HasCostHint = true
 	}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -159,7 +159,7 @@
 			})
 			var given int64
 			given, _ = strconv.ParseInt(e.request(0).Header.Get("X-Time-Left-Ms"), 10, 64)
-			if most := left - answerMargin; given <= 0 || given > most.Milliseconds() {
+			if most := left - maxResponseMargin; given <= 0 || given > most.Milliseconds() {
 				t.Errorf("the endpoint was given %d ms of %v, want at most %v", given, left, most)
 			}
 			if took := time.Duration(w.loop.clock.now()-sent) * time.Microsecond; took < left/2 {
@@ -176,7 +176,7 @@
 		10 * time.Millisecond: 9500 * time.Microsecond, 100 * time.Millisecond: 95 * time.Millisecond,
 		2 * time.Second: 1990 * time.Millisecond, 0: 0,
 	} {
-		req, err := w.server.parse(w.request("pay", "x", left))
+		req, err := w.server.parseRequest(w.request("pay", "x", left))
 		if err != nil || req.Deadline != want.Microseconds() {
 			t.Errorf("of %v the request gets %d us (%v), want %v", left, req.Deadline, err, want)
 		}
@@ -419,7 +419,7 @@
 	}
 	defer conn.Close()
 	io.WriteString(conn, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-	conn.SetReadDeadline(time.Now().Add(idleTimeout / 2))
+	conn.SetReadDeadline(time.Now().Add(clientIdleTimeout / 2))
 	if got, err := io.ReadAll(conn); err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 200") {
 		t.Errorf("read %q, %v; want 200 and the end", got, err)
 	}
@@ -556,7 +556,7 @@
 		}
 	})
 	w := start(t, nil, ready("s-1", e.address))
-	w.server.acceptFor = 3 * time.Second // a busy machine may be slow to connect
+	w.server.acceptDuration = 3 * time.Second // a busy machine may be slow to connect
 	idle, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -606,7 +606,7 @@
 // A request that comes whole only after the end has begun is turned away, not cut off: SIGKILL may find it unanswered.
 func TestTerminationAmidAHead(t *testing.T) {
 	w := start(t, nil, ready("s-1", newEndpoint(t, always(served)).address))
-	w.server.acceptFor = 0
+	w.server.acceptDuration = 0
 	k := w.connect()
 	k.roundTrip()
 	w.until("the connection at rest", func() bool { return w.server.clients.counts().idle == 1 })
@@ -629,7 +629,7 @@
 		}
 		return err != nil
 	})
-	time.Sleep(10 * endSweep) // for whatever might close it
+	time.Sleep(10 * shutdownCheckInterval) // for whatever might close it
 	io.WriteString(k.conn, head.String()[10:])
 	if got, err := http.ReadResponse(k.in, nil); err != nil || got.StatusCode != http.StatusServiceUnavailable ||
 		!got.Close || got.Header.Get("Retry-After") == "" {
