--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -72,11 +72,7 @@
 	}
 	var text strings.Builder
 	writeSettingsText(&text, "", tree)
-	settings, err := simwire.ParseSettings(text.String())
-	if err != nil {
-		return balancer.Settings{}, err
-	}
-	return settings, settings.Validate()
+	return simwire.ParseSettings(text.String())
 }
 
 // writeSettingsText writes a JSON value as the path=value lines of the simulator's settings text: a list of
