--- a/internal/sidecar/control_test.go
+++ b/internal/sidecar/control_traffic_test.go
@@ -95,7 +95,7 @@
 // Messages and bytes of probes, calls of discovery and operators' calls are what the other ends of the connections
 // count, with calls of the application beside them on the same connections; a count that leaves a kind out, or counts
 // one twice, is not.
-func TestControlIsCountedExactly(t *testing.T) {
+func TestControlTrafficEqualsWhatItsPeersCount(t *testing.T) {
 	for name, c := range map[string]struct {
 		spoil func(l *loop)
 		wrong string // the kind whose count is not right
@@ -221,7 +221,7 @@
 }
 
 // A process without operators counts nothing, and its calls of discovery use the system's connections.
-func TestControlIsOffWithoutOperators(t *testing.T) {
+func TestControlTrafficIsNotCountedWithoutAnAdminAddress(t *testing.T) {
 	l, err := newLoop(context.Background(), configure(t, "127.0.0.1:1", nil), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -236,7 +236,7 @@
 }
 
 // The operators' address tells the counts, and discovery at a new address is counted like the first.
-func TestControlIsTold(t *testing.T) {
+func TestControlStatusCoversEveryKindAndAChangedDiscovery(t *testing.T) {
 	w := &world{t: t, dir: newDirectory(t, ready("s-1", newEndpoint(t, always(served)).address))}
 	cfg := configure(t, w.dir.address, nil)
 	cfg.AdminAddress = "127.0.0.1:0"
--- a/internal/sidecar/told_test.go
+++ b/internal/sidecar/discovery_outage_test.go
@@ -271,7 +271,7 @@
 // Whatever calls of discovery failed, were refused or given up, a change is known well within the time after which it
 // counts as told: at a start, amid a watch, and after SIGHUP, however discovery was out of reach, and at whichever instant
 // of the sidecar's calls and pauses it returns. Time is virtual, and so are the connections.
-func TestChangeIsKnownSoonAfterDiscoverysReturn(t *testing.T) {
+func TestChangeIsKnownInTimeAfterAnyOutage(t *testing.T) {
 	const begin = 5 * time.Second // of an outage amid a watch, and of SIGHUP
 	for way, alter := range waysToAsk {
 		t.Run(way, func(t *testing.T) {
@@ -319,7 +319,7 @@
 
 // Versions that begin anew are no reason to wait for longer: the call for the whole list does not wait, and is given up as
 // such a call is.
-func TestWholeListIsAskedForAgainSoon(t *testing.T) {
+func TestFullListIsRequestedAgainSoonAfterARestart(t *testing.T) {
 	for way, alter := range waysToAsk {
 		synctest.Test(t, func(t *testing.T) {
 			zero := time.Now()
@@ -333,7 +333,7 @@
 }
 
 // A call that discovery is slow to answer is left to it, whatever time the settings name for asking again.
-func TestSlowDiscoveryIsHeard(t *testing.T) {
+func TestSlowResponseIsAwaited(t *testing.T) {
 	for way, alter := range waysToAsk {
 		synctest.Test(t, func(t *testing.T) {
 			zero := time.Now()
