--- a/internal/sidecar/control_traffic_test.go
+++ b/internal/sidecar/control_traffic_test.go
@@ -18,36 +18,51 @@
 	"bramblestand/internal/discovery"
 )
 
-// counted is what a stand-in saw of one kind of control, by its own count of a connection's bytes.
-type counted struct{ sent, sentBytes, received, receivedBytes, conns uint64 } // as the sidecar names the two ways
+// exchanged is one kind of traffic as counted at one end of its connections. Sent and received are as the sidecar
+// names them, at either end.
+type exchanged struct {
+	sentMessages, sentBytes         uint64
+	receivedMessages, receivedBytes uint64
+	connections                     uint64
+}
 
-func told(k controltraffic.Traffic) counted {
-	return counted{k.Sent.Messages, k.Sent.Bytes, k.Received.Messages, k.Received.Bytes, k.Opened + k.Accepted}
+// add counts a request to the sidecar's peer and its response, or an operator's call the other way round.
+func (e *exchanged) add(sentBytes, receivedBytes uint64) {
+	e.sentMessages++
+	e.sentBytes += sentBytes
+	e.receivedMessages++
+	e.receivedBytes += receivedBytes
 }
 
-// ledger is what the stand-ins of one test saw.
-type ledger struct {
-	mu          sync.Mutex
-	probe, call counted
-	discovery   counted
-	orders      counted
-	news        chan struct{} // closed to let a watch be answered
+func exchangedBySidecar(t controltraffic.Traffic) exchanged {
+	return exchanged{t.Sent.Messages, t.Sent.Bytes, t.Received.Messages, t.Received.Bytes, t.Opened + t.Accepted}
 }
 
-// taps counts the bytes read through it.
-type taps struct {
+// trafficPeers are an endpoint, a discovery service and an operator that count what they exchange with a sidecar.
+type trafficPeers struct {
+	mu        sync.Mutex // guards the counts
+	probes    exchanged
+	requests  exchanged
+	discovery exchanged
+	admin     exchanged
+
+	releaseWatch chan struct{} // closed to answer a call that waits for changes
+}
+
+// countingReader counts the bytes read through it.
+type countingReader struct {
 	io.Reader
-	n uint64
+	bytes uint64
 }
 
-func (t *taps) Read(p []byte) (int, error) {
-	n, err := t.Reader.Read(p)
-	t.n += uint64(n)
+func (r *countingReader) Read(p []byte) (int, error) {
+	n, err := r.Reader.Read(p)
+	r.bytes += uint64(n)
 	return n, err
 }
 
-// serve answers requests byte by byte and gives each to note, with its bytes and the answer's, before the answer is sent.
-func (l *ledger) serve(t *testing.T, answer func(r *http.Request) string, note func(r *http.Request, first bool, in, out uint64)) string {
+// listen serves requests with the text that respond gives, and counts each under the kind that it is of.
+func (p *trafficPeers) listen(t *testing.T, respond func(*http.Request) string, kindOf func(*http.Request) *exchanged) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -60,216 +75,269 @@
 			if err != nil {
 				return
 			}
-			go func() {
-				defer conn.Close()
-				tap := &taps{Reader: conn}
-				in, before := bufio.NewReader(tap), uint64(0)
-				for first := true; ; first = false {
-					r, err := http.ReadRequest(in)
-					if err != nil {
-						return
-					}
-					io.Copy(io.Discard, r.Body)
-					now := tap.n - uint64(in.Buffered())
-					text := answer(r)
-					l.mu.Lock()
-					note(r, first, now-before, uint64(len(text)))
-					l.mu.Unlock()
-					before = now
-					io.WriteString(conn, text)
-				}
-			}()
+			go p.serve(conn, respond, kindOf)
 		}
 	}()
 	return listener.Addr().String()
 }
 
-func (c *counted) add(in, out uint64) {
-	c.sent, c.sentBytes, c.received, c.receivedBytes = c.sent+1, c.sentBytes+in, c.received+1, c.receivedBytes+out
+func (p *trafficPeers) serve(conn net.Conn, respond func(*http.Request) string, kindOf func(*http.Request) *exchanged) {
+	defer conn.Close()
+	counting := &countingReader{Reader: conn}
+	in := bufio.NewReader(counting)
+	requestsEnd := uint64(0) // the bytes of all requests read so far
+	for isFirst := true; ; isFirst = false {
+		request, err := http.ReadRequest(in)
+		if err != nil {
+			return
+		}
+		io.Copy(io.Discard, request.Body)
+		requestStart := requestsEnd
+		requestsEnd = counting.bytes - uint64(in.Buffered())
+		response := respond(request)
+		p.mu.Lock()
+		kind := kindOf(request)
+		kind.add(requestsEnd-requestStart, uint64(len(response)))
+		if isFirst {
+			kind.connections++
+		}
+		p.mu.Unlock()
+		io.WriteString(conn, response) // after it is counted, so that the sidecar never knows more
+	}
+}
+
+// listenEndpoint serves requests of the application and load probes.
+func (p *trafficPeers) listenEndpoint(t *testing.T) (address string) {
+	t.Helper()
+	isProbe := func(r *http.Request) bool { return r.URL.Path == "/stats" }
+	return p.listen(t, func(r *http.Request) string {
+		if isProbe(r) {
+			return httpAnswer("failed_ps=0,pending=1")
+		}
+		return httpAnswer("done")
+	}, func(r *http.Request) *exchanged {
+		if isProbe(r) {
+			return &p.probes
+		}
+		return &p.requests
+	})
+}
+
+// listenDiscovery serves a list of one endpoint. One call that waits for changes is answered once they are released.
+func (p *trafficPeers) listenDiscovery(t *testing.T, endpointAddress string) (address string) {
+	t.Helper()
+	list, err := json.Marshal(discovery.List{Version: 7, IsFull: true, Endpoints: []discovery.Endpoint{ready("s-1", endpointAddress)}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return p.listen(t, func(r *http.Request) string {
+		if r.FormValue("after") == "" {
+			return httpAnswer(string(list))
+		}
+		if r.FormValue("wait_ms") != "0" {
+			<-p.releaseWatch
+		}
+		return httpAnswer(`{"seq":7,"whole":false,"hosts":[]}`)
+	}, func(*http.Request) *exchanged { return &p.discovery })
+}
+
+// callAdmin makes an operator's call and reads the response to its end. The sidecar receives the call and sends the
+// response.
+func (p *trafficPeers) callAdmin(t *testing.T, address, request string) {
+	t.Helper()
+	conn, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(patience))
+	io.WriteString(conn, request)
+	response, err := io.ReadAll(conn)
+	if err != nil {
+		t.Fatal(err)
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.admin.add(uint64(len(response)), uint64(len(request)))
+	p.admin.connections++
+}
+
+func (p *trafficPeers) receivedMessages(kind *exchanged) uint64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return kind.receivedMessages
+}
+
+// agreesWith says whether the sidecar counted the same of a kind as its peers had when they were asked first.
+func (p *trafficPeers) agreesWith(l *loop, kind string) bool {
+	p.mu.Lock()
+	counted := map[string]exchanged{
+		controltraffic.KindLoadProbe: p.probes,
+		controltraffic.KindDiscovery: p.discovery,
+		controltraffic.KindAdmin:     p.admin,
+	}[kind]
+	p.mu.Unlock()
+	return exchangedBySidecar(l.control.Status(nil).Kinds[kind]) == counted
 }
 
 func httpAnswer(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// Messages and bytes of probes, calls of discovery and operators' calls are what the other ends of the connections
-// count, with calls of the application beside them on the same connections; a count that leaves a kind out, or counts
-// one twice, is not.
+// Ways of counting that are wrong, for a test that has to notice them.
+func uncountProbes(l *loop)          { l.up.probes = nil }
+func countProbesAsDiscovery(l *loop) { l.up.probes = &l.control.Discovery }
+func countDiscoveryElsewhere(l *loop) {
+	setDiscoveryOptions(l, discovery.Options{Traffic: &controltraffic.Counter{}})
+}
+
+func countDiscoveryTwice(l *loop) {
+	counter := &l.control.Discovery
+	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
+		conn, err := new(net.Dialer).DialContext(ctx, network, address)
+		return controltraffic.Conn{Conn: conn, Counter: counter}, err
+	}
+	setDiscoveryOptions(l, discovery.Options{Traffic: counter, Dial: dial})
+}
+
+func setDiscoveryOptions(l *loop, options discovery.Options) {
+	l.disc = discovery.NewClient(l.disc.Address(), options)
+}
+
+// Messages, bytes and connections of load probes, discovery calls and operators' calls are what the peers count, with
+// requests of the application on the same connections; a sidecar that leaves out a kind, or counts one twice, differs.
 func TestControlTrafficEqualsWhatItsPeersCount(t *testing.T) {
 	for name, c := range map[string]struct {
-		spoil func(l *loop)
-		wrong string // the kind whose count is not right
+		alter     func(l *loop)
+		wrongKind string // the kind that is miscounted
 	}{
-		"right":             {func(*loop) {}, ""},
-		"leaves out probes": {func(l *loop) { l.up.probes = nil }, "probe"},
-		"leaves out discovery": {func(l *loop) {
-			l.disc = discovery.NewClient(l.disc.Address(), discovery.Options{Traffic: &controltraffic.Counter{}})
-		}, "discovery"},
-		"probes among the rest": {func(l *loop) { l.up.probes = &l.control.Discovery }, "discovery"},
-		"counts twice": {func(l *loop) {
-			counted := &l.control.Discovery
-			dial := func(ctx context.Context, network, address string) (net.Conn, error) {
-				conn, err := new(net.Dialer).DialContext(ctx, network, address)
-				return controltraffic.Conn{Conn: conn, Counter: counted}, err
-			}
-			l.disc = discovery.NewClient(l.disc.Address(), discovery.Options{Traffic: counted, Dial: dial})
-		}, "discovery"},
+		"right":                      {func(*loop) {}, ""},
+		"leaves out probes":          {uncountProbes, controltraffic.KindLoadProbe},
+		"leaves out discovery":       {countDiscoveryElsewhere, controltraffic.KindDiscovery},
+		"counts probes as discovery": {countProbesAsDiscovery, controltraffic.KindDiscovery},
+		"counts discovery twice":     {countDiscoveryTwice, controltraffic.KindDiscovery},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l := &ledger{news: make(chan struct{})}
-			address := l.serve(t, func(r *http.Request) string {
-				if r.URL.Path == "/stats" {
-					return httpAnswer("failed_ps=0,pending=1")
-				}
-				return httpAnswer("done")
-			}, func(r *http.Request, first bool, in, out uint64) {
-				kind := &l.call
-				if r.URL.Path == "/stats" {
-					kind = &l.probe
-				}
-				kind.add(in, out)
-				if first {
-					kind.conns++
-				}
+			peers := &trafficPeers{releaseWatch: make(chan struct{})}
+			w := startBesidePeers(t, peers, c.alter)
+			w.until("lists and probes", func() bool {
+				return peers.receivedMessages(&peers.discovery) >= 1 && peers.receivedMessages(&peers.probes) >= 2
 			})
-			list, _ := json.Marshal(discovery.List{Version: 7, IsFull: true, Endpoints: []discovery.Endpoint{ready("s-1", address)}})
-			agent := l.serve(t, func(r *http.Request) string {
-				if r.FormValue("after") == "" {
-					return httpAnswer(string(list))
-				}
-				if r.FormValue("wait_ms") != "0" {
-					<-l.news // one more answer, and then none
-				}
-				return httpAnswer(`{"seq":7,"whole":false,"hosts":[]}`)
-			}, func(r *http.Request, first bool, in, out uint64) {
-				l.discovery.add(in, out)
-				if first {
-					l.discovery.conns++
-				}
-			})
-			w := &world{t: t, before: c.spoil}
-			cfg := configure(t, agent, func(settings map[string]any) {
-				settings["limits"].(map[string]any)["probes"] = true
-				settings["prices"] = map[string]any{"probe": 1.0}
-			})
-			cfg.AdminAddress = "127.0.0.1:0"
-			w.launch(cfg)
-			w.openAdmin()
-			seen := func(of *counted) uint64 {
-				l.mu.Lock()
-				defer l.mu.Unlock()
-				return of.received
-			}
-			w.until("lists and probes", func() bool { return seen(&l.discovery) >= 1 && seen(&l.probe) >= 2 })
 			for range 3 {
 				if got := w.send(w.request("read", "", 2*time.Second)); got.code != http.StatusOK {
-					t.Fatalf("a call: %+v", got)
+					t.Fatalf("a request: %+v", got)
 				}
 			}
-			order := func(text string) { // a call of an operator's, read to its end
-				conn, err := net.Dial("tcp", w.adminAddress)
-				if err != nil {
-					t.Fatal(err)
-				}
-				defer conn.Close()
-				conn.SetDeadline(time.Now().Add(patience))
-				io.WriteString(conn, text)
-				answer, err := io.ReadAll(conn)
-				if err != nil {
-					t.Fatal(err)
-				}
-				l.mu.Lock()
-				defer l.mu.Unlock()
-				// An operator's call is received, its answer sent.
-				l.orders.add(uint64(len(answer)), uint64(len(text)))
-				l.orders.conns++
-			}
-			order("GET /pin-servers HTTP/1.1\r\nHost: o\r\n\r\n")
-			order("POST /pin-servers/disable HTTP/1.1\r\nHost: o\r\nContent-Length: 3\r\n\r\ns-9")
-			order("GET /control HTTP/1.1\r\nHost: o\r\n\r\n")
-			// All is counted once nothing is on its way: the counts are equal at some time, or never.
-			equal := func(kind string) bool {
-				l.mu.Lock()
-				before := map[string]counted{"probe": l.probe, "discovery": l.discovery, "orders": l.orders}
-				l.mu.Unlock()
-				return told(w.loop.control.Status(nil).Kinds[kind]) == before[kind]
-			}
-			close(l.news)
-			for _, kind := range []string{"probe", "discovery", "orders"} {
-				if kind != c.wrong {
-					if kind == "probe" && c.wrong != "" {
-						continue // some of the wrong counts take probes away
-					}
-					w.until("the right count of "+kind, func() bool { return equal(kind) })
-					continue
-				}
-				// By now there was one of it, and what is wrong stays so: also after the next probes.
-				for n := seen(&l.probe); seen(&l.probe) < n+2; time.Sleep(5 * time.Millisecond) {
-					if equal(kind) {
-						t.Fatalf("%s is counted as it should be", kind)
-					}
+			peers.callAdmin(t, w.adminAddress, "GET /pin-servers HTTP/1.1\r\nHost: o\r\n\r\n")
+			peers.callAdmin(t, w.adminAddress, "POST /pin-servers/disable HTTP/1.1\r\nHost: o\r\nContent-Length: 3\r\n\r\ns-9")
+			peers.callAdmin(t, w.adminAddress, "GET /control HTTP/1.1\r\nHost: o\r\n\r\n")
+			close(peers.releaseWatch)
+
+			for _, kind := range []string{controltraffic.KindLoadProbe, controltraffic.KindDiscovery, controltraffic.KindAdmin} {
+				switch {
+				case kind == c.wrongKind:
+					requireMiscount(t, peers, w.loop, kind)
+				case kind == controltraffic.KindLoadProbe && c.wrongKind != "": // some miscounts take probes away
+				default: // all is counted once nothing is on its way: the counts are equal at some time, or never
+					w.until("the right count of "+kind, func() bool { return peers.agreesWith(w.loop, kind) })
 				}
 			}
-			l.mu.Lock()
-			defer l.mu.Unlock()
-			if l.call.received != 3 || l.discovery.received < 2 || l.orders.received != 3 {
-				t.Errorf("calls %+v, discovery %+v, orders %+v", l.call, l.discovery, l.orders)
+			peers.mu.Lock()
+			defer peers.mu.Unlock()
+			if peers.requests.receivedMessages != 3 || peers.discovery.receivedMessages < 2 || peers.admin.receivedMessages != 3 {
+				t.Errorf("requests %+v, discovery %+v, operators' calls %+v", peers.requests, peers.discovery, peers.admin)
 			}
 		})
 	}
 }
 
-// A process without operators counts nothing, and its calls of discovery use the system's connections.
+// startBesidePeers runs a sidecar that sends load probes and has an operators' address, with its peers.
+func startBesidePeers(t *testing.T, peers *trafficPeers, alter func(*loop)) *world {
+	t.Helper()
+	cfg := configure(t, peers.listenDiscovery(t, peers.listenEndpoint(t)), func(settings map[string]any) {
+		settings["limits"].(map[string]any)["probes"] = true
+		settings["prices"] = map[string]any{"probe": 1.0}
+	})
+	cfg.AdminAddress = "127.0.0.1:0"
+	w := &world{t: t, before: alter}
+	w.launch(cfg)
+	w.openAdmin()
+	return w
+}
+
+// requireMiscount fails the test if the counts of a kind agree before two more load probes have come: by now there was
+// some of every kind, and what is miscounted stays so.
+func requireMiscount(t *testing.T, peers *trafficPeers, l *loop, kind string) {
+	t.Helper()
+	probes := peers.receivedMessages(&peers.probes)
+	for peers.receivedMessages(&peers.probes) < probes+2 {
+		if peers.agreesWith(l, kind) {
+			t.Fatalf("%s is counted as it should be", kind)
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+}
+
+// Without an operators' address nothing is counted, and discovery is called on the system's connections.
 func TestControlTrafficIsNotCountedWithoutAnAdminAddress(t *testing.T) {
 	l, err := newLoop(context.Background(), configure(t, "127.0.0.1:1", nil), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	calls := l.disc.Options()
-	if l.control != nil || l.up.probes != nil || calls.Traffic != nil {
-		t.Errorf("counted without operators: %v, %v, %v", l.control, l.up.probes, calls.Traffic)
+	options := l.disc.Options()
+	if l.control != nil || l.up.probes != nil || options.Traffic != nil {
+		t.Errorf("counted: %v, %v, %v", l.control, l.up.probes, options.Traffic)
 	}
-	if calls.Dial != nil || calls.Transport != nil { // else connections are bare, as the client's own test shows
-		t.Errorf("discovery is called through %+v, want the system's connections", calls)
+	if options.Dial != nil || options.Transport != nil { // without them connections are bare, as the client's own test shows
+		t.Errorf("discovery is called through %+v, want the system's connections", options)
 	}
 }
 
-// The operators' address tells the counts, and discovery at a new address is counted like the first.
+// GET /control has every kind and their sum, and calls of discovery at a changed address are counted like the first.
 func TestControlStatusCoversEveryKindAndAChangedDiscovery(t *testing.T) {
 	w := &world{t: t, dir: newDirectory(t, ready("s-1", newEndpoint(t, always(served)).address))}
 	cfg := configure(t, w.dir.address, nil)
 	cfg.AdminAddress = "127.0.0.1:0"
 	w.launch(cfg)
 	w.openAdmin()
-	ask := func() (s controltraffic.Status) {
-		r, _ := http.NewRequest(http.MethodGet, "http://"+w.adminAddress+"/control", nil)
-		got := w.send(r)
-		decoder := json.NewDecoder(strings.NewReader(got.body))
-		decoder.DisallowUnknownFields()
-		if err := decoder.Decode(&s); err != nil || got.code != http.StatusOK {
-			t.Fatalf("%+v: %v", got, err)
-		}
-		return s
-	}
-	w.until("a list to be told", func() bool { return ask().Kinds["discovery"].Received.Messages > 0 })
-	s := ask()
+	w.until("a list", func() bool { return w.controlStatus().Kinds[controltraffic.KindDiscovery].Received.Messages > 0 })
+	status := w.controlStatus()
 	sum := uint64(0)
-	for _, name := range controltraffic.Kinds {
-		k, ok := s.Kinds[name]
+	for _, kind := range controltraffic.Kinds {
+		traffic, ok := status.Kinds[kind]
 		if !ok {
-			t.Errorf("%s is not told", name)
+			t.Errorf("%s is missing", kind)
 		}
-		sum += k.TotalWireBytes()
+		sum += traffic.TotalWireBytes()
 	}
-	if len(s.Kinds) != len(controltraffic.Kinds) || sum != s.WireBytes || s.Seconds <= 0 {
-		t.Errorf("told %+v, want a sum of %d", s, sum)
+	if len(status.Kinds) != len(controltraffic.Kinds) || sum != status.WireBytes || status.Seconds <= 0 {
+		t.Errorf("status %+v, want a sum of %d", status, sum)
 	}
-	if orders := s.Kinds["orders"]; orders.Accepted < 2 || orders.Sent.Messages+1 < orders.Received.Messages {
-		t.Errorf("orders %+v", orders)
+	if calls := status.Kinds[controltraffic.KindAdmin]; calls.Accepted < 2 || calls.Sent.Messages+1 < calls.Received.Messages {
+		t.Errorf("operators' calls %+v", calls)
 	}
-	before := s.Kinds["discovery"].Opened
+	opened := status.Kinds[controltraffic.KindDiscovery].Opened
 	second := newDirectory(t, ready("s-1", newEndpoint(t, always(served)).address))
 	w.do(func() { w.loop.rediscover(second.address) })
-	w.until("calls of the new discovery", func() bool { return second.count() > 0 && ask().Kinds["discovery"].Opened > before })
+	w.until("calls of the new discovery", func() bool {
+		return second.count() > 0 && w.controlStatus().Kinds[controltraffic.KindDiscovery].Opened > opened
+	})
+}
+
+// controlStatus asks the sidecar for GET /control.
+func (w *world) controlStatus() controltraffic.Status {
+	w.t.Helper()
+	request, err := http.NewRequest(http.MethodGet, "http://"+w.adminAddress+"/control", nil)
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	got := w.send(request)
+	decoder := json.NewDecoder(strings.NewReader(got.body))
+	decoder.DisallowUnknownFields()
+	var status controltraffic.Status
+	if err := decoder.Decode(&status); err != nil || got.code != http.StatusOK {
+		w.t.Fatalf("%+v: %v", got, err)
+	}
+	return status
 }
