--- a/internal/sidecar/discovery_outage_test.go
+++ b/internal/sidecar/discovery_outage_test.go
@@ -22,324 +22,383 @@
 	"bramblestand/internal/discovery"
 )
 
-// outage is how discovery is out of reach.
+// outage is the way in which discovery cannot be reached.
 type outage int
 
 const (
-	refuses     outage = iota // connections are refused
-	unheard                   // they don't come up: the system tries again after 1, 3, 7, 15 ... s
-	silent4ever               // calls are taken and never answered, nor are those that were open, also once it is back
-	hangsUp                   // calls are closed just before they would be given up
-	turnsAway                 // calls are answered with 503 at once
-	stalls                    // half an answer comes
-	outages
+	refusesConnections  outage = iota
+	dropsHandshakes            // connections are not established: the system tries again after 1, 3, 7, 15 ... s
+	neverResponds              // calls are read and never answered; on connections of before the end also after it
+	closesLate                 // calls are closed just before they would time out
+	respondsUnavailable        // calls are answered with 503 at once
+	stallsMidResponse          // half a response arrives
+	outageKinds
 )
 
 func (o outage) String() string {
-	return [...]string{"refuses", "does not come up", "is silent", "hangs up late", "turns away", "stalls amid its answer"}[o]
+	return [...]string{"refuses connections", "drops handshakes", "never responds", "closes late", "responds 503",
+		"stalls amid its response"}[o]
 }
 
-// agentIn is a discovery service in virtual time, on pipes in place of sockets. It is out of reach from one instant to
-// another, and has a new list from its return on.
-type agentIn struct {
-	how        outage
-	down, back time.Time
-	anew       bool // its versions begin anew with its return, and the whole list is still out of reach for so long:
-	wholeFrom  time.Time
-	slow       time.Duration // each answer takes
-
-	mu    sync.Mutex
-	conns []net.Conn
-	waits time.Time // when the latest call before the return came, if it is one that may wait
-}
+var errConnectionRefused = errors.New("connection refused")
 
-func (a *agentIn) out(now time.Time) bool { return !now.Before(a.down) && now.Before(a.back) }
+// outageService is a discovery service in virtual time, on pipes in place of sockets. It cannot be reached from one
+// instant to another, and has a new list from the end of that on. The first list is version 1 with s-1; the new one has
+// s-2, too.
+type outageService struct {
+	outage   outage
+	downFrom time.Time
+	upFrom   time.Time
+	// restartsVersions says that the new list has version 0, and that it is not sent in full before fullListFrom.
+	restartsVersions bool
+	fullListFrom     time.Time
+	responseDelay    time.Duration // of each response after upFrom
 
-var errRefused = errors.New("connection refused")
+	mu            sync.Mutex // guards what is below
+	conns         []net.Conn
+	lastWaitingAt time.Time // of the latest call before upFrom, if that is one that may wait for changes
+}
 
-func (a *agentIn) dial(ctx context.Context, _, _ string) (net.Conn, error) {
-	for wait := time.Second; a.out(time.Now()) && a.how == unheard; wait *= 2 {
-		if wait > time.Minute {
+func (s *outageService) isDown(now time.Time) bool {
+	return !now.Before(s.downFrom) && now.Before(s.upFrom)
+}
+
+// dial is a discovery.DialFunc.
+func (s *outageService) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+	for retryDelay := time.Second; s.isDown(time.Now()) && s.outage == dropsHandshakes; retryDelay *= 2 {
+		if retryDelay > time.Minute {
 			return nil, errors.New("connection timed out")
 		}
 		select {
-		case <-time.After(wait):
+		case <-time.After(retryDelay):
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
-	if a.out(time.Now()) && a.how == refuses {
-		return nil, errRefused
+	if s.isDown(time.Now()) && s.outage == refusesConnections {
+		return nil, errConnectionRefused
 	}
-	here, there := net.Pipe()
-	a.mu.Lock()
-	a.conns = append(a.conns, there)
-	a.mu.Unlock()
-	go a.serve(there)
-	return here, nil
+	clientEnd, serviceEnd := net.Pipe()
+	s.mu.Lock()
+	s.conns = append(s.conns, serviceEnd)
+	s.mu.Unlock()
+	go s.serve(serviceEnd)
+	return clientEnd, nil
 }
 
-// goDown ends or silences what is open, as the outage has it.
-func (a *agentIn) goDown() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.how != silent4ever && a.how != unheard {
-		for _, c := range a.conns {
-			c.Close()
-		}
+// begin closes what is open when the outage begins, unless it is one that leaves connections open.
+func (s *outageService) begin() {
+	if s.outage != neverResponds && s.outage != dropsHandshakes {
+		s.closeAll()
 	}
 }
 
-func (a *agentIn) serve(conn net.Conn) {
+func (s *outageService) closeAll() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, conn := range s.conns {
+		conn.Close()
+	}
+}
+
+func (s *outageService) serve(conn net.Conn) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
-	begun := time.Now()
+	openedAt := time.Now()
 	for {
-		r, err := http.ReadRequest(in)
+		request, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
 		now := time.Now()
-		a.mu.Lock()
-		if now.Before(a.back) {
-			if a.waits = (time.Time{}); r.FormValue("wait_ms") > "0" {
-				a.waits = now
-			}
-		}
-		a.mu.Unlock()
-		answer := func(code int, list discovery.List) {
-			body, _ := json.Marshal(list)
-			fmt.Fprintf(conn, "HTTP/1.1 %d x\r\nContent-Length: %d\r\n\r\n%s", code, len(body), body)
-		}
-		deaf := func() { in.ReadByte() } // until the sidecar closes
-		if a.out(now) {
-			switch a.how {
-			case hangsUp:
-				time.Sleep(discovery.CallTimeout - 10*time.Millisecond)
-				return
-			case turnsAway:
-				answer(http.StatusServiceUnavailable, discovery.List{})
-				continue
-			case stalls:
-				fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"seq\":")
-			}
-			deaf()
+		s.noteCall(request, now)
+		if !s.respond(conn, request, openedAt, now) {
 			return
 		}
-		if now.Before(a.down) { // the list as it was: it has nothing newer than version 1
-			if r.FormValue("wait_ms") != "0" && r.FormValue("after") == "1" {
-				deaf() // until it goes down, or for good
-				return
-			}
-			answer(http.StatusOK, discovery.List{Version: 1, IsFull: true, Endpoints: []discovery.Endpoint{ready("s-1", "127.0.0.1:1")}})
-			continue
-		}
-		if begun.Before(a.back) && a.how == silent4ever {
-			deaf()
-			return
+	}
+}
+
+// noteCall keeps when a call before the outage's end came, if it may wait.
+func (s *outageService) noteCall(request *http.Request, now time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !now.Before(s.upFrom) {
+		return
+	}
+	s.lastWaitingAt = time.Time{}
+	if request.FormValue("wait_ms") > "0" {
+		s.lastWaitingAt = now
+	}
+}
+
+// respond answers a call, or leaves it without an answer until the sidecar closes the connection. It returns false where
+// the connection is over.
+func (s *outageService) respond(conn net.Conn, request *http.Request, openedAt, now time.Time) bool {
+	switch {
+	case s.isDown(now):
+		return s.respondDown(conn)
+	case now.Before(s.downFrom):
+		if mayWaitAfter(request, 1) {
+			return awaitClose(conn) // also when the outage begins
 		}
-		time.Sleep(a.slow)
-		seq := uint64(2)
-		if a.anew {
-			seq = 0
-			if r.FormValue("after") != "" {
-				answer(http.StatusOK, discovery.List{Version: seq, Endpoints: []discovery.Endpoint{}})
-				continue
-			}
-			if now.Before(a.wholeFrom) {
-				deaf()
-				return
-			}
+		writeList(conn, http.StatusOK, discovery.List{Version: 1, IsFull: true, Endpoints: []discovery.Endpoint{ready("s-1", "127.0.0.1:1")}})
+		return true
+	case openedAt.Before(s.upFrom) && s.outage == neverResponds:
+		return awaitClose(conn)
+	}
+	time.Sleep(s.responseDelay)
+	return s.respondUp(conn, request, now)
+}
+
+func (s *outageService) respondDown(conn net.Conn) bool {
+	switch s.outage {
+	case closesLate:
+		time.Sleep(discovery.CallTimeout - 10*time.Millisecond)
+		return false
+	case respondsUnavailable:
+		writeList(conn, http.StatusServiceUnavailable, discovery.List{})
+		return true
+	case stallsMidResponse:
+		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"seq\":")
+	}
+	return awaitClose(conn)
+}
+
+// respondUp answers with the new list.
+func (s *outageService) respondUp(conn net.Conn, request *http.Request, now time.Time) bool {
+	version := uint64(2)
+	if s.restartsVersions {
+		version = 0
+		if request.FormValue("after") != "" {
+			writeList(conn, http.StatusOK, discovery.List{Version: version, Endpoints: []discovery.Endpoint{}})
+			return true
 		}
-		if r.FormValue("wait_ms") != "0" && r.FormValue("after") == fmt.Sprint(seq) {
-			deaf()
-			return
+		if now.Before(s.fullListFrom) {
+			return awaitClose(conn)
 		}
-		answer(http.StatusOK, discovery.List{Version: seq, IsFull: true, Endpoints: []discovery.Endpoint{ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:2")}})
 	}
+	if mayWaitAfter(request, version) {
+		return awaitClose(conn)
+	}
+	writeList(conn, http.StatusOK, discovery.List{Version: version, IsFull: true,
+		Endpoints: []discovery.Endpoint{ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:2")}})
+	return true
+}
+
+// mayWaitAfter says whether a call waits for what is newer than this version.
+func mayWaitAfter(request *http.Request, version uint64) bool {
+	return request.FormValue("wait_ms") != "0" && request.FormValue("after") == fmt.Sprint(version)
+}
+
+// awaitClose returns false, once the sidecar has closed the connection.
+func awaitClose(conn net.Conn) bool {
+	conn.Read(make([]byte, 1))
+	return false
+}
+
+func writeList(conn net.Conn, code int, list discovery.List) {
+	body, _ := json.Marshal(list)
+	fmt.Fprintf(conn, "HTTP/1.1 %d x\r\nContent-Length: %d\r\n\r\n%s", code, len(body), body)
 }
 
-// tellings keeps when the balancer was told of s-2.
-type tellings struct {
+// updateRecorder keeps when the balancer first learned of an endpoint.
+type updateRecorder struct {
 	decider
-	id     uint32
-	told   chan time.Time // has room
-	timers int
-	enough func() // called when the balancer asks for timers without end: virtual time would hardly go on
+	endpoint  uint32
+	learnedAt chan time.Time // buffered for the one
+	timers    int
+	abort     func() // called where the balancer sets timers without end: virtual time would hardly advance
 }
 
-const timersMost = 5000
+const maxTimers = 5000
 
-func (s *tellings) TimerFired(now balancer.Micros, token uint32) {
-	if s.timers++; s.timers > timersMost {
-		s.enough()
+func (r *updateRecorder) TimerFired(now balancer.Micros, token uint32) {
+	if r.timers++; r.timers > maxTimers {
+		r.abort()
 		return
 	}
-	s.decider.TimerFired(now, token)
+	r.decider.TimerFired(now, token)
 }
 
-func (s *tellings) UpdateEndpoints(now balancer.Micros, kind balancer.UpdateKind, entries []balancer.Endpoint) {
-	if slices.ContainsFunc(entries, func(e balancer.Endpoint) bool { return e.ID == s.id }) {
+func (r *updateRecorder) UpdateEndpoints(now balancer.Micros, kind balancer.UpdateKind, entries []balancer.Endpoint) {
+	if slices.ContainsFunc(entries, func(e balancer.Endpoint) bool { return e.ID == r.endpoint }) {
 		select {
-		case s.told <- time.Now():
+		case r.learnedAt <- time.Now():
 		default:
 		}
 	}
-	s.decider.UpdateEndpoints(now, kind, entries)
+	r.decider.UpdateEndpoints(now, kind, entries)
+}
+
+// outageRun is one run of a sidecar against an outageService, in a synctest bubble.
+type outageRun struct {
+	alterSettings func(map[string]any)
+	service       *outageService
+	// moveAfter is when the sidecar turns from a first discovery service to the one above, as by SIGHUP; 0 for never.
+	moveAfter time.Duration
+	knowsList bool // the sidecar starts with version 1 of the list
 }
 
-// learns runs a sidecar against a discovery service and returns when it had the new list. With moved it turns from a first
-// address to that one at that time, as after SIGHUP.
-func learns(t *testing.T, alter func(map[string]any), a *agentIn, moved time.Duration, known bool) (told time.Time) {
+// learnedAt runs the sidecar and returns when it had the new list; an hour after the start if it did not within 2 minutes.
+func (run outageRun) learnedAt(t *testing.T) time.Time {
 	t.Helper()
-	begin := time.Now()
+	start := time.Now()
 	ctx, stop := context.WithCancel(context.Background())
-	hosts := []discovery.Endpoint{}
-	if known {
-		hosts = append(hosts, ready("s-1", "127.0.0.1:1"))
-	}
-	cfg := configure(t, "127.0.0.1:1", alter, hosts...)
-	cfg.KnownEndpoints.Version = 1
-	cfg.Seed = uint64(a.back.UnixNano())
-	l, err := newLoop(ctx, cfg, slog.New(slog.DiscardHandler))
-	if err != nil {
-		t.Fatal(err)
-	}
-	first := &agentIn{down: begin.Add(time.Hour), back: begin.Add(time.Hour)}
-	dial := a.dial
-	if moved > 0 {
-		dial = func(ctx context.Context, network, address string) (net.Conn, error) {
-			if strings.HasSuffix(address, ":1") {
-				return first.dial(ctx, network, address)
-			}
-			return a.dial(ctx, network, address)
-		}
-	}
-	l.disc = discovery.NewClient(cfg.DiscoveryAddress, discovery.Options{Dial: dial})
-	spy := &tellings{decider: l.balancer, id: l.number("s-2"), told: make(chan time.Time, 1), enough: stop}
-	l.balancer = spy
+	first := &outageService{downFrom: start.Add(time.Hour), upFrom: start.Add(time.Hour)}
+	l := run.newLoop(ctx, t, first)
+	recorder := &updateRecorder{decider: l.balancer, endpoint: l.number("s-2"), learnedAt: make(chan time.Time, 1), abort: stop}
+	l.balancer = recorder
 	ended := make(chan struct{})
 	go func() { l.run(); close(ended) }()
-	if moved > 0 {
-		time.Sleep(moved)
+
+	if run.moveAfter > 0 {
+		time.Sleep(run.moveAfter)
 		l.post(func(balancer.Micros) { l.rediscover("127.0.0.1:2") })
-	} else if a.down.After(begin) {
-		time.Sleep(a.down.Sub(begin))
-		a.goDown()
+	} else if run.service.downFrom.After(start) {
+		time.Sleep(run.service.downFrom.Sub(start))
+		run.service.begin()
 	}
-	told = begin.Add(time.Hour)
+	learnedAt := start.Add(time.Hour)
 	select {
-	case told = <-spy.told:
+	case learnedAt = <-recorder.learnedAt:
 	case <-ctx.Done():
 	case <-time.After(2 * time.Minute):
 	}
+
 	stop()
 	<-ended
-	time.Sleep(5 * time.Minute) // until all that goes on by itself is over
+	time.Sleep(5 * time.Minute) // until every call and pause is over
 	l.disc.CloseIdleConnections()
-	for _, of := range []*agentIn{a, first} {
-		of.mu.Lock()
-		for _, c := range of.conns {
-			c.Close()
+	run.service.closeAll()
+	first.closeAll()
+	time.Sleep(time.Second)
+	return learnedAt
+}
+
+// newLoop returns a loop that dials the run's service, or, where it moves to that later, the first one at port 1.
+func (run outageRun) newLoop(ctx context.Context, t *testing.T, first *outageService) *loop {
+	t.Helper()
+	known := []discovery.Endpoint{}
+	if run.knowsList {
+		known = append(known, ready("s-1", "127.0.0.1:1"))
+	}
+	cfg := configure(t, "127.0.0.1:1", run.alterSettings, known...)
+	cfg.KnownEndpoints.Version = 1
+	cfg.Seed = uint64(run.service.upFrom.UnixNano())
+	l, err := newLoop(ctx, cfg, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	dial := run.service.dial
+	if run.moveAfter > 0 {
+		dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+			if strings.HasSuffix(address, ":1") {
+				return first.dial(ctx, network, address)
+			}
+			return run.service.dial(ctx, network, address)
 		}
-		of.mu.Unlock()
 	}
-	time.Sleep(time.Second)
-	return told
+	l.disc = discovery.NewClient(cfg.DiscoveryAddress, discovery.Options{Dial: dial})
+	return l
 }
 
-// waysToAsk are the settings that bear on when discovery is called: lists that are pushed, and such that are asked for,
-// whatever time the settings name for that.
-var waysToAsk = map[string]func(map[string]any){"pushed": func(s map[string]any) { s["discovery"] = "automatic" }}
+// pollSettings are settings that decide when discovery is called: lists that are pushed, and lists that are polled, with
+// several values for the longest interval.
+var pollSettings = newPollSettings()
 
-func init() {
-	for _, within := range []time.Duration{0, time.Second, 10 * time.Second, time.Hour} {
-		waysToAsk[fmt.Sprint("asked within ", within)] = func(s map[string]any) {
-			s["contract"].(map[string]any)["ask-within"] = within.Microseconds()
+func newPollSettings() map[string]func(map[string]any) {
+	all := map[string]func(map[string]any){"pushed": func(s map[string]any) { s["discovery"] = "automatic" }}
+	for _, interval := range []time.Duration{0, time.Second, 10 * time.Second, time.Hour} {
+		all[fmt.Sprint("polled within ", interval)] = func(s map[string]any) {
+			s["contract"].(map[string]any)["ask-within"] = interval.Microseconds()
 		}
 	}
+	return all
 }
 
-// A change counts as told toldMost after discovery had it and could be reached, whatever calls failed before, and what a
-// waiting call missed waitMost after its wait's end, if that is later. The margins are for answers that are on their way
-// and for a busy machine.
+// By the protocol a change counts as known maxUpdateDelay after discovery had it and could be reached, whatever calls
+// failed before, and what a waiting call missed maxDelayAfterWait after the end of its wait, if that is later. The
+// margins are for responses on their way and for a busy machine.
 const (
-	toldMost, toldMargin = 6 * time.Second, time.Second
-	waitMost, waitMargin = 2 * time.Second, 300 * time.Millisecond
+	maxUpdateDelay, updateMargin       = 6 * time.Second, time.Second
+	maxDelayAfterWait, afterWaitMargin = 2 * time.Second, 300 * time.Millisecond
 )
 
-// Whatever calls of discovery failed, were refused or given up, a change is known well within the time after which it
-// counts as told: at a start, amid a watch, and after SIGHUP, however discovery was out of reach, and at whichever instant
-// of the sidecar's calls and pauses it returns. Time is virtual, and so are the connections.
+// Whatever calls of discovery failed, were refused or timed out, a change is known well before it counts as known: at a
+// start, during a watch, and after SIGHUP, with every kind of outage, and at whichever instant of the sidecar's calls and
+// pauses it ends. Time and connections are virtual.
 func TestChangeIsKnownInTimeAfterAnyOutage(t *testing.T) {
-	const begin = 5 * time.Second // of an outage amid a watch, and of SIGHUP
-	for way, alter := range waysToAsk {
-		t.Run(way, func(t *testing.T) {
+	const eventDelay = 5 * time.Second // of an outage during a watch, and of SIGHUP
+	for name, alterSettings := range pollSettings {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var worst, worstWait time.Duration
-			var worstAt string
-			for how := range outages {
-				for _, when := range []string{"start", "start without a list", "watch", "SIGHUP"} {
-					most := 12 * time.Second // turns of calls and pauses
-					if how == unheard {
-						most = 26 * time.Second // the system's tries are ever further apart
+			var worst, worstAfterWait time.Duration
+			var worstCase string
+			for kind := range outageKinds {
+				for _, phase := range []string{"start", "start without a list", "watch", "SIGHUP"} {
+					longest := 12 * time.Second // cycles of calls and pauses
+					if kind == dropsHandshakes {
+						longest = 26 * time.Second // the system's attempts are ever further apart
 					}
-					for lasts := 50 * time.Millisecond; lasts < most; lasts += 1430 * time.Millisecond {
+					for length := 50 * time.Millisecond; length < longest; length += 1430 * time.Millisecond {
 						synctest.Test(t, func(t *testing.T) {
-							zero := time.Now()
-							a := &agentIn{how: how, down: zero, back: zero.Add(lasts)}
-							moved := time.Duration(0)
-							switch when {
+							start := time.Now()
+							service := &outageService{outage: kind, downFrom: start, upFrom: start.Add(length)}
+							run := outageRun{alterSettings: alterSettings, service: service, knowsList: phase != "start without a list"}
+							switch phase {
 							case "watch":
-								a.down, a.back = zero.Add(begin), zero.Add(begin+lasts)
+								service.downFrom, service.upFrom = start.Add(eventDelay), start.Add(eventDelay+length)
 							case "SIGHUP":
-								moved, a.back = begin, zero.Add(begin+lasts)
+								run.moveAfter, service.upFrom = eventDelay, start.Add(eventDelay+length)
 							}
-							told := learns(t, alter, a, moved, when != "start without a list")
-							late, waited := told.Sub(a.back), told.Sub(a.waits.Add(discovery.MaxWait))
+							learnedAt := run.learnedAt(t)
+							delay := learnedAt.Sub(service.upFrom)
+							delayAfterWait := learnedAt.Sub(service.lastWaitingAt.Add(discovery.MaxWait))
 							switch {
-							case !a.waits.IsZero() && waited <= waitMost-waitMargin:
-								worstWait = max(worstWait, waited)
-							case late <= toldMost-toldMargin:
-								if late > worst {
-									worst, worstAt = late, fmt.Sprintf("%s, discovery %v for %v", when, how, lasts)
+							case !service.lastWaitingAt.IsZero() && delayAfterWait <= maxDelayAfterWait-afterWaitMargin:
+								worstAfterWait = max(worstAfterWait, delayAfterWait)
+							case delay <= maxUpdateDelay-updateMargin:
+								if delay > worst {
+									worst, worstCase = delay, fmt.Sprintf("%s, discovery %v for %v", phase, kind, length)
 								}
 							default:
 								t.Errorf("%s, discovery %v for %v: known %v after its return, %v after the last wait's end",
-									when, how, lasts, late, waited)
+									phase, kind, length, delay, delayAfterWait)
 							}
 						})
 					}
 				}
 			}
-			t.Logf("known at most %v after discovery's return (%s), or %v after a wait's end", worst, worstAt, worstWait)
+			t.Logf("known at most %v after discovery's return (%s), or %v after a wait's end", worst, worstCase, worstAfterWait)
 		})
 	}
 }
 
-// Versions that begin anew are no reason to wait for longer: the call for the whole list does not wait, and is given up as
-// such a call is.
+// Versions that start anew are no reason to wait for longer: the call for the full list does not wait for changes, and
+// times out as such a call does.
 func TestFullListIsRequestedAgainSoonAfterARestart(t *testing.T) {
-	for way, alter := range waysToAsk {
+	for name, alterSettings := range pollSettings {
 		synctest.Test(t, func(t *testing.T) {
-			zero := time.Now()
-			a := &agentIn{how: refuses, down: zero, back: zero.Add(10 * time.Millisecond), anew: true}
-			a.wholeFrom = zero.Add(1500 * time.Millisecond)
-			if late := learns(t, alter, a, 0, true).Sub(a.wholeFrom); late > toldMost-toldMargin {
-				t.Errorf("%s: known %v after the whole list could be had", way, late)
+			start := time.Now()
+			service := &outageService{outage: refusesConnections, downFrom: start, upFrom: start.Add(10 * time.Millisecond),
+				restartsVersions: true, fullListFrom: start.Add(1500 * time.Millisecond)}
+			run := outageRun{alterSettings: alterSettings, service: service, knowsList: true}
+			if delay := run.learnedAt(t).Sub(service.fullListFrom); delay > maxUpdateDelay-updateMargin {
+				t.Errorf("%s: known %v after the full list could be had", name, delay)
 			}
 		})
 	}
 }
 
-// A call that discovery is slow to answer is left to it, whatever time the settings name for asking again.
+// A call that discovery is slow to answer is not cut off, whatever interval the settings give for the next.
 func TestSlowResponseIsAwaited(t *testing.T) {
-	for way, alter := range waysToAsk {
+	for name, alterSettings := range pollSettings {
 		synctest.Test(t, func(t *testing.T) {
-			zero := time.Now()
-			a := &agentIn{how: refuses, down: zero, back: zero, slow: 3 * time.Second}
-			if late := learns(t, alter, a, 0, false).Sub(zero); late > toldMost-toldMargin {
-				t.Errorf("%s: known %v after the start", way, late)
+			start := time.Now()
+			service := &outageService{outage: refusesConnections, downFrom: start, upFrom: start, responseDelay: 3 * time.Second}
+			run := outageRun{alterSettings: alterSettings, service: service}
+			if delay := run.learnedAt(t).Sub(start); delay > maxUpdateDelay-updateMargin {
+				t.Errorf("%s: known %v after the start", name, delay)
 			}
 		})
 	}
