--- a/internal/sidecar/departure_test.go
+++ b/internal/sidecar/departure_test.go
@@ -39,7 +39,7 @@
 func (d *departures) WithAttrs(attrs []slog.Attr) slog.Handler {
 	next := *d
 	for _, a := range attrs {
-		if a.Key == "id" {
+		if a.Key == "request_id" {
 			next.id = a.Value.String()
 		}
 	}
@@ -49,7 +49,7 @@
 func (d *departures) Handle(_ context.Context, r slog.Record) error {
 	left := false
 	r.Attrs(func(a slog.Attr) bool {
-		left = left || a.Key == "code" && a.Value.Int64() == 0
+		left = left || a.Key == "status" && a.Value.Int64() == 0
 		return true
 	})
 	if r.Message == "request not served" && left {
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -114,5 +114,5 @@
 	s.hasOtherProcess, s.limitsSplit = hasOtherProcess, true
 	maxHeap := int64(limits.MemoryMB) << 20 / 10 * heapTenths / int64(processCount(hasOtherProcess))
 	debug.SetMemoryLimit(maxHeap)
-	s.bodies.setMaxBytes(maxHeap / bodiesHeapDivisor)
+	s.requests.bodies.setMaxBytes(maxHeap / bodiesHeapDivisor)
 }
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -286,8 +286,8 @@
 		l.gone(now, r) // before the balancer would try again for it
 	}
 	if res.status != balancer.OK {
-		l.log.Info("attempt not served", "id", r.message.header.Get("X-Correlation-Id"), "attempt", o.Attempt,
-			"endpoint", o.Endpoint, "status", res.status, "ms", o.Latency/1000, "error", res.err)
+		l.log.Info("attempt not served", "request_id", r.message.header.Get(requestIDHeader), "attempt", o.Attempt,
+			"endpoint", o.Endpoint, "outcome", res.status, "duration", time.Duration(o.Latency)*time.Microsecond, "error", res.err)
 	}
 	if res.status == balancer.OK {
 		l.finish(r, answer{code: http.StatusOK, header: res.header, body: res.body})
--- a/internal/sidecar/request_body_test.go
+++ b/internal/sidecar/request_body_test.go
@@ -212,9 +212,9 @@
 			"X-Time-Left-Ms: 9000\r\nIdempotency-Key: 1\r\nContent-Length: %d\r\n\r\n", length)
 		io.CopyN(k.conn, &pattern{end: long}, maxBufferedBody/2)
 		w.until("the body to be awaited", func() bool {
-			w.server.bodies.mu.Lock()
-			defer w.server.bodies.mu.Unlock()
-			return len(w.server.bodies.incomplete) == 1
+			w.server.requests.bodies.mu.Lock()
+			defer w.server.requests.bodies.mu.Unlock()
+			return len(w.server.requests.bodies.incomplete) == 1
 		})
 		w.stop()
 		got, err := http.ReadResponse(k.in, nil)
@@ -243,7 +243,7 @@
 		}
 	})
 	w := start(t, nil, ready("s-1", e.address))
-	w.server.bodies.setMaxBytes(2*copyBufferSize + maxBufferedBody)
+	w.server.requests.bodies.setMaxBytes(2*copyBufferSize + maxBufferedBody)
 	first := make(chan reply)
 	go func() { first <- w.send(w.request("pay", strings.Repeat("x", maxBufferedBody), time.Minute)) }()
 	w.until("the first to be in flight", func() bool { n, _ := e.seen(); return n == 1 })
--- a/internal/sidecar/request_handler.go
+++ b/internal/sidecar/request_handler.go
@@ -1,8 +1,7 @@
 package sidecar
 
 import (
-	"fmt"
-	"hash/fnv"
+	"log/slog"
 	"net/http"
 	"strconv"
 	"time"
@@ -10,249 +9,251 @@
 	"bramblestand/balancer"
 )
 
-// serveReadiness answers a check of readiness, and ends its connection: anyone may ask,
-// and one that stays would take an application's room.
-func (s *server) serveReadiness(w http.ResponseWriter) {
-	w.Header().Set("Connection", "close")
-	if s.isDraining() || !s.loop.listed.Load() {
-		w.WriteHeader(http.StatusServiceUnavailable)
+const (
+	maxRequestTimeout  = time.Minute           // of a request
+	writeTimeout       = 2 * time.Second       // of a buffered response, from its first byte on
+	overloadRetryAfter = time.Second           // for clients that find too many connections or too little memory
+	shutdownRetryAfter = 50 * time.Millisecond // for clients of a process that is shutting down
+	clientIdleTimeout  = 10 * time.Second      // between a client's requests
+)
+
+// readinessPath is the path of readiness checks. All other paths are the application's.
+const readinessPath = "/health/ready"
+
+// requestHandler serves the requests of the application: it reads them, hands them to the event loop, and writes the one final
+// response to each. net/http calls ServeHTTP in a goroutine for each request.
+type requestHandler struct {
+	loop    *loop
+	log     *slog.Logger
+	clients *clientConns
+	bodies  requestBodies
+	parser  requestParser
+
+	isDraining func() bool // clients are to go elsewhere: each response ends its connection
+}
+
+func newRequestHandler(l *loop, clients *clientConns, isDraining func() bool) *requestHandler {
+	return &requestHandler{loop: l, log: l.log, clients: clients, parser: newRequestParser(&l.cfg.Settings), isDraining: isDraining}
+}
+
+// newHTTPServer returns the server that calls the handler.
+func (h *requestHandler) newHTTPServer() *http.Server {
+	return &http.Server{
+		Handler:           h, // not a ServeMux, which would redirect paths that endpoints are to see unchanged
+		ReadHeaderTimeout: paceGrace,
+		WriteTimeout:      maxRequestTimeout + writeTimeout,
+		// Without IdleTimeout: clientConns closes idle connections.
+		MaxHeaderBytes: headMost,
+		ErrorLog:       slog.NewLogLogger(h.log.Handler(), slog.LevelWarn),
+		ConnState:      h.clients.connState,
+		ConnContext:    h.clients.connContext,
 	}
 }
 
-// invalidRequest is what a client did wrong.
-type invalidRequest struct {
-	status int
-	reason string
+// ServeHTTP answers a readiness check or a request of the application.
+func (h *requestHandler) ServeHTTP(w http.ResponseWriter, in *http.Request) {
+	e := &clientExchange{requestHandler: h, writer: w, in: in, controller: http.NewResponseController(w),
+		conn: clientConnOf(in), arrived: h.loop.clock.now()}
+	switch {
+	case e.conn.takeRequest():
+		e.rejectInvalid(newInvalidRequest("both a length and a transfer coding are given"))
+	case in.URL.Path == readinessPath:
+		h.serveReadiness(w)
+	default:
+		e.serve()
+	}
 }
 
-func (e *invalidRequest) Error() string { return e.reason }
+// serveReadiness answers a readiness check, and ends its connection: anyone may ask, and a connection that stays would take an
+// application's place.
+func (h *requestHandler) serveReadiness(w http.ResponseWriter) {
+	w.Header().Set("Connection", "close")
+	if h.isDraining() || !h.loop.listed.Load() {
+		w.WriteHeader(http.StatusServiceUnavailable)
+	}
+}
 
-func newInvalidRequest(format string, args ...any) *invalidRequest {
-	return &invalidRequest{http.StatusBadRequest, fmt.Sprintf(format, args...)}
+// clientExchange is one request of the application and its response. One goroutine uses it.
+type clientExchange struct {
+	*requestHandler
+	writer     http.ResponseWriter
+	in         *http.Request
+	controller *http.ResponseController
+	conn       *clientConn
+	arrived    balancer.Micros
 }
 
-// serveRequest takes one request and gives its one final answer.
-func (s *server) serveRequest(w http.ResponseWriter, in *http.Request) {
-	arrived := s.loop.clock.now()
-	if s.clients.isOverLimit() {
-		// Beyond this the process runs out of descriptors, and then it can
-		// neither accept nor send.
-		w.Header().Set("Connection", "close")
-		s.logNotServed(in, arrived, http.StatusServiceUnavailable)
-		writeBufferedResponse(w, answer{code: http.StatusServiceUnavailable, retryAfter: overloadRetryAfter.Microseconds()})
+// serve reads the request and writes its one final response. It panics with http.ErrAbortHandler where the client must not take
+// what it was sent for a complete response.
+func (e *clientExchange) serve() {
+	if e.clients.isOverLimit() {
+		// With more connections the process would run out of descriptors, and could neither accept nor send.
+		e.reject(overloadRetryAfter)
 		return
 	}
-	if len(in.TransferEncoding) > 0 {
-		// What follows is not looked at for a head with two lengths (see framing).
-		w.Header().Set("Connection", "close")
+	if len(e.in.TransferEncoding) > 0 {
+		e.closeConnection() // requestFraming does not look at what follows such a request
 	}
-	control := http.NewResponseController(w)
-	body := &requestBody{reader: in.Body, controller: control, contentLength: in.ContentLength}
-	if retry, ok := s.bodies.add(body); !ok {
-		s.rejectUnread(w, in, control, arrived, retry)
+	body := &requestBody{reader: e.in.Body, controller: e.controller, contentLength: e.in.ContentLength}
+	if retryAfter, ok := e.bodies.add(body); !ok {
+		e.rejectUnread(retryAfter)
 		return
 	}
-	defer s.bodies.remove(body)
-	req, m, err := s.readRequest(in, body)
-	if err != nil && body.wasAborted() {
-		s.rejectUnread(w, in, control, arrived, shutdownRetryAfter)
-		return
+	defer e.bodies.remove(body)
+	request, message, err := e.read(body)
+	switch {
+	case err != nil && body.wasAborted():
+		e.rejectUnread(shutdownRetryAfter)
+	case err != nil:
+		e.rejectInvalid(err)
+	case !e.clients.markValidRequest(e.conn):
+		panic(http.ErrAbortHandler) // the connection was evicted
+	default:
+		e.awaitResponse(request, message)
 	}
+}
+
+// read reads the request with as much of its body as is buffered.
+func (e *clientExchange) read(body *requestBody) (balancer.Request, *message, *invalidRequest) {
+	request, err := e.parser.parse(e.in)
 	if err != nil {
-		s.rejectInvalid(w, in, err)
-		return
+		return request, nil, err
+	}
+	message := &message{method: e.in.Method, url: e.in.URL, host: e.in.Host, header: e.in.Header}
+	isComplete := false
+	if body.contentLength <= maxBufferedBody {
+		var readErr error
+		if message.body, isComplete, readErr = body.buffer(maxBufferedBody); readErr != nil {
+			return request, nil, &invalidRequest{body.err.status, readErr.Error()}
+		}
 	}
-	conn := clientConnOf(in)
-	if !s.clients.markValidRequest(conn) {
-		panic(http.ErrAbortHandler) // it had to make room, and its client was told
+	if !isComplete {
+		message.rest, request.IsUploading = body, true
 	}
-	if m.rest != nil {
-		// An answer that comes before the body's end is owed at once: else the server would read on first.
-		if err := control.EnableFullDuplex(); err != nil {
-			panic(http.ErrAbortHandler) // the connection is gone
+	request.Deadline += e.loop.clock.now() // the client's time runs from the request's last byte
+	return request, message, nil
+}
+
+// awaitResponse hands the request to the event loop and writes the response that comes, unless the client disconnects first.
+func (e *clientExchange) awaitResponse(in balancer.Request, message *message) {
+	isUploading := message.rest != nil
+	if isUploading {
+		// Else net/http would read the rest of the body before it writes an early response.
+		if err := e.controller.EnableFullDuplex(); err != nil {
+			panic(http.ErrAbortHandler) // the connection is closed
 		}
 	}
-	r := &request{answer: make(chan answer, 1), message: m, left: req.Deadline - s.loop.clock.now(), client: conn.disconnected, look: conn.checkDisconnected}
-	defer conn.watchDisconnect(m.rest != nil)()
-	if !s.loop.postFor(conn.disconnected, func(now balancer.Micros) { s.loop.take(now, r, req) }) {
-		s.logNotServed(in, arrived, 0)
+	r := &request{answer: make(chan answer, 1), message: message, left: in.Deadline - e.loop.clock.now(),
+		client: e.conn.disconnected, look: e.conn.checkDisconnected}
+	stop := e.conn.watchDisconnect(isUploading)
+	defer stop()
+	if !e.loop.postFor(e.conn.disconnected, func(now balancer.Micros) { e.loop.take(now, r, in) }) {
+		e.logNotServed(statusDisconnected)
 		panic(http.ErrAbortHandler)
 	}
 	select {
-	case a := <-r.answer:
-		s.writeResponse(w, in, control, m, arrived, a)
-	case <-conn.disconnected.Done():
-		s.logNotServed(in, arrived, 0)
-		s.loop.post(func(now balancer.Micros) { s.loop.gone(now, r) })
-		// A client that has only stopped sending must not read a whole answer
-		// that no endpoint gave.
+	case response := <-r.answer:
+		e.writeResponse(response, message.rest)
+	case <-e.conn.disconnected.Done():
+		e.logNotServed(statusDisconnected)
+		e.loop.post(func(now balancer.Micros) { e.loop.gone(now, r) })
+		// A client that only closed its sending side must not read an empty response that no endpoint gave.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// rejectUnread refuses a request for which there is no memory, or that has come whole, or would, only after this process
-// has begun to end: what SIGKILL finds of it unanswered would be lost. The client's next try comes to another process.
-func (s *server) rejectUnread(w http.ResponseWriter, in *http.Request, control *http.ResponseController, arrived balancer.Micros, retry time.Duration) {
-	w.Header().Set("Connection", "close")
-	s.logNotServed(in, arrived, http.StatusServiceUnavailable)
-	writeBufferedResponse(w, answer{code: http.StatusServiceUnavailable, retryAfter: retry.Microseconds()})
-	if in.ContentLength != 0 {
-		s.flushAndClose(in, control)
-	}
-}
-
-// rejectInvalid answers what is no proper request, and ends its connection: such peers keep what they are left, and
-// clients need the room.
-func (s *server) rejectInvalid(w http.ResponseWriter, in *http.Request, err *invalidRequest) {
-	s.logRequest("improper request", in, "error", err)
-	w.Header().Set("Connection", "close")
-	http.Error(w, err.reason, err.status)
-}
-
-// writeResponse writes the final answer.
-func (s *server) writeResponse(w http.ResponseWriter, in *http.Request, control *http.ResponseController, m *message, arrived balancer.Micros, a answer) {
-	if a.code != http.StatusOK {
-		s.logNotServed(in, arrived, a.code)
-	}
-	if s.isDraining() || m.rest != nil && m.rest.hasUnread() { // what is not read of its body stands before the next request
-		w.Header().Set("Connection", "close")
-	}
-	if a.stream != nil {
-		s.streamResponse(w, in, control, a)
+// writeResponse writes the final response. The upload is nil if the request's body was buffered.
+func (e *clientExchange) writeResponse(response answer, upload *requestBody) {
+	if response.code != http.StatusOK {
+		e.logNotServed(response.code)
+	}
+	// What is not read of a body stands before the connection's next request.
+	hasUnread := upload != nil && upload.hasUnread()
+	if e.isDraining() || hasUnread {
+		e.closeConnection()
+	}
+	if response.stream != nil {
+		e.writeStream(response)
 		return
 	}
-	control.SetWriteDeadline(time.Now().Add(writeTimeout)) // the write tells of a connection that is gone
-	writeBufferedResponse(w, a)
-	if m.rest != nil && m.rest.hasUnread() {
-		s.flushAndClose(in, control)
-	}
-}
-
-// flushAndClose sends an answer off and ends its connection, where the request's body was not read: net/http would read on
-// first.
-func (s *server) flushAndClose(in *http.Request, control *http.ResponseController) {
-	if control.Flush() == nil {
-		clientConnOf(in).Close()
+	e.controller.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails on a closed connection, as does the write
+	e.writeBuffered(response)
+	if upload != nil && upload.hasUnread() {
+		e.flushAndClose()
 	}
 }
 
-// streamResponse passes an answer on as it comes. Where that fails the client can tell that the answer is not whole.
-func (s *server) streamResponse(w http.ResponseWriter, in *http.Request, control *http.ResponseController, a answer) {
-	endToEnd(w.Header(), a.header)
-	if a.stream.contentLength >= 0 {
-		w.Header().Set("Content-Length", strconv.FormatInt(a.stream.contentLength, 10))
-	}
-	err := forwardResponse(w, control, a.body, a.stream)
-	a.stream.end(err)
+// writeStream forwards a response while it arrives. If that fails, the client can tell that the response is incomplete.
+func (e *clientExchange) writeStream(response answer) {
+	endToEnd(e.writer.Header(), response.header)
+	if response.stream.contentLength >= 0 {
+		e.writer.Header().Set("Content-Length", strconv.FormatInt(response.stream.contentLength, 10))
+	}
+	err := forwardResponse(e.writer, e.controller, response.body, response.stream)
+	response.stream.end(err)
 	if err != nil {
-		s.logRequest("answer broken off", in, "error", err)
+		e.logRequest("response broken off", "error", err)
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// readRequest reads a request to its end, or as far as its body is kept.
-func (s *server) readRequest(in *http.Request, body *requestBody) (balancer.Request, *message, *invalidRequest) {
-	if !in.ProtoAtLeast(1, 1) {
-		// HTTP/1.0 has no chunked coding: the parser takes such a body for the next request.
-		return balancer.Request{}, nil, &invalidRequest{http.StatusHTTPVersionNotSupported, "the version must be 1.1"}
-	}
-	req, err := s.parseRequest(in)
-	if err != nil {
-		return req, nil, err
-	}
-	if in.ContentLength > maxRequestBody {
-		return req, nil, &invalidRequest{http.StatusRequestEntityTooLarge, fmt.Sprintf("the body is over %d bytes", maxRequestBody)}
-	}
-	m := &message{method: in.Method, url: in.URL, host: in.Host, header: in.Header}
-	whole := false
-	if in.ContentLength <= maxBufferedBody {
-		var failed error
-		if m.body, whole, failed = body.buffer(maxBufferedBody); failed != nil {
-			return req, nil, &invalidRequest{body.err.status, failed.Error()}
-		}
-	}
-	if !whole {
-		m.rest, req.IsUploading = body, true
-	}
-	// The request's time runs from its last byte.
-	req.Deadline += s.loop.clock.now()
-	return req, m, nil
+// writeBuffered writes a response that is complete.
+func (e *clientExchange) writeBuffered(response answer) {
+	header := e.writer.Header()
+	endToEnd(header, response.header)
+	if response.retryAfter > 0 {
+		header.Set("Retry-After", strconv.FormatFloat(float64(response.retryAfter)/1e6, 'f', 3, 64)) // seconds
+	}
+	header.Set("Content-Length", strconv.Itoa(len(response.body)))
+	e.writer.WriteHeader(response.code)
+	e.writer.Write(response.body) // a failure means that the client has disconnected
+}
+
+// reject answers 503 and ends the connection.
+func (e *clientExchange) reject(retryAfter time.Duration) {
+	e.closeConnection()
+	e.logNotServed(http.StatusServiceUnavailable)
+	e.writeBuffered(answer{code: http.StatusServiceUnavailable, retryAfter: retryAfter.Microseconds()})
 }
 
-// logNotServed logs a request that was not served; code 0 stands for a client that
-// went away.
-func (s *server) logNotServed(in *http.Request, arrived balancer.Micros, code int) {
-	s.logRequest("request not served", in, "code", code, "ms", (s.loop.clock.now()-arrived)/1000)
+// rejectUnread rejects a request whose body was not read: there is no memory for it, or the process is shutting down and might
+// be killed before the request is answered. The client's retry reaches another process.
+func (e *clientExchange) rejectUnread(retryAfter time.Duration) {
+	e.reject(retryAfter)
+	if e.in.ContentLength != 0 {
+		e.flushAndClose()
+	}
 }
 
-// logRequest logs what became of a request, with its id, its connection and how
-// its body was framed.
-func (s *server) logRequest(what string, in *http.Request, args ...any) {
-	s.loop.log.With("id", in.Header.Get("X-Correlation-Id"), "from", in.RemoteAddr, "proto", in.Proto,
-		"length", in.ContentLength, "coding", in.TransferEncoding).Info(what, args...)
+// rejectInvalid answers an invalid request, and ends its connection: clients with valid requests need its place.
+func (e *clientExchange) rejectInvalid(err *invalidRequest) {
+	e.logRequest("invalid request", "error", err)
+	e.closeConnection()
+	http.Error(e.writer, err.reason, err.status)
 }
 
-func writeBufferedResponse(w http.ResponseWriter, a answer) {
-	endToEnd(w.Header(), a.header)
-	if a.retryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(float64(a.retryAfter)/1e6, 'f', 3, 64))
+// closeConnection makes the response the last one on its connection.
+func (e *clientExchange) closeConnection() { e.writer.Header().Set("Connection", "close") }
+
+// flushAndClose sends the response and ends the connection, although the request's body was not read: net/http would read it
+// first.
+func (e *clientExchange) flushAndClose() {
+	if e.controller.Flush() == nil {
+		e.conn.Close()
 	}
-	w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
-	w.WriteHeader(a.code)
-	w.Write(a.body) // a client that is gone by now needs no answer
 }
 
-// requestTimeout is the time that a request gets of its client's, told in milliseconds.
-func requestTimeout(left int64) balancer.Micros {
-	left = min(left, maxRequestTimeout.Milliseconds())
-	return left*1000 - min(maxResponseMargin.Microseconds(), left*1000/responseMarginDivisor)
+// statusDisconnected stands in the log for a request whose client disconnected before its response.
+const statusDisconnected = 0
+
+// logNotServed logs a request that was not served.
+func (e *clientExchange) logNotServed(status int) {
+	duration := time.Duration(e.loop.clock.now()-e.arrived) * time.Microsecond
+	e.logRequest("request not served", "status", status, "duration", duration)
 }
 
-// parseRequest reads the headers of a request. Its deadline is told as the time left.
-func (s *server) parseRequest(in *http.Request) (balancer.Request, *invalidRequest) {
-	var req balancer.Request
-	h := in.Header
-	if h.Get("X-Correlation-Id") == "" {
-		return req, newInvalidRequest("X-Correlation-Id is missing")
-	}
-	class, ok := s.classes[h.Get("X-Service-Class")]
-	if !ok {
-		return req, newInvalidRequest("X-Service-Class: %q is not a known class", h.Get("X-Service-Class"))
-	}
-	req.Class = class
-	method, keyed := http.MethodPost, h.Get("Idempotency-Key") != ""
-	switch s.loop.cfg.Settings.Classes[class].RetrySafety {
-	case balancer.Idempotent:
-		method = http.MethodGet
-	case balancer.IdempotentWithKey:
-		if !keyed {
-			return req, newInvalidRequest("Idempotency-Key is missing")
-		}
-	}
-	if in.Method != method {
-		return req, &invalidRequest{http.StatusMethodNotAllowed, fmt.Sprintf("requests of this class are %s", method)}
-	}
-	left, err := strconv.ParseInt(h.Get("X-Time-Left-Ms"), 10, 64)
-	if err != nil || left < 0 {
-		return req, newInvalidRequest("X-Time-Left-Ms: %q is not a whole number of milliseconds", h.Get("X-Time-Left-Ms"))
-	}
-	req.Deadline = requestTimeout(left)
-	if len(s.tenants) > 0 {
-		if req.Tenant, ok = s.tenants[h.Get("X-Account")]; !ok {
-			return req, newInvalidRequest("X-Account: %q is not a known tenant", h.Get("X-Account"))
-		}
-	}
-	if key := h.Get("X-Session-Key"); key != "" {
-		hash := fnv.New64a()
-		hash.Write([]byte(key))
-		req.Key = hash.Sum64()
-	}
-	if hint := h.Get("X-Weight-Hint"); hint != "" {
-		if req.CostHint, err = strconv.ParseInt(hint, 10, 64); err != nil || req.CostHint < 0 {
-			return req, newInvalidRequest("X-Weight-Hint: %q is not a whole number of microseconds", hint)
-		}
-		req.HasCostHint = true
-	}
-	req.IsRetry = h.Get("X-Repeat") == "1"
-	return req, nil
+// logRequest logs an event of the request, with its id, its connection and how its body is framed.
+func (e *clientExchange) logRequest(message string, args ...any) {
+	e.log.With("request_id", e.in.Header.Get(requestIDHeader), "client", e.in.RemoteAddr, "protocol", e.in.Proto,
+		"content_length", e.in.ContentLength, "transfer_coding", e.in.TransferEncoding).Info(message, args...)
 }
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -176,7 +176,7 @@
 		10 * time.Millisecond: 9500 * time.Microsecond, 100 * time.Millisecond: 95 * time.Millisecond,
 		2 * time.Second: 1990 * time.Millisecond, 0: 0,
 	} {
-		req, err := w.server.parseRequest(w.request("pay", "x", left))
+		req, err := w.server.requests.parser.parse(w.request("pay", "x", left))
 		if err != nil || req.Deadline != want.Microseconds() {
 			t.Errorf("of %v the request gets %d us (%v), want %v", left, req.Deadline, err, want)
 		}
--- a/internal/sidecar/world_test.go
+++ b/internal/sidecar/world_test.go
@@ -334,7 +334,7 @@
 	w.spy = &spy{decider: w.loop.balancer}
 	w.loop.balancer = w.spy
 	w.server = newServer(w.loop)
-	w.server.bodies.setMaxBytes(64 << 20)
+	w.server.requests.bodies.setMaxBytes(64 << 20)
 	ctx, stop := context.WithCancel(context.Background())
 	w.stop = stop
 	go w.loop.run()
