--- a/internal/sidecar/world_test.go
+++ b/internal/sidecar/world_test.go
@@ -337,7 +337,11 @@
 	w.server.requests.bodies.setMaxBytes(64 << 20)
 	ctx, stop := context.WithCancel(context.Background())
 	w.stop = stop
-	go w.loop.run()
+	loopEnded := make(chan struct{})
+	go func() {
+		w.loop.run()
+		close(loopEnded)
+	}()
 	go func() {
 		w.ended <- w.server.serve(ctx, listener)
 		stopLoop()
@@ -345,6 +349,13 @@
 	w.t.Cleanup(func() {
 		stop()
 		w.server.http.Close()
+		// Not by serve's end alone: until then the loop polls discovery, whose port may by then be another test's.
+		stopLoop()
+		select {
+		case <-loopEnded:
+		case <-time.After(patience):
+			w.t.Error("the sidecar's loop does not end")
+		}
 	})
 }
 
