--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,7 +13,7 @@
 	"bramblestand/internal/discovery"
 )
 
-// A configuration that makes no sense stops the program with the key at fault.
+// The error for an invalid configuration is one line with the key.
 func TestBadConfigurationNamesTheKey(t *testing.T) {
 	good := `{"name":"n3","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",` +
 		`"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},` +
@@ -62,13 +62,13 @@
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
 	if _, err := Load(path); err == nil {
-		t.Error("a missing file is no error")
+		t.Error("a missing file gives no error")
 	}
 	if err := os.WriteFile(path, []byte(good[:100]), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Load(path); err == nil {
-		t.Error("half a file is no error")
+		t.Error("half a file gives no error")
 	}
 }
 
@@ -125,15 +125,15 @@
 	var malformed *discovery.MalformedError
 	_, err := Parse(fullConfigWith(t, "known.hosts.0.dial", `"x"`))
 	if !errors.As(err, &malformed) || malformed.Index != 0 || malformed.Field != "dial" {
-		t.Errorf("a list that cannot be used: %v", err)
+		t.Errorf("an invalid list: %v", err)
 	}
 	var setting *balancer.SettingError
 	if _, err := Parse(fullConfigWith(t, "settings.limits.most-tries", `0`)); !errors.As(err, &setting) {
-		t.Errorf("a setting that makes no sense: %v", err)
+		t.Errorf("an invalid setting: %v", err)
 	}
 }
 
-func TestConnectionsLeaveDescriptorsForTheRest(t *testing.T) {
+func TestMaxConnectionsReservesDescriptors(t *testing.T) {
 	limits := Limits{Sockets: 1024}
 	if without, with := limits.MaxConnections(false), limits.MaxConnections(true); without != 496 || with != 488 {
 		t.Errorf("%d connections without and %d with an operators' address, want 496 and 488", without, with)
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -14,10 +14,10 @@
 	"bramblestand/internal/goldentest"
 )
 
-// The golden files of a configuration say what each key of the file comes to. Their left side is the file's own names,
-// so that they hold whatever the fields are called.
+// The golden files have the value that each key of a configuration is parsed to. They name the file's keys, so that they
+// do not depend on names in the code.
 
-// configText is what a configuration was read to, a line for each key of the file.
+// configText returns the values of a configuration, a line for each key of the file.
 func configText(c *Config) string {
 	var out strings.Builder
 	line := func(key string, value any) { fmt.Fprintf(&out, "%s=%v\n", key, value) }
@@ -56,7 +56,7 @@
 	return out.String()
 }
 
-// settingsLines is what the settings were read to, a line for each key on the simulator's wire.
+// settingsLines returns the values of the settings, a line for each key of theirs.
 func settingsLines(s *balancer.Settings) string {
 	var out strings.Builder
 	line := func(key string, value any) { fmt.Fprintf(&out, "settings.%s=%v\n", key, value) }
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -44,23 +44,23 @@
 	goldentest.EqualLines(t, out.String(), filepath.Join("testdata", "lists", "lists.golden"))
 }
 
-// answerEach listens, reads one request a time, keeps its text and gives the answers in turn.
-func answerEach(t *testing.T, answers ...string) (address string, requests chan string) {
+// serveInTurn listens and gives each request the next of the responses. It sends the requests' text to the channel.
+func serveInTurn(t *testing.T, responses ...string) (address string, requests chan string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	requests = make(chan string, len(answers))
+	requests = make(chan string, len(responses))
 	go func() {
-		for len(answers) > 0 {
+		for len(responses) > 0 {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			in := bufio.NewReader(conn)
-			for len(answers) > 0 {
+			for len(responses) > 0 {
 				var head strings.Builder
 				for !strings.HasSuffix(head.String(), "\r\n\r\n") {
 					line, err := in.ReadString('\n')
@@ -73,8 +73,8 @@
 					break
 				}
 				requests <- head.String()
-				io.WriteString(conn, answers[0])
-				answers = answers[1:]
+				io.WriteString(conn, responses[0])
+				responses = responses[1:]
 			}
 			conn.Close()
 		}
@@ -82,10 +82,10 @@
 	return listener.Addr().String(), requests
 }
 
-// The calls of discovery are these, to the byte, and what comes of an answer beside its list.
+// The calls of discovery are written like this, to the byte, and responses that are not a valid list give these errors.
 func TestDiscoveryCallsAreWrittenAsBefore(t *testing.T) {
 	const empty = `{"seq":43,"whole":false,"hosts":[]}`
-	zero, held := uint64(0), uint64(41)
+	versionZero, knownVersion := uint64(0), uint64(41)
 	for _, c := range []struct {
 		name      string
 		after     *uint64
@@ -95,14 +95,14 @@
 		want      string // the error, "" for none
 		wantOlder bool
 	}{
-		{"the whole list", nil, 0, httpAnswer(empty), "GET /registry/instances", "", false},
-		{"the whole list, whatever the wait", nil, discovery.MaxWait, httpAnswer(empty), "GET /registry/instances", "", false},
-		{"from version 0 on", &zero, 0, httpAnswer(empty), "GET /registry/instances?after=0&wait_ms=0", "", false},
-		{"first call of a watch", &held, 0, httpAnswer(empty), "GET /registry/instances?after=41&wait_ms=0", "", false},
-		{"next call of a watch", &held, discovery.MaxWait, httpAnswer(empty), "GET /registry/instances?after=41&wait_ms=20000", "", false},
-		{"an older list of changes", &held, 0, httpAnswer(`{"seq":40,"whole":false,"hosts":[]}`),
+		{"the full list", nil, 0, httpAnswer(empty), "GET /registry/instances", "", false},
+		{"the full list, whatever the wait", nil, discovery.MaxWait, httpAnswer(empty), "GET /registry/instances", "", false},
+		{"from version 0 on", &versionZero, 0, httpAnswer(empty), "GET /registry/instances?after=0&wait_ms=0", "", false},
+		{"first call of a watch", &knownVersion, 0, httpAnswer(empty), "GET /registry/instances?after=41&wait_ms=0", "", false},
+		{"next call of a watch", &knownVersion, discovery.MaxWait, httpAnswer(empty), "GET /registry/instances?after=41&wait_ms=20000", "", false},
+		{"an older delta", &knownVersion, 0, httpAnswer(`{"seq":40,"whole":false,"hosts":[]}`),
 			"GET /registry/instances?after=41&wait_ms=0", "discovery's answer: seq: changes of an older version: 40 after 41", true},
-		{"an older whole list", &held, 0, httpAnswer(`{"seq":40,"whole":true,"hosts":[]}`),
+		{"an older full list", &knownVersion, 0, httpAnswer(`{"seq":40,"whole":true,"hosts":[]}`),
 			"GET /registry/instances?after=41&wait_ms=0", "", false},
 		{"a status that is not 200", nil, 0, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
 			"GET /registry/instances", "discovery answered 503 Service Unavailable", false},
@@ -112,7 +112,7 @@
 		{"cut short", nil, 0, "HTTP/1.1 200 OK\r\nContent-Length: 50\r\nConnection: close\r\n\r\n{", "GET /registry/instances", "unexpected EOF", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			address, requests := answerEach(t, c.answer)
+			address, requests := serveInTurn(t, c.answer)
 			d := discovery.NewClient(address, discovery.Options{})
 			t.Cleanup(d.CloseIdleConnections)
 			_, err := d.List(context.Background(), c.after, c.wait)
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -16,9 +16,9 @@
 	"bramblestand/internal/discovery"
 )
 
-// Discovery that is back with a smaller version has started anew: its delta says nothing of the list that is held, and
-// the full list is asked for at once.
-func TestOlderVersionMakesTheWatchAskForTheFullList(t *testing.T) {
+// A delta with a lower version than the known list means that discovery has restarted: it is not used, and the full list
+// is requested at once.
+func TestOlderVersionMakesTheWatchRequestTheFullList(t *testing.T) {
 	var mu sync.Mutex
 	var calls []string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -40,10 +40,10 @@
 	t.Cleanup(server.CloseClientConnections)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	held, kinds := uint64(41), make(chan balancer.UpdateKind, 8)
+	knownVersion, kinds := uint64(41), make(chan balancer.UpdateKind, 8)
 	watch := &discovery.Watch{
 		Client: discovery.NewClient(strings.TrimPrefix(server.URL, "http://"), discovery.Options{}),
-		After:  &held,
+		After:  &knownVersion,
 		Notify: func(kind balancer.UpdateKind, list discovery.List) {
 			if kind == balancer.UpdateFull && (list.Version != 3 || len(list.Endpoints) != 1) {
 				t.Errorf("the list %+v", list)
@@ -68,12 +68,12 @@
 	}
 }
 
-// roundTripper answers calls in place of connections.
+// roundTripper responds to calls in place of connections.
 type roundTripper func(r *http.Request) (*http.Response, error)
 
 func (f roundTripper) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// failingTransport answers each call with an error and keeps when it came.
+// failingTransport fails each call and keeps when it came.
 type failingTransport struct{ calls []time.Time }
 
 func (f *failingTransport) RoundTrip(*http.Request) (*http.Response, error) {
@@ -81,8 +81,8 @@
 	return nil, errors.New("unreachable")
 }
 
-// After a failure the watch ends, or goes on after half a second where nobody else would begin it again.
-func TestWatchResubscribesOnlyWhereToldTo(t *testing.T) {
+// After a failure the watch ends, or resubscribes after half a second where the balancer would never poll.
+func TestWatchResubscribesOnlyIfConfigured(t *testing.T) {
 	const pause = 500 * time.Millisecond
 	for name, c := range map[string]struct {
 		resubscribes bool
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -14,8 +14,8 @@
 	goValue = regexp.MustCompile(`into Go value of type .*`)
 )
 
-// ErrorText is an error's text, "" for none. Of the texts of encoding/json it leaves out the names of Go's types, which say
-// nothing of the file, and a line that only repeats the one before it.
+// ErrorText returns an error's text, "" for none. It leaves out the names of Go types in the texts of encoding/json, and
+// repeated lines, so that a golden file does not depend on names in the code.
 func ErrorText(err error) string {
 	if err == nil {
 		return ""
