--- /dev/null
+++ b/internal/lab/client.go
@@ -0,0 +1,107 @@
+package lab
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+)
+
+// client is the application beside one sidecar.
+type client struct {
+	index    int
+	exp      *Experiment
+	ledger   *Ledger
+	http     *http.Client
+	sidecars *Sidecars
+	late     *lateness
+}
+
+func newClient(index int, exp *Experiment, ledger *Ledger, sidecars *Sidecars, late *lateness) *client {
+	transport := &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true,
+		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
+	return &client{index: index, exp: exp, ledger: ledger, sidecars: sidecars, late: late, http: &http.Client{Transport: transport}}
+}
+
+// run sends the sidecar's arrivals open-loop, each at its time, and returns
+// when every one has an outcome.
+func (c *client) run(ctx context.Context, arrivals []time.Duration) {
+	var wg sync.WaitGroup
+	for i, at := range arrivals {
+		if !c.ledger.until(ctx, at) {
+			break
+		}
+		c.late.note(c.late.arrivals, at)
+		id := fmt.Sprintf("%02x%06x%08x", c.index, i, uint32(c.exp.Seed))
+		order := float64(i%1000)/1000 < c.exp.Load.OrderShare
+		if !c.sidecars.Accepting(c.index) {
+			c.ledger.miss(c.index) // the application stops and starts with its sidecar: this one waits for it
+			continue
+		}
+		wg.Add(1)
+		go func() {
+			defer wg.Done()
+			c.send(id, order)
+		}()
+	}
+	wg.Wait()
+}
+
+func (c *client) send(id string, order bool) {
+	deadline := c.exp.Load.Deadline.Duration
+	method, class, body := http.MethodGet, "read", io.Reader(http.NoBody)
+	if order {
+		method, class, body = http.MethodPost, "order", strings.NewReader("order "+id)
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), deadline+time.Second)
+	defer cancel()
+	r, _ := http.NewRequestWithContext(ctx, method, "http://"+c.sidecars.Listen(c.index)+"/"+class+"/"+id, body)
+	r.Header.Set("X-Correlation-Id", id)
+	r.Header.Set("X-Service-Class", class)
+	r.Header.Set("X-Time-Left-Ms", strconv.FormatInt(deadline.Milliseconds(), 10))
+	sent := c.ledger.open(id, c.index, order)
+	response, err := c.http.Do(r)
+	if err != nil {
+		c.ledger.close(id, c.failure(id, err, sent))
+		return
+	}
+	answer, err := io.ReadAll(response.Body)
+	response.Body.Close()
+	switch {
+	case err != nil:
+		c.ledger.close(id, c.failure(id, err, sent))
+	case response.StatusCode == http.StatusOK && string(answer) != "ok:"+id:
+		c.ledger.close(id, Forged)
+	case response.StatusCode == http.StatusOK && c.ledger.Since()-sent > deadline+50*time.Millisecond:
+		c.ledger.close(id, Late)
+	case response.StatusCode == http.StatusOK:
+		c.ledger.close(id, Served)
+	case response.StatusCode == http.StatusTooManyRequests || response.StatusCode == http.StatusServiceUnavailable:
+		c.ledger.close(id, Refused)
+	default:
+		c.ledger.close(id, Failed)
+	}
+}
+
+// failure classes a request without a whole answer: never taken where the
+// connection never came up; cut where its sidecar was killed or paused while
+// it was out; lost otherwise.
+func (c *client) failure(id string, err error, sent time.Duration) Outcome {
+	if errors.Is(err, context.DeadlineExceeded) {
+		c.ledger.gaveUp(id)
+	}
+	var op *net.OpError
+	if errors.As(err, &op) && op.Op == "dial" {
+		return Unreached
+	}
+	if c.sidecars.Crashed(c.index, sent, c.ledger.Since()) {
+		return Cut
+	}
+	return Lost
+}
--- a/internal/lab/control.go
+++ b/internal/lab/control.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"net/http"
 	"os"
-	"path/filepath"
 	"strconv"
 	"strings"
 	"sync"
@@ -166,23 +165,6 @@
 	return n
 }
 
-// cpu is the processor time of sidecar i's processes so far, by the scheduler's count of each thread, which is finer
-// than the ticks of Cost.
-func (s *Sidecars) cpu(i int) (sum time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, l := range s.procs[i].lives {
-		threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", l.cmd.Process.Pid))
-		for _, path := range threads {
-			text, _ := os.ReadFile(path)
-			ran, _, _ := strings.Cut(string(text), " ")
-			n, _ := strconv.ParseInt(ran, 10, 64)
-			sum += time.Duration(n)
-		}
-	}
-	return sum
-}
-
 // String is two lines for people.
 func (c *Control) String() string {
 	line := func(name string, s *ControlSpan) string {
--- a/internal/lab/faults.go
+++ b/internal/lab/fault_listener.go
@@ -9,36 +9,6 @@
 	"time"
 )
 
-// bell tells waiters that something changed: heard gives a channel that the
-// next ring closes. Its owner's lock guards it.
-type bell struct{ ch chan struct{} }
-
-func newBell() bell { return bell{make(chan struct{})} }
-
-func (b *bell) ring() {
-	close(b.ch)
-	b.ch = make(chan struct{})
-}
-
-func (b *bell) heard() <-chan struct{} { return b.ch }
-
-// subnet is one lab's part of the loopback range: sidecar i reaches the
-// stand-ins by an address of its own there, which tells them who calls.
-type subnet byte
-
-// address is sidecar i's, 127.subnet.x.y.
-func (s subnet) address(i int) string {
-	return net.IPv4(127, byte(s), byte((i+1)>>8), byte(i+1)).String()
-}
-
-// sidecar is who dialed this address; stranger for one not of the subnet.
-func (s subnet) sidecar(ip net.IP) endpoint {
-	if ip = ip.To4(); ip == nil || ip[1] != byte(s) || s == 0 {
-		return stranger
-	}
-	return endpoint(int(ip[2])<<8|int(ip[3])) - 1
-}
-
 // Faults wraps a listener and lets the network's faults act on the
 // connections it accepts, in the lab's own process at one descriptor a
 // connection. A link that is cut holds bytes (new connections come up when it
--- /dev/null
+++ b/internal/lab/promises.go
@@ -0,0 +1,101 @@
+package lab
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"bramblestand/internal/lab/history"
+)
+
+// check holds the history to the experiment's promises.
+func check(exp *Experiment, events []history.Event, running []string) []history.Break {
+	var broken []history.Break
+	add := func(b *history.Break) {
+		if b != nil {
+			broken = append(broken, *b)
+		}
+	}
+	if !exp.Ops.On {
+		return nil
+	}
+	for i := range exp.Fleet.Sidecars {
+		name := sidecarName(i)
+		add(history.Register(name+" drained", "false", events, func(e history.Event) (string, string) {
+			return registerStep(e, name, "drained")
+		}))
+		for j := range exp.Fleet.Servers {
+			server := serverName(j)
+			called := slices.ContainsFunc(events, func(e history.Event) bool {
+				return e.Kind == history.Call && e.Key == server && e.Sidecar == name || slices.Contains(e.Set, server)
+			})
+			if called {
+				add(history.Register(name+" ban of "+server, "false", events, func(e history.Event) (string, string) {
+					return registerStep(e, name, server)
+				}))
+			}
+		}
+	}
+	for _, c := range exp.Checks {
+		switch c.Kind {
+		case "holder":
+			add(history.OneHolder(c.Field, events))
+		case "tokens":
+			add(history.TokensGrow(c.Field, events))
+		case "settled":
+			add(history.Settled(c.Field, running, c.Within.Duration, events))
+		case "dropped":
+			add(history.Dropped(c.Field, c.Within.Duration, events))
+		case "kept":
+			add(history.Kept(c.Field, c.Op, c.Undo, c.Within.Duration, events))
+		}
+	}
+	return broken
+}
+
+// registerStep is what an event means for one sidecar's drain or for its ban of one server: "true" while it holds.
+func registerStep(e history.Event, sidecar, key string) (kind, value string) {
+	switch {
+	case e.Sidecar != sidecar:
+	case e.Kind == history.Wipe:
+		return "write", "false"
+	case e.Kind == history.Call && e.Key == key:
+		return "write", fmt.Sprint(e.Op == "ban" || e.Op == "drain")
+	case e.Kind == history.Observe && e.Key == "drained" && key == "drained":
+		return "read", e.Value
+	case e.Kind == history.Observe && e.Key == "banned" && key != "drained":
+		return "read", fmt.Sprint(slices.Contains(e.Set, key))
+	}
+	return "", ""
+}
+
+// afterBan finds requests that a sidecar sent to a server longer than grace
+// after its yes to a ban, before anything that may have ended the ban was called.
+func (l *Ledger) afterBan(events []history.Event, grace time.Duration) (found []string) {
+	type key struct{ sidecar, server string }
+	arrivals := map[key][]arrival{}
+	for id, r := range l.records {
+		for _, a := range r.came {
+			k := key{sidecarName(r.sidecar), a.server}
+			a.id = id
+			arrivals[k] = append(arrivals[k], a)
+		}
+	}
+	for _, ban := range events {
+		if ban.Kind != history.Call || ban.Op != "ban" || ban.Outcome != history.OK {
+			continue
+		}
+		until := int64(1<<63 - 1)
+		for _, e := range events {
+			if e.Sidecar == ban.Sidecar && e.Return >= ban.Call && (e.Kind == history.Wipe || e.Kind == history.Call && e.Op == "enable" && e.Key == ban.Key && e.Outcome != history.No) {
+				until = min(until, e.Call)
+			}
+		}
+		for _, a := range arrivals[key{ban.Sidecar, ban.Key}] {
+			if a.at.Microseconds() > ban.Return+grace.Microseconds() && a.at.Microseconds() < until {
+				found = append(found, fmt.Sprintf("%s:%s:%s", ban.Sidecar, ban.Key, a.id))
+			}
+		}
+	}
+	return found
+}
--- /dev/null
+++ b/internal/lab/schedule.go
@@ -0,0 +1,115 @@
+package lab
+
+import (
+	"math/rand/v2"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// Event is one step of a schedule: a fault begins (Heal false) or ends.
+type Event struct {
+	At    time.Duration `json:"at_ns"`
+	Fault Fault         `json:"fault"`
+	Heal  bool          `json:"heal"`
+	ID    int           `json:"id"` // of the fault: its begin and its end have the same
+	Quiet bool          `json:"-"`  // a flap's later cuts: not marked
+}
+
+// Label is a short name for plots and logs, as "kill s2" or "heal partition v0,v1".
+func (ev Event) Label() string {
+	var names []string
+	for _, s := range ev.Fault.Sidecars {
+		names = append(names, "s"+strconv.Itoa(s))
+	}
+	for _, s := range ev.Fault.Servers {
+		names = append(names, "v"+strconv.Itoa(s))
+	}
+	for _, m := range ev.Fault.Machines {
+		names = append(names, "m"+strconv.Itoa(m))
+	}
+	names = append(names, ev.Fault.From...)
+	if len(ev.Fault.To) > 0 {
+		names = append(names, "to "+strings.Join(ev.Fault.To, ","))
+	}
+	for _, g := range ev.Fault.Groups {
+		names = append(names, strings.Join(g, "+"))
+	}
+	label := ev.Fault.Kind
+	if ev.Fault.Mode != "" {
+		label += " " + ev.Fault.Mode
+	}
+	if ev.Heal {
+		label = "heal " + label
+	}
+	if len(names) > 0 {
+		label += " " + strings.Join(names, ",")
+	}
+	return label
+}
+
+// Schedule is the run's faults in time order: those given, and those drawn
+// from the seed by Chaos. The same experiment always gives the same schedule.
+func (e *Experiment) Schedule() []Event {
+	faults := slices.Clone(e.Faults)
+	random := rand.New(rand.NewPCG(e.Seed, 0xfa17))
+	for _, c := range e.Chaos {
+		for range c.Count {
+			f := Fault{Kind: c.Kind, For: c.For, Direction: "both",
+				At: Duration{e.Duration.Duration/5 + time.Duration(random.Int64N(int64(e.Duration.Duration*3/5)+1))}}
+			if slices.Contains(sidecarKinds, c.Kind) {
+				f.Sidecars = []int{random.IntN(e.Fleet.Sidecars)}
+			} else {
+				f.Servers = []int{random.IntN(e.Fleet.Servers)}
+			}
+			faults = append(faults, f)
+		}
+	}
+	var events []Event
+	id := 0
+	add := func(f Fault, from, to time.Duration, quiet bool) {
+		events = append(events, Event{At: from, Fault: f, ID: id, Quiet: quiet})
+		if to > from {
+			events = append(events, Event{At: to, Fault: f, ID: id, Heal: true, Quiet: quiet})
+		}
+		id++
+	}
+	for _, f := range faults {
+		from, end := f.At.Duration, f.At.Duration+f.For.Duration
+		if f.Kind != "flap" {
+			add(f, from, end, false)
+			continue
+		}
+		for at := from; at < end; at += f.Period.Duration {
+			add(f, at, min(at+f.Period.Duration/2, end), at > from)
+		}
+	}
+	slices.SortStableFunc(events, func(a, b Event) int { return int(a.At - b.At) })
+	return events
+}
+
+// Arrivals gives the times of the requests of one sidecar, from the seed:
+// exponential gaps at the load's rate (higher in bursts), bounded by the
+// duration and by max/sidecars requests.
+func (e *Experiment) Arrivals(sidecar int) []time.Duration {
+	most := e.Load.MaxRequests
+	if most == 0 {
+		most = 1_000_000
+	}
+	most /= e.Fleet.Sidecars
+	random := rand.New(rand.NewPCG(e.Seed, uint64(sidecar)+1))
+	var times []time.Duration
+	for t := time.Duration(0); len(times) < most && e.Load.Rate > 0; {
+		rate := e.Load.Rate
+		if e.Load.Shape == "bursts" && t%e.Load.BurstEvery.Duration < e.Load.BurstFor.Duration {
+			rate *= e.Load.BurstFactor
+		}
+		t += time.Duration(random.ExpFloat64() / rate * float64(time.Second))
+		if t >= e.Duration.Duration {
+			break
+		}
+		times = append(times, t)
+	}
+	return times
+}
--- /dev/null
+++ b/internal/lab/shrink.go
@@ -0,0 +1,117 @@
+package lab
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"sync"
+)
+
+// shrinker makes a schedule smaller while it still breaks one of the same rules.
+type shrinker struct {
+	ctx             context.Context
+	run             Runner
+	folder          string
+	kinds           []string
+	tries, parallel int
+	until           func() bool
+	runs            int
+	breaks          []string
+}
+
+// fails runs candidates side by side and gives the first that breaks one of the same rules, -1 for none.
+func (s *shrinker) fails(candidates []*Experiment) int {
+	type try struct{ candidate, n int }
+	var queue []try
+	for n := range s.tries { // each once, before any a second time
+		for c := range candidates {
+			queue = append(queue, try{c, n})
+		}
+	}
+	for len(queue) > 0 && s.until() {
+		batch := queue[:min(s.parallel, len(queue))]
+		queue = queue[len(batch):]
+		broke := make([][]string, len(batch))
+		var wg sync.WaitGroup
+		for k, t := range batch {
+			s.runs++
+			folder := filepath.Join(s.folder, fmt.Sprintf("shrink-%d", s.runs))
+			wg.Add(1)
+			go func() {
+				defer wg.Done()
+				result, err := s.run(s.ctx, candidates[t.candidate], folder)
+				if err == nil && slices.ContainsFunc(result.kinds(), func(k string) bool { return slices.Contains(s.kinds, k) }) {
+					broke[k] = result.breaks()
+					return
+				}
+				os.RemoveAll(folder)
+			}()
+		}
+		wg.Wait()
+		for k, t := range batch {
+			if broke[k] != nil {
+				s.breaks = broke[k]
+				return t.candidate
+			}
+		}
+	}
+	return -1
+}
+
+func without(exp *Experiment, from, to int) *Experiment {
+	smaller := *exp
+	smaller.Faults = append(slices.Clone(exp.Faults[:from]), exp.Faults[to:]...)
+	return &smaller
+}
+
+// shrink drops faults (halves, quarters, then one by one), then targets.
+func (s *shrinker) shrink(exp *Experiment) *Experiment {
+	for size := (len(exp.Faults) + 1) / 2; size > 0 && len(exp.Faults) > 0; {
+		var candidates []*Experiment
+		for from := 0; from < len(exp.Faults); from += size {
+			candidates = append(candidates, without(exp, from, min(from+size, len(exp.Faults))))
+		}
+		if c := s.fails(candidates); c >= 0 {
+			exp = candidates[c]
+			size = min(size, (len(exp.Faults)+1)/2)
+			continue
+		}
+		if !s.until() {
+			return exp
+		}
+		size /= 2
+	}
+	for again := true; again && s.until(); {
+		var candidates []*Experiment
+		for i, f := range exp.Faults {
+			for _, smaller := range f.halves() {
+				c := *exp
+				c.Faults = slices.Clone(exp.Faults)
+				c.Faults[i] = smaller
+				candidates = append(candidates, &c)
+			}
+		}
+		c := s.fails(candidates)
+		if again = c >= 0; again {
+			exp = candidates[c]
+		}
+	}
+	return exp
+}
+
+// halves are a fault with half of its targets.
+func (f Fault) halves() (smaller []Fault) {
+	for _, field := range []func(*Fault) *[]int{
+		func(f *Fault) *[]int { return &f.Sidecars }, func(f *Fault) *[]int { return &f.Servers }, func(f *Fault) *[]int { return &f.Machines }} {
+		if all := *field(&f); len(all) > 1 {
+			for _, half := range [][]int{all[:len(all)/2], all[len(all)/2:]} {
+				one := f
+				*field(&one) = half
+				smaller = append(smaller, one)
+			}
+		}
+	}
+	return smaller
+}
--- /dev/null
+++ b/internal/lab/sidecar_config.go
@@ -0,0 +1,55 @@
+package lab
+
+import (
+	"cmp"
+	"encoding/json"
+	"fmt"
+)
+
+func (s *Sidecars) config(i int, listen string) []byte {
+	peers := ""
+	if s.peers != nil {
+		var known []string
+		for j := range s.exp.Fleet.Sidecars {
+			known = append(known, s.peers.Known(j))
+		}
+		peers = PeersConfig(s.peers.Listen(i), s.peers.Hub(), known)
+	}
+	return s.exp.SidecarConfig(i, s.exp.Fleet.Sidecars, listen, s.disco.listener.At(s.sub.address(i)), peers+s.stateDir(i))
+}
+
+// PeersConfig is the part of a sidecar's configuration that tells it of the others: where it listens, what reaches
+// all, and what they are known by, as address:port.
+func PeersConfig(listen, all string, known []string) string {
+	list, _ := json.Marshal(known)
+	return fmt.Sprintf(`"peer_listen":%q,"peers_all":%q,"peers":%s,`, listen, all, list)
+}
+
+// SidecarConfig is the configuration of sidecar i of so many that share its servers, which listens and finds discovery
+// at these addresses; more is further keys, each with a comma after it.
+func (e *Experiment) SidecarConfig(i, total int, listen, discovery, more string) []byte {
+	zones, _ := json.Marshal(e.Fleet.Zones)
+	deadline := e.Load.Deadline.Microseconds()
+	if e.Fleet.View {
+		more += `"fleet":{"on":true},`
+	}
+	return fmt.Appendf(nil, `{"name":"s%d","listen":%q,"discovery":%q,"seed":"%x",%s
+"limits":{"memory_mb":192,"sockets":1024},"known":{"seq":0,"whole":true,"hosts":[]},
+"settings":{"areas":%s,"skus":["m"],"stages":["s"],"tenants":[],"discovery":"subscribe",
+"classes":[{"name":"read","repeat":"pure","target":%d,"give-up":%d,"credit":1},
+ {"name":"order","repeat":"side_effect","target":%d,"give-up":%d,"credit":1}],
+"contract":{"answer-slack":20000,"ask-within":1000000,"cold-from":0.3,"drain-grace":1000000,"fall-multiple":2.5,"overload-for":1000000,"ramp-time":1},
+"limits":{"may-tell":%t,"cancel":true,"dial-timeout":250000,"keepalive":5000000,"max-retry-after":1500000,"most-held":1000,"most-tries":3,"multiplex":1,"probes":true,"retry-after":true,"second-copies":true},
+"prices":{"probe":%v,"peer":0.01},
+"reporting":{"how":"probe","fields":["failed_ps","pending"]},"peers-total":%d,"position":%d,"zone":%d}}`,
+		i, listen, discovery, e.Seed*1000+uint64(i), more, zones, deadline*6/10, deadline, deadline*6/10, deadline, e.Fleet.Peers,
+		cmp.Or(e.Fleet.ProbePrice, 1), total, i, i%len(e.Fleet.Zones))
+}
+
+// stateDir is the configuration's key for the folder of kept state, where the experiment keeps it.
+func (s *Sidecars) stateDir(i int) string {
+	if !s.exp.Fleet.State {
+		return ""
+	}
+	return fmt.Sprintf(`"state_dir":%q,`, s.disk(i).state())
+}
--- /dev/null
+++ b/internal/lab/summary.go
@@ -0,0 +1,83 @@
+package lab
+
+import (
+	"fmt"
+	"slices"
+)
+
+// Summary is a few lines for people.
+func (r *Result) Summary() string {
+	return fmt.Sprintf("%s: %d sidecars, %d servers, %d requests\noutcomes %v\nran twice %d, copies %d, after drain %d, strange %d; datagrams %+v; breaches %d\n"+
+		"latency ms p50 %.1f p99 %.1f p99.9 %.1f max %.1f\nsidecars: %.1f CPU s, %.1f MB mean peak, %.1f MB largest; lab: %.1f CPU s, %.1f MB\n",
+		r.Name, r.Sidecars, r.Servers, r.Requests, r.Outcomes, r.RanTwice, r.Copies, r.AfterDrain, r.Strange, r.Datagrams, r.Breaches(),
+		r.Latency.P50, r.Latency.P99, r.Latency.P999, r.Latency.Max, r.SidecarCPUSeconds, r.SidecarMeanMB, r.SidecarPeakMB, r.LabCPUSeconds, r.LabPeakMB) +
+		r.moreSummary() + r.restartSummary()
+}
+
+// moreSummary is what results of format 1 have beyond those before, where there is any.
+func (r *Result) moreSummary() string {
+	if r.Format == 0 {
+		return "a result older than format 1: without calls, history and the lab's lateness\n"
+	}
+	text := fmt.Sprintf("the lab's own lateness ms: timers p99 %.1f max %.1f, requests p99 %.1f max %.1f; %.0f ms stalled; excused %v\n",
+		r.Lateness.Timers.P99, r.Lateness.Timers.Max, r.Lateness.Arrivals.P99, r.Lateness.Arrivals.Max, r.Lateness.StalledMs, r.Excused)
+	if r.Lateness.Late {
+		text += "THE LAB RAN LATE: it was short of CPU; do not trust the times above\n"
+	}
+	if len(r.Calls) > 0 {
+		text += fmt.Sprintf("operators' calls %v; after ban %d\n", r.Calls, r.AfterBan)
+	}
+	if r.Control != nil {
+		text += r.Control.String()
+	}
+	text += r.viewSummary()
+	for _, t := range r.Troubles {
+		text += "trouble: " + t + "\n"
+	}
+	for _, b := range r.Broken {
+		text += "broken: " + b.String() + "\n"
+	}
+	return text
+}
+
+// viewSummary is a line for each of the first faults on how the views settled, and one for the worst of the rest.
+func (r *Result) viewSummary() (text string) {
+	const most = 10
+	worst := -1
+	for i, v := range r.Views {
+		if i >= most {
+			if worst < 0 || v.MaxMs > r.Views[worst].MaxMs {
+				worst = i
+			}
+			continue
+		}
+		text += v.String()
+	}
+	if worst >= 0 {
+		text += fmt.Sprintf("%d more, the slowest: %v", len(r.Views)-most, r.Views[worst])
+	}
+	return text
+}
+
+// restartSummary is a line on the restarts, if any: the median and the worst of each time, the errors summed.
+func (r *Result) restartSummary() string {
+	if len(r.Restarts) == 0 {
+		return ""
+	}
+	var ready, first, settled []float64
+	var sum Restart
+	for _, s := range r.Restarts {
+		ready, first, settled = append(ready, s.ReadyMs), append(first, s.FirstServedMs), append(settled, s.SettledMs)
+		sum.Refused, sum.Failed, sum.Unreached, sum.Lost = sum.Refused+s.Refused, sum.Failed+s.Failed, sum.Unreached+s.Unreached, sum.Lost+s.Lost
+		sum.Waited += s.Waited
+	}
+	spread := func(v []float64) string {
+		slices.Sort(v)
+		if median := v[len(v)/2]; v[0] < 0 {
+			return fmt.Sprintf("median %.0f, %d never", median, len(slices.DeleteFunc(v, func(x float64) bool { return x >= 0 })))
+		}
+		return fmt.Sprintf("median %.0f, worst %.0f", v[len(v)/2], v[len(v)-1])
+	}
+	return fmt.Sprintf("restarts %d: ms to ready %s; to first served %s; to settled %s; in their first 5 s refused %d, failed %d, unreached %d, lost %d; not sent until ready %d\n",
+		len(r.Restarts), spread(ready), spread(first), spread(settled), sum.Refused, sum.Failed, sum.Unreached, sum.Lost, sum.Waited)
+}
