--- a/internal/lab/scale/chain.go
+++ b/internal/lab/scale/chain.go
@@ -140,7 +140,7 @@
 	chain  *chain
 	level  int             // that it calls
 	hollow *sidecar.Hollow // nil for plain
-	conns  []sidecar.Connection
+	conns  []sidecar.SimulatedConnection
 }
 
 func (c *chain) phase() int {
@@ -194,7 +194,7 @@
 }
 
 // Dial opens a connection to a server of the level.
-func (n *chainNetwork) Dial(ctx context.Context, address string) (sidecar.Connection, error) {
+func (n *chainNetwork) Dial(ctx context.Context, address string) (sidecar.SimulatedConnection, error) {
 	_, port, _ := strings.Cut(address, ":")
 	number, err := strconv.Atoi(port)
 	if number -= firstPort; err != nil || number < 0 || number >= len(n.chain.servers[n.level]) {
@@ -212,8 +212,8 @@
 	closed atomic.Bool
 }
 
-// Whole says whether it was not closed.
-func (c *chainConn) Whole() bool { return !c.closed.Load() }
+// IsOpen says whether it was not closed.
+func (c *chainConn) IsOpen() bool { return !c.closed.Load() }
 
 // Close closes it.
 func (c *chainConn) Close() { c.closed.Store(true) }
--- a/internal/lab/scale/network.go
+++ b/internal/lab/scale/network.go
@@ -109,7 +109,7 @@
 )
 
 // Dial opens a connection to a server.
-func (c *client) Dial(ctx context.Context, address string) (sidecar.Connection, error) {
+func (c *client) Dial(ctx context.Context, address string) (sidecar.SimulatedConnection, error) {
 	s := c.at(address)
 	if s == nil {
 		return nil, errRefused
@@ -154,8 +154,8 @@
 	closed atomic.Bool
 }
 
-// Whole says whether neither side closed the connection.
-func (c *connection) Whole() bool {
+// IsOpen says whether neither side closed the connection.
+func (c *connection) IsOpen() bool {
 	return !c.closed.Load() && c.life == c.server.life.Load() && !c.server.down.Load()
 }
 
--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -47,7 +47,7 @@
 		Handler:        a.counted(calls),
 		ReadTimeout:    adminTimeout,
 		WriteTimeout:   adminTimeout,
-		MaxHeaderBytes: headMost,
+		MaxHeaderBytes: MaxHeaderBytes,
 		ErrorLog:       slog.NewLogLogger(a.log.Handler(), slog.LevelWarn),
 		ConnState:      a.connections.connState,
 		ConnContext:    a.connections.connContext,
--- a/internal/sidecar/client_conn.go
+++ b/internal/sidecar/client_conn.go
@@ -220,7 +220,7 @@
 
 // closeIdle closes the connection unless part of a request has arrived, read or not.
 func (c *clientConn) closeIdle() {
-	c.closeIf(func() bool { return !c.hasRequestInProgressLocked() && quiet(c.Conn) })
+	c.closeIf(func() bool { return !c.hasRequestInProgressLocked() && isQuiet(c.Conn) })
 }
 
 // closeIf closes the connection if the condition holds, which is called under c.mu: nothing is read between the two.
--- a/internal/sidecar/client_conn_test.go
+++ b/internal/sidecar/client_conn_test.go
@@ -44,7 +44,7 @@
 		"a bad request":           {head + "Content-Length: 0\r\n\r\n", "400"},
 		"a malformed head":        {"GET\r\n\r\n", "400"},
 		"an unknown coding":       {head + "Transfer-Encoding: x\r\n\r\n", "501"},
-		"a head too large":        {"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 2*headMost) + "\r\n\r\n", "431"},
+		"a head too large":        {"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 2*MaxHeaderBytes) + "\r\n\r\n", "431"},
 		"chunks, which end it":    {head + "X-Correlation-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "200"},
 		"a rejection amid a body": {head + "X-Correlation-Id: 1\r\nContent-Length: 99999999\r\n\r\n", "413"},
 	} {
@@ -74,11 +74,11 @@
 	k.roundTrip()
 	conn := w.atRest()
 	conn.closeIf(func() bool {
-		if conn.hasRequestInProgressLocked() || !quiet(conn.Conn) {
+		if conn.hasRequestInProgressLocked() || !isQuiet(conn.Conn) {
 			t.Error("the connection is not idle")
 		}
 		w.request("read", "", time.Minute).Write(k.conn)
-		w.await("the request in the socket's buffer", func() bool { return !quiet(conn.Conn) })
+		w.await("the request in the socket's buffer", func() bool { return !isQuiet(conn.Conn) })
 		return true
 	})
 	if got, err := io.ReadAll(k.in); err != nil || len(got) > 0 {
--- a/internal/sidecar/control_traffic_test.go
+++ b/internal/sidecar/control_traffic_test.go
@@ -185,8 +185,8 @@
 }
 
 // Ways of counting that are wrong, for a test that has to notice them.
-func uncountProbes(l *eventLoop)          { l.up.probes = nil }
-func countProbesAsDiscovery(l *eventLoop) { l.up.probes = &l.controlTraffic.Discovery }
+func uncountProbes(l *eventLoop)          { l.upstream.LoadProbeTraffic = nil }
+func countProbesAsDiscovery(l *eventLoop) { l.upstream.LoadProbeTraffic = &l.controlTraffic.Discovery }
 func countDiscoveryElsewhere(l *eventLoop) {
 	setDiscoveryOptions(l, discovery.Options{Traffic: &controltraffic.Counter{}})
 }
@@ -286,8 +286,8 @@
 		t.Fatal(err)
 	}
 	options := l.discoveryClient.Options()
-	if l.controlTraffic != nil || l.up.probes != nil || options.Traffic != nil {
-		t.Errorf("counted: %v, %v, %v", l.controlTraffic, l.up.probes, options.Traffic)
+	if l.controlTraffic != nil || l.upstream.LoadProbeTraffic != nil || options.Traffic != nil {
+		t.Errorf("counted: %v, %v, %v", l.controlTraffic, l.upstream.LoadProbeTraffic, options.Traffic)
 	}
 	if options.Dial != nil || options.Transport != nil { // without them connections are bare, as the client's own test shows
 		t.Errorf("discovery is called through %+v, want the system's connections", options)
--- a/internal/sidecar/departure_test.go
+++ b/internal/sidecar/departure_test.go
@@ -194,7 +194,7 @@
 					case forADial, uncancelled:
 						var mu sync.Mutex
 						dials := 0
-						w.loop.up.dialer.Control = func(string, string, syscall.RawConn) error {
+						w.loop.upstream.Dialer.Control = func(string, string, syscall.RawConn) error {
 							mu.Lock()
 							dials++
 							mu.Unlock()
@@ -220,9 +220,9 @@
 						r.Header.Set("X-Correlation-Id", fmt.Sprint(name, i))
 						switch with {
 						case "a body on its way":
-							r.ContentLength, r.Body = long, io.NopCloser(&pattern{end: maxBufferedBody + 4<<10})
+							r.ContentLength, r.Body = long, io.NopCloser(&pattern{end: MaxBufferedBody + 4<<10})
 						case "chunks on their way":
-							r.ContentLength, r.Body = -1, io.NopCloser(&pattern{end: maxBufferedBody + 4<<10})
+							r.ContentLength, r.Body = -1, io.NopCloser(&pattern{end: MaxBufferedBody + 4<<10})
 						}
 						var text bytes.Buffer
 						r.Write(&text) // which tells that a body is too short, once it is written as far as it goes
--- a/internal/sidecar/departure_unread_test.go
+++ b/internal/sidecar/departure_unread_test.go
@@ -49,7 +49,7 @@
 			letGo := sync.OnceFunc(func() { close(hold) })
 			defer letGo()
 			var dials atomic.Int64
-			w.loop.up.dialer.Control = func(string, string, syscall.RawConn) error {
+			w.loop.upstream.Dialer.Control = func(string, string, syscall.RawConn) error {
 				dials.Add(1)
 				<-hold
 				return nil
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -103,12 +103,12 @@
 		s.loop.log.Info("another process of this sidecar runs; limits are shared")
 		maxClients := min(maxConnections, limits.Sockets/clientsDescriptorDivisor)
 		maxIdle := (limits.Sockets - 2*maxClients - 2*config.ReservedSockets) / 2
-		s.loop.up.bound(maxClients, max(maxIdle, 0))
+		s.loop.upstream.SetLimits(maxClients, max(maxIdle, 0))
 		if !s.limitsSplit {
 			s.clients.setMaxConns(maxClients)
 		}
 	} else {
-		s.loop.up.bound(maxConnections, maxConnections)
+		s.loop.upstream.SetLimits(maxConnections, maxConnections)
 		s.clients.setMaxConns(maxConnections)
 	}
 	s.hasOtherProcess, s.limitsSplit = hasOtherProcess, true
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -67,7 +67,7 @@
 	cfg                *config.Config
 	log                *slog.Logger
 	clock              clock
-	up                 *upstream
+	upstream           *Client
 	discoveryClient    *discovery.Client
 	events             chan func(now balancer.Micros)
 	urgent             chan func(now balancer.Micros) // operators' calls, ahead of events
@@ -88,7 +88,7 @@
 	lastRequestID   uint64
 	endpointIDs     map[string]uint32 // by host name
 	endpointNames   map[uint32]string // the other way round
-	targets         map[uint32]*target
+	targets         map[uint32]*Target
 	listedEndpoints map[uint32]listedEndpoint // all that was ever listed, as it was last
 	banned          map[uint32]bool           // out of use by hand
 	listVersion     *uint64                   // version of the last list, if there was any
@@ -107,7 +107,7 @@
 // speak of: no final answer is out, or attempts are.
 type pendingRequest struct {
 	id              uint64
-	message         *message
+	outgoing        *Request
 	deadline        balancer.Micros
 	timeLeft        balancer.Micros    // from the last byte of a body that still comes to the deadline
 	response        chan finalResponse // takes the one final answer
@@ -124,23 +124,23 @@
 	retryAfter balancer.Micros
 	header     http.Header
 	body       []byte
-	stream     *responseStream // the rest of the body, or nil
+	stream     *ResponseStream // the rest of the body, or nil
 }
 
 func newEventLoop(ctx context.Context, cfg *config.Config, log *slog.Logger) (*eventLoop, error) {
 	l := &eventLoop{
 		cfg: cfg, log: log, clock: clock{time.Now()}, ctx: ctx,
-		up: newUpstream(cfg, cfg.MaxConnections()), listReceived: make(chan struct{}),
+		upstream: NewClient(cfg, cfg.MaxConnections()), listReceived: make(chan struct{}),
 		events:          make(chan func(balancer.Micros), maxQueuedEvents),
 		urgent:          make(chan func(balancer.Micros), config.MaxAdminConnections),
 		listedEndpoints: map[uint32]listedEndpoint{}, banned: map[uint32]bool{},
-		requests: map[uint64]*pendingRequest{}, endpointIDs: map[string]uint32{}, endpointNames: map[uint32]string{}, targets: map[uint32]*target{},
+		requests: map[uint64]*pendingRequest{}, endpointIDs: map[string]uint32{}, endpointNames: map[uint32]string{}, targets: map[uint32]*Target{},
 		stopWatch: func() {},
 	}
 	var calls discovery.Options
 	if cfg.AdminAddress != "" {
 		l.controlTraffic = &controltraffic.Accounting{Started: time.Now()}
-		l.up.probes = &l.controlTraffic.LoadProbes
+		l.upstream.LoadProbeTraffic = &l.controlTraffic.LoadProbes
 		calls.Traffic = &l.controlTraffic.Discovery
 	}
 	l.discoveryClient = discovery.NewClient(cfg.DiscoveryAddress, calls)
@@ -180,7 +180,7 @@
 		case event := <-l.events:
 			event(l.clock.now())
 		case <-prune.C:
-			l.up.prune()
+			l.upstream.CloseExpired()
 		case <-saveAt:
 			l.snapshots.Offer(l.snapshot(l.clock.now()))
 			saveAt = time.After(l.snapshots.NextSave())
@@ -252,7 +252,7 @@
 	select {
 	case a := <-r.response: // it crossed the client's going, and nobody takes it
 		if a.stream != nil {
-			a.stream.end(&clientError{error: errClientDisconnected})
+			a.stream.End(&ClientError{error: errClientDisconnected})
 		}
 	default:
 	}
@@ -271,7 +271,7 @@
 // responseStarted gives the beginning of an answer that is passed on as it comes, as the final one.
 func (l *eventLoop) responseStarted(now balancer.Micros, r *pendingRequest, attempt int, latency balancer.Micros, a finalResponse) {
 	if r.isDone {
-		a.stream.end(&clientError{error: errClientDisconnected})
+		a.stream.End(&ClientError{error: errClientDisconnected})
 		return
 	}
 	l.balancer.ResponseStarted(now, r.id, attempt, latency)
@@ -280,25 +280,25 @@
 
 // attemptFinished tells how an attempt ended: exactly once for each, also after the
 // request's end, when the balancer still learns from it.
-func (l *eventLoop) attemptFinished(now balancer.Micros, r *pendingRequest, o balancer.Outcome, res result) {
+func (l *eventLoop) attemptFinished(now balancer.Micros, r *pendingRequest, o balancer.Outcome, res Result) {
 	r.outstanding--
 	if r.isClientGone() {
 		l.clientDisconnected(now, r) // before the balancer would try again for it
 	}
-	if res.status != balancer.OK {
-		l.log.Info("attempt not served", "request_id", r.message.header.Get(requestIDHeader), "attempt", o.Attempt,
-			"endpoint", o.Endpoint, "outcome", res.status, "duration", time.Duration(o.Latency)*time.Microsecond, "error", res.err)
+	if res.Status != balancer.OK {
+		l.log.Info("attempt not served", "request_id", r.outgoing.Header.Get(requestIDHeader), "attempt", o.Attempt,
+			"endpoint", o.Endpoint, "outcome", res.Status, "duration", time.Duration(o.Latency)*time.Microsecond, "error", res.Err)
 	}
-	if res.status == balancer.OK {
-		l.respond(r, finalResponse{statusCode: http.StatusOK, header: res.header, body: res.body})
-	} else if res.fault != 0 {
-		a := finalResponse{statusCode: res.fault}
+	if res.Status == balancer.OK {
+		l.respond(r, finalResponse{statusCode: http.StatusOK, header: res.Header, body: res.Body})
+	} else if res.ClientErrorCode != 0 {
+		a := finalResponse{statusCode: res.ClientErrorCode}
 		if a.statusCode == http.StatusServiceUnavailable {
 			a.retryAfter = shutdownRetryAfter.Microseconds()
 		}
 		l.respond(r, a)
 	}
-	o.RequestDone, o.BodyConsumed = r.isDone, r.message.spent()
+	o.RequestDone, o.BodyConsumed = r.isDone, r.outgoing.BodyConsumed()
 	l.balancer.AttemptFinished(now, o)
 	l.releaseRequest(r)
 }
@@ -376,15 +376,15 @@
 	l.listedEndpoints[id] = to
 	wanted := to.state == balancer.Ready && !l.banned[id]
 	t := l.targets[id]
-	if t != nil && wanted && t.address == to.Address && t.born == to.StartedAtMillis {
+	if t != nil && wanted && t.Address == to.Address && t.StartedAtMillis == to.StartedAtMillis {
 		return
 	}
 	if t != nil {
-		l.up.retire(t)
+		l.upstream.Retire(t)
 		delete(l.targets, id)
 	}
 	if wanted {
-		l.targets[id] = &target{address: to.Address, born: to.StartedAtMillis}
+		l.targets[id] = &Target{Address: to.Address, StartedAtMillis: to.StartedAtMillis}
 	}
 }
 
@@ -438,14 +438,14 @@
 		}
 	}
 	guard()
-	p := &forwarding{streamCtx: life,
-		mayStart: func() bool {
+	p := &Forwarding{StreamContext: life,
+		MayStart: func() bool {
 			if r.checkDisconnect != nil {
 				r.checkDisconnect() // whoever reads the connection may be far behind, where many come at once
 			}
 			return unguard() && !r.isClientGone()
 		},
-		bodySent: func() time.Time {
+		BodySent: func() time.Time {
 			began = l.clock.now()
 			deadline := began + r.timeLeft
 			l.post(func(at balancer.Micros) {
@@ -454,11 +454,11 @@
 			})
 			return l.clock.wallTime(deadline)
 		},
-		startResponse: func(h *http.Response, kept []byte, s *responseStream) {
+		StartResponse: func(h *http.Response, kept []byte, s *ResponseStream) {
 			ended = l.clock.now()
 			latency := ended - began
 			guard() // what is passed on as it comes has nobody else to come for
-			s.stopWatchingClient = unguard
+			s.StopWatchingClient = unguard
 			l.post(func(at balancer.Micros) {
 				l.responseStarted(at, r, o.Attempt, latency, finalResponse{statusCode: http.StatusOK, header: h.Header, body: kept, stream: s})
 			})
@@ -466,20 +466,20 @@
 	go func() {
 		defer cancel()
 		defer func() { unguard() }()
-		res := result{status: balancer.NotSent}
+		res := Result{Status: balancer.NotSent}
 		if t != nil {
 			ctx, stop := life, context.CancelFunc(func() {})
-			if r.message.rest == nil { // else its time begins with its last byte
+			if r.outgoing.Upload == nil { // else its time begins with its last byte
 				ctx, stop = context.WithDeadline(life, l.clock.wallTime(until))
 			}
-			res = l.up.attempt(ctx, t, r.message, p)
+			res = l.upstream.Attempt(ctx, t, r.outgoing, p)
 			stop()
 		}
 		l.post(func(at balancer.Micros) {
 			if ended == 0 {
 				ended = at
 			}
-			o.Status, o.LoadReport, o.Latency = res.status, res.load, ended-began
+			o.Status, o.LoadReport, o.Latency = res.Status, res.LoadReport, ended-began
 			l.attemptFinished(at, r, o, res)
 		})
 	}()
@@ -513,12 +513,12 @@
 func (l *eventLoop) SendLoadProbe(endpoint uint32) {
 	t := l.targets[endpoint]
 	go func() {
-		res := result{status: balancer.NotSent}
+		res := Result{Status: balancer.NotSent}
 		if t != nil {
-			res = l.up.probe(l.ctx, t)
+			res = l.upstream.LoadProbe(l.ctx, t)
 		}
 		l.post(func(now balancer.Micros) {
-			l.balancer.LoadProbeResult(now, endpoint, res.status, res.took.Microseconds(), res.load)
+			l.balancer.LoadProbeResult(now, endpoint, res.Status, res.Latency.Microseconds(), res.LoadReport)
 		})
 	}()
 }
--- a/internal/sidecar/request_body.go
+++ b/internal/sidecar/request_body.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// clientError is a failure of the client's side of a body. It counts against no endpoint.
-type clientError struct {
-	status int // of the response, where one can still be written; else 0
+// ClientError is a failure of the client's side of a body. It counts against no endpoint.
+type ClientError struct {
+	StatusCode int // of the response, where one can still be written; else 0
 	error
 }
 
 // Unwrap returns the cause.
-func (e *clientError) Unwrap() error { return e.error }
+func (e *ClientError) Unwrap() error { return e.error }
 
 // requestBody reads the body of a client's request as it arrives. One goroutine reads; any may call abort, wasAborted and
 // hasUnread.
@@ -27,7 +27,7 @@
 	contentLength int64 // -1 if unknown
 	pace          pace
 	isConsumed    bool         // bytes were read that are not buffered: the request cannot be sent again
-	err           *clientError // what ended reading, or nil
+	err           *ClientError // what ended reading, or nil
 
 	mu         sync.Mutex // guards the fields below, and that abort's read deadline is not overwritten
 	isComplete bool       // read to its end
@@ -47,7 +47,7 @@
 	n, err := b.reader.Read(p)
 	b.pace.add(n, start)
 	if b.pace.bytes > maxRequestBody {
-		b.err = &clientError{http.StatusRequestEntityTooLarge, fmt.Errorf("the body is over %d bytes", maxRequestBody)}
+		b.err = &ClientError{http.StatusRequestEntityTooLarge, fmt.Errorf("the body is over %d bytes", maxRequestBody)}
 		return 0, b.err
 	}
 	if err == io.EOF {
@@ -90,7 +90,7 @@
 	} else if errors.Is(err, os.ErrDeadlineExceeded) {
 		status = http.StatusRequestTimeout
 	}
-	b.err = &clientError{status, fmt.Errorf("the body could not be read: %w", err)}
+	b.err = &ClientError{status, fmt.Errorf("the body could not be read: %w", err)}
 	return b.err
 }
 
@@ -138,8 +138,8 @@
 func (b *requestBody) memoryNeeded() int64 {
 	switch {
 	case b.contentLength < 0:
-		return maxBufferedBody + 2*copyBufferSize
-	case b.contentLength > maxBufferedBody:
+		return MaxBufferedBody + 2*copyBufferSize
+	case b.contentLength > MaxBufferedBody:
 		return 2 * copyBufferSize
 	default:
 		return b.contentLength + copyBufferSize
--- a/internal/sidecar/request_body_test.go
+++ b/internal/sidecar/request_body_test.go
@@ -36,8 +36,8 @@
 	}{
 		"with a length":   {long, func(r *http.Request) { r.ContentLength = long }},
 		"in chunks":       {long, func(r *http.Request) { r.ContentLength = -1 }},
-		"just kept whole": {maxBufferedBody, func(r *http.Request) { r.ContentLength = -1 }},
-		"a byte beyond":   {maxBufferedBody + 1, func(r *http.Request) { r.ContentLength = -1 }},
+		"just kept whole": {MaxBufferedBody, func(r *http.Request) { r.ContentLength = -1 }},
+		"a byte beyond":   {MaxBufferedBody + 1, func(r *http.Request) { r.ContentLength = -1 }},
 		"with a trailer": {long, func(r *http.Request) {
 			r.ContentLength, r.Trailer = -1, http.Header{"X-Sum": {"1"}}
 		}},
@@ -57,7 +57,7 @@
 		}
 	}
 	w.await("all resources to be freed", func() bool {
-		open, idle := w.loop.up.connections()
+		open, idle := w.loop.upstream.ConnectionCounts()
 		var left int
 		w.onLoop(func() { left = len(w.loop.requests) })
 		return open == idle && left == 0
@@ -78,7 +78,7 @@
 		defer conn.Close()
 		fmt.Fprintf(conn, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\nX-Time-Left-Ms: 900\r\n"+
 			"Idempotency-Key: 1\r\nContent-Length: %d\r\n\r\n", long)
-		io.CopyN(conn, &pattern{end: long}, 2*maxBufferedBody)
+		io.CopyN(conn, &pattern{end: long}, 2*MaxBufferedBody)
 		if stops {
 			conn.SetReadDeadline(time.Now().Add(testTimeout))
 			if got, _ := io.ReadAll(conn); !bytes.HasPrefix(got, []byte("HTTP/1.1 408")) {
@@ -98,7 +98,7 @@
 		}
 	}
 	w.await("all resources to be freed", func() bool {
-		open, _ := w.loop.up.connections()
+		open, _ := w.loop.upstream.ConnectionCounts()
 		return open == 0 && w.server.clients.count() == 0
 	})
 }
@@ -133,7 +133,7 @@
 	cuts := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
 		if r, err := http.ReadRequest(in); err == nil {
 			tries.Add(1)
-			io.CopyN(io.Discard, r.Body, 4*maxBufferedBody)
+			io.CopyN(io.Discard, r.Body, 4*MaxBufferedBody)
 		}
 	})
 	w = startSidecar(t, nil, readyEndpoint("s-1", cuts.address))
@@ -187,9 +187,9 @@
 		if name == "in chunks" {
 			body = httputil.NewChunkedWriter(k.conn)
 		}
-		io.CopyN(body, &pattern{end: long}, 2*maxBufferedBody)
+		io.CopyN(body, &pattern{end: long}, 2*MaxBufferedBody)
 		w.await("the request to be ended", func() bool { var n int; w.onLoop(func() { n = len(w.loop.requests) }); return n == 0 })
-		if _, err := io.Copy(body, &pattern{at: 2 * maxBufferedBody, end: long}); err != nil {
+		if _, err := io.Copy(body, &pattern{at: 2 * MaxBufferedBody, end: long}); err != nil {
 			t.Errorf("%s: writing the body: %v", name, err)
 		}
 		if name == "in chunks" {
@@ -203,14 +203,14 @@
 
 // SIGTERM during a request's body, short or long: the client is told to retry elsewhere, and no endpoint has all of it.
 func TestTerminationDuringABody(t *testing.T) {
-	for name, length := range map[string]int{"kept": maxBufferedBody, "passed on": long} {
+	for name, length := range map[string]int{"kept": MaxBufferedBody, "passed on": long} {
 		e := newEndpoint(t, always(served))
 		w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
 		w.server.acceptDuration = 0
 		k := w.connect()
 		fmt.Fprintf(k.conn, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\n"+
 			"X-Time-Left-Ms: 9000\r\nIdempotency-Key: 1\r\nContent-Length: %d\r\n\r\n", length)
-		io.CopyN(k.conn, &pattern{end: long}, maxBufferedBody/2)
+		io.CopyN(k.conn, &pattern{end: long}, MaxBufferedBody/2)
 		w.await("the body to be awaited", func() bool {
 			w.server.requests.bodies.mu.Lock()
 			defer w.server.requests.bodies.mu.Unlock()
@@ -243,13 +243,13 @@
 		}
 	})
 	w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
-	w.server.requests.bodies.setMaxBytes(2*copyBufferSize + maxBufferedBody)
+	w.server.requests.bodies.setMaxBytes(2*copyBufferSize + MaxBufferedBody)
 	first := make(chan clientResponse)
-	go func() { first <- w.send(w.request("pay", strings.Repeat("x", maxBufferedBody), time.Minute)) }()
+	go func() { first <- w.send(w.request("pay", strings.Repeat("x", MaxBufferedBody), time.Minute)) }()
 	w.await("the first to be in flight", func() bool { n, _ := e.seen(); return n == 1 })
-	for _, length := range []int64{maxBufferedBody, -1, long} {
+	for _, length := range []int64{MaxBufferedBody, -1, long} {
 		r := w.request("pay", "", time.Minute)
-		r.Body, r.ContentLength = io.NopCloser(&pattern{end: maxBufferedBody}), length
+		r.Body, r.ContentLength = io.NopCloser(&pattern{end: MaxBufferedBody}), length
 		if length == long {
 			r.Body = io.NopCloser(&pattern{end: long})
 		}
@@ -262,7 +262,7 @@
 		t.Errorf("the first: %+v", got)
 	}
 	w.await("free memory", func() bool {
-		return w.send(w.request("pay", strings.Repeat("x", maxBufferedBody), time.Minute)).statusCode == http.StatusOK
+		return w.send(w.request("pay", strings.Repeat("x", MaxBufferedBody), time.Minute)).statusCode == http.StatusOK
 	})
 	if n, _ := e.seen(); n != 2 {
 		t.Errorf("%d requests reached the endpoint, want 2", n)
--- a/internal/sidecar/request_handler.go
+++ b/internal/sidecar/request_handler.go
@@ -43,7 +43,7 @@
 		ReadHeaderTimeout: paceGrace,
 		WriteTimeout:      maxRequestTimeout + writeTimeout,
 		// Without IdleTimeout: clientConns closes idle connections.
-		MaxHeaderBytes: headMost,
+		MaxHeaderBytes: MaxHeaderBytes,
 		ErrorLog:       slog.NewLogLogger(h.log.Handler(), slog.LevelWarn),
 		ConnState:      h.clients.connState,
 		ConnContext:    h.clients.connContext,
@@ -114,36 +114,36 @@
 }
 
 // read reads the request with as much of its body as is buffered.
-func (e *clientExchange) read(body *requestBody) (balancer.Request, *message, *invalidRequest) {
+func (e *clientExchange) read(body *requestBody) (balancer.Request, *Request, *invalidRequest) {
 	request, err := e.parser.parse(e.in)
 	if err != nil {
 		return request, nil, err
 	}
-	message := &message{method: e.in.Method, url: e.in.URL, host: e.in.Host, header: e.in.Header}
+	message := &Request{Method: e.in.Method, URL: e.in.URL, Host: e.in.Host, Header: e.in.Header}
 	isComplete := false
-	if body.contentLength <= maxBufferedBody {
+	if body.contentLength <= MaxBufferedBody {
 		var readErr error
-		if message.body, isComplete, readErr = body.buffer(maxBufferedBody); readErr != nil {
-			return request, nil, &invalidRequest{body.err.status, readErr.Error()}
+		if message.Body, isComplete, readErr = body.buffer(MaxBufferedBody); readErr != nil {
+			return request, nil, &invalidRequest{body.err.StatusCode, readErr.Error()}
 		}
 	}
 	if !isComplete {
-		message.rest, request.IsUploading = body, true
+		message.Upload, request.IsUploading = body, true
 	}
 	request.Deadline += e.loop.clock.now() // the client's time runs from the request's last byte
 	return request, message, nil
 }
 
 // awaitResponse hands the request to the event loop and writes the response that comes, unless the client disconnects first.
-func (e *clientExchange) awaitResponse(in balancer.Request, message *message) {
-	isUploading := message.rest != nil
+func (e *clientExchange) awaitResponse(in balancer.Request, message *Request) {
+	isUploading := message.Upload != nil
 	if isUploading {
 		// Else net/http would read the rest of the body before it writes an early response.
 		if err := e.controller.EnableFullDuplex(); err != nil {
 			panic(http.ErrAbortHandler) // the connection is closed
 		}
 	}
-	r := &pendingRequest{response: make(chan finalResponse, 1), message: message, timeLeft: in.Deadline - e.loop.clock.now(),
+	r := &pendingRequest{response: make(chan finalResponse, 1), outgoing: message, timeLeft: in.Deadline - e.loop.clock.now(),
 		clientCtx: e.conn.disconnected, checkDisconnect: e.conn.checkDisconnected}
 	stop := e.conn.watchDisconnect(isUploading)
 	defer stop()
@@ -153,7 +153,7 @@
 	}
 	select {
 	case response := <-r.response:
-		e.writeResponse(response, message.rest)
+		e.writeResponse(response, message.Upload)
 	case <-e.conn.disconnected.Done():
 		e.logNotServed(statusDisconnected)
 		e.loop.post(func(now balancer.Micros) { e.loop.clientDisconnected(now, r) })
@@ -185,12 +185,12 @@
 
 // writeStream forwards a response while it arrives. If that fails, the client can tell that the response is incomplete.
 func (e *clientExchange) writeStream(response finalResponse) {
-	endToEnd(e.writer.Header(), response.header)
-	if response.stream.contentLength >= 0 {
-		e.writer.Header().Set("Content-Length", strconv.FormatInt(response.stream.contentLength, 10))
+	CopyEndToEndHeaders(e.writer.Header(), response.header)
+	if response.stream.ContentLength >= 0 {
+		e.writer.Header().Set("Content-Length", strconv.FormatInt(response.stream.ContentLength, 10))
 	}
 	err := forwardResponse(e.writer, e.controller, response.body, response.stream)
-	response.stream.end(err)
+	response.stream.End(err)
 	if err != nil {
 		e.logRequest("response broken off", "error", err)
 		panic(http.ErrAbortHandler)
@@ -200,7 +200,7 @@
 // writeBuffered writes a response that is complete.
 func (e *clientExchange) writeBuffered(response finalResponse) {
 	header := e.writer.Header()
-	endToEnd(header, response.header)
+	CopyEndToEndHeaders(header, response.header)
 	if response.retryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(float64(response.retryAfter)/1e6, 'f', 3, 64)) // seconds
 	}
--- a/internal/sidecar/response_stream.go
+++ b/internal/sidecar/response_stream.go
@@ -10,46 +10,46 @@
 // responseBufferTime is how long a response of unknown length is buffered, in the hope that it ends.
 const responseBufferTime = 50 * time.Millisecond
 
-// responseStream is a response that is forwarded while it arrives. The attempt's goroutine makes it; the goroutine of the
+// ResponseStream is a response that is forwarded while it arrives. The attempt's goroutine makes it; the goroutine of the
 // client's request reads remainder and calls end exactly once.
-type responseStream struct {
-	contentLength      int64         // -1 if unknown
-	remainder          io.ReadCloser // the body beyond what is buffered
+type ResponseStream struct {
+	ContentLength      int64         // -1 if unknown
+	Remainder          io.ReadCloser // the body beyond what is buffered
 	clientDone         chan error    // receives end's error; has room for it
-	stopWatchingClient func() bool   // from here on a disconnect of the client does not end the attempt
+	StopWatchingClient func() bool   // from here on a disconnect of the client does not end the attempt
 }
 
-// end tells the attempt's goroutine how the client's side ended; nil means that the client has received everything.
-func (s *responseStream) end(err error) {
-	s.stopWatchingClient() // what follows closes the client's connection, which is no disconnect by the client
-	s.remainder.Close()
+// End tells the attempt's goroutine how the client's side ended; nil means that the client has received everything.
+func (s *ResponseStream) End(err error) {
+	s.StopWatchingClient() // what follows closes the client's connection, which is no disconnect by the client
+	s.Remainder.Close()
 	s.clientDone <- err
 }
 
-// forwarding is what an attempt needs to forward a request or a response that is too long to be buffered. The attempt's
+// Forwarding is what an attempt needs to forward a request or a response that is too long to be buffered. The attempt's
 // goroutine calls the functions.
-type forwarding struct {
-	streamCtx context.Context // the attempt's, without a deadline
+type Forwarding struct {
+	StreamContext context.Context // the attempt's, without a deadline
 
-	// mayStart is called before the first byte is written. It reports whether the request is still wanted.
-	mayStart func() bool
-	// bodySent is called after the last byte of a body that was not buffered. It returns the request's deadline, which counts
+	// MayStart is called before the first byte is written. It reports whether the request is still wanted.
+	MayStart func() bool
+	// BodySent is called after the last byte of a body that was not buffered. It returns the request's deadline, which counts
 	// from then on.
-	bodySent func() time.Time
-	// startResponse hands over a response to be forwarded, with the buffered start of its body.
-	startResponse func(response *http.Response, buffered []byte, stream *responseStream)
+	BodySent func() time.Time
+	// StartResponse hands over a response to be forwarded, with the buffered start of its body.
+	StartResponse func(response *http.Response, buffered []byte, stream *ResponseStream)
 }
 
-// responseBody reads a response's body from an endpoint. It fails if the endpoint sends nothing for maxEndpointStall.
-type responseBody struct {
-	conn   *conn
+// endpointBody reads a response's body from an endpoint. It fails if the endpoint sends nothing for maxEndpointStall.
+type endpointBody struct {
+	conn   *connection
 	ctx    context.Context
 	reader io.Reader
 }
 
 // Read reads what has arrived, or waits for it.
-func (b *responseBody) Read(p []byte) (int, error) {
-	b.conn.until(b.ctx, time.Now().Add(maxEndpointStall))
+func (b *endpointBody) Read(p []byte) (int, error) {
+	b.conn.setDeadline(b.ctx, time.Now().Add(maxEndpointStall))
 	return b.reader.Read(p)
 }
 
@@ -65,20 +65,20 @@
 	start := time.Now()
 	defer func() { w.pace.add(len(data), start) }()
 	if err := w.controller.SetWriteDeadline(start.Add(w.pace.remaining())); err != nil {
-		return 0, &clientError{error: err}
+		return 0, &ClientError{error: err}
 	}
 	if n, err := w.writer.Write(data); err != nil {
-		return n, &clientError{error: err}
+		return n, &ClientError{error: err}
 	}
 	if err := w.controller.Flush(); err != nil {
-		return len(data), &clientError{error: err}
+		return len(data), &ClientError{error: err}
 	}
 	return len(data), nil
 }
 
 // forwardResponse writes the buffered start of a body and then the remainder while it arrives. It returns nil once the client
 // was sent everything, a *clientError if the client's side failed, and else the endpoint's error.
-func forwardResponse(w http.ResponseWriter, controller *http.ResponseController, buffered []byte, stream *responseStream) error {
+func forwardResponse(w http.ResponseWriter, controller *http.ResponseController, buffered []byte, stream *ResponseStream) error {
 	client := &pacedWriter{writer: w, controller: controller}
 	if _, err := client.Write(buffered); err != nil {
 		return err
@@ -86,7 +86,7 @@
 	buffer := copyBuffers.Get().(*[copyBufferSize]byte)
 	defer copyBuffers.Put(buffer)
 	for {
-		n, readErr := stream.remainder.Read(buffer[:])
+		n, readErr := stream.Remainder.Read(buffer[:])
 		if n > 0 {
 			if _, err := client.Write(buffer[:n]); err != nil {
 				return err
--- a/internal/sidecar/response_stream_test.go
+++ b/internal/sidecar/response_stream_test.go
@@ -77,7 +77,7 @@
 
 // The first bytes of a response that does not end at once are forwarded, and the end of every framing is forwarded as such.
 func TestResponsesOfUnknownLengthAreForwardedAtOnce(t *testing.T) {
-	const size = 3 * maxBufferedBody
+	const size = 3 * MaxBufferedBody
 	for name, head := range map[string]string{
 		"in chunks":     "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nTrailer: X-Sum\r\nTransfer-Encoding: chunked\r\n\r\n",
 		"until a close": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
@@ -134,14 +134,14 @@
 		e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
 			e.next(in)
 			io.WriteString(conn, head)
-			io.CopyN(conn, &pattern{end: long}, 2*maxBufferedBody)
+			io.CopyN(conn, &pattern{end: long}, 2*MaxBufferedBody)
 		})
 		w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
 		response, err := http.DefaultClient.Do(w.request("read", "", time.Minute))
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if n, err := io.Copy(io.Discard, response.Body); err == nil || n > 2*maxBufferedBody {
+		if n, err := io.Copy(io.Discard, response.Body); err == nil || n > 2*MaxBufferedBody {
 			t.Errorf("%s: the client read %d bytes and %v, want an incomplete response", name, n, err)
 		}
 		response.Body.Close()
@@ -166,14 +166,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.CopyN(io.Discard, response.Body, 4*maxBufferedBody)
+	io.CopyN(io.Discard, response.Body, 4*MaxBufferedBody)
 	response.Body.Close()
 	<-ended
 	w.await("its outcome", func() bool { return len(w.recorder.statuses()) == 1 })
 	if got := w.recorder.statuses()[0]; got != balancer.Cancelled {
 		t.Errorf("the attempt counts as %v, want cancelled", got)
 	}
-	w.await("all resources to be freed", func() bool { open, _ := w.loop.up.connections(); return open == 0 })
+	w.await("all resources to be freed", func() bool { open, _ := w.loop.upstream.ConnectionCounts(); return open == 0 })
 }
 
 // SIGTERM during a long response: it is forwarded to its end, however long after the classes' deadlines.
@@ -183,7 +183,7 @@
 		for e.next(in) != nil {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", long)
 			body := &pattern{end: long}
-			io.CopyN(conn, body, maxBufferedBody)
+			io.CopyN(conn, body, MaxBufferedBody)
 			<-goOn
 			io.Copy(conn, body)
 		}
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -204,7 +204,7 @@
 // logStatus logs the counts. The event loop calls it.
 func (s *server) logStatus(balancer.Micros) {
 	clients := s.clients.counts()
-	open, idle := s.loop.up.connections()
+	open, idle := s.loop.upstream.ConnectionCounts()
 	s.loop.log.Info("status", "requests_taken", s.loop.lastRequestID, "requests", len(s.loop.requests),
 		"clients_accepted", clients.accepted, "clients_new", clients.fresh, "clients_active", clients.active,
 		"clients_idle", clients.idle, "upstream_open", open, "upstream_idle", idle,
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -311,7 +311,7 @@
 	if n, _ := e.seen(); n != 0 {
 		t.Errorf("%d malformed requests reached the endpoint", n)
 	}
-	r := w.request("pay", strings.Repeat("x", maxBufferedBody), 3*time.Second)
+	r := w.request("pay", strings.Repeat("x", MaxBufferedBody), 3*time.Second)
 	r.Header.Set("X-Account", "acme")
 	r.Header.Set("X-Weight-Hint", "90000")
 	r.Header.Set("X-Session-Key", "7f3a9c21e0b4d655")
@@ -509,7 +509,7 @@
 	first, second := newEndpoint(t, always(served)), newEndpoint(t, always(served))
 	w := startSidecar(t, nil, readyEndpoint("s-1", first.address))
 	dialling, go_ := make(chan struct{}), make(chan struct{})
-	w.loop.up.dialer.Control = func(_, address string, _ syscall.RawConn) error {
+	w.loop.upstream.Dialer.Control = func(_, address string, _ syscall.RawConn) error {
 		if address == first.address {
 			close(dialling)
 			<-go_
