--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -7,12 +7,10 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"runtime"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"bramblestand/balancer"
 	"bramblestand/internal/config"
 	"bramblestand/internal/handover"
 	"bramblestand/internal/state"
@@ -184,33 +182,6 @@
 	}()
 }
 
-// logStatusPeriodically logs the sidecar's connections, requests and goroutines until ctx ends.
-func (s *server) logStatusPeriodically(ctx context.Context) {
-	ticker := time.NewTicker(statusLogInterval)
-	defer ticker.Stop()
-	for n := 1; ; n++ {
-		select {
-		case <-ticker.C:
-			s.loop.post(s.logStatus)
-			if s.loop.controlTraffic != nil && n%controlLogInterval == 0 {
-				s.loop.controlTraffic.Log(s.loop.log, s.loop.datagramCounts())
-			}
-		case <-ctx.Done():
-			return
-		}
-	}
-}
-
-// logStatus logs the counts. The event loop calls it.
-func (s *server) logStatus(balancer.Micros) {
-	clients := s.clients.counts()
-	open, idle := s.loop.upstream.ConnectionCounts()
-	s.loop.log.Info("status", "requests_taken", s.loop.lastRequestID, "requests", len(s.loop.requests),
-		"clients_accepted", clients.accepted, "clients_new", clients.fresh, "clients_active", clients.active,
-		"clients_idle", clients.idle, "upstream_open", open, "upstream_idle", idle,
-		"events", len(s.loop.events), "goroutines", runtime.NumGoroutine())
-}
-
 // shutDown ends the service without losing a request. Each response from here on ends its connection; idle connections are
 // closed once clients no longer connect.
 func (s *server) shutDown(listener net.Listener) error {
