--- a/internal/ci/documentation_test.go
+++ b/internal/ci/documentation_test.go
@@ -5,9 +5,11 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
+	"io/fs"
 	"maps"
 	"os"
 	"path/filepath"
+	"regexp"
 	"slices"
 	"strings"
 	"testing"
@@ -211,3 +213,47 @@
 		}
 	}
 }
+
+// testName matches the name of a Go test on a page.
+var testName = regexp.MustCompile(`\bTest[A-Z][A-Za-z0-9]*`)
+
+// The pages that say which test shows what name tests that exist. Pages of incidents stay as they were written.
+func TestPagesNameExistingTests(t *testing.T) {
+	tests := testNames(t, "../..")
+	pages, err := filepath.Glob("../../docs/*.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, page := range append(pages, "../../README.md") {
+		text, err := os.ReadFile(page)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, name := range testName.FindAllString(string(text), -1) {
+			if !tests[name] {
+				t.Errorf("%s: no test %s", page, name)
+			}
+		}
+	}
+}
+
+// testNames returns the names of the tests of all packages under root.
+func testNames(t *testing.T, root string) map[string]bool {
+	t.Helper()
+	declaration := regexp.MustCompile(`(?m)^func (Test\w+)\(`)
+	names := map[string]bool{}
+	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil || !strings.HasSuffix(path, "_test.go") {
+			return err
+		}
+		source, err := os.ReadFile(path)
+		for _, match := range declaration.FindAllSubmatch(source, -1) {
+			names[string(match[1])] = true
+		}
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return names
+}
