--- a/cmd/faultlab/latency.go
+++ b/cmd/faultlab/latency.go
@@ -21,8 +21,8 @@
 	rates := flags.String("rates", "47,200", "calls a second of each way, by commas")
 	var o lab.LatencyOptions
 	flags.IntVar(&o.Servers, "servers", 6, "pin servers, 1 to 1000")
-	flags.IntVar(&o.Plays, "plays", 10, "plays of each rate, 1 to 100")
-	flags.DurationVar(&o.Warm, "warm", 2*time.Second, "of each play, not counted")
+	flags.IntVar(&o.Runs, "plays", 10, "plays of each rate, 1 to 100")
+	flags.DurationVar(&o.Warmup, "warm", 2*time.Second, "of each play, not counted")
 	flags.DurationVar(&o.Duration, "duration", 15*time.Second, "of each play, counted, 100ms to 10m")
 	flags.Float64Var(&o.ProbePrice, "price", 1, "of a probe: prices.probe of the settings")
 	flags.Uint64Var(&o.Seed, "seed", 1, "of the first play")
--- a/cmd/faultlab/main.go
+++ b/cmd/faultlab/main.go
@@ -236,15 +236,15 @@
 	program := flags.String("sidecar", "", "the sidecar's program; overrides the experiment's")
 	var o lab.SearchOptions
 	flags.IntVar(&o.Seeds, "seeds", 20, "schedules to draw")
-	flags.Uint64Var(&o.First, "first", 1, "the first seed")
-	flags.DurationVar(&o.For, "for", 0, "no run begins later than this; 0 for no such bound")
+	flags.Uint64Var(&o.FirstSeed, "first", 1, "the first seed")
+	flags.DurationVar(&o.MaxDuration, "for", 0, "no run begins later than this; 0 for no such bound")
 	flags.IntVar(&o.Parallel, "parallel", 3, "runs at a time")
 	flags.Func("kinds", "kinds of faults to draw, by commas; default all that the experiment allows", func(text string) error {
 		o.Kinds = strings.Split(text, ",")
 		return nil
 	})
-	flags.IntVar(&o.Stop, "stop", 0, "findings after which no more seeds are played; 0 for no such bound")
-	flags.IntVar(&o.Tries, "tries", 2, "runs of a smaller schedule, one of which must break the same rule")
+	flags.IntVar(&o.MaxFindings, "stop", 0, "findings after which no more seeds are played; 0 for no such bound")
+	flags.IntVar(&o.Attempts, "tries", 2, "runs of a smaller schedule, one of which must break the same rule")
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
@@ -252,8 +252,8 @@
 	if err != nil {
 		return err
 	}
-	if o.Seeds < 1 || o.Seeds > 100_000 || o.Parallel < 1 || o.Parallel > 64 || o.Tries < 1 {
-		return fmt.Errorf("-seeds %d, -parallel %d or -tries %d is out of range", o.Seeds, o.Parallel, o.Tries)
+	if o.Seeds < 1 || o.Seeds > 100_000 || o.Parallel < 1 || o.Parallel > 64 || o.Attempts < 1 {
+		return fmt.Errorf("-seeds %d, -parallel %d or -tries %d is out of range", o.Seeds, o.Parallel, o.Attempts)
 	}
 	if err := exp.CheckDescriptors(min(o.Seeds, o.Parallel)); err != nil {
 		return err
--- a/internal/lab/analysis.go
+++ b/internal/lab/analysis.go
@@ -10,10 +10,10 @@
 	"bramblestand/internal/lab/history"
 )
 
-// graceMost is how long after a drain was told, or a ban answered yes, something may still arrive at a server.
-const graceMost = 1500 * time.Millisecond
+// removalGrace is how long after a drain was told, or a ban answered yes, something may still arrive at a server.
+const removalGrace = 1500 * time.Millisecond
 
-func reckon(exp *Experiment, l *Ledger, late *lateness, blind blinds, marks []Mark, restarts []Restart, events []history.Event) *Result {
+func analyze(exp *Experiment, l *RequestTable, late *lateness, blind discoveryOutages, marks []Mark, restarts []Restart, events []history.Event) *Result {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	lateness := late.report()
@@ -21,7 +21,7 @@
 	deadline := exp.Load.Deadline.Duration + 50*time.Millisecond
 	var afterDrain []string
 	for _, b := range l.afterDrain {
-		if b.at-b.drained-late.within(b.drained, b.at) <= graceMost || blind.within(b.sidecar, b.drained, b.at) {
+		if b.at-b.drained-late.stalledWithin(b.drained, b.at) <= removalGrace || blind.overlaps(b.sidecar, b.drained, b.at) {
 			excused["after_drain"]++
 		} else {
 			afterDrain = append(afterDrain, b.text)
@@ -29,13 +29,13 @@
 	}
 	r := &Result{Name: exp.Name, Seed: exp.Seed, Sidecars: exp.Fleet.Sidecars, Servers: exp.Fleet.Servers,
 		Requests: len(l.records), Outcomes: map[Outcome]int{}, Faults: marks, Examples: map[string]any{},
-		AfterDrain: len(afterDrain), Strange: len(l.strange), Format: resultFormat, Excused: excused, Lateness: lateness, Calls: map[string]int{}}
+		AfterDrain: len(afterDrain), UnknownIDs: len(l.unknownIDs), Format: resultFormat, Excused: excused, Lateness: lateness, Calls: map[string]int{}}
 	for _, e := range events {
 		if e.Kind == history.Call {
 			r.Calls[e.Op+" "+e.Outcome]++
 		}
 	}
-	afterBan := l.afterBan(events, graceMost)
+	afterBan := l.requestsAfterBan(events, removalGrace)
 	r.AfterBan = len(afterBan)
 	all := newHistogram()
 	seconds := map[int]*hdrhistogram.Histogram{}
@@ -48,7 +48,7 @@
 	sort.Strings(ids)
 	for _, id := range ids {
 		rec := l.records[id]
-		if (rec.outcome == Late || rec.outcome == Lost && rec.waited) && rec.took-late.within(rec.sent, rec.sent+rec.took) <= deadline {
+		if (rec.outcome == Late || rec.outcome == Lost && rec.clientTimedOut) && rec.duration-late.stalledWithin(rec.sent, rec.sent+rec.duration) <= deadline {
 			excused[string(rec.outcome)]++
 			rec.outcome = Excused
 		}
@@ -59,8 +59,8 @@
 		}
 		switch rec.outcome {
 		case Served, Late:
-			all.RecordValue(rec.took.Microseconds())
-			seconds[at].RecordValue(rec.took.Microseconds())
+			all.RecordValue(rec.duration.Microseconds())
+			seconds[at].RecordValue(rec.duration.Microseconds())
 			series[at].Served++
 		case Unreached, Excused:
 		default:
@@ -70,7 +70,7 @@
 			series[at].Errors++
 		}
 		switch {
-		case rec.order && len(rec.ranAt) > 1:
+		case rec.isOrder && len(rec.ranAt) > 1:
 			r.RanTwice++
 			examples["ran_twice"] = append(examples["ran_twice"], id)
 		case len(rec.ranAt) > 1:
@@ -90,7 +90,7 @@
 	}
 	r.Latency = percentiles(all)
 	for _, restart := range restarts {
-		r.Restarts = append(r.Restarts, l.restarted(restart))
+		r.Restarts = append(r.Restarts, l.analyzeRestart(restart))
 	}
 	for at, s := range series {
 		s.Latency = percentiles(seconds[at])
--- a/internal/lab/bell.go
+++ b/internal/lab/bell.go
@@ -1,14 +1,14 @@
 package lab
 
-// bell tells waiters that something changed: heard gives a channel that the
+// notifier tells waiters that something changed: heard gives a channel that the
 // next ring closes. Its owner's lock guards it.
-type bell struct{ ch chan struct{} }
+type notifier struct{ ch chan struct{} }
 
-func newBell() bell { return bell{make(chan struct{})} }
+func newNotifier() notifier { return notifier{make(chan struct{})} }
 
-func (b *bell) ring() {
-	close(b.ch)
-	b.ch = make(chan struct{})
+func (n *notifier) notifyAll() {
+	close(n.ch)
+	n.ch = make(chan struct{})
 }
 
-func (b *bell) heard() <-chan struct{} { return b.ch }
+func (b *notifier) changed() <-chan struct{} { return b.ch }
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -17,16 +17,16 @@
 type client struct {
 	index    int
 	exp      *Experiment
-	ledger   *Ledger
+	requests *RequestTable
 	http     *http.Client
 	sidecars *Sidecars
-	late     *lateness
+	lateness *lateness
 }
 
-func newClient(index int, exp *Experiment, ledger *Ledger, sidecars *Sidecars, late *lateness) *client {
+func newClient(index int, exp *Experiment, ledger *RequestTable, sidecars *Sidecars, late *lateness) *client {
 	transport := &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true,
 		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
-	return &client{index: index, exp: exp, ledger: ledger, sidecars: sidecars, late: late, http: &http.Client{Transport: transport}}
+	return &client{index: index, exp: exp, requests: ledger, sidecars: sidecars, lateness: late, http: &http.Client{Transport: transport}}
 }
 
 // run sends the sidecar's arrivals open-loop, each at its time, and returns
@@ -34,14 +34,14 @@
 func (c *client) run(ctx context.Context, arrivals []time.Duration) {
 	var wg sync.WaitGroup
 	for i, at := range arrivals {
-		if !c.ledger.until(ctx, at) {
+		if !c.requests.waitUntil(ctx, at) {
 			break
 		}
-		c.late.note(c.late.arrivals, at)
+		c.lateness.record(c.lateness.arrivals, at)
 		id := fmt.Sprintf("%02x%06x%08x", c.index, i, uint32(c.exp.Seed))
 		order := float64(i%1000)/1000 < c.exp.Load.OrderShare
-		if !c.sidecars.Accepting(c.index) {
-			c.ledger.miss(c.index) // the application stops and starts with its sidecar: this one waits for it
+		if !c.sidecars.IsAccepting(c.index) {
+			c.requests.recordUnsent(c.index) // the application stops and starts with its sidecar: this one waits for it
 			continue
 		}
 		wg.Add(1)
@@ -61,31 +61,31 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), deadline+time.Second)
 	defer cancel()
-	r, _ := http.NewRequestWithContext(ctx, method, "http://"+c.sidecars.Listen(c.index)+"/"+class+"/"+id, body)
+	r, _ := http.NewRequestWithContext(ctx, method, "http://"+c.sidecars.ListenAddress(c.index)+"/"+class+"/"+id, body)
 	r.Header.Set("X-Correlation-Id", id)
 	r.Header.Set("X-Service-Class", class)
 	r.Header.Set("X-Time-Left-Ms", strconv.FormatInt(deadline.Milliseconds(), 10))
-	sent := c.ledger.open(id, c.index, order)
+	sent := c.requests.recordSent(id, c.index, order)
 	response, err := c.http.Do(r)
 	if err != nil {
-		c.ledger.close(id, c.failure(id, err, sent))
+		c.requests.recordOutcome(id, c.failure(id, err, sent))
 		return
 	}
 	answer, err := io.ReadAll(response.Body)
 	response.Body.Close()
 	switch {
 	case err != nil:
-		c.ledger.close(id, c.failure(id, err, sent))
+		c.requests.recordOutcome(id, c.failure(id, err, sent))
 	case response.StatusCode == http.StatusOK && string(answer) != "ok:"+id:
-		c.ledger.close(id, Forged)
-	case response.StatusCode == http.StatusOK && c.ledger.Since()-sent > deadline+50*time.Millisecond:
-		c.ledger.close(id, Late)
+		c.requests.recordOutcome(id, Forged)
+	case response.StatusCode == http.StatusOK && c.requests.Elapsed()-sent > deadline+50*time.Millisecond:
+		c.requests.recordOutcome(id, Late)
 	case response.StatusCode == http.StatusOK:
-		c.ledger.close(id, Served)
+		c.requests.recordOutcome(id, Served)
 	case response.StatusCode == http.StatusTooManyRequests || response.StatusCode == http.StatusServiceUnavailable:
-		c.ledger.close(id, Refused)
+		c.requests.recordOutcome(id, Rejected)
 	default:
-		c.ledger.close(id, Failed)
+		c.requests.recordOutcome(id, Failed)
 	}
 }
 
@@ -94,13 +94,13 @@
 // it was out; lost otherwise.
 func (c *client) failure(id string, err error, sent time.Duration) Outcome {
 	if errors.Is(err, context.DeadlineExceeded) {
-		c.ledger.gaveUp(id)
+		c.requests.recordClientTimeout(id)
 	}
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return Unreached
 	}
-	if c.sidecars.Crashed(c.index, sent, c.ledger.Since()) {
+	if c.sidecars.WasDown(c.index, sent, c.requests.Elapsed()) {
 		return Cut
 	}
 	return Lost
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -35,7 +35,7 @@
 		"p50_ms": r.Latency.P50, "p99_ms": r.Latency.P99, "p99.9_ms": r.Latency.P999, "max_ms": r.Latency.Max,
 		"sidecar_cpu_s": r.SidecarCPUSeconds, "sidecar_mean_mb": r.SidecarMeanMB, "sidecar_peak_mb": r.SidecarPeakMB,
 		"lab_cpu_s": r.LabCPUSeconds, "lab_mb": r.LabPeakMB, "datagrams": float64(r.Datagrams.Relayed)}
-	for _, o := range []Outcome{Served, Late, Refused, Failed, Unreached, Cut, Lost, Excused} {
+	for _, o := range []Outcome{Served, Late, Rejected, Failed, Unreached, Cut, Lost, Excused} {
 		f[string(o)] = float64(r.Outcomes[o])
 	}
 	if r.Format > 0 {
@@ -117,7 +117,7 @@
 		x, inA := a.Figures[name]
 		y, inB := b.Figures[name]
 		if !inA || !inB {
-			fmt.Fprintf(w, "%s\t%s\t%s\t\t\tin one alone\n", name, have(x, inA), have(y, inB))
+			fmt.Fprintf(w, "%s\t%s\t%s\t\t\tin one alone\n", name, formatMedian(x, inA), formatMedian(y, inB))
 			continue
 		}
 		ratio, note := "", ""
@@ -136,7 +136,7 @@
 	return text.String()
 }
 
-func have(s Spread, is bool) string {
+func formatMedian(s Spread, is bool) string {
 	if !is {
 		return "-"
 	}
--- a/internal/lab/compare_test.go
+++ b/internal/lab/compare_test.go
@@ -64,18 +64,18 @@
 func TestTheLabsOwnLatenessIsNotTheSidecars(t *testing.T) {
 	exp := parse(t, "duration = \"5s\"\n[fleet]\nsidecars = 1\nservers = 1\n[load]\nrate = 1\ndeadline = \"1s\"\n")
 	for _, stalled := range []bool{true, false} {
-		l := NewLedger()
+		l := NewRequestTable()
 		l.start = time.Now().Add(-10 * time.Second)
 		late := newLateness(l)
 		second := time.Second
 		if stalled {
-			late.note(late.timers, l.Since()-9*second) // from 1 s on nothing of the lab's ran
+			late.record(late.timers, l.Elapsed()-9*second) // from 1 s on nothing of the lab's ran
 		}
-		l.records["late"] = &record{sent: 2 * second, took: 1200 * time.Millisecond, outcome: Late}
-		l.records["waited"] = &record{sent: 2 * second, took: 2 * second, outcome: Lost, waited: true}
-		l.records["lost"] = &record{sent: 2 * second, took: 10 * time.Millisecond, outcome: Lost} // its connection broke: nobody's lateness
+		l.records["late"] = &record{sent: 2 * second, duration: 1200 * time.Millisecond, outcome: Late}
+		l.records["waited"] = &record{sent: 2 * second, duration: 2 * second, outcome: Lost, clientTimedOut: true}
+		l.records["lost"] = &record{sent: 2 * second, duration: 10 * time.Millisecond, outcome: Lost} // its connection broke: nobody's lateness
 		l.afterDrain = []drainBreach{{"v0:x", 0, second, 3 * second}}
-		r := reckon(exp, l, late, blinds{}, nil, nil, []history.Event{})
+		r := analyze(exp, l, late, discoveryOutages{}, nil, nil, []history.Event{})
 		want := map[bool][5]int{true: {0, 1, 2, 0, 3}, false: {1, 2, 0, 1, 0}}[stalled]
 		excused := 0
 		for _, n := range r.Excused {
@@ -88,10 +88,10 @@
 			t.Errorf("stalled %v: the result says %+v", stalled, r.Lateness)
 		}
 	}
-	l := NewLedger()
+	l := NewRequestTable()
 	drained := []drainBreach{{"v0:x", 3, time.Second, 3 * time.Second}}
 	l.afterDrain = drained
-	r := reckon(exp, l, newLateness(l), blinds{{3, 0}: {2 * time.Second, stillDown}}, nil, nil, nil)
+	r := analyze(exp, l, newLateness(l), discoveryOutages{{3, 0}: {2 * time.Second, openEnd}}, nil, nil, nil)
 	if r.AfterDrain != 0 {
 		t.Error("a sidecar cut from discovery is blamed for what it could not hear")
 	}
--- a/internal/lab/control.go
+++ b/internal/lab/control.go
@@ -17,11 +17,11 @@
 // When control is looked at, on the lab's clock. Sidecars start before the load, and probe all that is new at their
 // first list: the start's burst is over by the one, and its connections by the other.
 const (
-	controlStart  = 10 * time.Second
-	controlSteady = 15 * time.Second
-	controlLeast  = 5 * time.Second // of the steady span
-	controlAsks   = 16              // sidecars asked at a time
-	controlSlack  = 2 * time.Second // a sidecar's time between two looks may differ from the lab's by so much
+	startSpanEnd      = 10 * time.Second
+	steadySpanStart   = 15 * time.Second
+	minSteadyDuration = 5 * time.Second // of the steady span
+	maxControlCalls   = 16              // sidecars asked at a time
+	controlSlack      = 2 * time.Second // a sidecar's time between two looks may differ from the lab's by so much
 )
 
 // Control is what the sidecars spent on control by their own counts, with operators: in the start, from each process's
@@ -36,7 +36,7 @@
 	Sidecars  int                    `json:"sidecars"`
 	Seconds   float64                `json:"seconds"`              // that it lasted, mean
 	WireBytes float64                `json:"wire_bytes_per_s"`     // a sidecar, all kinds both ways, headers reckoned
-	MostBytes float64                `json:"wire_bytes_per_s_max"` // the sidecar with the most
+	MaxBytes  float64                `json:"wire_bytes_per_s_max"` // the sidecar with the most
 	Kinds     map[string]ControlRate `json:"kinds"`
 	CPU       float64                `json:"cpu_share"` // of a core, of the whole process, serving included
 	// What the kernel counted on the loopback interface meanwhile, of all that used it, without Ethernet's frames,
@@ -64,55 +64,55 @@
 	loopback [2]uint64 // bytes, packets
 }
 
-// controlWatch looks at all sidecars at the times above. Before is the loopback's count before they started.
-func (o *operatorsLab) controlWatch(ctx context.Context, before [2]uint64) *Control {
+// measureControl looks at all sidecars at the times above. Before is the loopback's count before they started.
+func (o *operators) measureControl(ctx context.Context, before [2]uint64) *Control {
 	end := o.exp.Duration.Duration
-	if !o.ledger.until(ctx, min(controlStart, end)) {
+	if !o.requests.waitUntil(ctx, min(startSpanEnd, end)) {
 		return nil
 	}
 	start := o.controlSample()
-	c := &Control{Start: span(controlSample{loopback: before}, start)}
-	if end < controlSteady+controlLeast || !o.ledger.until(ctx, controlSteady) {
+	c := &Control{Start: spanBetween(controlSample{loopback: before}, start)}
+	if end < steadySpanStart+minSteadyDuration || !o.requests.waitUntil(ctx, steadySpanStart) {
 		return c
 	}
 	from := o.controlSample()
-	if !o.ledger.until(ctx, end) {
+	if !o.requests.waitUntil(ctx, end) {
 		return c
 	}
-	steady := span(from, o.controlSample())
+	steady := spanBetween(from, o.controlSample())
 	c.Steady = &steady
 	return c
 }
 
-func (o *operatorsLab) controlSample() controlSample {
+func (o *operators) controlSample() controlSample {
 	s := controlSample{status: map[int]controltraffic.Status{}, at: map[int]time.Duration{}, cpu: map[int]time.Duration{}}
 	var mu sync.Mutex
 	var asking sync.WaitGroup
-	places := make(chan struct{}, controlAsks)
+	places := make(chan struct{}, maxControlCalls)
 	for i := range o.exp.Fleet.Sidecars {
 		asking.Add(1)
 		places <- struct{}{}
 		go func() {
 			defer asking.Done()
 			defer func() { <-places }()
-			code, text := o.ask(http.MethodGet, i, "/control", "")
+			code, text := o.adminCall(http.MethodGet, i, "/control", "")
 			var status controltraffic.Status
 			if code != http.StatusOK || json.Unmarshal([]byte(text), &status) != nil {
 				return // it is down, or comes up
 			}
-			cpu := o.sidecars.cpu(i)
+			cpu := o.sidecars.cpuTime(i)
 			mu.Lock()
 			defer mu.Unlock()
-			s.status[i], s.at[i], s.cpu[i] = status, o.ledger.Since(), cpu
+			s.status[i], s.at[i], s.cpu[i] = status, o.requests.Elapsed(), cpu
 		}()
 	}
 	asking.Wait()
-	s.loopback = loopback()
+	s.loopback = loopbackSent()
 	return s
 }
 
-// span reckons what passed between two samples; from one without sidecars, since each process's start.
-func span(from, to controlSample) ControlSpan {
+// spanBetween reckons what passed between two samples; from one without sidecars, since each process's start.
+func spanBetween(from, to controlSample) ControlSpan {
 	s := ControlSpan{Kinds: map[string]ControlRate{}}
 	for i, now := range to.status {
 		then, ok := from.status[i]
@@ -126,7 +126,7 @@
 		s.CPU += (to.cpu[i] - from.cpu[i]).Seconds() / seconds
 		wire := float64(now.WireBytes-then.WireBytes) / seconds
 		s.WireBytes += wire
-		s.MostBytes = max(s.MostBytes, wire)
+		s.MaxBytes = max(s.MaxBytes, wire)
 		for name, kind := range now.Kinds {
 			k, r := kind.Sub(then.Kinds[name]), s.Kinds[name]
 			r.Sent += float64(k.Sent.Messages) / seconds
@@ -151,8 +151,8 @@
 	return s
 }
 
-// loopback gives the bytes and packets that the loopback interface has sent.
-func loopback() (n [2]uint64) {
+// loopbackSent gives the bytes and packets that the loopback interface has sent.
+func loopbackSent() (n [2]uint64) {
 	text, _ := os.ReadFile("/proc/net/dev")
 	for _, line := range strings.Split(string(text), "\n") {
 		if rest, ok := strings.CutPrefix(strings.TrimSpace(line), "lo:"); ok {
@@ -168,7 +168,7 @@
 // String is two lines for people.
 func (c *Control) String() string {
 	line := func(name string, s *ControlSpan) string {
-		text := fmt.Sprintf("control, %s of %.1f s, a sidecar: %.0f B/s (most %.0f)", name, s.Seconds, s.WireBytes, s.MostBytes)
+		text := fmt.Sprintf("control, %s of %.1f s, a sidecar: %.0f B/s (most %.0f)", name, s.Seconds, s.WireBytes, s.MaxBytes)
 		for _, kind := range controltraffic.Kinds {
 			text += fmt.Sprintf(", %s %.0f", kind, s.Kinds[kind].WireBytes)
 		}
--- a/internal/lab/control_table.go
+++ b/internal/lab/control_table.go
@@ -32,12 +32,12 @@
 	Rate       float64         `json:"rate"`             // calls a second of a sidecar
 	Price      float64         `json:"probe_price"`      // prices.probe of the settings
 	StartBytes float64         `json:"start_bytes"`      // on the wire in all, from the process's start to 10 s of the load
-	OverMB     float64         `json:"peak_mb"`          // peak resident memory of the sidecar with the most
+	PeakMB     float64         `json:"peak_mb"`          // peak resident memory of the sidecar with the most
 	Ratio      [2]float64      `json:"reckoned_over_lo"` // reckoned bytes over loopback's, start and steady; 0 where others share it
 	Outcomes   map[Outcome]int `json:"outcomes"`         // of the calls
 	Breaches   int             `json:"breaches"`         // of the rules: calls lost, as on a machine that stalls
 	Late       bool            `json:"lab_ran_late"`     // then its times are not to be trusted
-	LateP99    float64         `json:"lab_late_p99_ms"`  // of the lab's timers
+	TimerP99   float64         `json:"lab_late_p99_ms"`  // of the lab's timers
 	Control                    // start and steady
 }
 
@@ -105,7 +105,7 @@
 
 func controlRow(servers int, rate, price float64, r *Result, alone bool) ControlRow {
 	row := ControlRow{Servers: servers, Rate: rate, Price: price, StartBytes: math.Round(r.Control.Start.WireBytes * r.Control.Start.Seconds),
-		OverMB: r.SidecarPeakMB, Outcomes: r.Outcomes, Breaches: r.Breaches(), Late: r.Lateness.Late, LateP99: r.Lateness.Timers.P99, Control: *r.Control}
+		PeakMB: r.SidecarPeakMB, Outcomes: r.Outcomes, Breaches: r.Breaches(), Late: r.Lateness.Late, TimerP99: r.Lateness.Timers.P99, Control: *r.Control}
 	for i, s := range []*ControlSpan{&row.Start, row.Steady} {
 		if alone && s.LoopbackBytes > 0 {
 			row.Ratio[i] = s.WireBytes * float64(r.Sidecars) / s.LoopbackBytes
@@ -119,9 +119,9 @@
 // String is a line for people.
 func (r ControlRow) String() string {
 	text := fmt.Sprintf("price %v, %d servers, %v calls/s: start %.0f bytes, steady %.0f B/s, %.2f%% of a core, %.1f MB", r.Price, r.Servers, r.Rate, r.StartBytes,
-		r.Steady.WireBytes, r.Steady.CPU*100, r.OverMB)
+		r.Steady.WireBytes, r.Steady.CPU*100, r.PeakMB)
 	if r.Breaches > 0 || r.Late {
-		text += fmt.Sprintf("; %d breaches, the lab's timers %.1f ms late at p99: %v", r.Breaches, r.LateP99, r.Outcomes)
+		text += fmt.Sprintf("; %d breaches, the lab's timers %.1f ms late at p99: %v", r.Breaches, r.TimerP99, r.Outcomes)
 	}
 	return text
 }
@@ -148,7 +148,7 @@
 		for _, kind := range controltraffic.Kinds {
 			fmt.Fprintf(w, "\t%.0f", r.Steady.Kinds[kind].WireBytes)
 		}
-		fmt.Fprintf(w, "\t%.0f\t%.2f\t%.2f\t%.1f\t%.3f\t%.3f\t\n", r.Steady.WireBytes, r.Steady.Kinds["probe"].Sent, r.Steady.CPU*100, r.OverMB, r.Ratio[0], r.Ratio[1])
+		fmt.Fprintf(w, "\t%.0f\t%.2f\t%.2f\t%.1f\t%.3f\t%.3f\t\n", r.Steady.WireBytes, r.Steady.Kinds["probe"].Sent, r.Steady.CPU*100, r.PeakMB, r.Ratio[0], r.Ratio[1])
 	}
 	w.Flush()
 	return text.String()
--- a/internal/lab/control_test.go
+++ b/internal/lab/control_test.go
@@ -21,17 +21,17 @@
 		cpu: map[int]time.Duration{0: time.Second}, loopback: [2]uint64{1000, 10}}
 	to := controlSample{at: at(24500 * time.Millisecond), status: map[int]controltraffic.Status{0: status(25, 110), 1: status(25, 130), 2: status(4, 60), 3: status(5, 7)},
 		cpu: map[int]time.Duration{0: 1200 * time.Millisecond}, loopback: [2]uint64{7000, 70}}
-	s := span(from, to)
+	s := spanBetween(from, to)
 	p := s.Kinds["probe"]
-	if s.Sidecars != 2 || s.Seconds != 10 || s.WireBytes != 600 || s.MostBytes != 900 || s.CPU != 0.01 ||
+	if s.Sidecars != 2 || s.Seconds != 10 || s.WireBytes != 600 || s.MaxBytes != 900 || s.CPU != 0.01 ||
 		p.Sent != 2 || p.Received != 2 || p.SentBytes != 200 || p.Connections != 2 || p.Packets != 4 || p.WireBytes != 600 ||
 		s.LoopbackBytes != 600 || s.LoopbackPackets != 6 {
 		t.Errorf("steady %+v", s)
 	}
-	if s := span(controlSample{}, from); s.Sidecars != 3 || s.Seconds != 15 || s.WireBytes != 2000 {
+	if s := spanBetween(controlSample{}, from); s.Sidecars != 3 || s.Seconds != 15 || s.WireBytes != 2000 {
 		t.Errorf("start %+v", s)
 	}
-	if s := span(from, controlSample{}); s.Sidecars != 0 || s.WireBytes != 0 {
+	if s := spanBetween(from, controlSample{}); s.Sidecars != 0 || s.WireBytes != 0 {
 		t.Errorf("nobody told: %+v", s)
 	}
 }
--- a/internal/lab/descriptors.go
+++ b/internal/lab/descriptors.go
@@ -49,7 +49,7 @@
 			processes = 2
 		}
 		if x.Kind == "disk" && x.Mode == "slow" {
-			slow = e.machines()
+			slow = e.machineCount()
 		}
 	}
 	sidecar += 3 * processes
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Draw is base with 2 to 7 faults drawn from the seed, after those it has:
+// DrawFaults is base with 2 to 7 faults drawn from the seed, after those it has:
 // kinds (of those given, or of all that base allows), times, targets and
 // lengths, which may overlap.
-func Draw(base *Experiment, seed uint64, kinds []string) *Experiment {
+func DrawFaults(base *Experiment, seed uint64, kinds []string) *Experiment {
 	exp := *base
 	exp.Seed = seed
 	exp.Faults = slices.Clone(base.Faults)
-	d := &drawer{exp: &exp, random: rand.New(rand.NewPCG(seed, 0xd4a))}
+	d := &faultGenerator{exp: &exp, random: rand.New(rand.NewPCG(seed, 0xd4a))}
 	if len(kinds) == 0 {
 		kinds = d.kinds()
 	}
@@ -24,12 +24,12 @@
 	return &exp
 }
 
-type drawer struct {
+type faultGenerator struct {
 	exp    *Experiment
 	random *rand.Rand
 }
 
-func (d *drawer) kinds() []string {
+func (d *faultGenerator) kinds() []string {
 	kinds := []string{"kill", "pause", "term", "join", "partition", "delay", "reset", "drain", "discovery", "cut"}
 	if d.exp.Fleet.datagrams() {
 		kinds = append(kinds, "isolate", "peers", "link", "flap", "split")
@@ -44,15 +44,15 @@
 	return kinds
 }
 
-func (d *drawer) span(least, most time.Duration) Duration {
+func (d *faultGenerator) duration(least, most time.Duration) Duration {
 	return Duration{(least + time.Duration(d.random.Int64N(int64(max(most-least, 1))))).Round(time.Millisecond)}
 }
 
-func (d *drawer) some(n int) []int {
+func (d *faultGenerator) subset(n int) []int {
 	return slices.Sorted(slices.Values(d.random.Perm(n)[:1+d.random.IntN(max(1, n/2))]))
 }
 
-func (d *drawer) pick(of ...string) string { return of[d.random.IntN(len(of))] }
+func (d *faultGenerator) choose(of ...string) string { return of[d.random.IntN(len(of))] }
 
 // selectors names sidecars (s) or servers (v) by their numbers.
 func selectors(prefix string, numbers []int) []string {
@@ -63,55 +63,55 @@
 	return list
 }
 
-func (d *drawer) fault(kind string) Fault {
+func (d *faultGenerator) fault(kind string) Fault {
 	whole := d.exp.Duration.Duration
-	f := Fault{Kind: kind, At: d.span(whole/10, whole*6/10), For: d.span(whole/40, whole/4)}
-	ways := func() string { return d.pick("both", "in", "out") }
+	f := Fault{Kind: kind, At: d.duration(whole/10, whole*6/10), For: d.duration(whole/40, whole/4)}
+	ways := func() string { return d.choose("both", "in", "out") }
 	switch {
 	case kind == "join" || kind == "upgrade":
 		f.For = Duration{}
 		f.Sidecars = []int{d.random.IntN(d.exp.Fleet.Sidecars)}
 	case slices.Contains(sidecarKinds, kind):
-		f.Sidecars = d.some(d.exp.Fleet.Sidecars)
+		f.Sidecars = d.subset(d.exp.Fleet.Sidecars)
 		if kind == "isolate" {
 			f.Direction = ways()
 		}
 	case slices.Contains(serverKinds, kind):
-		f.Servers = d.some(d.exp.Fleet.Servers)
+		f.Servers = d.subset(d.exp.Fleet.Servers)
 		switch kind {
 		case "partition":
 			f.Direction = ways()
 		case "delay":
-			f.Delay, f.Jitter = d.span(time.Millisecond, 200*time.Millisecond), d.span(0, 50*time.Millisecond)
+			f.Delay, f.Jitter = d.duration(time.Millisecond, 200*time.Millisecond), d.duration(0, 50*time.Millisecond)
 		}
 	case slices.Contains(machineKinds, kind):
-		f.Machines = d.some(d.exp.machines())
+		f.Machines = d.subset(d.exp.machineCount())
 		if kind == "disk" {
-			f.Mode = d.pick("full", "readonly", "slow")
-			f.Delay = d.span(50*time.Millisecond, 400*time.Millisecond)
+			f.Mode = d.choose("full", "readonly", "slow")
+			f.Delay = d.duration(50*time.Millisecond, 400*time.Millisecond)
 		}
 	case kind == "discovery":
-		if f.Mode = d.pick("down", "lag"); f.Mode == "lag" {
-			f.Delay = d.span(50*time.Millisecond, time.Second)
+		if f.Mode = d.choose("down", "lag"); f.Mode == "lag" {
+			f.Delay = d.duration(50*time.Millisecond, time.Second)
 		}
 	case kind == "peers":
-		f.Share, f.Delay = d.random.Float64(), d.span(0, 100*time.Millisecond)
+		f.Share, f.Delay = d.random.Float64(), d.duration(0, 100*time.Millisecond)
 	case kind == "split":
 		for range 2 {
-			members := selectors("s", d.some(d.exp.Fleet.Sidecars))
-			f.Groups = append(f.Groups, append(members, selectors("v", d.some(d.exp.Fleet.Servers))...))
+			members := selectors("s", d.subset(d.exp.Fleet.Sidecars))
+			f.Groups = append(f.Groups, append(members, selectors("v", d.subset(d.exp.Fleet.Servers))...))
 		}
 	default: // link, cut, flap
-		f.From = selectors("s", d.some(d.exp.Fleet.Sidecars))
-		f.To = [][]string{{"all"}, selectors("s", d.some(d.exp.Fleet.Sidecars)), selectors("v", d.some(d.exp.Fleet.Servers)), {"discovery"}}[d.random.IntN(4)]
+		f.From = selectors("s", d.subset(d.exp.Fleet.Sidecars))
+		f.To = [][]string{{"all"}, selectors("s", d.subset(d.exp.Fleet.Sidecars)), selectors("v", d.subset(d.exp.Fleet.Servers)), {"discovery"}}[d.random.IntN(4)]
 		f.Direction = ways()
 		switch kind {
 		case "link":
 			f.Loss, f.Duplicate, f.Reorder = d.random.Float64()/2, d.random.Float64()/2, d.random.Float64()/2
-			f.Delay, f.Jitter = d.span(0, 200*time.Millisecond), d.span(0, 100*time.Millisecond)
+			f.Delay, f.Jitter = d.duration(0, 200*time.Millisecond), d.duration(0, 100*time.Millisecond)
 			f.Rate = float64(d.random.IntN(3)) * 20
 		case "flap":
-			f.Period = d.span(50*time.Millisecond, 500*time.Millisecond)
+			f.Period = d.duration(50*time.Millisecond, 500*time.Millisecond)
 		}
 	}
 	if (kind == "kill" || kind == "term" || kind == "machine-kill") && d.random.IntN(8) == 0 {
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -175,12 +175,12 @@
 	checkKinds   = []string{"register", "holder", "tokens", "settled", "dropped", "kept"}
 )
 
-// zone and machine are where sidecar i is dealt to.
-func (e *Experiment) zone(i int) string { return e.Fleet.Zones[i%len(e.Fleet.Zones)] }
+// zoneOf and machine are where sidecar i is dealt to.
+func (e *Experiment) zoneOf(i int) string { return e.Fleet.Zones[i%len(e.Fleet.Zones)] }
 
-func (e *Experiment) machine(i int) int { return i % e.machines() }
+func (e *Experiment) machineOf(i int) int { return i % e.machineCount() }
 
-func (e *Experiment) machines() int {
+func (e *Experiment) machineCount() int {
 	if e.Fleet.Machines == 0 {
 		return e.Fleet.Sidecars
 	}
--- a/internal/lab/fake_discovery.go
+++ b/internal/lab/fake_discovery.go
@@ -12,69 +12,69 @@
 	"time"
 )
 
-// Host is one entry of discovery's list, as the protocol gives it.
-type Host struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	BornMs int64   `json:"born_ms"`
+// Instance is one entry of discovery's list, as the protocol gives it.
+type Instance struct {
+	Name            string  `json:"host"`
+	Address         string  `json:"dial"`
+	Zone            string  `json:"site"`
+	MachineType     string  `json:"class"`
+	Pod             int     `json:"block"`
+	Health          string  `json:"health"`
+	Weight          float64 `json:"share"`
+	StartedAtMillis int64   `json:"born_ms"`
 }
 
-type registryAnswer struct {
-	Seq   int64  `json:"seq"`
-	Whole bool   `json:"whole"`
-	Hosts []Host `json:"hosts"`
+type listResponse struct {
+	Version   int64      `json:"seq"`
+	IsFull    bool       `json:"whole"`
+	Instances []Instance `json:"hosts"`
 }
 
-// Discovery is a stand-in discovery agent: the whole list at
+// FakeDiscovery is a stand-in discovery agent: the whole list at
 // GET /registry/instances, and watches by ?after=SEQ&wait_ms=MS. Each caller is
 // told to dial the servers by the loopback address it called. It can go
 // silent (down) and can hold each change for a random time up to a lag, so
 // that changes may also be told out of order.
-type Discovery struct {
-	listener *Faults // nil where requests come by ServeHTTP alone
+type FakeDiscovery struct {
+	listener *FaultListener // nil where requests come by ServeHTTP alone
 	http     *http.Server
 	random   *rand.Rand
-	borne    borne
+	received callCounters
 
-	mu      sync.Mutex
-	seq     int64
-	hosts   map[string]Host
-	changed map[string]int64 // the seq at which each host last changed
-	order   []string
-	down    int // faults that make it silent
-	lags    []time.Duration
-	untold  []func() // to call when the agent answers again
-	wake    bell     // rung on every change
+	mu          sync.Mutex
+	version     int64
+	instances   map[string]Instance
+	changedAt   map[string]int64 // the seq at which each host last changed
+	order       []string
+	downFaults  int // faults that make it silent
+	lags        []time.Duration
+	unannounced []func() // to call when the agent answers again
+	changes     notifier // rung on every change
 }
 
-// NewDiscovery serves on a listener of the network's.
-func NewDiscovery(seed uint64, listener *Faults) *Discovery {
-	d := NewDiscoveryHandler(seed)
+// NewFakeDiscovery serves on a listener of the network's.
+func NewFakeDiscovery(seed uint64, listener *FaultListener) *FakeDiscovery {
+	d := NewFakeDiscoveryHandler(seed)
 	d.listener, d.http = listener, &http.Server{Handler: d, ReadHeaderTimeout: 5 * time.Second}
 	go d.http.Serve(listener)
 	return d
 }
 
-// NewDiscoveryHandler makes an agent without a socket: requests come by ServeHTTP.
-func NewDiscoveryHandler(seed uint64) *Discovery {
-	return &Discovery{random: rand.New(rand.NewPCG(seed, 0xd15c)),
-		hosts: map[string]Host{}, changed: map[string]int64{}, wake: newBell(), seq: 1}
+// NewFakeDiscoveryHandler makes an agent without a socket: requests come by ServeHTTP.
+func NewFakeDiscoveryHandler(seed uint64) *FakeDiscovery {
+	return &FakeDiscovery{random: rand.New(rand.NewPCG(seed, 0xd15c)),
+		instances: map[string]Instance{}, changedAt: map[string]int64{}, changes: newNotifier(), version: 1}
 }
 
 // Address is where the agent listens by 127.0.0.1, host:port.
-func (d *Discovery) Address() string { return d.listener.At("127.0.0.1") }
+func (d *FakeDiscovery) Address() string { return d.listener.AddressFor("127.0.0.1") }
 
 // Close stops the agent at once.
-func (d *Discovery) Close() { d.http.Close() }
+func (d *FakeDiscovery) Close() { d.http.Close() }
 
 // Set puts a host's entry in the list, now or, under lag, a little later;
 // told, where not nil, is called once the agent can tell it (not while down).
-func (d *Discovery) Set(h Host, told func()) {
+func (d *FakeDiscovery) Set(h Instance, told func()) {
 	d.mu.Lock()
 	var wait time.Duration
 	for _, lag := range d.lags {
@@ -88,42 +88,42 @@
 	time.AfterFunc(wait, func() { d.apply(h, told) })
 }
 
-func (d *Discovery) apply(h Host, told func()) {
+func (d *FakeDiscovery) apply(h Instance, told func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if told != nil && d.down > 0 {
-		d.untold = append(d.untold, told)
+	if told != nil && d.downFaults > 0 {
+		d.unannounced = append(d.unannounced, told)
 	} else if told != nil {
 		defer told()
 	}
-	d.seq++
-	if _, ok := d.hosts[h.Host]; !ok {
-		d.order = append(d.order, h.Host)
+	d.version++
+	if _, ok := d.instances[h.Name]; !ok {
+		d.order = append(d.order, h.Name)
 	}
-	d.hosts[h.Host], d.changed[h.Host] = h, d.seq
-	d.wake.ring()
+	d.instances[h.Name], d.changedAt[h.Name] = h, d.version
+	d.changes.notifyAll()
 }
 
 // SetDown makes the agent silent, or ends one such fault; it answers again once none is left.
-func (d *Discovery) SetDown(down bool) {
+func (d *FakeDiscovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if down {
-		d.down++
+		d.downFaults++
 	} else {
-		d.down--
+		d.downFaults--
 	}
-	if d.down == 0 {
-		for _, told := range d.untold {
+	if d.downFaults == 0 {
+		for _, told := range d.unannounced {
 			defer told()
 		}
-		d.untold = nil
+		d.unannounced = nil
 	}
-	d.wake.ring()
+	d.changes.notifyAll()
 }
 
 // SetLag holds each later change for up to this long, or ends one such fault; several add up.
-func (d *Discovery) SetLag(lag time.Duration, on bool) {
+func (d *FakeDiscovery) SetLag(lag time.Duration, on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if on && lag > 0 {
@@ -134,19 +134,19 @@
 }
 
 // ServeHTTP answers a call for the list or a watch.
-func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *FakeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/registry/instances" {
 		http.NotFound(w, r)
 		return
 	}
-	d.borne.calls.Add(1)
+	d.received.calls.Add(1)
 	after, _ := strconv.ParseInt(r.FormValue("after"), 10, 64)
 	waitMs, _ := strconv.ParseInt(r.FormValue("wait_ms"), 10, 64)
 	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(min(waitMs, 60000))*time.Millisecond)
 	defer cancel()
 	for {
 		d.mu.Lock()
-		down, seq, wake := d.down > 0, d.seq, d.wake.heard()
+		down, seq, wake := d.downFaults > 0, d.version, d.changes.changed()
 		d.mu.Unlock()
 		if !down && (seq > after || ctx.Err() != nil) {
 			break
@@ -161,23 +161,23 @@
 		}
 	}
 	d.mu.Lock()
-	answer := registryAnswer{Seq: d.seq, Whole: after == 0} // no after, or after=0
-	mine := net.IPv4(127, 0, 0, 1).String()                 // the caller's own address of every stand-in
+	answer := listResponse{Version: d.version, IsFull: after == 0} // no after, or after=0
+	mine := net.IPv4(127, 0, 0, 1).String()                        // the caller's own address of every stand-in
 	if called, ok := r.Context().Value(http.LocalAddrContextKey).(*net.TCPAddr); ok {
 		mine = called.IP.String()
 	}
 	for _, name := range d.order {
-		if answer.Whole && d.hosts[name].Health != "Gone" || !answer.Whole && d.changed[name] > after {
-			h := d.hosts[name]
-			if _, port, err := net.SplitHostPort(h.Dial); err == nil {
-				h.Dial = net.JoinHostPort(mine, port)
+		if answer.IsFull && d.instances[name].Health != "Gone" || !answer.IsFull && d.changedAt[name] > after {
+			h := d.instances[name]
+			if _, port, err := net.SplitHostPort(h.Address); err == nil {
+				h.Address = net.JoinHostPort(mine, port)
 			}
-			answer.Hosts = append(answer.Hosts, h)
+			answer.Instances = append(answer.Instances, h)
 		}
 	}
 	d.mu.Unlock()
-	if answer.Hosts == nil {
-		answer.Hosts = []Host{}
+	if answer.Instances == nil {
+		answer.Instances = []Instance{}
 	}
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(answer)
--- a/internal/lab/fault_listener.go
+++ b/internal/lab/fault_listener.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// Faults wraps a listener and lets the network's faults act on the
+// FaultListener wraps a listener and lets the network's faults act on the
 // connections it accepts, in the lab's own process at one descriptor a
 // connection. A link that is cut holds bytes (new connections come up when it
 // is whole); where the cut is a partition of a machine, connections that
 // lived through it are reset at its end.
-type Faults struct {
+type FaultListener struct {
 	net.Listener
 	net     *Network
 	self    endpoint
-	sub     subnet
-	carried carried
+	subnet  subnet
+	traffic connTraffic
 
-	mu        sync.Mutex
-	resetting int // faults that reset connections
-	closed    bool
-	conns     map[*faultConn]struct{}
+	mu          sync.Mutex
+	resetFaults int // faults that reset connections
+	closed      bool
+	conns       map[*faultConn]struct{}
 }
 
 // Listen makes a listener for endpoint self on a port of the system's
 // choice, reached by any loopback address and by nothing else.
-func (n *Network) Listen(self endpoint, sub subnet) (*Faults, error) {
+func (n *Network) Listen(self endpoint, sub subnet) (*FaultListener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { // best effort: Accept checks each peer as well
 			syscall.SetsockoptString(int(fd), syscall.SOL_SOCKET, syscall.SO_BINDTODEVICE, "lo")
@@ -39,45 +39,45 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Faults{Listener: inner, net: n, self: self, sub: sub, conns: map[*faultConn]struct{}{}}
+	f := &FaultListener{Listener: inner, net: n, self: self, subnet: sub, conns: map[*faultConn]struct{}{}}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.listeners = append(n.listeners, f)
 	return f, nil
 }
 
-// At is the listener's address as the holder of this loopback address dials it, host:port.
-func (f *Faults) At(ip string) string {
+// AddressFor is the listener's address as the holder of this loopback address dials it, host:port.
+func (f *FaultListener) AddressFor(ip string) string {
 	_, port, _ := net.SplitHostPort(f.Addr().String())
 	return net.JoinHostPort(ip, port)
 }
 
 // recheck marks connections that a partition parts, and resets those whose partition ended.
-func (f *Faults) recheck() {
+func (f *FaultListener) recheck() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
-		_, in, _ := f.net.stream(c.peer, f.self)
-		_, out, _ := f.net.stream(f.self, c.peer)
+		_, in, _ := f.net.streamState(c.peer, f.self)
+		_, out, _ := f.net.streamState(f.self, c.peer)
 		if in || out {
-			c.parted = true
-		} else if c.parted {
-			f.cut(c)
+			c.wasPartitioned = true
+		} else if c.wasPartitioned {
+			f.resetConn(c)
 		}
 	}
 }
 
-// cut resets a connection and forgets it; the lock is held.
-func (f *Faults) cut(c *faultConn) {
+// resetConn resets a connection and forgets it; the lock is held.
+func (f *FaultListener) resetConn(c *faultConn) {
 	delete(f.conns, c)
-	c.end.Do(func() { close(c.done) })
+	c.closeOnce.Do(func() { close(c.closed) })
 	reset(c.Conn)
 }
 
 // Accept returns the next connection that comes up: one whose link is cut
 // comes up once it is whole, or is reset at the end of a partition; while
 // resets are on, each is reset at once.
-func (f *Faults) Accept() (net.Conn, error) {
+func (f *FaultListener) Accept() (net.Conn, error) {
 	for {
 		inner, err := f.Listener.Accept()
 		if err != nil {
@@ -87,44 +87,44 @@
 			inner.Close()
 			continue
 		}
-		c := &faultConn{Conn: inner, faults: f, done: make(chan struct{}), peer: f.sub.sidecar(inner.LocalAddr().(*net.TCPAddr).IP)}
+		c := &faultConn{Conn: inner, listener: f, closed: make(chan struct{}), peer: f.subnet.sidecar(inner.LocalAddr().(*net.TCPAddr).IP)}
 		f.mu.Lock()
-		if f.resetting > 0 || f.closed {
+		if f.resetFaults > 0 || f.closed {
 			f.mu.Unlock()
 			reset(inner)
 			continue
 		}
 		f.conns[c] = struct{}{}
 		f.mu.Unlock()
-		f.carried.conns.Add(1)
+		f.traffic.conns.Add(1)
 		f.recheck()
 		return c, nil
 	}
 }
 
 // Close stops the listener and every connection it accepted.
-func (f *Faults) Close() error {
+func (f *FaultListener) Close() error {
 	err := f.Listener.Close()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.closed = true
 	for c := range f.conns {
-		f.cut(c)
+		f.resetConn(c)
 	}
 	return err
 }
 
 // Reset resets every open connection, and until the matching Reset(false) every new one.
-func (f *Faults) Reset(on bool) {
+func (f *FaultListener) Reset(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !on {
-		f.resetting--
+		f.resetFaults--
 		return
 	}
-	f.resetting++
+	f.resetFaults++
 	for c := range f.conns {
-		f.cut(c)
+		f.resetConn(c)
 	}
 }
 
@@ -138,31 +138,31 @@
 // faultConn is one accepted connection under the faults of its two links.
 type faultConn struct {
 	net.Conn
-	faults *Faults
-	peer   endpoint
-	parted bool          // lived through a partition; the listener's lock guards it
-	end    sync.Once     // of done
-	done   chan struct{} // closed with the connection
-	got    atomic.Int64  // when the last bytes came to the machine, before any hold: Unix nanoseconds
+	listener       *FaultListener
+	peer           endpoint
+	wasPartitioned bool          // lived through a partition; the listener's lock guards it
+	closeOnce      sync.Once     // of done
+	closed         chan struct{} // closed with the connection
+	receivedAt     atomic.Int64  // when the last bytes came to the machine, before any hold: Unix nanoseconds
 }
 
-// pass waits until the link from one end to the other is whole, and for its delay.
-func (c *faultConn) pass(from, to endpoint) error {
+// awaitLink waits until the link from one end to the other is whole, and for its delay.
+func (c *faultConn) awaitLink(from, to endpoint) error {
 	for {
-		changed := c.faults.net.heard()
-		cut, _, delay := c.faults.net.stream(from, to)
+		changed := c.listener.net.changed()
+		cut, _, delay := c.listener.net.streamState(from, to)
 		if cut {
 			select {
 			case <-changed:
 				continue
-			case <-c.done:
+			case <-c.closed:
 				return net.ErrClosed
 			}
 		}
 		if delay > 0 {
 			select {
 			case <-time.After(delay):
-			case <-c.done:
+			case <-c.closed:
 				return net.ErrClosed
 			}
 		}
@@ -174,9 +174,9 @@
 func (c *faultConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.faults.carried.in.Add(int64(n))
-		c.got.Store(time.Now().UnixNano())
-		if held := c.pass(c.peer, c.faults.self); held != nil {
+		c.listener.traffic.in.Add(int64(n))
+		c.receivedAt.Store(time.Now().UnixNano())
+		if held := c.awaitLink(c.peer, c.listener.self); held != nil {
 			return 0, held
 		}
 	}
@@ -185,19 +185,19 @@
 
 // Write sends once the way from the server is open.
 func (c *faultConn) Write(b []byte) (int, error) {
-	if err := c.pass(c.faults.self, c.peer); err != nil {
+	if err := c.awaitLink(c.listener.self, c.peer); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Write(b)
-	c.faults.carried.out.Add(int64(n))
+	c.listener.traffic.out.Add(int64(n))
 	return n, err
 }
 
 // Close ends the connection.
 func (c *faultConn) Close() error {
-	c.faults.mu.Lock()
-	delete(c.faults.conns, c)
-	c.faults.mu.Unlock()
-	c.end.Do(func() { close(c.done) })
+	c.listener.mu.Lock()
+	delete(c.listener.conns, c)
+	c.listener.mu.Unlock()
+	c.closeOnce.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
--- a/internal/lab/faults_test.go
+++ b/internal/lab/faults_test.go
@@ -23,7 +23,7 @@
 // rig is a world without load, whose faults a test plays one by one and observes from outside.
 type rig struct {
 	*testing.T
-	*world
+	*testbed
 	begun  map[int]chan struct{}
 	acting sync.WaitGroup
 	socks  []*net.UDPConn // in place of sidecars, where a test speaks for them
@@ -38,11 +38,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, err := newWorld(exp, filepath.Join(programs, "sidecar"), t.TempDir(), slog.New(slog.DiscardHandler))
+	w, err := newTestbed(exp, filepath.Join(programs, "sidecar"), t.TempDir(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{T: t, world: w, begun: map[int]chan struct{}{}}
+	r := &rig{T: t, testbed: w, begun: map[int]chan struct{}{}}
 	t.Cleanup(func() { r.acting.Wait(); w.close() })
 	if started {
 		if err := w.sidecars.startAll(); err != nil {
@@ -51,7 +51,7 @@
 		return r
 	}
 	for i := range exp.Fleet.Sidecars {
-		sock, err := net.ListenPacket("udp4", w.peers.Listen(i))
+		sock, err := net.ListenPacket("udp4", w.relay.ListenAddress(i))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -79,12 +79,12 @@
 	if err := r.exp.validateFault(f); err != nil {
 		r.Fatal(err)
 	}
-	id := len(r.begun) + len(r.rules) + 1
-	for r.begun[id] != nil || r.rules[id] != nil {
+	id := len(r.begun) + len(r.endRules) + 1
+	for r.begun[id] != nil || r.endRules[id] != nil {
 		id++
 	}
 	play := func(heal bool) {
-		r.do(Event{Fault: f, ID: id, Heal: heal}, r.begun, &r.acting)
+		r.startEvent(Event{Fault: f, ID: id, Heal: heal}, r.begun, &r.acting)
 		r.acting.Wait()
 	}
 	play(false)
@@ -94,7 +94,7 @@
 // say sends a datagram of sidecar i's to all the others.
 func (r *rig) say(i int, text string) {
 	r.Helper()
-	to, err := net.ResolveUDPAddr("udp4", r.peers.Hub())
+	to, err := net.ResolveUDPAddr("udp4", r.relay.Hub())
 	if err != nil {
 		r.Fatal(err)
 	}
@@ -116,14 +116,14 @@
 // one; the relay drops at once, so that what has been relayed or dropped of all is counted, not waited for.
 func (r *rig) passes() string {
 	r.Helper()
-	relayed, dropped, _, _ := r.peers.Counts()
+	relayed, dropped, _, _ := r.relay.Counts()
 	for i := range r.socks {
 		r.say(i, fmt.Sprint(i))
 	}
 	now := 0
 	r.await("all datagrams to be relayed or dropped", func() bool {
 		var lost int
-		now, lost, _, _ = r.peers.Counts()
+		now, lost, _, _ = r.relay.Counts()
 		return now+lost == relayed+dropped+len(r.socks)*(len(r.socks)-1)
 	})
 	var pairs []string
@@ -182,14 +182,14 @@
 	r := newRig(t, false, "")
 	const n = 60                     // doubled, they still fit a socket's buffer on a machine too busy to read it
 	send := func(f Fault) []string { // what s1 heard of n datagrams of s0's
-		before, lost, _, _ := r.peers.Counts()
+		before, lost, _, _ := r.relay.Counts()
 		heal := r.fault(f)
 		for k := range n {
 			r.say(0, fmt.Sprint(k))
 		}
-		r.await("the relay", func() bool { a, b, _, _ := r.peers.Counts(); return a+b-before-lost >= 3*n })
+		r.await("the relay", func() bool { a, b, _, _ := r.relay.Counts(); return a+b-before-lost >= 3*n })
 		heal()
-		now, _, _, _ := r.peers.Counts()
+		now, _, _, _ := r.relay.Counts()
 		var got []string
 		r.await("all that was relayed to arrive", func() bool {
 			for len(r.heard[1]) > 0 {
@@ -238,9 +238,9 @@
 }
 
 // get asks a server or the agent as sidecar i does, and gives the body, "" for silence.
-func (r *rig) get(i int, f *Faults, path string, patience time.Duration) string {
+func (r *rig) get(i int, f *FaultListener, path string, patience time.Duration) string {
 	client := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
-	response, err := client.Get("http://" + f.At(r.sidecars.sub.address(i)) + path)
+	response, err := client.Get("http://" + f.AddressFor(r.sidecars.subnet.address(i)) + path)
 	if err != nil {
 		return ""
 	}
@@ -252,13 +252,13 @@
 // The link from one sidecar to one server is silent while the others pass; what was held passes afterwards. So is one to discovery.
 func TestLinkFaultsReachServersAndDiscovery(t *testing.T) {
 	r := newRig(t, false, "")
-	server, agent := r.servers[1].Faults, r.disco.listener
+	server, agent := r.servers[1].Listener, r.discovery.listener
 	heal := r.fault(Fault{Kind: "cut", From: []string{"s2"}, To: []string{"v1", "discovery"}, Direction: "in"})
 	held := make(chan string, 2)
-	for path, f := range map[string]*Faults{"/stats": server, "/registry/instances": agent} {
+	for path, f := range map[string]*FaultListener{"/stats": server, "/registry/instances": agent} {
 		go func() { held <- r.get(2, f, path, patience) }()
 	}
-	if r.get(1, server, "/stats", patience) == "" || r.get(2, r.servers[0].Faults, "/stats", patience) == "" || r.get(0, agent, "/registry/instances", patience) == "" {
+	if r.get(1, server, "/stats", patience) == "" || r.get(2, r.servers[0].Listener, "/stats", patience) == "" || r.get(0, agent, "/registry/instances", patience) == "" {
 		t.Error("a link that is not cut is silent")
 	}
 	select {
@@ -273,7 +273,7 @@
 		}
 	}
 	heal = r.fault(Fault{Kind: "delay", Servers: []int{0}, Delay: Duration{50 * time.Millisecond}})
-	if began := time.Now(); r.get(0, r.servers[0].Faults, "/stats", patience) == "" || time.Since(began) < 100*time.Millisecond {
+	if began := time.Now(); r.get(0, r.servers[0].Listener, "/stats", patience) == "" || time.Since(began) < 100*time.Millisecond {
 		t.Errorf("delayed 50 ms each way, a call took %v", time.Since(began))
 	}
 	heal()
@@ -302,24 +302,24 @@
 	}
 	heal()
 	heal = r.fault(Fault{Kind: "reset", Servers: []int{0}})
-	if text := r.get(0, r.servers[0].Faults, "/stats", patience); text != "" {
+	if text := r.get(0, r.servers[0].Listener, "/stats", patience); text != "" {
 		t.Errorf("under resets came %q", text)
 	}
 	heal()
-	if r.get(0, r.servers[0].Faults, "/stats", patience) == "" {
+	if r.get(0, r.servers[0].Listener, "/stats", patience) == "" {
 		t.Error("silent after the resets")
 	}
 }
 
 // ops asks sidecar i's operators' address; -1 where it is down.
 func (r *rig) ops(method string, i int, path, body string) (int, string) {
-	return newOperatorsLab(r.exp, r.sidecars, r.ledger, &history.Log{}).ask(method, i, path, body)
+	return newOperators(r.exp, r.sidecars, r.requests, &history.Log{}).adminCall(method, i, path, body)
 }
 
 func (r *rig) pids(i int) (pids []int) {
 	r.sidecars.mu.Lock()
 	defer r.sidecars.mu.Unlock()
-	for _, l := range r.sidecars.procs[i].lives {
+	for _, l := range r.sidecars.states[i].processes {
 		pids = append(pids, l.cmd.Process.Pid)
 	}
 	return pids
@@ -382,13 +382,15 @@
 	if len(r.pids(1)) != 1 {
 		t.Error("a sidecar that joins does not run")
 	}
-	if troubles := r.sidecars.Troubles(); len(troubles) > 0 {
+	if troubles := r.sidecars.UnexpectedFailures(); len(troubles) > 0 {
 		t.Error(troubles)
 	}
 	if syscall.Kill(r.pids(3)[0], syscall.SIGKILL) != nil {
 		t.Fatal("kill")
 	}
-	r.await("the end by itself to be recorded", func() bool { return strings.Contains(strings.Join(r.sidecars.Troubles(), ""), "s3: ended by itself") })
+	r.await("the end by itself to be recorded", func() bool {
+		return strings.Contains(strings.Join(r.sidecars.UnexpectedFailures(), ""), "s3: ended by itself")
+	})
 }
 
 // A full and a read-only disk refuse what a call must write, and a slow one makes saves wait; the sidecar lives on and
--- a/internal/lab/inject.go
+++ b/internal/lab/inject.go
@@ -8,20 +8,20 @@
 	"bramblestand/internal/lab/history"
 )
 
-// blinds are the spells in which a link fault kept sidecars from hearing discovery, by sidecar and fault.
-type blinds map[[2]int]window
+// discoveryOutages are the spells in which a link fault kept sidecars from hearing discovery, by sidecar and fault.
+type discoveryOutages map[[2]int]window
 
-func (b blinds) note(sidecar, fault int, ends bool, at time.Duration) {
+func (b discoveryOutages) record(sidecar, fault int, ends bool, at time.Duration) {
 	k := [2]int{sidecar, fault}
 	if w, ok := b[k]; ok && ends {
 		b[k] = window{w.from, at}
 	} else if !ends {
-		b[k] = window{at, stillDown}
+		b[k] = window{at, openEnd}
 	}
 }
 
-// within tells whether a sidecar could not hear discovery at some time in [from, to].
-func (b blinds) within(sidecar int, from, to time.Duration) bool {
+// overlaps tells whether a sidecar could not hear discovery at some time in [from, to].
+func (b discoveryOutages) overlaps(sidecar int, from, to time.Duration) bool {
 	for k, w := range b {
 		if k[0] == sidecar && w.from <= to && from <= w.to {
 			return true
@@ -36,31 +36,31 @@
 	Label string  `json:"label"`
 }
 
-func (w *world) play(ctx context.Context, events []Event) []Mark {
+func (w *testbed) runSchedule(ctx context.Context, events []Event) []Mark {
 	var marks []Mark
 	begun := map[int]chan struct{}{} // by fault, closed when its begin was acted on
 	var acting sync.WaitGroup
 	defer acting.Wait()
 	for _, ev := range events {
-		if !w.ledger.until(ctx, ev.At) {
+		if !w.requests.waitUntil(ctx, ev.At) {
 			return marks
 		}
 		if !ev.Quiet {
-			marks = append(marks, Mark{AtMs: ms(w.ledger.Since()), Label: ev.Label()})
-			w.log.Info("fault", "event", ev.Label(), "lab_ms", w.ledger.Since().Milliseconds())
+			marks = append(marks, Mark{AtMs: ms(w.requests.Elapsed()), Label: ev.Label()})
+			w.log.Info("fault", "event", ev.Label(), "lab_ms", w.requests.Elapsed().Milliseconds())
 		}
-		at := w.ledger.micros()
+		at := w.requests.nowMicros()
 		w.history.Add(history.Event{Kind: history.Fault, Op: ev.Label(), Call: at, Return: at})
-		w.do(ev, begun, &acting)
+		w.startEvent(ev, begun, &acting)
 	}
 	return marks
 }
 
-// do begins or ends a fault: links at once and in order; sidecars, machines
+// startEvent begins or ends a fault: links at once and in order; sidecars, machines
 // and servers beside other events, which a slow kill or start must not hold up, but not before the fault's own begin is done.
-func (w *world) do(ev Event, begun map[int]chan struct{}, acting *sync.WaitGroup) {
-	if rule, _ := (names{w.exp}).rule(ev.Fault); rule != nil {
-		w.link(ev, rule)
+func (w *testbed) startEvent(ev Event, begun map[int]chan struct{}, acting *sync.WaitGroup) {
+	if rule, _ := (selectorResolver{w.exp}).linkRule(ev.Fault); rule != nil {
+		w.applyLinkEvent(ev, rule)
 		return
 	}
 	before, done := begun[ev.ID], make(chan struct{})
@@ -74,20 +74,20 @@
 		if ev.Heal {
 			<-before
 		}
-		w.act(ev)
+		w.applyEvent(ev)
 	}()
 }
 
-// link puts the rule of a fault on, or takes it off.
-func (w *world) link(ev Event, rule *Rule) {
+// applyLinkEvent puts the rule of a fault on, or takes it off.
+func (w *testbed) applyLinkEvent(ev Event, rule *Rule) {
 	if ev.Heal {
-		if end := w.rules[ev.ID]; end != nil {
+		if end := w.endRules[ev.ID]; end != nil {
 			end()
 		}
 	} else {
-		w.rules[ev.ID] = w.network.Begin(rule)
+		w.endRules[ev.ID] = w.network.Begin(rule)
 	}
-	discovery := (names{w.exp}).discovery()
+	discovery := (selectorResolver{w.exp}).discovery()
 	if !rule.Cut {
 		return
 	}
@@ -95,12 +95,12 @@
 	defer w.mu.Unlock()
 	for i := range w.exp.Fleet.Sidecars {
 		if e := endpoint(i); rule.Match(e, discovery) || rule.Match(discovery, e) {
-			w.blind.note(i, ev.ID, ev.Heal, w.ledger.Since())
+			w.discoveryOutages.record(i, ev.ID, ev.Heal, w.requests.Elapsed())
 		}
 	}
 }
 
-func (w *world) act(ev Event) {
+func (w *testbed) applyEvent(ev Event) {
 	f := ev.Fault
 	var side sync.WaitGroup // on several sidecars side by side: each waits for its own end or yes
 	defer side.Wait()
@@ -113,13 +113,13 @@
 		case f.Kind == "join" && !ev.Heal:
 			each(i, w.sidecars.Release)
 		case f.Kind == "join": // one that joined for a while only
-			each(i, w.sidecars.Term)
+			each(i, w.sidecars.Terminate)
 		case f.Kind == "upgrade" && !ev.Heal:
 			each(i, w.sidecars.Upgrade)
 		case f.Kind == "kill" && !ev.Heal:
 			each(i, w.sidecars.Kill)
 		case f.Kind == "term" && !ev.Heal:
-			each(i, w.sidecars.Term)
+			each(i, w.sidecars.Terminate)
 		case f.Kind == "kill" || f.Kind == "term":
 			each(i, w.sidecars.Release)
 		case f.Kind == "pause" && !ev.Heal:
@@ -132,41 +132,41 @@
 		s := w.servers[i]
 		switch {
 		case f.Kind == "reset":
-			s.Faults.Reset(!ev.Heal)
-		case f.Kind == "drain" && s.drain(!ev.Heal):
+			s.Listener.Reset(!ev.Heal)
+		case f.Kind == "drain" && s.countDrain(!ev.Heal):
 			if ev.Heal {
 				s.SetDrained(time.Time{})
-				w.disco.Set(host(s, "Ready"), nil)
+				w.discovery.Set(instanceOf(s, "Ready"), nil)
 			} else { // the 1.5 s run from when discovery can tell it
-				w.disco.Set(host(s, "Terminating"), func() { s.SetDrained(time.Now()) })
+				w.discovery.Set(instanceOf(s, "Terminating"), func() { s.SetDrained(time.Now()) })
 			}
 		}
 	}
 	if f.Kind == "discovery" {
 		if f.Mode == "down" {
-			w.disco.SetDown(!ev.Heal)
+			w.discovery.SetDown(!ev.Heal)
 		} else {
-			w.disco.SetLag(f.Delay.Duration, !ev.Heal)
+			w.discovery.SetLag(f.Delay.Duration, !ev.Heal)
 		}
 	}
 	for _, m := range f.Machines {
-		w.machine(ev, m, each)
+		w.applyMachineEvent(ev, m, each)
 	}
 }
 
-// machine acts on one machine: all its sidecars together, and its disk.
-func (w *world) machine(ev Event, m int, each func(int, func(int))) {
+// applyMachineEvent acts on one machine: all its sidecars together, and its disk.
+func (w *testbed) applyMachineEvent(ev Event, m int, each func(int, func(int))) {
 	f := ev.Fault
 	var mine []int
 	for i := range w.exp.Fleet.Sidecars {
-		if w.exp.machine(i) == m {
+		if w.exp.machineOf(i) == m {
 			mine = append(mine, i)
 		}
 	}
 	d := w.disks[m]
 	trouble := func(err error) {
 		if err != nil {
-			w.sidecars.trouble(mine[0], "machine %d: the lab's disk: %v", m, err)
+			w.sidecars.recordFailure(mine[0], "machine %d: the lab's disk: %v", m, err)
 		}
 	}
 	loses := f.Kind == "machine-replace" || f.Kind == "machine-kill" && !w.exp.Fleet.State // all that its sidecars were promised to keep
@@ -188,15 +188,15 @@
 	case !ev.Heal: // machine-kill, machine-replace
 		if loses {
 			w.mu.Lock()
-			w.wiped[ev.ID] = w.ledger.micros()
+			w.wipedAt[ev.ID] = w.requests.nowMicros()
 			w.mu.Unlock()
 		}
-		var lives []*life
+		var processes []*sidecarProcess
 		for _, i := range mine { // all at once
-			lives = append(lives, w.sidecars.hold(i, true)...)
+			processes = append(processes, w.sidecars.holdDown(i, true)...)
 		}
-		for _, l := range lives {
-			<-l.exited
+		for _, process := range processes {
+			<-process.exited
 		}
 		if f.Kind == "machine-replace" {
 			trouble(d.replace())
@@ -207,9 +207,9 @@
 		for _, i := range mine {
 			if loses {
 				w.mu.Lock()
-				from := w.wiped[ev.ID]
+				from := w.wipedAt[ev.ID]
 				w.mu.Unlock()
-				w.history.Add(history.Event{Kind: history.Wipe, Sidecar: sidecarName(i), Op: ev.Label(), Call: from, Return: w.ledger.micros()})
+				w.history.Add(history.Event{Kind: history.Wipe, Sidecar: sidecarName(i), Op: ev.Label(), Call: from, Return: w.requests.nowMicros()})
 			}
 			each(i, w.sidecars.Release)
 		}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -197,7 +197,7 @@
 			go io.Copy(c, c)
 		}
 	}()
-	conn, err := net.Dial("tcp", p.At("127.0.0.1"))
+	conn, err := net.Dial("tcp", p.AddressFor("127.0.0.1"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -226,13 +226,13 @@
 }
 
 // discovery is a stand-in agent for one test.
-func discovery(t *testing.T, network *Network) *Discovery {
+func discovery(t *testing.T, network *Network) *FakeDiscovery {
 	t.Helper()
 	listener, err := network.Listen(9, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := NewDiscovery(1, listener)
+	d := NewFakeDiscovery(1, listener)
 	t.Cleanup(d.Close)
 	return d
 }
@@ -240,7 +240,7 @@
 // A watch waits for a change and answers with it alone; a down agent is silent.
 func TestDiscoveryWatchAndSilence(t *testing.T) {
 	d := discovery(t, NewNetwork(1))
-	d.Set(Host{Host: "v1", Dial: "127.0.0.1:9", Health: "Ready"}, nil)
+	d.Set(Instance{Name: "v1", Address: "127.0.0.1:9", Health: "Ready"}, nil)
 	get := func(query string, timeout time.Duration) string {
 		client := http.Client{Timeout: timeout}
 		r, err := client.Get("http://" + d.Address() + "/registry/instances" + query)
@@ -254,7 +254,7 @@
 	if whole := get("", time.Second); !strings.Contains(whole, `"whole":true`) || !strings.Contains(whole, "v1") {
 		t.Errorf("the whole list: %s", whole)
 	}
-	time.AfterFunc(100*time.Millisecond, func() { d.Set(Host{Host: "v2", Dial: "127.0.0.1:9", Health: "Ready"}, nil) })
+	time.AfterFunc(100*time.Millisecond, func() { d.Set(Instance{Name: "v2", Address: "127.0.0.1:9", Health: "Ready"}, nil) })
 	if change := get("?after=2&wait_ms=5000", 3*time.Second); !strings.Contains(change, "v2") || strings.Contains(change, "v1") {
 		t.Errorf("the watch: %s, want v2 alone", change)
 	}
@@ -277,9 +277,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := NewPinServer("v0", "a", exp.Server, NewLedger(), 1, listener)
+	server := NewFakeServer("v0", "a", exp.Server, NewRequestTable(), 1, listener)
 	defer server.Close()
-	disco.Set(host(server, "Ready"), nil)
+	disco.Set(instanceOf(server, "Ready"), nil)
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -289,21 +289,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := newSidecars(filepath.Join(programs, "sidecar"), t.TempDir(), exp, newSubnet(), disco, nil, []*disk{d}, NewLedger(), slog.New(slog.DiscardHandler))
+	s := newSidecars(filepath.Join(programs, "sidecar"), t.TempDir(), exp, newSubnet(), disco, nil, []*disk{d}, NewRequestTable(), slog.New(slog.DiscardHandler))
 	defer s.Stop()
-	s.procs[0].listen = taken.Addr().String()
+	s.states[0].listenAddress = taken.Addr().String()
 	if err := s.Start(0); err != nil {
 		t.Fatal(err)
 	}
-	if s.Listen(0) == taken.Addr().String() {
+	if s.ListenAddress(0) == taken.Addr().String() {
 		t.Error("the sidecar kept a port that was taken")
 	}
 	s.Pause(0)
-	s.Term(0)
-	if len(s.procs[0].lives) > 0 {
+	s.Terminate(0)
+	if len(s.states[0].processes) > 0 {
 		t.Error("a paused sidecar outlived its SIGTERM")
 	}
-	if !s.Crashed(0, 0, s.ledger.Since()) {
+	if !s.WasDown(0, 0, s.requests.Elapsed()) {
 		t.Error("the SIGKILL of a paused sidecar is not a crash")
 	}
 }
--- a/internal/lab/latency.go
+++ b/internal/lab/latency.go
@@ -23,8 +23,8 @@
 type LatencyOptions struct {
 	Servers    int           // 1 to 1000
 	Rate       float64       // calls, over 0 to 2000
-	Plays      int           // 1 to 100
-	Warm       time.Duration // of each play, sent and not counted
+	Runs       int           // 1 to 100
+	Warmup     time.Duration // of each play, sent and not counted
 	Duration   time.Duration // of each play, counted
 	ProbePrice float64       // prices.probe of the settings; 0 for 1
 	Seed       uint64
@@ -32,20 +32,20 @@
 
 // Latency is what the benchmark measured, in milliseconds: a call's time from its send to the last byte of its answer.
 type Latency struct {
-	Format     int           `json:"format"`
-	Servers    int           `json:"servers"`
-	Rate       float64       `json:"rate"` // calls a second, of each way
-	ProbePrice float64       `json:"probe_price"`
-	Warm       Duration      `json:"warm"`
-	Duration   Duration      `json:"duration"`
-	Plays      []LatencyPlay `json:"plays"`
+	Format     int          `json:"format"`
+	Servers    int          `json:"servers"`
+	Rate       float64      `json:"rate"` // calls a second, of each way
+	ProbePrice float64      `json:"probe_price"`
+	Warmup     Duration     `json:"warm"`
+	Duration   Duration     `json:"duration"`
+	Runs       []LatencyRun `json:"plays"`
 	// Over plays, at p50, p99 and p99.9.
-	Straight map[string]LatencySpread `json:"straight_ms"`
-	Through  map[string]LatencySpread `json:"through_ms"`
-	Added    map[string]LatencySpread `json:"added_ms"`
-	// AddedMost is p99 through the sidecar less the median straight: what 99 in 100 calls have added at the most,
+	Direct  map[string]LatencySpread `json:"straight_ms"`
+	Proxied map[string]LatencySpread `json:"through_ms"`
+	Added   map[string]LatencySpread `json:"added_ms"`
+	// MaxAdded is p99 through the sidecar less the median straight: what 99 in 100 calls have added at the most,
 	// where Added at p99 takes the tails of both ways to fall on the same calls.
-	AddedMost LatencySpread `json:"added_most_ms"`
+	MaxAdded LatencySpread `json:"added_most_ms"`
 }
 
 // LatencySpread is one figure over plays, in milliseconds.
@@ -55,28 +55,28 @@
 	Max    float64 `json:"max"`
 }
 
-// LatencyPlay is one play.
-type LatencyPlay struct {
-	Seed      uint64     `json:"seed"`
-	Straight  LatencyWay `json:"straight"`
-	Through   LatencyWay `json:"through"`
-	CPU       float64    `json:"cpu_ms_per_call"` // of the sidecar, its probes included
-	LabLate99 float64    `json:"lab_late_p99_ms"` // of the lab's timers
-	Late      bool       `json:"lab_ran_late"`
+// LatencyRun is one play.
+type LatencyRun struct {
+	Seed      uint64      `json:"seed"`
+	Direct    PathLatency `json:"straight"`
+	Proxied   PathLatency `json:"through"`
+	CPU       float64     `json:"cpu_ms_per_call"` // of the sidecar, its probes included
+	LabLate99 float64     `json:"lab_late_p99_ms"` // of the lab's timers
+	Late      bool        `json:"lab_ran_late"`
 }
 
-// LatencyWay is the calls of one way.
-type LatencyWay struct {
+// PathLatency is the calls of one way.
+type PathLatency struct {
 	Sent    int         `json:"sent"`   // counted ones
 	Served  int         `json:"served"` // with the right answer
 	Latency Percentiles `json:"latency_ms"`
 }
 
-// way sends calls one way.
-type way struct {
-	http   *http.Client
-	to     func() string // host:port
-	ledger *Ledger
+// callPath sends calls one way.
+type callPath struct {
+	http     *http.Client
+	to       func() string // host:port
+	requests *RequestTable
 
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram // µs
@@ -84,13 +84,13 @@
 	served    int
 }
 
-func newWay(ledger *Ledger, to func() string) *way {
-	return &way{http: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}},
-		to: to, ledger: ledger, histogram: newHistogram()}
+func newCallPath(ledger *RequestTable, to func() string) *callPath {
+	return &callPath{http: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}},
+		to: to, requests: ledger, histogram: newHistogram()}
 }
 
 // call makes one call, and counts it where that is wanted.
-func (w *way) call(id string, counts bool) {
+func (w *callPath) call(id string, counts bool) {
 	r, err := http.NewRequest(http.MethodGet, "http://"+w.to()+"/read/"+id, http.NoBody)
 	if err != nil {
 		return
@@ -98,7 +98,7 @@
 	r.Header.Set("X-Correlation-Id", id)
 	r.Header.Set("X-Service-Class", "read")
 	r.Header.Set("X-Time-Left-Ms", "1000")
-	w.ledger.open(id, 0, false)
+	w.requests.recordSent(id, 0, false)
 	sent, served := time.Now(), false
 	if response, err := w.http.Do(r); err == nil {
 		body, err := io.ReadAll(response.Body)
@@ -118,10 +118,10 @@
 	}
 }
 
-func (w *way) result() LatencyWay {
+func (w *callPath) result() PathLatency {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return LatencyWay{Sent: w.sent, Served: w.served, Latency: percentiles(w.histogram)}
+	return PathLatency{Sent: w.sent, Served: w.served, Latency: percentiles(w.histogram)}
 }
 
 // MeasureLatency plays the same calls straight to a server drawn at random and through one sidecar, in turn, in one
@@ -134,8 +134,8 @@
 	}{
 		{o.Servers < 1 || o.Servers > 1000, "servers", "is not within 1 to 1000"},
 		{!(o.Rate > 0 && o.Rate <= 2000), "rate", "is not within 0 to 2000, or is 0"},
-		{o.Plays < 1 || o.Plays > 100, "plays", "is not within 1 to 100"},
-		{o.Warm < 0 || o.Warm > time.Minute, "warm", "is not within 0 to 1m"},
+		{o.Runs < 1 || o.Runs > 100, "plays", "is not within 1 to 100"},
+		{o.Warmup < 0 || o.Warmup > time.Minute, "warm", "is not within 0 to 1m"},
 		{o.Duration < 100*time.Millisecond || o.Duration > 10*time.Minute, "duration", "is not within 100ms to 10m"},
 		{!(o.ProbePrice >= 0 && o.ProbePrice <= 1000), "price", "is not within 0 to 1000"},
 	} {
@@ -143,31 +143,31 @@
 			return nil, fmt.Errorf("%s %s", c.field, c.what)
 		}
 	}
-	l := &Latency{Format: resultFormat, Servers: o.Servers, Rate: o.Rate, ProbePrice: o.ProbePrice, Warm: Duration{o.Warm}, Duration: Duration{o.Duration}}
+	l := &Latency{Format: resultFormat, Servers: o.Servers, Rate: o.Rate, ProbePrice: o.ProbePrice, Warmup: Duration{o.Warmup}, Duration: Duration{o.Duration}}
 	if l.ProbePrice == 0 {
 		l.ProbePrice = 1
 	}
-	for n := range o.Plays {
-		p, err := o.play(ctx, program, filepath.Join(folder, fmt.Sprintf("play-%v-%d", o.Rate, n)), o.Seed+uint64(n))
+	for n := range o.Runs {
+		p, err := o.run(ctx, program, filepath.Join(folder, fmt.Sprintf("play-%v-%d", o.Rate, n)), o.Seed+uint64(n))
 		if err != nil {
 			return nil, fmt.Errorf("play %d: %w", n, err)
 		}
-		l.Plays = append(l.Plays, *p)
+		l.Runs = append(l.Runs, *p)
 		tell(p.String())
 	}
-	l.sum()
+	l.summarize()
 	return l, nil
 }
 
-func (o *LatencyOptions) play(ctx context.Context, program, folder string, seed uint64) (*LatencyPlay, error) {
-	exp := &Experiment{Name: "latency", Seed: seed, Duration: Duration{o.Warm + o.Duration},
+func (o *LatencyOptions) run(ctx context.Context, program, folder string, seed uint64) (*LatencyRun, error) {
+	exp := &Experiment{Name: "latency", Seed: seed, Duration: Duration{o.Warmup + o.Duration},
 		Fleet:  Fleet{Sidecars: 1, Servers: o.Servers, Zones: []string{"a"}, ProbePrice: o.ProbePrice},
 		Server: Server{Capacity: 256, Queue: 256, Latency: Duration{time.Microsecond}},
 		Load:   Load{Rate: o.Rate, Shape: "poisson", Deadline: Duration{time.Second}}}
 	if err := exp.CheckDescriptors(1); err != nil {
 		return nil, err
 	}
-	w, err := newWorld(exp, program, folder, slog.New(slog.DiscardHandler))
+	w, err := newTestbed(exp, program, folder, slog.New(slog.DiscardHandler))
 	if err != nil {
 		return nil, err
 	}
@@ -175,20 +175,20 @@
 	if err := w.sidecars.startAll(); err != nil {
 		return nil, err
 	}
-	w.ledger.start = time.Now()
-	late := newLateness(w.ledger)
+	w.requests.start = time.Now()
+	late := newLateness(w.requests)
 	watched, end := context.WithCancel(ctx)
 	defer end()
 	go late.watch(watched)
 	random := rand.New(rand.NewPCG(seed, 0x1a7))
 	var drawing sync.Mutex
-	straight := newWay(w.ledger, func() string {
+	straight := newCallPath(w.requests, func() string {
 		drawing.Lock()
 		defer drawing.Unlock()
 		return w.servers[random.IntN(len(w.servers))].Address()
 	})
-	listen := w.sidecars.Listen(0)
-	through := newWay(w.ledger, func() string { return listen })
+	listen := w.sidecars.ListenAddress(0)
+	through := newCallPath(w.requests, func() string { return listen })
 	defer straight.http.CloseIdleConnections()
 	defer through.http.CloseIdleConnections()
 	arrivals := rand.New(rand.NewPCG(seed, 0xa11))
@@ -196,14 +196,14 @@
 	var cpu time.Duration
 	at := time.Duration(0)
 	for n := 0; ; n += 2 { // in pairs, so that both ways have as many
-		counts := at >= o.Warm
-		for k, way := range []*way{straight, through} {
+		counts := at >= o.Warmup
+		for k, way := range []*callPath{straight, through} {
 			at += time.Duration(arrivals.ExpFloat64() / (2 * o.Rate) * float64(time.Second))
-			if !w.ledger.until(ctx, at) {
+			if !w.requests.waitUntil(ctx, at) {
 				return nil, ctx.Err()
 			}
 			if counts && cpu == 0 {
-				cpu = w.sidecars.cpu(0)
+				cpu = w.sidecars.cpuTime(0)
 			}
 			calls.Add(1)
 			go func() {
@@ -211,67 +211,67 @@
 				way.call(strconv.FormatUint(seed<<32+uint64(n+k), 16), counts)
 			}()
 		}
-		if at >= o.Warm+o.Duration {
+		if at >= o.Warmup+o.Duration {
 			break
 		}
 	}
 	calls.Wait()
-	p := &LatencyPlay{Seed: seed, Straight: straight.result(), Through: through.result()}
-	if p.Through.Sent > 0 {
-		p.CPU = ms(w.sidecars.cpu(0)-cpu) / float64(p.Through.Sent)
+	p := &LatencyRun{Seed: seed, Direct: straight.result(), Proxied: through.result()}
+	if p.Proxied.Sent > 0 {
+		p.CPU = ms(w.sidecars.cpuTime(0)-cpu) / float64(p.Proxied.Sent)
 	}
 	report := late.report()
 	p.LabLate99, p.Late = report.Timers.P99, report.Late
 	return p, nil
 }
 
-// levels are the quantiles told.
-var levels = []struct {
+// quantiles are the quantiles told.
+var quantiles = []struct {
 	name string
 	of   func(Percentiles) float64
 }{{"p50", func(p Percentiles) float64 { return p.P50 }}, {"p99", func(p Percentiles) float64 { return p.P99 }},
 	{"p99.9", func(p Percentiles) float64 { return p.P999 }}}
 
-func (l *Latency) sum() {
-	l.Straight, l.Through, l.Added = map[string]LatencySpread{}, map[string]LatencySpread{}, map[string]LatencySpread{}
-	over := func(of func(LatencyPlay) float64) LatencySpread {
+func (l *Latency) summarize() {
+	l.Direct, l.Proxied, l.Added = map[string]LatencySpread{}, map[string]LatencySpread{}, map[string]LatencySpread{}
+	over := func(of func(LatencyRun) float64) LatencySpread {
 		var all []float64
-		for _, p := range l.Plays {
+		for _, p := range l.Runs {
 			all = append(all, math.Round(of(p)*1000)/1000)
 		}
 		slices.Sort(all)
 		middle := (all[(len(all)-1)/2] + all[len(all)/2]) / 2
 		return LatencySpread{Min: all[0], Median: middle, Max: all[len(all)-1]}
 	}
-	for _, q := range levels {
-		l.Straight[q.name] = over(func(p LatencyPlay) float64 { return q.of(p.Straight.Latency) })
-		l.Through[q.name] = over(func(p LatencyPlay) float64 { return q.of(p.Through.Latency) })
-		l.Added[q.name] = over(func(p LatencyPlay) float64 { return q.of(p.Through.Latency) - q.of(p.Straight.Latency) })
+	for _, q := range quantiles {
+		l.Direct[q.name] = over(func(p LatencyRun) float64 { return q.of(p.Direct.Latency) })
+		l.Proxied[q.name] = over(func(p LatencyRun) float64 { return q.of(p.Proxied.Latency) })
+		l.Added[q.name] = over(func(p LatencyRun) float64 { return q.of(p.Proxied.Latency) - q.of(p.Direct.Latency) })
 	}
-	l.AddedMost = over(func(p LatencyPlay) float64 { return p.Through.Latency.P99 - p.Straight.Latency.P50 })
+	l.MaxAdded = over(func(p LatencyRun) float64 { return p.Proxied.Latency.P99 - p.Direct.Latency.P50 })
 }
 
 // String is a line for people.
-func (p LatencyPlay) String() string {
+func (p LatencyRun) String() string {
 	return fmt.Sprintf("seed %d: straight %d of %d, p50 %.3f p99 %.3f p99.9 %.3f ms; through %d of %d, p50 %.3f p99 %.3f p99.9 %.3f ms; %.3f ms of processor a call",
-		p.Seed, p.Straight.Served, p.Straight.Sent, p.Straight.Latency.P50, p.Straight.Latency.P99, p.Straight.Latency.P999,
-		p.Through.Served, p.Through.Sent, p.Through.Latency.P50, p.Through.Latency.P99, p.Through.Latency.P999, p.CPU)
+		p.Seed, p.Direct.Served, p.Direct.Sent, p.Direct.Latency.P50, p.Direct.Latency.P99, p.Direct.Latency.P999,
+		p.Proxied.Served, p.Proxied.Sent, p.Proxied.Latency.P50, p.Proxied.Latency.P99, p.Proxied.Latency.P999, p.CPU)
 }
 
 // Table is the figures for people.
 func (l *Latency) Table() string {
 	var text strings.Builder
 	w := tabwriter.NewWriter(&text, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(w, "%v calls/s, %d servers, %d plays, ms\tmin\tmedian\tmax\t\n", l.Rate, l.Servers, len(l.Plays))
+	fmt.Fprintf(w, "%v calls/s, %d servers, %d plays, ms\tmin\tmedian\tmax\t\n", l.Rate, l.Servers, len(l.Runs))
 	line := func(name string, s LatencySpread) {
 		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.3f\t\n", name, s.Min, s.Median, s.Max)
 	}
-	for _, q := range levels {
-		line("straight "+q.name, l.Straight[q.name])
-		line("through "+q.name, l.Through[q.name])
+	for _, q := range quantiles {
+		line("straight "+q.name, l.Direct[q.name])
+		line("through "+q.name, l.Proxied[q.name])
 		line("added "+q.name, l.Added[q.name])
 	}
-	line("through p99 less straight p50", l.AddedMost)
+	line("through p99 less straight p50", l.MaxAdded)
 	w.Flush()
 	return text.String()
 }
--- a/internal/lab/lateness.go
+++ b/internal/lab/lateness.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	tickEvery = 5 * time.Millisecond
-	stallFrom = 30 * time.Millisecond // a timer this late marks a spell in which the lab could not keep time
-	lateP99   = 20 * time.Millisecond // timers whose p99 is later make the whole run late
+	tickInterval   = 5 * time.Millisecond
+	stallThreshold = 30 * time.Millisecond // a timer this late marks a spell in which the lab could not keep time
+	maxTimerP99    = 20 * time.Millisecond // timers whose p99 is later make the whole run late
 )
 
 // lateness measures how late the lab's own timers and arrivals ran. What a
 // sidecar seems to do wrong in a spell in which they did is not held against it.
 type lateness struct {
-	ledger *Ledger
+	requests *RequestTable
 
 	mu       sync.Mutex
 	timers   *hdrhistogram.Histogram // µs
@@ -26,32 +26,32 @@
 	stalls   []window                // on the lab's clock, by their ends
 }
 
-func newLateness(ledger *Ledger) *lateness {
-	return &lateness{ledger: ledger, timers: newHistogram(), arrivals: newHistogram()}
+func newLateness(ledger *RequestTable) *lateness {
+	return &lateness{requests: ledger, timers: newHistogram(), arrivals: newHistogram()}
 }
 
 // watch keeps a timer until ctx ends.
 func (l *lateness) watch(ctx context.Context) {
 	for ctx.Err() == nil {
-		due := l.ledger.Since() + tickEvery
-		time.Sleep(tickEvery)
-		l.note(l.timers, due)
+		due := l.requests.Elapsed() + tickInterval
+		time.Sleep(tickInterval)
+		l.record(l.timers, due)
 	}
 }
 
-// note records what was due at due and happens now.
-func (l *lateness) note(h *hdrhistogram.Histogram, due time.Duration) {
-	now := l.ledger.Since()
+// record records what was due at due and happens now.
+func (l *lateness) record(h *hdrhistogram.Histogram, due time.Duration) {
+	now := l.requests.Elapsed()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h.RecordValue(max(0, now-due).Microseconds())
-	if now-due >= stallFrom {
+	if now-due >= stallThreshold {
 		l.stalls = append(l.stalls, window{due, now})
 	}
 }
 
-// within is how much of [from, to] the lab could not keep time.
-func (l *lateness) within(from, to time.Duration) time.Duration {
+// stalledWithin is how much of [from, to] the lab could not keep time.
+func (l *lateness) stalledWithin(from, to time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var sum time.Duration
@@ -88,6 +88,6 @@
 	for _, w := range merged {
 		r.StalledMs += ms(w.to - w.from)
 	}
-	r.Late = r.Timers.P99 > ms(lateP99)
+	r.Late = r.Timers.P99 > ms(maxTimerP99)
 	return r
 }
--- a/internal/lab/machines.go
+++ b/internal/lab/machines.go
@@ -17,12 +17,12 @@
 // capDACOverride lets root write where permissions forbid it.
 const capDACOverride = 1
 
-// starter starts every child of the lab from one thread that lives as long as
+// childStarter starts every child of the lab from one thread that lives as long as
 // the lab: a child's parent-death signal comes when that thread ends. The
 // thread gives up CAP_DAC_OVERRIDE for its children, so that a read-only disk
 // binds them under root too, and blocks SIGXFSZ, so that a write to a full
 // disk fails as an error instead of ending the process.
-var starter = sync.OnceValue(func() chan<- func() {
+var childStarter = sync.OnceValue(func() chan<- func() {
 	calls := make(chan func())
 	go func() {
 		runtime.LockOSThread() // never unlocked: the thread's settings must not reach other work
@@ -39,7 +39,7 @@
 
 func startChild(cmd *exec.Cmd) error {
 	done := make(chan error)
-	starter() <- func() { done <- cmd.Start() }
+	childStarter() <- func() { done <- cmd.Start() }
 	return <-done
 }
 
@@ -57,10 +57,10 @@
 // newDisk makes the folder, or takes an earlier run's of the same place.
 func newDisk(folder string) (*disk, error) {
 	d := &disk{folder: folder, slow: map[int]func(){}}
-	return d, d.make()
+	return d, d.makeFolders()
 }
 
-func (d *disk) make() error {
+func (d *disk) makeFolders() error {
 	for _, f := range []string{d.state(), d.tmp()} {
 		if err := os.MkdirAll(f, 0o700); err != nil {
 			return fmt.Errorf("disk: %w", err)
@@ -83,14 +83,14 @@
 	if err := os.RemoveAll(folder); err != nil {
 		return err
 	}
-	if err := d.make(); err != nil {
+	if err := d.makeFolders(); err != nil {
 		return err
 	}
-	return d.permit()
+	return d.applyPermissions()
 }
 
-// permit gives folders and files the permissions of the faults now on. It holds d.mu.
-func (d *disk) permit() error {
+// applyPermissions gives folders and files the permissions of the faults now on. It holds d.mu.
+func (d *disk) applyPermissions() error {
 	return filepath.WalkDir(d.folder, func(path string, e fs.DirEntry, err error) error {
 		if errors.Is(err, fs.ErrNotExist) {
 			return nil // a file that a sidecar renamed meanwhile
@@ -116,7 +116,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.readonly += sign(on)
-	return d.permit()
+	return d.applyPermissions()
 }
 
 // setFull counts faults that make the disk full; limit gives the processes' file size limit.
@@ -126,8 +126,8 @@
 	d.full += sign(on)
 }
 
-// limit is the file size a process of this machine may write now, in bytes.
-func (d *disk) limit() uint64 {
+// fileSizeLimit is the file size a process of this machine may write now, in bytes.
+func (d *disk) fileSizeLimit() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.full > 0 {
@@ -150,10 +150,10 @@
 	}
 	stop := make(chan struct{})
 	d.slow[fault] = sync.OnceFunc(func() { close(stop) })
-	go d.hold(delay, stop)
+	go d.holdLocks(delay, stop)
 }
 
-func (d *disk) hold(delay time.Duration, stop <-chan struct{}) {
+func (d *disk) holdLocks(delay time.Duration, stop <-chan struct{}) {
 	const gap = 60 * time.Millisecond // bbolt tries its lock each 50 ms
 	for {
 		var held []*os.File
@@ -203,7 +203,7 @@
 		end()
 	}
 	d.readonly = 0
-	d.permit()
+	d.applyPermissions()
 }
 
 func sign(on bool) int {
--- a/internal/lab/network.go
+++ b/internal/lab/network.go
@@ -11,7 +11,7 @@
 // stranger is anything else, which only rules for all endpoints meet.
 type endpoint int
 
-const stranger endpoint = -1
+const unknownEndpoint endpoint = -1
 
 // Rule is one fault on directed links, for as long as it is on. Losses,
 // duplicates, reorders and the rate concern datagrams alone; TCP is held or
@@ -36,10 +36,10 @@
 	at     time.Time
 }
 
-const reorderHold = 30 * time.Millisecond
+const reorderDelay = 30 * time.Millisecond
 
-// take tells whether the rate lets one more datagram pass now. It holds the network's lock.
-func (r *Rule) take(from, to endpoint, now time.Time) bool {
+// takeToken tells whether the rate lets one more datagram pass now. It holds the network's lock.
+func (r *Rule) takeToken(from, to endpoint, now time.Time) bool {
 	if r.buckets == nil {
 		r.buckets = map[[2]endpoint]*bucket{}
 	}
@@ -63,13 +63,13 @@
 	mu        sync.Mutex
 	rules     []*Rule
 	random    *rand.Rand
-	listeners []*Faults
-	changes   bell
+	listeners []*FaultListener
+	changes   notifier
 }
 
 // NewNetwork makes one without faults; the seed draws losses and jitter.
 func NewNetwork(seed uint64) *Network {
-	return &Network{random: rand.New(rand.NewPCG(seed, 0x11e7)), changes: newBell()}
+	return &Network{random: rand.New(rand.NewPCG(seed, 0x11e7)), changes: newNotifier()}
 }
 
 // Begin puts a rule on; the function returned takes it off again.
@@ -84,21 +84,21 @@
 	n.mu.Lock()
 	alter()
 	listeners := slices.Clone(n.listeners)
-	n.changes.ring()
+	n.changes.notifyAll()
 	n.mu.Unlock()
 	for _, f := range listeners {
 		f.recheck()
 	}
 }
 
-func (n *Network) heard() <-chan struct{} {
+func (n *Network) changed() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.changes.heard()
+	return n.changes.changed()
 }
 
-// stream tells what a TCP link does now: whether bytes are held, whether that ends in a reset, and how long each chunk waits.
-func (n *Network) stream(from, to endpoint) (cut, resets bool, delay time.Duration) {
+// streamState tells what a TCP link does now: whether bytes are held, whether that ends in a reset, and how long each chunk waits.
+func (n *Network) streamState(from, to endpoint) (cut, resets bool, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, r := range n.rules {
@@ -119,8 +119,8 @@
 	return time.Duration(n.random.Int64N(int64(r.Jitter)))
 }
 
-// datagram gives the delays after which copies of one datagram arrive; none where it is lost.
-func (n *Network) datagram(from, to endpoint) []time.Duration {
+// datagramDelays gives the delays after which copies of one datagram arrive; none where it is lost.
+func (n *Network) datagramDelays(from, to endpoint) []time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	copies := make([]time.Duration, 1, 2)
@@ -128,7 +128,7 @@
 		if !r.Match(from, to) {
 			continue
 		}
-		if r.Cut || n.random.Float64() < r.Loss || r.Rate > 0 && !r.take(from, to, time.Now()) {
+		if r.Cut || n.random.Float64() < r.Loss || r.Rate > 0 && !r.takeToken(from, to, time.Now()) {
 			return nil
 		}
 		if n.random.Float64() < r.Duplicate {
@@ -137,7 +137,7 @@
 		for i := range copies {
 			copies[i] += r.Delay + n.jitter(r)
 			if n.random.Float64() < r.Reorder {
-				copies[i] += reorderHold
+				copies[i] += reorderDelay
 			}
 		}
 	}
--- a/internal/lab/operators.go
+++ b/internal/lab/operators.go
@@ -15,33 +15,33 @@
 	"bramblestand/internal/lab/history"
 )
 
-// opsPatience is how long the lab waits for an answer of an operators' address, whose own bound is 2 s.
-const opsPatience = 4 * time.Second
+// adminTimeout is how long the lab waits for an answer of an operators' address, whose own bound is 2 s.
+const adminTimeout = 4 * time.Second
 
-// opsSettle is kept free of random calls at the end of a run, so that its last state is observed.
-const opsSettle = time.Second
+// finalQuietPeriod is kept free of random calls at the end of a run, so that its last state is observed.
+const finalQuietPeriod = time.Second
 
-// operatorsLab makes the operators' calls of an experiment and observes every
+// operators makes the operators' calls of an experiment and observes every
 // sidecar's operators' address, all into the history.
-type operatorsLab struct {
+type operators struct {
 	exp      *Experiment
 	sidecars *Sidecars
-	ledger   *Ledger
-	log      *history.Log
+	requests *RequestTable
+	history  *history.Log
 	http     *http.Client
 }
 
-func newOperatorsLab(exp *Experiment, sidecars *Sidecars, ledger *Ledger, log *history.Log) *operatorsLab {
-	return &operatorsLab{exp: exp, sidecars: sidecars, ledger: ledger, log: log,
-		http: &http.Client{Timeout: opsPatience, Transport: &http.Transport{DisableKeepAlives: true}}}
+func newOperators(exp *Experiment, sidecars *Sidecars, ledger *RequestTable, log *history.Log) *operators {
+	return &operators{exp: exp, sidecars: sidecars, requests: ledger, history: log,
+		http: &http.Client{Timeout: adminTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
 // run makes all calls and observations of the run, and returns at its end.
-func (o *operatorsLab) run(ctx context.Context) {
+func (o *operators) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	calls := slices.Clone(o.exp.Calls)
 	random := rand.New(rand.NewPCG(o.exp.Seed, 0x0b5))
-	last := o.exp.Duration.Duration - opsSettle
+	last := o.exp.Duration.Duration - finalQuietPeriod
 	for at := time.Duration(0); o.exp.Ops.Rate > 0; {
 		if at += time.Duration(random.ExpFloat64() / o.exp.Ops.Rate * float64(time.Second)); at > last {
 			break
@@ -53,7 +53,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			if o.ledger.until(ctx, c.At.Duration) {
+			if o.requests.waitUntil(ctx, c.At.Duration) {
 				o.call(c)
 			}
 		}()
@@ -65,7 +65,7 @@
 			defer wg.Done()
 			// Spread over the period, so that the lab does not ask all at once; the last is at the run's end.
 			for at := every * time.Duration(i) / time.Duration(o.exp.Fleet.Sidecars); at < o.exp.Duration.Duration; at += every {
-				if !o.ledger.until(ctx, at) {
+				if !o.requests.waitUntil(ctx, at) {
 					return
 				}
 				o.observe(i)
@@ -75,9 +75,9 @@
 	wg.Wait()
 }
 
-// ask makes one request of sidecar i's operators' address; status 0 where none answered whole.
-func (o *operatorsLab) ask(method string, i int, path, body string) (status int, answer string) {
-	address := o.sidecars.Ops(i)
+// adminCall makes one request of sidecar i's operators' address; status 0 where none answered whole.
+func (o *operators) adminCall(method string, i int, path, body string) (status int, answer string) {
+	address := o.sidecars.AdminAddress(i)
 	if address == "" {
 		return -1, "down"
 	}
@@ -98,15 +98,15 @@
 }
 
 // call makes an operators' call and records what it came to.
-func (o *operatorsLab) call(c Call) {
+func (o *operators) call(c Call) {
 	key, path, body := "drained", "/"+c.Op, ""
 	if c.Op == "ban" || c.Op == "enable" {
 		key = serverName(c.Server)
 		path, body = map[string]string{"ban": "/pin-servers/disable", "enable": "/pin-servers/enable"}[c.Op], key
 	}
-	e := history.Event{Kind: history.Call, Sidecar: sidecarName(c.Sidecar), Op: c.Op, Key: key, Call: o.ledger.micros()}
-	status, text := o.ask(http.MethodPost, c.Sidecar, path, body)
-	e.Return, e.Text = o.ledger.micros(), strings.TrimSpace(text)
+	e := history.Event{Kind: history.Call, Sidecar: sidecarName(c.Sidecar), Op: c.Op, Key: key, Call: o.requests.nowMicros()}
+	status, text := o.adminCall(http.MethodPost, c.Sidecar, path, body)
+	e.Return, e.Text = o.requests.nowMicros(), strings.TrimSpace(text)
 	switch {
 	case status >= 200 && status < 300:
 		e.Outcome = history.OK
@@ -115,25 +115,25 @@
 	default: // 503, or no answer: it may have been done
 		e.Outcome = history.Unknown
 	}
-	o.log.Add(e)
+	o.history.Add(e)
 }
 
 // observe asks sidecar i and records each field of the answers.
-func (o *operatorsLab) observe(i int) {
+func (o *operators) observe(i int) {
 	paths := o.exp.Ops.Observe
 	if o.exp.Fleet.View {
 		paths = append(slices.Clone(paths), viewPath)
 	}
 	for _, path := range paths {
-		from := o.ledger.micros()
-		status, text := o.ask(http.MethodGet, i, path, "")
-		to := o.ledger.micros()
+		from := o.requests.nowMicros()
+		status, text := o.adminCall(http.MethodGet, i, path, "")
+		to := o.requests.nowMicros()
 		if status != http.StatusOK {
 			continue // it is down, or comes up
 		}
 		var fields map[string]json.RawMessage
 		if err := json.Unmarshal([]byte(text), &fields); err != nil {
-			o.sidecars.trouble(i, "%s: not a JSON object: %v", path, err)
+			o.sidecars.recordFailure(i, "%s: not a JSON object: %v", path, err)
 			continue
 		}
 		for field, raw := range fields {
@@ -146,7 +146,7 @@
 			case json.Unmarshal(raw, &scalar) == nil:
 				e.Value = fmt.Sprint(scalar)
 			}
-			o.log.Add(e)
+			o.history.Add(e)
 		}
 	}
 }
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -8,46 +8,46 @@
 	"time"
 )
 
-// datagramMost is the protocol's bound on a datagram between sidecars, in bytes.
-const datagramMost = 256
+// maxDatagramSize is the protocol's bound on a datagram between sidecars, in bytes.
+const maxDatagramSize = 256
 
-// relayBuffer is asked of the system for each of the relay's sockets, in bytes, so that it drops nothing unasked.
-const relayBuffer = 4 << 20
+// relayBufferSize is asked of the system for each of the relay's sockets, in bytes, so that it drops nothing unasked.
+const relayBufferSize = 4 << 20
 
 const relayAddress = "127.0.0.1"
 
-// Peers carries the datagrams between sidecars, through the network's faults.
+// DatagramRelay carries the datagrams between sidecars, through the network's faults.
 // A sidecar sends to the hub (its peers_all); the hub sends a copy to every
 // other sidecar from that sender's relay socket, the address that the others
 // know it by (its entry in their peers), so that they take it as the
 // sender's. What is sent to a relay goes to its sidecar alone.
-type Peers struct {
+type DatagramRelay struct {
 	hub    *net.UDPConn
 	relays []*net.UDPConn         // relays[i] is what the others know sidecar i by
 	listen []netip.AddrPort       // where sidecar i takes datagrams
 	index  map[netip.AddrPort]int // listen address to sidecar
 	net    *Network
-	sub    subnet
+	subnet subnet
 
 	mu       sync.Mutex
 	relayed  int
 	dropped  int
 	oversize int // longer than the protocol allows: a breach
-	strange  int // from no sidecar of the lab
+	unknown  int // from no sidecar of the lab
 }
 
-// NewPeers opens the hub, a relay for each of n sidecars, and picks each
+// NewDatagramRelay opens the hub, a relay for each of n sidecars, and picks each
 // sidecar's own address, of the lab's subnet: what is sent to it must not
 // come to a sidecar of another lab that runs beside this one.
-func NewPeers(n int, network *Network, sub subnet) (*Peers, error) {
+func NewDatagramRelay(n int, network *Network, sub subnet) (*DatagramRelay, error) {
 	open := func(address string) (*net.UDPConn, error) {
 		conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(address)})
 		if err == nil {
-			conn.SetReadBuffer(relayBuffer)
+			conn.SetReadBuffer(relayBufferSize)
 		}
 		return conn, err
 	}
-	p := &Peers{index: map[netip.AddrPort]int{}, net: network, sub: sub}
+	p := &DatagramRelay{index: map[netip.AddrPort]int{}, net: network, subnet: sub}
 	var err error
 	if p.hub, err = open(relayAddress); err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
@@ -83,7 +83,7 @@
 }
 
 // Close closes every socket.
-func (p *Peers) Close() {
+func (p *DatagramRelay) Close() {
 	p.hub.Close()
 	for _, r := range p.relays {
 		r.Close()
@@ -91,21 +91,21 @@
 }
 
 // Hub is every sidecar's peers_all, address:port.
-func (p *Peers) Hub() string { return p.hub.LocalAddr().String() }
+func (p *DatagramRelay) Hub() string { return p.hub.LocalAddr().String() }
 
-// Known is sidecar i's entry in the others' peers, address:port.
-func (p *Peers) Known(i int) string { return p.relays[i].LocalAddr().String() }
+// RelayAddress is sidecar i's entry in the others' peers, address:port.
+func (p *DatagramRelay) RelayAddress(i int) string { return p.relays[i].LocalAddr().String() }
 
-// Listen is sidecar i's peer_listen, address:port.
-func (p *Peers) Listen(i int) string {
+// ListenAddress is sidecar i's peer_listen, address:port.
+func (p *DatagramRelay) ListenAddress(i int) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.listen[i].String()
 }
 
-// Repick gives sidecar i another peer_listen, for a port taken meanwhile.
-func (p *Peers) Repick(i int) error {
-	own, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(p.sub.address(i))})
+// ReassignAddress gives sidecar i another peer_listen, for a port taken meanwhile.
+func (p *DatagramRelay) ReassignAddress(i int) error {
+	own, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(p.subnet.address(i))})
 	if err != nil {
 		return err
 	}
@@ -120,7 +120,7 @@
 
 // serve relays what comes to the hub (to, -1) to all others, and what comes
 // to relay to straight to sidecar to.
-func (p *Peers) serve(conn *net.UDPConn, to int) {
+func (p *DatagramRelay) serve(conn *net.UDPConn, to int) {
 	buffer := make([]byte, 2048)
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buffer)
@@ -131,12 +131,12 @@
 		sender, ok := p.index[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		switch {
 		case !ok:
-			p.strange++
-		case n > datagramMost:
+			p.unknown++
+		case n > maxDatagramSize:
 			p.oversize++
 		}
 		p.mu.Unlock()
-		if !ok || n > datagramMost {
+		if !ok || n > maxDatagramSize {
 			continue
 		}
 		data := append([]byte(nil), buffer[:n]...)
@@ -148,8 +148,8 @@
 	}
 }
 
-func (p *Peers) send(from, to int, data []byte) {
-	copies := p.net.datagram(endpoint(from), endpoint(to))
+func (p *DatagramRelay) send(from, to int, data []byte) {
+	copies := p.net.datagramDelays(endpoint(from), endpoint(to))
 	p.mu.Lock()
 	if len(copies) == 0 {
 		p.dropped++
@@ -168,8 +168,8 @@
 }
 
 // Counts gives what was relayed, dropped by faults, too long, and from strangers.
-func (p *Peers) Counts() (relayed, dropped, oversize, strange int) {
+func (p *DatagramRelay) Counts() (relayed, dropped, oversize, strange int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.relayed, p.dropped, p.oversize, p.strange
+	return p.relayed, p.dropped, p.oversize, p.unknown
 }
--- a/internal/lab/process_usage.go
+++ b/internal/lab/process_usage.go
@@ -11,20 +11,20 @@
 	"time"
 )
 
-// sample reads what /proc tells of a running process's CPU time and peak
+// sampleUsage reads what /proc tells of a running process's CPU time and peak
 // memory; sampling one life twice counts it once. It holds s.mu.
-func (s *Sidecars) sample(p *proc, l *life) {
-	pid := l.cmd.Process.Pid
+func (s *Sidecars) sampleUsage(state *sidecarState, process *sidecarProcess) {
+	pid := process.cmd.Process.Pid
 	if fields := statFields(pid); len(fields) > 12 {
 		user, _ := strconv.ParseInt(fields[11], 10, 64)
 		system, _ := strconv.ParseInt(fields[12], 10, 64)
-		l.cpu = time.Duration(user+system) * 10 * time.Millisecond // clock ticks of 100 Hz
+		process.cpu = time.Duration(user+system) * 10 * time.Millisecond // clock ticks of 100 Hz
 	}
 	if status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid)); err == nil {
 		for _, line := range strings.Split(string(status), "\n") {
 			if rest, ok := strings.CutPrefix(line, "VmHWM:"); ok {
 				kb, _ := strconv.ParseInt(strings.TrimSuffix(strings.TrimSpace(rest), " kB"), 10, 64)
-				p.peakKB = max(p.peakKB, kb)
+				state.peakMemoryKB = max(state.peakMemoryKB, kb)
 			}
 		}
 	}
@@ -36,30 +36,30 @@
 	return strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:])) // the name before may hold anything
 }
 
-// Cost is what the sidecars took, those still running sampled now: CPU
+// Usage is what the sidecars took, those still running sampled now: CPU
 // seconds over all, and the mean and largest peak resident memory of one, in MB.
-func (s *Sidecars) Cost() (cpu float64, meanMB, peakMB float64) {
+func (s *Sidecars) Usage() (cpu float64, meanMB, peakMB float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, p := range s.procs {
-		cpu += p.cpuEnded.Seconds()
-		for _, l := range p.lives {
-			s.sample(p, l)
-			cpu += l.cpu.Seconds()
+	for _, state := range s.states {
+		cpu += state.endedCPU.Seconds()
+		for _, process := range state.processes {
+			s.sampleUsage(state, process)
+			cpu += process.cpu.Seconds()
 		}
-		meanMB += float64(p.peakKB) / 1024 / float64(len(s.procs))
-		peakMB = max(peakMB, float64(p.peakKB)/1024)
+		meanMB += float64(state.peakMemoryKB) / 1024 / float64(len(s.states))
+		peakMB = max(peakMB, float64(state.peakMemoryKB)/1024)
 	}
 	return
 }
 
-// cpu is the processor time of sidecar i's processes so far, by the scheduler's count of each thread, which is finer
+// cpuTime is the processor time of sidecar i's processes so far, by the scheduler's count of each thread, which is finer
 // than the ticks of Cost.
-func (s *Sidecars) cpu(i int) (sum time.Duration) {
+func (s *Sidecars) cpuTime(i int) (sum time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, l := range s.procs[i].lives {
-		threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", l.cmd.Process.Pid))
+	for _, process := range s.states[i].processes {
+		threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", process.cmd.Process.Pid))
 		for _, path := range threads {
 			text, _ := os.ReadFile(path)
 			ran, _, _ := strings.Cut(string(text), " ")
@@ -70,7 +70,7 @@
 	return sum
 }
 
-func selfCost() (cpu, peakMB float64) {
+func labUsage() (cpu, peakMB float64) {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0, 0
--- a/internal/lab/promises.go
+++ b/internal/lab/promises.go
@@ -8,8 +8,8 @@
 	"bramblestand/internal/lab/history"
 )
 
-// check holds the history to the experiment's promises.
-func check(exp *Experiment, events []history.Event, running []string) []history.Break {
+// checkHistory holds the history to the experiment's promises.
+func checkHistory(exp *Experiment, events []history.Event, running []string) []history.Break {
 	var broken []history.Break
 	add := func(b *history.Break) {
 		if b != nil {
@@ -69,13 +69,13 @@
 	return "", ""
 }
 
-// afterBan finds requests that a sidecar sent to a server longer than grace
+// requestsAfterBan finds requests that a sidecar sent to a server longer than grace
 // after its yes to a ban, before anything that may have ended the ban was called.
-func (l *Ledger) afterBan(events []history.Event, grace time.Duration) (found []string) {
+func (t *RequestTable) requestsAfterBan(events []history.Event, grace time.Duration) (found []string) {
 	type key struct{ sidecar, server string }
 	arrivals := map[key][]arrival{}
-	for id, r := range l.records {
-		for _, a := range r.came {
+	for id, r := range t.records {
+		for _, a := range r.arrivals {
 			k := key{sidecarName(r.sidecar), a.server}
 			a.id = id
 			arrivals[k] = append(arrivals[k], a)
--- a/internal/lab/requests.go
+++ b/internal/lab/requests.go
@@ -14,7 +14,7 @@
 const (
 	Served     Outcome = "served"
 	Late       Outcome = "late"    // served, after its time and 50 ms
-	Refused    Outcome = "refused" // 429 or 503
+	Rejected   Outcome = "refused" // 429 or 503
 	Failed     Outcome = "failed"  // any other status
 	Unreached  Outcome = "unreached"
 	Cut        Outcome = "cut"
@@ -25,14 +25,14 @@
 )
 
 type record struct {
-	sidecar int
-	order   bool // of the class that must never run twice
-	sent    time.Duration
-	took    time.Duration
-	outcome Outcome
-	waited  bool      // its client gave up waiting
-	ranAt   []string  // servers that ran it
-	came    []arrival // at servers, where the run has operators
+	sidecar        int
+	isOrder        bool // of the class that must never run twice
+	sent           time.Duration
+	duration       time.Duration
+	outcome        Outcome
+	clientTimedOut bool      // its client gave up waiting
+	ranAt          []string  // servers that ran it
+	arrivals       []arrival // at servers, where the run has operators
 }
 
 // arrival is a request's last byte at a server.
@@ -48,36 +48,36 @@
 	drained, at time.Duration
 }
 
-// Ledger tracks every request by id: what the client saw and which servers
+// RequestTable tracks every request by id: what the client saw and which servers
 // ran it. It is safe for concurrent use.
-type Ledger struct {
-	mu         sync.Mutex
-	start      time.Time
-	records    map[string]*record
-	strange    []string // ids that no client sent, as server:id
-	afterDrain []drainBreach
-	arrivals   bool                    // record them
-	missed     map[int][]time.Duration // by sidecar, when a request was not sent as it was not up
+type RequestTable struct {
+	mu              sync.Mutex
+	start           time.Time
+	records         map[string]*record
+	unknownIDs      []string // ids that no client sent, as server:id
+	afterDrain      []drainBreach
+	recordsArrivals bool                    // record them
+	unsent          map[int][]time.Duration // by sidecar, when a request was not sent as it was not up
 }
 
-// miss records a request that was not sent now, as the sidecar was not up.
-func (l *Ledger) miss(sidecar int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.missed[sidecar] = append(l.missed[sidecar], l.Since())
+// recordUnsent records a request that was not sent now, as the sidecar was not up.
+func (t *RequestTable) recordUnsent(sidecar int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.unsent[sidecar] = append(t.unsent[sidecar], t.Elapsed())
 }
 
-// NewLedger starts the lab's clock.
-func NewLedger() *Ledger {
-	return &Ledger{start: time.Now(), records: map[string]*record{}, missed: map[int][]time.Duration{}}
+// NewRequestTable starts the lab's clock.
+func NewRequestTable() *RequestTable {
+	return &RequestTable{start: time.Now(), records: map[string]*record{}, unsent: map[int][]time.Duration{}}
 }
 
-// Since is the lab's clock: the time since the ledger began.
-func (l *Ledger) Since() time.Duration { return time.Since(l.start) }
+// Elapsed is the lab's clock: the time since the ledger began.
+func (t *RequestTable) Elapsed() time.Duration { return time.Since(t.start) }
 
-// until waits for a time of the lab's clock, and tells whether it came before ctx ended.
-func (l *Ledger) until(ctx context.Context, at time.Duration) bool {
-	wait := at - l.Since()
+// waitUntil waits for a time of the lab's clock, and tells whether it came before ctx ended.
+func (t *RequestTable) waitUntil(ctx context.Context, at time.Duration) bool {
+	wait := at - t.Elapsed()
 	if wait <= 0 {
 		return true
 	}
@@ -89,69 +89,69 @@
 	}
 }
 
-// micros is the lab's clock in microseconds.
-func (l *Ledger) micros() int64 { return l.Since().Microseconds() }
+// nowMicros is the lab's clock in microseconds.
+func (t *RequestTable) nowMicros() int64 { return t.Elapsed().Microseconds() }
 
-// open records a request as sent now, and gives the time.
-func (l *Ledger) open(id string, sidecar int, order bool) time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	sent := l.Since()
-	l.records[id] = &record{sidecar: sidecar, order: order, sent: sent, outcome: Unfinished}
+// recordSent records a request as sent now, and gives the time.
+func (t *RequestTable) recordSent(id string, sidecar int, order bool) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	sent := t.Elapsed()
+	t.records[id] = &record{sidecar: sidecar, isOrder: order, sent: sent, outcome: Unfinished}
 	return sent
 }
 
-func (l *Ledger) close(id string, outcome Outcome) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	r := l.records[id]
-	r.outcome, r.took = outcome, l.Since()-r.sent
+func (t *RequestTable) recordOutcome(id string, outcome Outcome) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.records[id]
+	r.outcome, r.duration = outcome, t.Elapsed()-r.sent
 }
 
-// gaveUp records that a client's own time ran out.
-func (l *Ledger) gaveUp(id string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.records[id].waited = true
+// recordClientTimeout records that a client's own time ran out.
+func (t *RequestTable) recordClientTimeout(id string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.records[id].clientTimedOut = true
 }
 
-// Known tells whether a client sent this id.
-func (l *Ledger) Known(id string) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.records[id] != nil
+// IsKnown tells whether a client sent this id.
+func (t *RequestTable) IsKnown(id string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.records[id] != nil
 }
 
-// Ran records that a server began to run a request.
-func (l *Ledger) Ran(id, server string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if r := l.records[id]; r != nil {
+// RecordRun records that a server began to run a request.
+func (t *RequestTable) RecordRun(id, server string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if r := t.records[id]; r != nil {
 		r.ranAt = append(r.ranAt, server)
 	}
 }
 
-// Strange records an id that no client sent.
-func (l *Ledger) Strange(server, id string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.strange = append(l.strange, server+":"+id)
+// RecordUnknownID records an id that no client sent.
+func (t *RequestTable) RecordUnknownID(server, id string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.unknownIDs = append(t.unknownIDs, server+":"+id)
 }
 
-// AfterDrain records a request that came to a server over 1.5 s into its drain.
-func (l *Ledger) AfterDrain(server, id string, drained, at time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if r := l.records[id]; r != nil {
-		l.afterDrain = append(l.afterDrain, drainBreach{server + ":" + id, r.sidecar, drained.Sub(l.start), at.Sub(l.start)})
+// RecordAfterDrain records a request that came to a server over 1.5 s into its drain.
+func (t *RequestTable) RecordAfterDrain(server, id string, drained, at time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if r := t.records[id]; r != nil {
+		t.afterDrain = append(t.afterDrain, drainBreach{server + ":" + id, r.sidecar, drained.Sub(t.start), at.Sub(t.start)})
 	}
 }
 
-// Came records when a request came to a server.
-func (l *Ledger) Came(server, id string, at time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if r := l.records[id]; r != nil && l.arrivals {
-		r.came = append(r.came, arrival{server: server, at: at.Sub(l.start)})
+// RecordArrival records when a request came to a server.
+func (t *RequestTable) RecordArrival(server, id string, at time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if r := t.records[id]; r != nil && t.recordsArrivals {
+		r.arrivals = append(r.arrivals, arrival{server: server, at: at.Sub(t.start)})
 	}
 }
--- a/internal/lab/restarts.go
+++ b/internal/lab/restarts.go
@@ -19,45 +19,45 @@
 	At            float64 `json:"at_s"`
 	ReadyMs       float64 `json:"ready_ms"`
 	FirstServedMs float64 `json:"first_served_ms"`
-	SettledMs     float64 `json:"settled_ms"`
-	Refused       int     `json:"refused"`
+	StableMs      float64 `json:"settled_ms"`
+	Rejected      int     `json:"refused"`
 	Failed        int     `json:"failed"`
 	Unreached     int     `json:"unreached"`
 	Lost          int     `json:"lost"`
-	Waited        int     `json:"waited"`
+	Unsent        int     `json:"waited"`
 }
 
 const (
-	restartSpan  = 5 * time.Second // after the exec, whose errors a restart is charged with
-	settleWindow = time.Second
-	settleStep   = 50 * time.Millisecond
+	restartErrorWindow = 5 * time.Second // after the exec, whose errors a restart is charged with
+	settleWindow       = time.Second
+	settleStep         = 50 * time.Millisecond
 )
 
-// restarted reckons a restart from the records of its sidecar. It holds l.mu.
-func (l *Ledger) restarted(r Restart) Restart {
+// analyzeRestart reckons a restart from the records of its sidecar. It holds l.mu.
+func (t *RequestTable) analyzeRestart(r Restart) Restart {
 	began := time.Duration(r.At * float64(time.Second))
-	r.FirstServedMs, r.SettledMs = -1, -1
+	r.FirstServedMs, r.StableMs = -1, -1
 	var mine []*record
-	for _, rec := range l.records {
+	for _, rec := range t.records {
 		if rec.sidecar == r.Sidecar && rec.sent >= began {
 			mine = append(mine, rec)
 		}
 	}
 	slices.SortFunc(mine, func(a, b *record) int { return int(a.sent - b.sent) })
 	ready := began + time.Duration(r.ReadyMs*float64(time.Millisecond))
-	for _, at := range l.missed[r.Sidecar] {
+	for _, at := range t.unsent[r.Sidecar] {
 		if at >= began && at < ready {
-			r.Waited++
+			r.Unsent++
 		}
 	}
 	for _, rec := range mine {
-		if rec.outcome == Served && (r.FirstServedMs < 0 || ms(rec.sent+rec.took-began) < r.FirstServedMs) {
-			r.FirstServedMs = ms(rec.sent + rec.took - began)
+		if rec.outcome == Served && (r.FirstServedMs < 0 || ms(rec.sent+rec.duration-began) < r.FirstServedMs) {
+			r.FirstServedMs = ms(rec.sent + rec.duration - began)
 		}
-		if rec.sent < began+restartSpan {
+		if rec.sent < began+restartErrorWindow {
 			switch rec.outcome {
-			case Refused:
-				r.Refused++
+			case Rejected:
+				r.Rejected++
 			case Failed, Late:
 				r.Failed++
 			case Unreached, Cut:
@@ -67,7 +67,7 @@
 			}
 		}
 	}
-	for from := began; from < began+4*restartSpan && r.SettledMs < 0; from += settleStep {
+	for from := began; from < began+4*restartErrorWindow && r.StableMs < 0; from += settleStep {
 		sent, served := 0, 0
 		for _, rec := range mine {
 			if rec.sent >= from && rec.sent < from+settleWindow {
@@ -78,7 +78,7 @@
 			}
 		}
 		if sent >= 5 && float64(served) >= 0.99*float64(sent) {
-			r.SettledMs = ms(from - began)
+			r.StableMs = ms(from - began)
 		}
 	}
 	return r
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -27,7 +27,7 @@
 	RanTwice   int            `json:"ran_twice"`
 	Copies     int            `json:"copies"`
 	AfterDrain int            `json:"after_drain"` // requests that reached a server over 1.5 s into its drain
-	Strange    int            `json:"strange"`     // ids that no client sent
+	UnknownIDs int            `json:"strange"`     // ids that no client sent
 	Latency    Percentiles    `json:"latency_ms"`  // of served and late requests
 	Series     []Second       `json:"series"`
 	Faults     []Mark         `json:"faults"`
@@ -44,19 +44,19 @@
 	AfterBan int `json:"after_ban"` // requests that reached a server over 1.5 s after its sidecar's yes to a ban
 	// Excused counts what looks like a breach or a late answer but fell into a spell in which the
 	// lab itself ran late, or in which its sidecar could not hear discovery.
-	Excused  map[string]int  `json:"excused"`
-	Lateness Lateness        `json:"lateness"`
-	Broken   []history.Break `json:"broken"`   // promises that the history breaks
-	Troubles []string        `json:"troubles"` // sidecars that ended by themselves or did not start: breaches
-	Calls    map[string]int  `json:"calls"`    // operators' calls, by op and outcome
+	Excused            map[string]int  `json:"excused"`
+	Lateness           Lateness        `json:"lateness"`
+	Broken             []history.Break `json:"broken"`   // promises that the history breaks
+	UnexpectedFailures []string        `json:"troubles"` // sidecars that ended by themselves or did not start: breaches
+	Calls              map[string]int  `json:"calls"`    // operators' calls, by op and outcome
 
-	Views []Settling `json:"views,omitempty"` // how the sidecars' views of the fleet settled, with fleet.view and operators
+	Views []ViewConvergence `json:"views,omitempty"` // how the sidecars' views of the fleet settled, with fleet.view and operators
 
 	Control *Control `json:"control,omitempty"` // what control cost, by kind, with operators
 
 	Restarts []Restart `json:"restarts"` // of sidecars started again after a kill or a term
 
-	Borne []Borne `json:"borne"` // what stand-ins bore, a sample a second
+	ReceivedLoad []ReceivedLoad `json:"borne"` // what stand-ins bore, a sample a second
 
 	SidecarCPUSeconds float64 `json:"sidecar_cpu_s"`   // over all sidecars
 	SidecarMeanMB     float64 `json:"sidecar_mean_mb"` // peak resident memory of one, mean
@@ -95,7 +95,7 @@
 // rules counts the breaches of each rule, by its name.
 func (r *Result) rules() map[string]int {
 	rules := map[string]int{"lost": r.Outcomes[Lost], "forged": r.Outcomes[Forged], "unfinished": r.Outcomes[Unfinished], "ran_twice": r.RanTwice,
-		"after_drain": r.AfterDrain, "after_ban": r.AfterBan, "strange": r.Strange, "oversize": r.Datagrams.Oversize, "trouble": len(r.Troubles)}
+		"after_drain": r.AfterDrain, "after_ban": r.AfterBan, "strange": r.UnknownIDs, "oversize": r.Datagrams.Oversize, "trouble": len(r.UnexpectedFailures)}
 	for _, b := range r.Broken {
 		rules[b.Check]++
 	}
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -23,7 +23,7 @@
 	if err := exp.CheckDescriptors(1); err != nil {
 		return nil, err
 	}
-	w, err := newWorld(exp, program, folder, log)
+	w, err := newTestbed(exp, program, folder, log)
 	if err != nil {
 		return nil, err
 	}
@@ -32,67 +32,67 @@
 	for _, ev := range schedule {
 		for _, i := range ev.Fault.Sidecars {
 			if ev.Fault.Kind == "join" && !ev.Heal {
-				w.sidecars.hold(i, false)
+				w.sidecars.holdDown(i, false)
 			}
 		}
 	}
-	started, carried := time.Now(), loopback()
+	started, carried := time.Now(), loopbackSent()
 	sampling, sampled := context.WithCancel(ctx)
 	defer sampled()
-	samples := make(chan []Borne, 1)
-	go func() { samples <- w.sampleBorne(sampling) }()
+	samples := make(chan []ReceivedLoad, 1)
+	go func() { samples <- w.sampleReceivedLoad(sampling) }()
 	if err := w.sidecars.startAll(); err != nil {
 		return nil, err
 	}
-	log.Info("the fleet is up", "sidecars", exp.Fleet.Sidecars, "servers", exp.Fleet.Servers, "discovery", w.disco.Address())
-	w.ledger.start = time.Now() // the lab's clock starts with the load
-	late := newLateness(w.ledger)
+	log.Info("the fleet is up", "sidecars", exp.Fleet.Sidecars, "servers", exp.Fleet.Servers, "discovery", w.discovery.Address())
+	w.requests.start = time.Now() // the lab's clock starts with the load
+	late := newLateness(w.requests)
 	runCtx, cancel := context.WithTimeout(ctx, exp.Duration.Duration+exp.Load.Deadline.Duration+10*time.Second)
 	defer cancel()
 	go late.watch(runCtx)
 	var played []Mark
 	done := make(chan struct{})
-	go func() { played = w.play(runCtx, schedule); close(done) }()
+	go func() { played = w.runSchedule(runCtx, schedule); close(done) }()
 	var load sync.WaitGroup
 	for i := range exp.Fleet.Sidecars {
 		load.Add(1)
 		go func() {
 			defer load.Done()
-			newClient(i, exp, w.ledger, w.sidecars, late).run(runCtx, exp.Arrivals(i))
+			newClient(i, exp, w.requests, w.sidecars, late).run(runCtx, exp.Arrivals(i))
 		}()
 	}
 	var control *Control
 	if exp.Ops.On {
-		operators := newOperatorsLab(exp, w.sidecars, w.ledger, w.history)
+		operators := newOperators(exp, w.sidecars, w.requests, w.history)
 		load.Add(2)
 		go func() { defer load.Done(); operators.run(runCtx) }()
-		go func() { defer load.Done(); control = operators.controlWatch(runCtx, carried) }()
+		go func() { defer load.Done(); control = operators.measureControl(runCtx, carried) }()
 	}
 	load.Wait()
 	cancel()
 	<-done
 	var running []string
 	for i := range exp.Fleet.Sidecars {
-		if w.sidecars.Accepting(i) {
+		if w.sidecars.IsAccepting(i) {
 			running = append(running, sidecarName(i))
 		}
 	}
 	events := w.history.Events()
-	result := reckon(exp, w.ledger, late, w.blind, played, w.sidecars.Restarts(), events)
+	result := analyze(exp, w.requests, late, w.discoveryOutages, played, w.sidecars.Restarts(), events)
 	if exp.Fleet.View && exp.Ops.On {
-		result.Views = settlings(events, played, started, w.ledger.start)
+		result.Views = viewConvergences(events, played, started, w.requests.start)
 	}
 	result.Control = control
-	result.Broken, result.Troubles = check(exp, events, running), w.sidecars.Troubles()
+	result.Broken, result.UnexpectedFailures = checkHistory(exp, events, running), w.sidecars.UnexpectedFailures()
 	sampled()
-	result.Borne = <-samples
-	for i := range result.Borne {
-		result.Borne[i].At = result.Borne[i].at.Sub(w.ledger.start).Seconds()
+	result.ReceivedLoad = <-samples
+	for i := range result.ReceivedLoad {
+		result.ReceivedLoad[i].At = result.ReceivedLoad[i].at.Sub(w.requests.start).Seconds()
 	}
-	result.SidecarCPUSeconds, result.SidecarMeanMB, result.SidecarPeakMB = w.sidecars.Cost()
-	result.LabCPUSeconds, result.LabPeakMB = selfCost()
-	if w.peers != nil {
-		result.Datagrams.Relayed, result.Datagrams.Dropped, result.Datagrams.Oversize, result.Datagrams.Strange = w.peers.Counts()
+	result.SidecarCPUSeconds, result.SidecarMeanMB, result.SidecarPeakMB = w.sidecars.Usage()
+	result.LabCPUSeconds, result.LabPeakMB = labUsage()
+	if w.relay != nil {
+		result.Datagrams.Relayed, result.Datagrams.Dropped, result.Datagrams.Oversize, result.Datagrams.Strange = w.relay.Counts()
 	}
 	if exp.Ops.On {
 		file, err := os.Create(filepath.Join(folder, "history.jsonl"))
@@ -106,8 +106,8 @@
 	return result, nil
 }
 
-// newWorld brings up all that an experiment needs but its sidecars, which the caller starts.
-func newWorld(exp *Experiment, program, folder string, log *slog.Logger) (w *world, err error) {
+// newTestbed brings up all that an experiment needs but its sidecars, which the caller starts.
+func newTestbed(exp *Experiment, program, folder string, log *slog.Logger) (w *testbed, err error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, err
 	}
@@ -120,83 +120,83 @@
 	if _, err := os.Stat(program); err != nil {
 		return nil, fmt.Errorf("sidecar: %w", err)
 	}
-	w = &world{exp: exp, network: NewNetwork(exp.Seed), ledger: NewLedger(), history: &history.Log{}, log: log,
-		rules: map[int]func(){}, wiped: map[int]int64{}, blind: blinds{}}
+	w = &testbed{exp: exp, network: NewNetwork(exp.Seed), requests: NewRequestTable(), history: &history.Log{}, log: log,
+		endRules: map[int]func(){}, wipedAt: map[int]int64{}, discoveryOutages: discoveryOutages{}}
 	defer func() {
 		if err != nil {
 			w.close()
 		}
 	}()
-	w.ledger.arrivals = exp.Ops.On
-	sub, call := newSubnet(), names{exp}
+	w.requests.recordsArrivals = exp.Ops.On
+	sub, call := newSubnet(), selectorResolver{exp}
 	listener, err := w.network.Listen(call.discovery(), sub)
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	w.disco = NewDiscovery(exp.Seed, listener)
+	w.discovery = NewFakeDiscovery(exp.Seed, listener)
 	for i := range exp.Fleet.Servers {
 		listener, err := w.network.Listen(call.server(i), sub)
 		if err != nil {
 			return nil, fmt.Errorf("pin server %d: %w", i, err)
 		}
-		s := NewPinServer(serverName(i), exp.Fleet.Zones[i%len(exp.Fleet.Zones)], exp.Server, w.ledger, exp.Seed+uint64(i), listener)
+		s := NewFakeServer(serverName(i), exp.Fleet.Zones[i%len(exp.Fleet.Zones)], exp.Server, w.requests, exp.Seed+uint64(i), listener)
 		w.servers = append(w.servers, s)
-		w.disco.Set(host(s, "Ready"), nil)
+		w.discovery.Set(instanceOf(s, "Ready"), nil)
 	}
 	if exp.Fleet.datagrams() {
-		if w.peers, err = NewPeers(exp.Fleet.Sidecars, w.network, sub); err != nil {
+		if w.relay, err = NewDatagramRelay(exp.Fleet.Sidecars, w.network, sub); err != nil {
 			return nil, err
 		}
 	}
-	for m := range exp.machines() {
+	for m := range exp.machineCount() {
 		d, err := newDisk(filepath.Join(folder, fmt.Sprintf("m%d", m)))
 		if err != nil {
 			return nil, err
 		}
 		w.disks = append(w.disks, d)
 	}
-	w.sidecars = newSidecars(program, folder, exp, sub, w.disco, w.peers, w.disks, w.ledger, log)
+	w.sidecars = newSidecars(program, folder, exp, sub, w.discovery, w.relay, w.disks, w.requests, log)
 	return w, nil
 }
 
 // close ends everything, the sidecars first.
-func (w *world) close() {
+func (w *testbed) close() {
 	if w.sidecars != nil {
 		w.sidecars.Stop()
 	}
 	for _, d := range w.disks {
 		d.close()
 	}
-	if w.peers != nil {
-		w.peers.Close()
+	if w.relay != nil {
+		w.relay.Close()
 	}
 	for _, s := range w.servers {
 		s.Close()
 	}
-	if w.disco != nil {
-		w.disco.Close()
+	if w.discovery != nil {
+		w.discovery.Close()
 	}
 }
 
-func host(s *PinServer, health string) Host {
-	return Host{Host: s.Name, Dial: s.Address(), Site: s.Zone, Class: "m", Health: health, Share: 1, BornMs: s.Born().UnixMilli()}
+func instanceOf(s *FakeServer, health string) Instance {
+	return Instance{Name: s.Name, Address: s.Address(), Zone: s.Zone, MachineType: "m", Health: health, Weight: 1, StartedAtMillis: s.StartedAt().UnixMilli()}
 }
 
-// world is what the schedule acts on.
-type world struct {
-	exp      *Experiment
-	network  *Network
-	disco    *Discovery
-	servers  []*PinServer
-	peers    *Peers // nil without
-	disks    []*disk
-	sidecars *Sidecars
-	ledger   *Ledger
-	history  *history.Log
-	log      *slog.Logger
+// testbed is what the schedule acts on.
+type testbed struct {
+	exp       *Experiment
+	network   *Network
+	discovery *FakeDiscovery
+	servers   []*FakeServer
+	relay     *DatagramRelay // nil without
+	disks     []*disk
+	sidecars  *Sidecars
+	requests  *RequestTable
+	history   *history.Log
+	log       *slog.Logger
 
-	mu    sync.Mutex
-	rules map[int]func() // by fault, what ends it
-	wiped map[int]int64  // by fault, when it took machines' disks (microseconds)
-	blind blinds
+	mu               sync.Mutex
+	endRules         map[int]func() // by fault, what ends it
+	wipedAt          map[int]int64  // by fault, when it took machines' disks (microseconds)
+	discoveryOutages discoveryOutages
 }
--- a/internal/lab/scale/agree.go
+++ b/internal/lab/scale/agree.go
@@ -102,11 +102,11 @@
 
 // realFigures gives the figures of a play with real processes.
 func realFigures(s Spec, result *lab.Result) map[string]float64 {
-	from, to := borneAt(result.Borne, agreeFrom), borneAt(result.Borne, agreeFrom+agreeFor)
+	from, to := borneAt(result.ReceivedLoad, agreeFrom), borneAt(result.ReceivedLoad, agreeFrom+agreeFor)
 	span := to.At - from.At
 	per := func(a, b int64) float64 { return float64(b-a) / span }
 	figures := map[string]float64{"probes/s": per(from.Probes, to.Probes), "attempts a call": 0, "connections/s": per(from.Conns, to.Conns),
-		"discovery calls/s": per(from.Lists, to.Lists), "server payload B/s": per(from.Bytes, to.Bytes), "discovery payload B/s": per(from.ListBytes, to.ListBytes),
+		"discovery calls/s": per(from.DiscoveryCalls, to.DiscoveryCalls), "server payload B/s": per(from.Bytes, to.Bytes), "discovery payload B/s": per(from.DiscoveryBytes, to.DiscoveryBytes),
 		"datagrams/s": per(from.Datagrams, to.Datagrams), "wire B/s with calls": per(from.LoopbackBytes, to.LoopbackBytes)}
 	sent := 0
 	for _, second := range result.Series {
@@ -118,7 +118,7 @@
 		figures["attempts a call"] = float64(to.Calls-from.Calls) / float64(sent)
 	}
 	// What came before the window, less what the steady rate makes of the time since the sidecars were up, is the start's.
-	figures["start probes a sidecar"] = (float64(from.Probes) - figures["probes/s"]*(from.At+startMean(result.Borne))) / float64(s.Sidecars)
+	figures["start probes a sidecar"] = (float64(from.Probes) - figures["probes/s"]*(from.At+startMean(result.ReceivedLoad))) / float64(s.Sidecars)
 	all := 0
 	for _, n := range result.Outcomes {
 		all += n
@@ -126,13 +126,13 @@
 	share := func(o lab.Outcome) float64 { return 100 * float64(result.Outcomes[o]) / math.Max(1, float64(all)) }
 	if all > 0 {
 		figures["served %"], figures["late %"] = share(lab.Served), share(lab.Late)+share(lab.Excused)
-		figures["refused %"], figures["failed %"] = share(lab.Refused), share(lab.Failed)
+		figures["refused %"], figures["failed %"] = share(lab.Rejected), share(lab.Failed)
 	}
 	return figures
 }
 
 // borneAt is the sample nearest to an instant.
-func borneAt(all []lab.Borne, at time.Duration) lab.Borne {
+func borneAt(all []lab.ReceivedLoad, at time.Duration) lab.ReceivedLoad {
 	best := all[0]
 	for _, b := range all {
 		if math.Abs(b.At-at.Seconds()) < math.Abs(best.At-at.Seconds()) {
@@ -143,10 +143,10 @@
 }
 
 // startMean is how long before the lab's clock the sidecars began, in seconds, on the mean: by their first calls of discovery.
-func startMean(all []lab.Borne) float64 {
+func startMean(all []lab.ReceivedLoad) float64 {
 	sum, calls := 0.0, int64(0)
 	for i := 1; i < len(all) && all[i].At <= 0; i++ {
-		n := all[i].Lists - all[i-1].Lists
+		n := all[i].DiscoveryCalls - all[i-1].DiscoveryCalls
 		sum, calls = sum-float64(n)*(all[i].At+all[i-1].At)/2, calls+n
 	}
 	return sum / math.Max(1, float64(calls))
@@ -288,7 +288,7 @@
 			if err != nil {
 				return nil, fmt.Errorf("%s: %w", spec.Name, err)
 			}
-			if last := result.Borne[len(result.Borne)-1].At; last < (agreeFrom+agreeFor).Seconds()-5 { // it ends with the last call
+			if last := result.ReceivedLoad[len(result.ReceivedLoad)-1].At; last < (agreeFrom+agreeFor).Seconds()-5 { // it ends with the last call
 				return nil, fmt.Errorf("%s: the real play was cut short at %.1f s: take its file away", spec.Name, last)
 			}
 			if result.Lateness.Late {
--- a/internal/lab/scale/chain.go
+++ b/internal/lab/scale/chain.go
@@ -111,7 +111,7 @@
 	began    time.Time
 	servers  [][]*chainServer // by level, from 0
 	edge     []*chainCaller
-	agents   []*lab.Discovery
+	agents   []*lab.FakeDiscovery
 	failing  atomic.Bool
 	outcomes [chainPhases][outcomes]atomic.Int64
 	placed   [chainPhases]atomic.Int64
@@ -130,7 +130,7 @@
 
 // chainServer is a hollow pin server and the caller beside it.
 type chainServer struct {
-	*lab.Serving
+	*lab.ServerModel
 	level, number int
 	next          *chainCaller // nil at the last level
 }
@@ -227,7 +227,7 @@
 		if !wait(ctx, way) {
 			return 0, nil, nil, ctx.Err()
 		}
-		report := s.Report()
+		report := s.LoadReport()
 		if !wait(ctx, way) {
 			return 0, nil, nil, ctx.Err()
 		}
@@ -255,9 +255,9 @@
 	})
 	header := http.Header{"X-Backend-Load": {report}}
 	switch {
-	case verdict == lab.Left:
+	case verdict == lab.VerdictDisconnected:
 		return 0, nil, nil, ctx.Err()
-	case verdict == lab.TurnedAway:
+	case verdict == lab.VerdictRejected:
 		code, header = http.StatusServiceUnavailable, http.Header{"X-Unprocessed": {"1"}}
 	case code != http.StatusOK || s.next == nil && c.chain.fails():
 		code = http.StatusInternalServerError // it has run, whatever kept the next level from answering
@@ -290,13 +290,13 @@
 	}
 	work := lab.Server{Capacity: 256, Queue: 256, Latency: spec.Latency}
 	for level := range spec.Levels {
-		agent := lab.NewDiscoveryHandler(spec.Seed + uint64(level))
+		agent := lab.NewFakeDiscoveryHandler(spec.Seed + uint64(level))
 		var all []*chainServer
 		for j := range spec.Size {
-			s := &chainServer{Serving: lab.NewServing(work, spec.Seed+uint64(level*spec.Size+j)), level: level, number: j}
+			s := &chainServer{ServerModel: lab.NewServerModel(work, spec.Seed+uint64(level*spec.Size+j)), level: level, number: j}
 			all = append(all, s)
-			agent.Set(lab.Host{Host: fmt.Sprintf("l%d-%d", level, j), Dial: "127.0.0.1:" + strconv.Itoa(firstPort+j), Site: "z0", Class: "m",
-				Health: "Ready", Share: 1, BornMs: s.Born().UnixMilli() - time.Hour.Milliseconds()}, nil)
+			agent.Set(lab.Instance{Name: fmt.Sprintf("l%d-%d", level, j), Address: "127.0.0.1:" + strconv.Itoa(firstPort+j), Zone: "z0", MachineType: "m",
+				Health: "Ready", Weight: 1, StartedAtMillis: s.StartedAt().UnixMilli() - time.Hour.Milliseconds()}, nil)
 		}
 		c.servers, c.agents = append(c.servers, all), append(c.agents, agent)
 	}
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -73,7 +73,7 @@
 	n := &network{spec: spec, links: map[netip.AddrPort]*station{}, zones: make([][]*station, spec.Zones)}
 	f.net = n
 	for j := range spec.Servers {
-		n.servers = append(n.servers, &server{Serving: lab.NewServing(spec.Server, spec.Seed+uint64(j)), number: j, zone: spec.zone(j)})
+		n.servers = append(n.servers, &server{ServerModel: lab.NewServerModel(spec.Server, spec.Seed+uint64(j)), number: j, zone: spec.zone(j)})
 	}
 	handlers := 1
 	if spec.Scope > 0 {
@@ -89,7 +89,7 @@
 			}
 		}
 		for h := range handlers {
-			a.handlers = append(a.handlers, lab.NewDiscoveryHandler(spec.Seed+uint64(h)))
+			a.handlers = append(a.handlers, lab.NewFakeDiscoveryHandler(spec.Seed+uint64(h)))
 		}
 		n.agents = append(n.agents, a)
 	}
@@ -121,8 +121,8 @@
 		}
 	}
 	for _, a := range f.net.agents {
-		a.handlers[handler].Set(lab.Host{Host: fmt.Sprintf("v%03d", j), Dial: "127.0.0.1:" + strconv.Itoa(firstPort+j), Site: zoneName(s.zone),
-			Class: "m", Health: health, Share: share, BornMs: s.Born().UnixMilli()}, nil)
+		a.handlers[handler].Set(lab.Instance{Name: fmt.Sprintf("v%03d", j), Address: "127.0.0.1:" + strconv.Itoa(firstPort+j), Zone: zoneName(s.zone),
+			MachineType: "m", Health: health, Weight: share, StartedAtMillis: s.StartedAt().UnixMilli()}, nil)
 	}
 }
 
--- a/internal/lab/scale/network.go
+++ b/internal/lab/scale/network.go
@@ -48,7 +48,7 @@
 
 // server is a hollow pin server.
 type server struct {
-	*lab.Serving
+	*lab.ServerModel
 	number int
 	zone   int
 	life   atomic.Int64 // moves with each start
@@ -76,8 +76,8 @@
 // agent is discovery's, of one region.
 type agent struct {
 	zone     int
-	handlers []*lab.Discovery // one for all servers, or one a service
-	borne    tally            // lists
+	handlers []*lab.FakeDiscovery // one for all servers, or one a service
+	borne    tally                // lists
 }
 
 // firstPort is the first server's: discovery tells each caller its own address of every server, so that the port alone
@@ -209,15 +209,15 @@
 	var header http.Header
 	var body []byte
 	if message == probes {
-		code, body = http.StatusOK, []byte(s.Report())
+		code, body = http.StatusOK, []byte(s.LoadReport())
 	} else {
 		verdict, report := s.Run(ctx, func() {})
 		switch verdict {
-		case lab.Left:
+		case lab.VerdictDisconnected:
 			return 0, nil, nil, ctx.Err()
-		case lab.TurnedAway:
+		case lab.VerdictRejected:
 			code, header = http.StatusServiceUnavailable, http.Header{"X-Unprocessed": {"1"}}
-		case lab.Erred:
+		case lab.VerdictFailed:
 			code, header = http.StatusInternalServerError, http.Header{"X-Backend-Load": {report}}
 		default:
 			code, header = http.StatusOK, http.Header{"X-Backend-Load": {report}}
--- a/internal/lab/search.go
+++ b/internal/lab/search.go
@@ -17,13 +17,13 @@
 
 // SearchOptions bound a search.
 type SearchOptions struct {
-	Seeds    int           // schedules to draw, from seed First on
-	First    uint64        //
-	For      time.Duration // no run begins later than this; 0 for no such bound
-	Parallel int           // runs at a time
-	Tries    int           // runs of a smaller schedule, one of which must break the same rule
-	Kinds    []string      // of faults to draw; empty for every kind that the experiment allows
-	Stop     int           // findings after which no more seeds are played; 0 for no such bound
+	Seeds       int           // schedules to draw, from seed First on
+	FirstSeed   uint64        //
+	MaxDuration time.Duration // no run begins later than this; 0 for no such bound
+	Parallel    int           // runs at a time
+	Attempts    int           // runs of a smaller schedule, one of which must break the same rule
+	Kinds       []string      // of faults to draw; empty for every kind that the experiment allows
+	MaxFindings int           // findings after which no more seeds are played; 0 for no such bound
 }
 
 // Runner runs one experiment, its logs into folder.
@@ -31,13 +31,13 @@
 
 // Finding is a schedule that broke a rule, and the smallest found that still does.
 type Finding struct {
-	Seed      uint64   `json:"seed"`
-	Kinds     []string `json:"kinds"` // of breaches
-	Faults    int      `json:"faults"`
-	Small     int      `json:"small_faults"`
-	ShrinkRun int      `json:"shrink_runs"`
-	Folder    string   `json:"folder"` // with found.toml, small.toml and the runs' logs
-	Breaks    []string `json:"breaks"` // what the smallest one's run showed
+	Seed         uint64   `json:"seed"`
+	Kinds        []string `json:"kinds"` // of breaches
+	Faults       int      `json:"faults"`
+	ShrunkFaults int      `json:"small_faults"`
+	ShrinkRuns   int      `json:"shrink_runs"`
+	Folder       string   `json:"folder"` // with found.toml, small.toml and the runs' logs
+	Breaks       []string `json:"breaks"` // what the smallest one's run showed
 }
 
 // SearchReport is what a search came to; it is written as JSON.
@@ -63,7 +63,7 @@
 // shrinks what breaks a rule. It ends on its bounds, or with ctx, with what it
 // has. say gets a line on each step.
 func Search(ctx context.Context, base *Experiment, o SearchOptions, run Runner, out string, say func(string)) (*SearchReport, error) {
-	if allowed := (&drawer{exp: base}).kinds(); len(o.Kinds) > 0 {
+	if allowed := (&faultGenerator{exp: base}).kinds(); len(o.Kinds) > 0 {
 		for _, k := range o.Kinds {
 			if !slices.Contains(allowed, k) {
 				return nil, fmt.Errorf("kinds: %q is not one of those that the experiment allows: %s", k, strings.Join(allowed, ", "))
@@ -80,7 +80,7 @@
 		go func() {
 			defer workers.Done()
 			for seed := range seeds {
-				exp := Draw(base, seed, o.Kinds)
+				exp := DrawFaults(base, seed, o.Kinds)
 				folder := filepath.Join(out, fmt.Sprintf("seed-%d", seed))
 				result, err := run(ctx, exp, filepath.Join(folder, "logs"))
 				mu.Lock()
@@ -98,7 +98,7 @@
 					}
 				}
 				if err == nil && ctx.Err() == nil && result.Breaches() > 0 {
-					report.Findings = append(report.Findings, Finding{Seed: seed, Kinds: result.kinds(), Faults: len(exp.Faults), Small: len(exp.Faults),
+					report.Findings = append(report.Findings, Finding{Seed: seed, Kinds: result.kinds(), Faults: len(exp.Faults), ShrunkFaults: len(exp.Faults),
 						Folder: folder, Breaks: result.breaks()})
 					say(fmt.Sprintf("seed %d breaks %v with %d faults", seed, result.kinds(), len(exp.Faults)))
 				} else if err == nil {
@@ -106,8 +106,8 @@
 				}
 				took := time.Since(began)
 				left := took / time.Duration(max(report.Runs, 1)) * time.Duration(o.Seeds-report.Runs)
-				if o.For > 0 {
-					left = min(left, max(o.For-took, 0))
+				if o.MaxDuration > 0 {
+					left = min(left, max(o.MaxDuration-took, 0))
 				}
 				say(fmt.Sprintf("%d of %d seeds, %d broke a rule, %v gone, about %v left", report.Runs, o.Seeds, len(report.Findings),
 					took.Round(time.Second), left.Round(time.Second)))
@@ -117,36 +117,36 @@
 	}
 	for i := range o.Seeds {
 		mu.Lock()
-		enough := o.Stop > 0 && len(report.Findings) >= o.Stop
+		enough := o.MaxFindings > 0 && len(report.Findings) >= o.MaxFindings
 		mu.Unlock()
-		if enough || ctx.Err() != nil || o.For > 0 && time.Since(began) > o.For {
+		if enough || ctx.Err() != nil || o.MaxDuration > 0 && time.Since(began) > o.MaxDuration {
 			break
 		}
 		select {
-		case seeds <- o.First + uint64(i):
+		case seeds <- o.FirstSeed + uint64(i):
 		case <-ctx.Done():
 		}
 	}
 	close(seeds)
 	workers.Wait()
 	slices.SortFunc(report.Findings, func(a, b Finding) int { return int(a.Seed) - int(b.Seed) })
-	if o.Stop > 0 && len(report.Findings) > o.Stop { // what ran beside the last one
-		report.Findings = report.Findings[:o.Stop]
+	if o.MaxFindings > 0 && len(report.Findings) > o.MaxFindings { // what ran beside the last one
+		report.Findings = report.Findings[:o.MaxFindings]
 	}
 	for i := range report.Findings {
 		f := &report.Findings[i]
-		found := Draw(base, f.Seed, o.Kinds)
+		found := DrawFaults(base, f.Seed, o.Kinds)
 		if err := writeExperiment(filepath.Join(f.Folder, "found.toml"), found); err != nil {
 			return report, err
 		}
-		s := shrinker{ctx: ctx, run: run, folder: f.Folder, kinds: f.Kinds, tries: max(1, o.Tries), parallel: max(1, o.Parallel), breaks: f.Breaks,
-			until: func() bool { return ctx.Err() == nil && (o.For == 0 || time.Since(began) < o.For) }}
+		s := shrinker{ctx: ctx, run: run, folder: f.Folder, kinds: f.Kinds, attempts: max(1, o.Attempts), parallel: max(1, o.Parallel), breaks: f.Breaks,
+			mayContinue: func() bool { return ctx.Err() == nil && (o.MaxDuration == 0 || time.Since(began) < o.MaxDuration) }}
 		small := s.shrink(found)
-		f.Small, f.ShrinkRun, f.Breaks = len(small.Faults), s.runs, s.breaks
+		f.ShrunkFaults, f.ShrinkRuns, f.Breaks = len(small.Faults), s.runs, s.breaks
 		if err := writeExperiment(filepath.Join(f.Folder, "small.toml"), small); err != nil {
 			return report, err
 		}
-		say(fmt.Sprintf("seed %d: %d faults shrunk to %d in %d runs: %s", f.Seed, f.Faults, f.Small, f.ShrinkRun, filepath.Join(f.Folder, "small.toml")))
+		say(fmt.Sprintf("seed %d: %d faults shrunk to %d in %d runs: %s", f.Seed, f.Faults, f.ShrunkFaults, f.ShrinkRuns, filepath.Join(f.Folder, "small.toml")))
 	}
 	report.Seconds = time.Since(began).Seconds()
 	return report, WriteJSON(filepath.Join(out, "search.json"), report)
@@ -158,7 +158,7 @@
 	for _, b := range r.Broken {
 		lines = append(lines, b.String())
 	}
-	lines = append(lines, r.Troubles...)
+	lines = append(lines, r.UnexpectedFailures...)
 	for kind, examples := range r.Examples {
 		lines = append(lines, fmt.Sprintf("%s: %v", kind, examples))
 	}
@@ -182,7 +182,7 @@
 	text := fmt.Sprintf("%s: %d of %d seeds played in %.0f s, %d broke a rule, %d could not be run; the lab ran late in %d\nfaults drawn %v\n",
 		r.Base, r.Runs, r.Wanted, r.Seconds, len(r.Findings), len(r.Failed), r.LateRuns, r.Faults)
 	for _, f := range r.Findings {
-		text += fmt.Sprintf("seed %d: %v, %d faults shrunk to %d: %s\n  %s\n", f.Seed, f.Kinds, f.Faults, f.Small, filepath.Join(f.Folder, "small.toml"),
+		text += fmt.Sprintf("seed %d: %v, %d faults shrunk to %d: %s\n  %s\n", f.Seed, f.Kinds, f.Faults, f.ShrunkFaults, filepath.Join(f.Folder, "small.toml"),
 			strings.Join(f.Breaks, "\n  "))
 	}
 	for _, f := range r.Failed {
--- a/internal/lab/search_test.go
+++ b/internal/lab/search_test.go
@@ -52,20 +52,20 @@
 			run := func(ctx context.Context, exp *Experiment, folder string) (*Result, error) {
 				return Run(ctx, exp, filepath.Join(programs, c.program), folder, slog.New(slog.DiscardHandler))
 			}
-			report, err := Search(context.Background(), parse(t, searchBase+c.more), SearchOptions{Seeds: 20, First: 1, Parallel: 3, Tries: 2, Stop: 1, Kinds: c.kinds},
+			report, err := Search(context.Background(), parse(t, searchBase+c.more), SearchOptions{Seeds: 20, FirstSeed: 1, Parallel: 3, Attempts: 2, MaxFindings: 1, Kinds: c.kinds},
 				run, out, func(line string) { t.Log(line) })
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Log(report.Summary())
-			if len(report.Findings) == 0 || report.Findings[0].Small > 3 || report.Findings[0].Kinds[0] != c.check {
+			if len(report.Findings) == 0 || report.Findings[0].ShrunkFaults > 3 || report.Findings[0].Kinds[0] != c.check {
 				t.Fatalf("found %+v, want a break of %q by 3 faults at most", report.Findings, c.check)
 			}
 			small, err := os.ReadFile(filepath.Join(report.Findings[0].Folder, "small.toml"))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if exp, err := Parse("small.toml", small); err != nil || len(exp.Faults) != report.Findings[0].Small {
+			if exp, err := Parse("small.toml", small); err != nil || len(exp.Faults) != report.Findings[0].ShrunkFaults {
 				t.Errorf("small.toml: %v", err)
 			}
 		})
@@ -77,11 +77,11 @@
 	base := parse(t, searchBase)
 	kinds := map[string]bool{}
 	for seed := range uint64(300) {
-		exp := Draw(base, seed, nil)
+		exp := DrawFaults(base, seed, nil)
 		if err := exp.validate(); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		if !reflect.DeepEqual(exp.Schedule(), Draw(base, seed, nil).Schedule()) {
+		if !reflect.DeepEqual(exp.Schedule(), DrawFaults(base, seed, nil).Schedule()) {
 			t.Fatalf("seed %d draws two schedules", seed)
 		}
 		for _, f := range exp.Faults {
--- a/internal/lab/selectors.go
+++ b/internal/lab/selectors.go
@@ -6,23 +6,23 @@
 	"strings"
 )
 
-// names resolves what an experiment's faults call endpoints by.
-type names struct{ exp *Experiment }
+// selectorResolver resolves what an experiment's faults call endpoints by.
+type selectorResolver struct{ exp *Experiment }
 
-func (n names) sidecars() int { return n.exp.Fleet.Sidecars }
+func (n selectorResolver) sidecars() int { return n.exp.Fleet.Sidecars }
 
-func (n names) server(j int) endpoint { return endpoint(n.sidecars() + j) }
+func (n selectorResolver) server(j int) endpoint { return endpoint(n.sidecars() + j) }
 
-func (n names) discovery() endpoint { return endpoint(n.sidecars() + n.exp.Fleet.Servers) }
+func (n selectorResolver) discovery() endpoint { return endpoint(n.sidecars() + n.exp.Fleet.Servers) }
 
-// set resolves selectors: "s3", "s0-s9", "v3", "v0-v9", "zone:a" (its sidecars),
+// endpoints resolves selectors: "s3", "s0-s9", "v3", "v0-v9", "zone:a" (its sidecars),
 // "machine:0" (its sidecars), "group:NAME" (of the experiment's groups), "all"
 // (sidecars), "servers", "discovery". Errors name the selector.
-func (n names) set(selectors []string) (map[endpoint]bool, error) {
+func (n selectorResolver) endpoints(selectors []string) (map[endpoint]bool, error) {
 	return n.resolve(selectors, 0)
 }
 
-func (n names) resolve(selectors []string, depth int) (map[endpoint]bool, error) {
+func (n selectorResolver) resolve(selectors []string, depth int) (map[endpoint]bool, error) {
 	set := map[endpoint]bool{}
 	fill := func(from, to endpoint) {
 		for e := from; e < to; e++ {
@@ -44,13 +44,13 @@
 			found = true
 		case kind == "zone":
 			for i := range n.sidecars() {
-				if n.exp.zone(i) == name {
+				if n.exp.zoneOf(i) == name {
 					set[endpoint(i)], found = true, true
 				}
 			}
 		case kind == "machine":
 			for i := range n.sidecars() {
-				if strconv.Itoa(n.exp.machine(i)) == name {
+				if strconv.Itoa(n.exp.machineOf(i)) == name {
 					set[endpoint(i)], found = true, true
 				}
 			}
@@ -72,8 +72,8 @@
 			if !isRange {
 				last = first
 			}
-			from, err1 := n.one(first)
-			to, err2 := n.one(last)
+			from, err1 := n.parseEndpoint(first)
+			to, err2 := n.parseEndpoint(last)
 			if err1 == nil && err2 == nil && from <= to && first[0] == last[0] {
 				fill(from, to+1)
 				found = true
@@ -86,8 +86,8 @@
 	return set, nil
 }
 
-// one resolves "s3" or "v3".
-func (n names) one(text string) (endpoint, error) {
+// parseEndpoint resolves "s3" or "v3".
+func (n selectorResolver) parseEndpoint(text string) (endpoint, error) {
 	if len(text) > 1 {
 		i, err := strconv.Atoi(text[1:])
 		switch {
@@ -97,18 +97,18 @@
 			return n.server(i), nil
 		}
 	}
-	return stranger, fmt.Errorf("%q is no endpoint", text)
+	return unknownEndpoint, fmt.Errorf("%q is no endpoint", text)
 }
 
-// between matches links from one set to the other, and back where the direction is "both" or not given; "out" is from to to alone, "in" the way back alone.
-func between(from, to map[endpoint]bool, direction string) func(a, b endpoint) bool {
+// linksBetween matches links from one set to the other, and back where the direction is "both" or not given; "out" is from to to alone, "in" the way back alone.
+func linksBetween(from, to map[endpoint]bool, direction string) func(a, b endpoint) bool {
 	return func(a, b endpoint) bool {
 		return a != b && (direction != "in" && from[a] && to[b] || direction != "out" && from[b] && to[a])
 	}
 }
 
-// apart matches links between endpoints that are named in groups but share none.
-func apart(groups []map[endpoint]bool) func(a, b endpoint) bool {
+// linksAcrossGroups matches links between endpoints that are named in groups but share none.
+func linksAcrossGroups(groups []map[endpoint]bool) func(a, b endpoint) bool {
 	return func(a, b endpoint) bool {
 		inA, inB := false, false
 		for _, g := range groups {
@@ -121,8 +121,8 @@
 	}
 }
 
-// rule builds the rule of a fault on links, nil for a fault of another kind.
-func (n names) rule(f Fault) (*Rule, error) {
+// linkRule builds the rule of a fault on links, nil for a fault of another kind.
+func (n selectorResolver) linkRule(f Fault) (*Rule, error) {
 	own := func(base endpoint, list []int) map[endpoint]bool {
 		set := map[endpoint]bool{}
 		for _, i := range list {
@@ -145,13 +145,13 @@
 	case "split":
 		var groups []map[endpoint]bool
 		for i, g := range f.Groups {
-			set, err := n.set(g)
+			set, err := n.endpoints(g)
 			if err != nil {
 				return nil, fmt.Errorf("groups[%d]: %w", i, err)
 			}
 			groups = append(groups, set)
 		}
-		return &Rule{Cut: true, Match: apart(groups)}, nil
+		return &Rule{Cut: true, Match: linksAcrossGroups(groups)}, nil
 	case "link", "cut", "flap":
 		or := func(selectors []string) []string {
 			if len(selectors) == 0 {
@@ -159,16 +159,16 @@
 			}
 			return selectors
 		}
-		from, err := n.set(or(f.From))
+		from, err := n.endpoints(or(f.From))
 		if err != nil {
 			return nil, fmt.Errorf("from: %w", err)
 		}
-		to, err := n.set(or(f.To))
+		to, err := n.endpoints(or(f.To))
 		if err != nil {
 			return nil, fmt.Errorf("to: %w", err)
 		}
 		return &Rule{Cut: f.Kind != "link", Loss: f.Loss, Duplicate: f.Duplicate, Reorder: f.Reorder, Rate: f.Rate,
-			Delay: f.Delay.Duration, Jitter: f.Jitter.Duration, Match: between(from, to, f.Direction)}, nil
+			Delay: f.Delay.Duration, Jitter: f.Jitter.Duration, Match: linksBetween(from, to, f.Direction)}, nil
 	}
 	return nil, nil
 }
--- a/internal/lab/serving.go
+++ b/internal/lab/serving.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Serving is how a stand-in pin server works, without sockets: it runs up to
+// ServerModel is how a stand-in pin server works, without sockets: it runs up to
 // Capacity requests at once with Queue more waiting, turns the rest away, fails
 // at the error rate, and is slower while cold. The lab's pin servers and the
 // hollow ones are the same in this.
-type Serving struct {
+type ServerModel struct {
 	spec    Server
 	slots   chan struct{} // capacity
 	waiting chan struct{} // capacity + queue
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	born     time.Time
-	inflight int
+	mu        sync.Mutex
+	random    *rand.Rand
+	startedAt time.Time
+	inflight  int
 }
 
 // Verdict is what became of a request at a server.
@@ -28,34 +28,34 @@
 
 // The verdicts.
 const (
-	Answered   Verdict = iota
-	Erred              // answered 500
-	TurnedAway         // never run
-	Left               // its caller left
+	VerdictServed       Verdict = iota
+	VerdictFailed               // answered 500
+	VerdictRejected             // never run
+	VerdictDisconnected         // its caller left
 )
 
-// NewServing makes a server that starts now, and cold.
-func NewServing(spec Server, seed uint64) *Serving {
-	return &Serving{spec: spec, slots: make(chan struct{}, spec.Capacity), waiting: make(chan struct{}, spec.Capacity+spec.Queue),
-		random: rand.New(rand.NewPCG(seed, 0x5e)), born: time.Now()}
+// NewServerModel makes a server that starts now, and cold.
+func NewServerModel(spec Server, seed uint64) *ServerModel {
+	return &ServerModel{spec: spec, slots: make(chan struct{}, spec.Capacity), waiting: make(chan struct{}, spec.Capacity+spec.Queue),
+		random: rand.New(rand.NewPCG(seed, 0x5e)), startedAt: time.Now()}
 }
 
 // Restart makes it cold, as a new process is.
-func (s *Serving) Restart() {
+func (s *ServerModel) Restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.born = time.Now()
+	s.startedAt = time.Now()
 }
 
-// Born is when it last started.
-func (s *Serving) Born() time.Time {
+// StartedAt is when it last started.
+func (s *ServerModel) StartedAt() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.born
+	return s.startedAt
 }
 
-// Report is its load report now.
-func (s *Serving) Report() string {
+// LoadReport is its load report now.
+func (s *ServerModel) LoadReport() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return fmt.Sprintf("failed_ps=0,pending=%d", s.inflight)
@@ -63,25 +63,25 @@
 
 // Run takes a request through: ran is called as it begins to run. The report
 // is that of the answer.
-func (s *Serving) Run(ctx context.Context, ran func()) (v Verdict, report string) {
+func (s *ServerModel) Run(ctx context.Context, ran func()) (v Verdict, report string) {
 	select {
 	case s.waiting <- struct{}{}:
 	default:
-		return TurnedAway, ""
+		return VerdictRejected, ""
 	}
 	defer func() { <-s.waiting }()
 	select {
 	case s.slots <- struct{}{}:
 	case <-ctx.Done():
-		return Left, ""
+		return VerdictDisconnected, ""
 	}
 	defer func() { <-s.slots }()
 	ran()
 	s.mu.Lock()
 	s.inflight++
 	warmth := 1.0
-	if cold := s.spec.ColdStart.Duration; cold > 0 && time.Since(s.born) < cold {
-		warmth = 1 + 3*(1-float64(time.Since(s.born))/float64(cold))
+	if cold := s.spec.ColdStart.Duration; cold > 0 && time.Since(s.startedAt) < cold {
+		warmth = 1 + 3*(1-float64(time.Since(s.startedAt))/float64(cold))
 	}
 	took := time.Duration(float64(s.spec.Latency.Duration) * warmth * (0.5 + s.random.ExpFloat64()/2))
 	fails := s.random.Float64() < s.spec.ErrorRate
@@ -94,10 +94,10 @@
 	select {
 	case <-time.After(took):
 	case <-ctx.Done():
-		return Left, ""
+		return VerdictDisconnected, ""
 	}
 	if fails {
-		return Erred, s.Report()
+		return VerdictFailed, s.LoadReport()
 	}
-	return Answered, s.Report()
+	return VerdictServed, s.LoadReport()
 }
--- a/internal/lab/shrink.go
+++ b/internal/lab/shrink.go
@@ -11,26 +11,26 @@
 
 // shrinker makes a schedule smaller while it still breaks one of the same rules.
 type shrinker struct {
-	ctx             context.Context
-	run             Runner
-	folder          string
-	kinds           []string
-	tries, parallel int
-	until           func() bool
-	runs            int
-	breaks          []string
+	ctx                context.Context
+	run                Runner
+	folder             string
+	kinds              []string
+	attempts, parallel int
+	mayContinue        func() bool
+	runs               int
+	breaks             []string
 }
 
-// fails runs candidates side by side and gives the first that breaks one of the same rules, -1 for none.
-func (s *shrinker) fails(candidates []*Experiment) int {
+// firstFailing runs candidates side by side and gives the first that breaks one of the same rules, -1 for none.
+func (s *shrinker) firstFailing(candidates []*Experiment) int {
 	type try struct{ candidate, n int }
 	var queue []try
-	for n := range s.tries { // each once, before any a second time
+	for n := range s.attempts { // each once, before any a second time
 		for c := range candidates {
 			queue = append(queue, try{c, n})
 		}
 	}
-	for len(queue) > 0 && s.until() {
+	for len(queue) > 0 && s.mayContinue() {
 		batch := queue[:min(s.parallel, len(queue))]
 		queue = queue[len(batch):]
 		broke := make([][]string, len(batch))
@@ -73,17 +73,17 @@
 		for from := 0; from < len(exp.Faults); from += size {
 			candidates = append(candidates, without(exp, from, min(from+size, len(exp.Faults))))
 		}
-		if c := s.fails(candidates); c >= 0 {
+		if c := s.firstFailing(candidates); c >= 0 {
 			exp = candidates[c]
 			size = min(size, (len(exp.Faults)+1)/2)
 			continue
 		}
-		if !s.until() {
+		if !s.mayContinue() {
 			return exp
 		}
 		size /= 2
 	}
-	for again := true; again && s.until(); {
+	for again := true; again && s.mayContinue(); {
 		var candidates []*Experiment
 		for i, f := range exp.Faults {
 			for _, smaller := range f.halves() {
@@ -93,7 +93,7 @@
 				candidates = append(candidates, &c)
 			}
 		}
-		c := s.fails(candidates)
+		c := s.firstFailing(candidates)
 		if again = c >= 0; again {
 			exp = candidates[c]
 		}
--- a/internal/lab/sidecar_config.go
+++ b/internal/lab/sidecar_config.go
@@ -8,14 +8,14 @@
 
 func (s *Sidecars) config(i int, listen string) []byte {
 	peers := ""
-	if s.peers != nil {
+	if s.relay != nil {
 		var known []string
 		for j := range s.exp.Fleet.Sidecars {
-			known = append(known, s.peers.Known(j))
+			known = append(known, s.relay.RelayAddress(j))
 		}
-		peers = PeersConfig(s.peers.Listen(i), s.peers.Hub(), known)
+		peers = PeersConfig(s.relay.ListenAddress(i), s.relay.Hub(), known)
 	}
-	return s.exp.SidecarConfig(i, s.exp.Fleet.Sidecars, listen, s.disco.listener.At(s.sub.address(i)), peers+s.stateDir(i))
+	return s.exp.SidecarConfig(i, s.exp.Fleet.Sidecars, listen, s.discovery.listener.AddressFor(s.subnet.address(i)), peers+s.stateDirSetting(i))
 }
 
 // PeersConfig is the part of a sidecar's configuration that tells it of the others: where it listens, what reaches
@@ -46,8 +46,8 @@
 		cmp.Or(e.Fleet.ProbePrice, 1), total, i, i%len(e.Fleet.Zones))
 }
 
-// stateDir is the configuration's key for the folder of kept state, where the experiment keeps it.
-func (s *Sidecars) stateDir(i int) string {
+// stateDirSetting is the configuration's key for the folder of kept state, where the experiment keeps it.
+func (s *Sidecars) stateDirSetting(i int) string {
 	if !s.exp.Fleet.State {
 		return ""
 	}
--- a/internal/lab/sidecar_start.go
+++ b/internal/lab/sidecar_start.go
@@ -19,12 +19,12 @@
 // or paused (it then starts when the last hold is gone) or it runs already. A
 // port that is taken meanwhile is tried anew, three times at most.
 func (s *Sidecars) Start(i int) error {
-	p := s.procs[i]
-	p.act.Lock()
-	defer p.act.Unlock()
+	state := s.states[i]
+	state.startMu.Lock()
+	defer state.startMu.Unlock()
 	var err error
 	for try := range 3 {
-		if !s.due(i) {
+		if !s.shouldStart(i) {
 			return nil
 		}
 		if err = s.start(i, try > 0); err == nil {
@@ -32,77 +32,77 @@
 		}
 		s.log.Warn("a sidecar did not start", "sidecar", i, "try", try, "error", err)
 	}
-	if !s.due(i) {
+	if !s.shouldStart(i) {
 		return nil
 	}
 	return fmt.Errorf("sidecar %d: %w", i, err)
 }
 
-// due tells whether sidecar i should run and does not.
-func (s *Sidecars) due(i int) bool {
+// shouldStart tells whether sidecar i should run and does not.
+func (s *Sidecars) shouldStart(i int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := s.procs[i]
-	return !s.ending && p.holdDown == 0 && p.holdPause == 0 && len(p.lives) == 0
+	state := s.states[i]
+	return !s.isStopping && state.downFaults == 0 && state.pauseFaults == 0 && len(state.processes) == 0
 }
 
 func (s *Sidecars) start(i int, newPort bool) error {
-	p := s.procs[i]
+	state := s.states[i]
 	s.mu.Lock()
-	listen := p.listen
+	listen := state.listenAddress
 	s.mu.Unlock()
 	if listen == "" || newPort {
 		var err error
-		if listen, err = s.free(i); err != nil {
+		if listen, err = s.freeAddress(i); err != nil {
 			return err
 		}
 	}
-	if newPort && s.peers != nil {
-		if err := s.peers.Repick(i); err != nil {
+	if newPort && s.relay != nil {
+		if err := s.relay.ReassignAddress(i); err != nil {
 			return err
 		}
 	}
-	began := s.ledger.Since()
+	began := s.requests.Elapsed()
 	if err := s.launch(i, listen); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if p.started { // a start again, after a crash or a planned end
-		s.restarts = append(s.restarts, Restart{Sidecar: i, At: began.Seconds(), ReadyMs: ms(s.ledger.Since() - began)})
-	}
-	p.listen, p.started = listen, true
-	if p.holdDown == 0 { // else it was killed as it came up
-		p.accepting = true
-		if p.holdPause == 0 {
-			p.up(s.ledger.Since())
+	if state.wasStarted { // a start again, after a crash or a planned end
+		s.restarts = append(s.restarts, Restart{Sidecar: i, At: began.Seconds(), ReadyMs: ms(s.requests.Elapsed() - began)})
+	}
+	state.listenAddress, state.wasStarted = listen, true
+	if state.downFaults == 0 { // else it was killed as it came up
+		state.isAccepting = true
+		if state.pauseFaults == 0 {
+			state.endOutage(s.requests.Elapsed())
 		}
 	}
 	return nil
 }
 
-// free is an address of sidecar i's own that nothing listens on.
-func (s *Sidecars) free(i int) (string, error) {
-	l, err := net.Listen("tcp", net.JoinHostPort(s.sub.address(i), "0"))
+// freeAddress is an address of sidecar i's own that nothing listens on.
+func (s *Sidecars) freeAddress(i int) (string, error) {
+	listener, err := net.Listen("tcp", net.JoinHostPort(s.subnet.address(i), "0"))
 	if err != nil {
 		return "", err
 	}
-	defer l.Close()
-	return l.Addr().String(), nil
+	defer listener.Close()
+	return listener.Addr().String(), nil
 }
 
 // launch starts a process of sidecar i and waits for its yes: of its operators' address where there is one (the
 // application's says no while it is drained). It holds p.act.
 func (s *Sidecars) launch(i int, listen string) error {
-	p := s.procs[i]
-	l := &life{exited: make(chan struct{})}
+	state := s.states[i]
+	process := &sidecarProcess{exited: make(chan struct{})}
 	asks := "http://" + listen + "/health/ready"
 	if s.exp.Ops.On {
 		var err error
-		if l.ops, err = s.free(i); err != nil {
+		if process.adminAddress, err = s.freeAddress(i); err != nil {
 			return err
 		}
-		asks = "http://" + l.ops + "/ready"
+		asks = "http://" + process.adminAddress + "/ready"
 	}
 	path := filepath.Join(s.folder, fmt.Sprintf("s%02d.json", i))
 	if err := os.WriteFile(path, s.config(i, listen), 0o600); err != nil {
@@ -112,30 +112,30 @@
 	if err != nil {
 		return err
 	}
-	l.cmd = exec.Command(s.program)
-	l.cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+path, "BALANCER_LOG=json", "BALANCER_OPS="+l.ops, "TMPDIR="+s.disk(i).tmp())
+	process.cmd = exec.Command(s.program)
+	process.cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+path, "BALANCER_LOG=json", "BALANCER_OPS="+process.adminAddress, "TMPDIR="+s.disk(i).tmp())
 	logged := struct{ io.Writer }{logFile} // by a pipe: a full disk must not take the log
-	l.cmd.Stdout, l.cmd.Stderr = logged, logged
-	l.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	process.cmd.Stdout, process.cmd.Stderr = logged, logged
+	process.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	s.mu.Lock()
-	if err := startChild(l.cmd); err != nil {
+	if err := startChild(process.cmd); err != nil {
 		s.mu.Unlock()
 		logFile.Close()
 		return err
 	}
-	p.lives = append(p.lives, l)
-	s.limit(i, l)
-	if p.holdDown > 0 || s.ending { // a fault came as it started
-		l.expected = true
-		l.cmd.Process.Kill()
-	} else if p.holdPause > 0 {
-		l.cmd.Process.Signal(syscall.SIGSTOP)
+	state.processes = append(state.processes, process)
+	s.limitFileSize(i, process)
+	if state.downFaults > 0 || s.isStopping { // a fault came as it started
+		process.isEndExpected = true
+		process.cmd.Process.Kill()
+	} else if state.pauseFaults > 0 {
+		process.cmd.Process.Signal(syscall.SIGSTOP)
 	}
 	s.mu.Unlock()
-	go s.wait(i, l, logFile)
+	go s.watchProcess(i, process, logFile)
 	client := &http.Client{Timeout: 500 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
-	for end := time.Now().Add(startPatience); ; time.Sleep(10 * time.Millisecond) {
-		if l.over() {
+	for end := time.Now().Add(startTimeout); ; time.Sleep(10 * time.Millisecond) {
+		if process.hasExited() {
 			return fmt.Errorf("ended before its yes (see %s)", logFile.Name())
 		}
 		if response, err := client.Get(asks); err == nil {
@@ -143,60 +143,60 @@
 			if response.StatusCode == http.StatusOK {
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				l.ready = true
+				process.isReady = true
 				return nil
 			}
 		}
 		s.mu.Lock()
-		if p.holdPause > 0 {
-			end = time.Now().Add(startPatience) // a paused one is not to blame
+		if state.pauseFaults > 0 {
+			end = time.Now().Add(startTimeout) // a paused one is not to blame
 		}
 		s.mu.Unlock()
 		if time.Now().After(end) {
 			s.mu.Lock()
-			l.expected = true
+			process.isEndExpected = true
 			s.mu.Unlock()
-			l.cmd.Process.Kill()
-			<-l.exited
-			return fmt.Errorf("no yes at %s within %v", asks, startPatience)
+			process.cmd.Process.Kill()
+			<-process.exited
+			return fmt.Errorf("no yes at %s within %v", asks, startTimeout)
 		}
 	}
 }
 
-const startPatience = 20 * time.Second
+const startTimeout = 20 * time.Second
 
-// wait sees a process to its end and records one that nobody asked for.
-func (s *Sidecars) wait(i int, l *life, logFile *os.File) {
-	err := l.cmd.Wait()
+// watchProcess sees a process to its end and records one that nobody asked for.
+func (s *Sidecars) watchProcess(i int, process *sidecarProcess, logFile *os.File) {
+	err := process.cmd.Wait()
 	logFile.Close()
-	p := s.procs[i]
+	state := s.states[i]
 	s.mu.Lock()
-	p.lives = slices.DeleteFunc(p.lives, func(o *life) bool { return o == l })
-	p.cpuEnded += l.cpu
-	byItself := l.ready && !l.expected
+	state.processes = slices.DeleteFunc(state.processes, func(o *sidecarProcess) bool { return o == process })
+	state.endedCPU += process.cpu
+	byItself := process.isReady && !process.isEndExpected
 	if byItself {
-		p.accepting = false
-		p.gone(s.ledger.Since())
+		state.isAccepting = false
+		state.beginOutage(s.requests.Elapsed())
 	}
-	close(l.exited)
+	close(process.exited)
 	s.mu.Unlock()
 	if byItself {
-		s.trouble(i, "ended by itself: %v", err)
+		s.recordFailure(i, "ended by itself: %v", err)
 	}
 }
 
-// StartOrTrouble starts sidecar i where it should run, and records a start that fails.
-func (s *Sidecars) StartOrTrouble(i int) {
+// StartOrRecordFailure starts sidecar i where it should run, and records a start that fails.
+func (s *Sidecars) StartOrRecordFailure(i int) {
 	if err := s.Start(i); err != nil {
-		s.trouble(i, "did not start: %v", err)
+		s.recordFailure(i, "did not start: %v", err)
 	}
 }
 
 // startAll starts the fleet, all sidecars side by side.
 func (s *Sidecars) startAll() error {
 	var starting sync.WaitGroup
-	errs := make([]error, len(s.procs))
-	for i := range s.procs {
+	errs := make([]error, len(s.states))
+	for i := range s.states {
 		starting.Add(1)
 		go func() { defer starting.Done(); errs[i] = s.Start(i) }()
 	}
--- a/internal/lab/sidecars.go
+++ b/internal/lab/sidecars.go
@@ -17,62 +17,62 @@
 // Stop ends those that will not end on SIGTERM with SIGKILL. Faults hold a
 // sidecar down or paused; it runs when the last of its holds is gone.
 type Sidecars struct {
-	program string
-	folder  string // configurations and logs
-	exp     *Experiment
-	sub     subnet
-	disco   *Discovery
-	peers   *Peers // nil without peers
-	disks   []*disk
-	ledger  *Ledger
-	log     *slog.Logger
-
-	mu       sync.Mutex
-	ending   bool
-	procs    []*proc
-	restarts []Restart
-	troubles []string // what no fault explains: ends by themselves, starts and upgrades that failed
+	program   string
+	folder    string // configurations and logs
+	exp       *Experiment
+	subnet    subnet
+	discovery *FakeDiscovery
+	relay     *DatagramRelay // nil without peers
+	disks     []*disk
+	requests  *RequestTable
+	log       *slog.Logger
+
+	mu                 sync.Mutex
+	isStopping         bool
+	states             []*sidecarState
+	restarts           []Restart
+	unexpectedFailures []string // what no fault explains: ends by themselves, starts and upgrades that failed
 }
 
-func newSidecars(program, folder string, exp *Experiment, sub subnet, disco *Discovery, peers *Peers, disks []*disk, ledger *Ledger, log *slog.Logger) *Sidecars {
-	s := &Sidecars{program: program, folder: folder, exp: exp, sub: sub, disco: disco, peers: peers, disks: disks, ledger: ledger, log: log}
+func newSidecars(program, folder string, exp *Experiment, sub subnet, disco *FakeDiscovery, peers *DatagramRelay, disks []*disk, ledger *RequestTable, log *slog.Logger) *Sidecars {
+	s := &Sidecars{program: program, folder: folder, exp: exp, subnet: sub, discovery: disco, relay: peers, disks: disks, requests: ledger, log: log}
 	for range exp.Fleet.Sidecars {
-		s.procs = append(s.procs, &proc{})
+		s.states = append(s.states, &sidecarState{})
 	}
 	return s
 }
 
-// Listen is where sidecar i takes its application's requests.
-func (s *Sidecars) Listen(i int) string {
+// ListenAddress is where sidecar i takes its application's requests.
+func (s *Sidecars) ListenAddress(i int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.procs[i].listen
+	return s.states[i].listenAddress
 }
 
-// Ops is where operators reach sidecar i: its newest process that gave its yes; empty while there is none.
-func (s *Sidecars) Ops(i int) string {
+// AdminAddress is where operators reach sidecar i: its newest process that gave its yes; empty while there is none.
+func (s *Sidecars) AdminAddress(i int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, l := range slices.Backward(s.procs[i].lives) {
-		if l.ready && !l.over() {
-			return l.ops
+	for _, process := range slices.Backward(s.states[i].processes) {
+		if process.isReady && !process.hasExited() {
+			return process.adminAddress
 		}
 	}
 	return ""
 }
 
-// Accepting tells whether the application beside sidecar i sends now.
-func (s *Sidecars) Accepting(i int) bool {
+// IsAccepting tells whether the application beside sidecar i sends now.
+func (s *Sidecars) IsAccepting(i int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.procs[i].accepting
+	return s.states[i].isAccepting
 }
 
-// Crashed tells whether sidecar i was killed or paused in [from, to].
-func (s *Sidecars) Crashed(i int, from, to time.Duration) bool {
+// WasDown tells whether sidecar i was killed or paused in [from, to].
+func (s *Sidecars) WasDown(i int, from, to time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, w := range s.procs[i].down {
+	for _, w := range s.states[i].outages {
 		if w.from <= to && from <= w.to {
 			return true
 		}
@@ -80,20 +80,20 @@
 	return false
 }
 
-// trouble records what no fault explains.
-func (s *Sidecars) trouble(i int, format string, args ...any) {
+// recordFailure records what no fault explains.
+func (s *Sidecars) recordFailure(i int, format string, args ...any) {
 	text := fmt.Sprintf("s%d: ", i) + fmt.Sprintf(format, args...)
 	s.log.Error("trouble", "what", text)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.troubles = append(s.troubles, text)
+	s.unexpectedFailures = append(s.unexpectedFailures, text)
 }
 
-// Troubles lists what no fault explains: sidecars that ended by themselves, starts and upgrades that failed.
-func (s *Sidecars) Troubles() []string {
+// UnexpectedFailures lists what no fault explains: sidecars that ended by themselves, starts and upgrades that failed.
+func (s *Sidecars) UnexpectedFailures() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.troubles)
+	return slices.Clone(s.unexpectedFailures)
 }
 
 // Restarts lists the starts again so far, with their times to the yes.
@@ -103,12 +103,12 @@
 	return slices.Clone(s.restarts)
 }
 
-func (s *Sidecars) disk(i int) *disk { return s.disks[s.exp.machine(i)] }
+func (s *Sidecars) disk(i int) *disk { return s.disks[s.exp.machineOf(i)] }
 
-// limit gives a process the file size limit of its machine's disk. It holds s.mu.
-func (s *Sidecars) limit(i int, l *life) {
-	most := s.disk(i).limit()
-	if err := unix.Prlimit(l.cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: most, Max: unix.RLIM_INFINITY}, nil); err != nil && !errors.Is(err, unix.ESRCH) {
+// limitFileSize gives a process the file size limit of its machine's disk. It holds s.mu.
+func (s *Sidecars) limitFileSize(i int, process *sidecarProcess) {
+	most := s.disk(i).fileSizeLimit()
+	if err := unix.Prlimit(process.cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: most, Max: unix.RLIM_INFINITY}, nil); err != nil && !errors.Is(err, unix.ESRCH) {
 		s.log.Warn("the file size limit could not be set", "sidecar", i, "error", err)
 	}
 }
@@ -118,10 +118,10 @@
 	s.disks[machine].setFull(on)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, p := range s.procs {
-		if s.exp.machine(i) == machine {
-			for _, l := range p.lives {
-				s.limit(i, l)
+	for i, state := range s.states {
+		if s.exp.machineOf(i) == machine {
+			for _, process := range state.processes {
+				s.limitFileSize(i, process)
 			}
 		}
 	}
@@ -130,16 +130,16 @@
 // Stop ends every sidecar: SIGCONT and SIGTERM, then SIGKILL after 5 s. None starts after it.
 func (s *Sidecars) Stop() {
 	s.mu.Lock()
-	s.ending = true
+	s.isStopping = true
 	type target struct {
-		i int
-		l *life
+		i       int
+		process *sidecarProcess
 	}
 	var all []target
-	for i, p := range s.procs {
-		for _, l := range p.lives {
-			l.cmd.Process.Signal(syscall.SIGCONT)
-			all = append(all, target{i, l})
+	for i, state := range s.states {
+		for _, process := range state.processes {
+			process.cmd.Process.Signal(syscall.SIGCONT)
+			all = append(all, target{i, process})
 		}
 	}
 	s.mu.Unlock()
@@ -148,8 +148,8 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			s.terminate(t.i, t.l)
-			s.endWithin(t.i, t.l, 5*time.Second)
+			s.signalTermination(t.i, t.process)
+			s.awaitExit(t.i, t.process, 5*time.Second)
 		}()
 	}
 	wg.Wait()
--- a/internal/lab/subnet.go
+++ b/internal/lab/subnet.go
@@ -18,7 +18,7 @@
 // sidecar is who dialed this address; stranger for one not of the subnet.
 func (s subnet) sidecar(ip net.IP) endpoint {
 	if ip = ip.To4(); ip == nil || ip[1] != byte(s) || s == 0 {
-		return stranger
+		return unknownEndpoint
 	}
 	return endpoint(int(ip[2])<<8|int(ip[3])) - 1
 }
--- a/internal/lab/summary.go
+++ b/internal/lab/summary.go
@@ -9,13 +9,13 @@
 func (r *Result) Summary() string {
 	return fmt.Sprintf("%s: %d sidecars, %d servers, %d requests\noutcomes %v\nran twice %d, copies %d, after drain %d, strange %d; datagrams %+v; breaches %d\n"+
 		"latency ms p50 %.1f p99 %.1f p99.9 %.1f max %.1f\nsidecars: %.1f CPU s, %.1f MB mean peak, %.1f MB largest; lab: %.1f CPU s, %.1f MB\n",
-		r.Name, r.Sidecars, r.Servers, r.Requests, r.Outcomes, r.RanTwice, r.Copies, r.AfterDrain, r.Strange, r.Datagrams, r.Breaches(),
+		r.Name, r.Sidecars, r.Servers, r.Requests, r.Outcomes, r.RanTwice, r.Copies, r.AfterDrain, r.UnknownIDs, r.Datagrams, r.Breaches(),
 		r.Latency.P50, r.Latency.P99, r.Latency.P999, r.Latency.Max, r.SidecarCPUSeconds, r.SidecarMeanMB, r.SidecarPeakMB, r.LabCPUSeconds, r.LabPeakMB) +
-		r.moreSummary() + r.restartSummary()
+		r.formatSummary() + r.restartSummary()
 }
 
-// moreSummary is what results of format 1 have beyond those before, where there is any.
-func (r *Result) moreSummary() string {
+// formatSummary is what results of format 1 have beyond those before, where there is any.
+func (r *Result) formatSummary() string {
 	if r.Format == 0 {
 		return "a result older than format 1: without calls, history and the lab's lateness\n"
 	}
@@ -31,7 +31,7 @@
 		text += r.Control.String()
 	}
 	text += r.viewSummary()
-	for _, t := range r.Troubles {
+	for _, t := range r.UnexpectedFailures {
 		text += "trouble: " + t + "\n"
 	}
 	for _, b := range r.Broken {
@@ -67,9 +67,9 @@
 	var ready, first, settled []float64
 	var sum Restart
 	for _, s := range r.Restarts {
-		ready, first, settled = append(ready, s.ReadyMs), append(first, s.FirstServedMs), append(settled, s.SettledMs)
-		sum.Refused, sum.Failed, sum.Unreached, sum.Lost = sum.Refused+s.Refused, sum.Failed+s.Failed, sum.Unreached+s.Unreached, sum.Lost+s.Lost
-		sum.Waited += s.Waited
+		ready, first, settled = append(ready, s.ReadyMs), append(first, s.FirstServedMs), append(settled, s.StableMs)
+		sum.Rejected, sum.Failed, sum.Unreached, sum.Lost = sum.Rejected+s.Rejected, sum.Failed+s.Failed, sum.Unreached+s.Unreached, sum.Lost+s.Lost
+		sum.Unsent += s.Unsent
 	}
 	spread := func(v []float64) string {
 		slices.Sort(v)
@@ -79,5 +79,5 @@
 		return fmt.Sprintf("median %.0f, worst %.0f", v[len(v)/2], v[len(v)-1])
 	}
 	return fmt.Sprintf("restarts %d: ms to ready %s; to first served %s; to settled %s; in their first 5 s refused %d, failed %d, unreached %d, lost %d; not sent until ready %d\n",
-		len(r.Restarts), spread(ready), spread(first), spread(settled), sum.Refused, sum.Failed, sum.Unreached, sum.Lost, sum.Waited)
+		len(r.Restarts), spread(ready), spread(first), spread(settled), sum.Rejected, sum.Failed, sum.Unreached, sum.Lost, sum.Unsent)
 }
--- a/internal/lab/validate.go
+++ b/internal/lab/validate.go
@@ -140,9 +140,9 @@
 	case f.Kind == "peers":
 		return nil
 	case slices.Contains(machineKinds, f.Kind):
-		return inRange("machines", f.Machines, e.machines())
+		return inRange("machines", f.Machines, e.machineCount())
 	case slices.Contains(linkKinds, f.Kind):
-		_, err := names{e}.rule(f)
+		_, err := selectorResolver{e}.linkRule(f)
 		return err
 	}
 	return fmt.Errorf("kind: %q is not a known fault", f.Kind)
--- a/internal/lab/views.go
+++ b/internal/lab/views.go
@@ -13,28 +13,28 @@
 // viewPath is asked of every sidecar of an experiment with fleet.view.
 const viewPath = "/fleet?brief=1"
 
-// Settling is how the sidecars' views of the fleet settled after one fault, up
+// ViewConvergence is how the sidecars' views of the fleet settled after one fault, up
 // to the next. Times are from the fault, by the sidecars' own record of when
 // their view last moved, over those that answered in that time; 0 where none moved.
-type Settling struct {
-	After   string  `json:"after"`   // the fault's label, or "start"
-	AtMs    float64 `json:"at_ms"`   // on the lab's clock; of "start", when the first process was
-	P50Ms   float64 `json:"p50_ms"`  // by when half of the views had moved for the last time,
-	MaxMs   float64 `json:"max_ms"`  // and all
-	Moves   int     `json:"moves"`   // of all views together, seen from outside
-	Digests int     `json:"digests"` // different ones at the end
-	Largest int     `json:"largest"` // members in the largest view at the end
-	CutOff  int     `json:"cut_off"` // sidecars cut off at the end
+type ViewConvergence struct {
+	After    string  `json:"after"`   // the fault's label, or "start"
+	AtMs     float64 `json:"at_ms"`   // on the lab's clock; of "start", when the first process was
+	P50Ms    float64 `json:"p50_ms"`  // by when half of the views had moved for the last time,
+	MaxMs    float64 `json:"max_ms"`  // and all
+	Changes  int     `json:"moves"`   // of all views together, seen from outside
+	Digests  int     `json:"digests"` // different ones at the end
+	Largest  int     `json:"largest"` // members in the largest view at the end
+	Isolated int     `json:"cut_off"` // sidecars cut off at the end
 }
 
 // String is a line for people.
-func (v Settling) String() string {
+func (v ViewConvergence) String() string {
 	return fmt.Sprintf("views after %.60s: half moved last at %.0f ms, all %.0f ms; %d moves; %d digests, %d members, %d cut off\n",
-		v.After, v.P50Ms, v.MaxMs, v.Moves, v.Digests, v.Largest, v.CutOff)
+		v.After, v.P50Ms, v.MaxMs, v.Changes, v.Digests, v.Largest, v.Isolated)
 }
 
-// settlings reckons each fault's from what the sidecars told.
-func settlings(events []history.Event, marks []Mark, started, start time.Time) []Settling {
+// viewConvergences reckons each fault's from what the sidecars told.
+func viewConvergences(events []history.Event, marks []Mark, started, start time.Time) []ViewConvergence {
 	type seen struct {
 		at                 int64
 		digest, since, cut string
@@ -79,13 +79,13 @@
 	for _, list := range bySidecar {
 		slices.SortFunc(list, func(a, b *seen) int { return cmp.Compare(a.at, b.at) })
 	}
-	phases := []Settling{{After: "start", AtMs: ms(started.Sub(start))}}
+	phases := []ViewConvergence{{After: "start", AtMs: ms(started.Sub(start))}}
 	for _, m := range marks {
 		if last := &phases[len(phases)-1]; m.AtMs-last.AtMs < 1 { // one moment's faults are one
 			last.After += ", " + m.Label
 			continue
 		}
-		phases = append(phases, Settling{After: m.Label, AtMs: m.AtMs})
+		phases = append(phases, ViewConvergence{After: m.Label, AtMs: m.AtMs})
 	}
 	for i := range phases {
 		p := &phases[i]
@@ -105,7 +105,7 @@
 				}
 				if at >= p.AtMs {
 					if before != "" && a.epoch != before {
-						p.Moves++
+						p.Changes++
 					}
 					last = a
 				}
@@ -117,7 +117,7 @@
 			digests[last.digest] = true
 			p.Largest = max(p.Largest, last.members)
 			if last.cut == "true" {
-				p.CutOff++
+				p.Isolated++
 			}
 			since, err := time.Parse(time.RFC3339Nano, last.since)
 			if moved := ms(since.Sub(start)); err == nil && moved >= p.AtMs {
@@ -139,6 +139,6 @@
 	for i, p := range r.Views {
 		name := "view " + strconv.Itoa(i) + " " + p.After[:min(len(p.After), 24)]
 		f[name+" p50_ms"], f[name+" max_ms"], f[name+" digests"] = p.P50Ms, p.MaxMs, float64(p.Digests)
-		f[name+" moves"] = float64(p.Moves)
+		f[name+" moves"] = float64(p.Changes)
 	}
 }
--- a/internal/lab/views_test.go
+++ b/internal/lab/views_test.go
@@ -94,7 +94,7 @@
 	r.see("a pause to be taken for a crash", false, "s0 s1 s3", 0, 1, 3)
 	heal()
 	r.see("the paused one's return", false, all, everyone...)
-	if relayed, _, oversize, strange := r.peers.Counts(); relayed == 0 || oversize > 0 || strange > 0 {
+	if relayed, _, oversize, strange := r.relay.Counts(); relayed == 0 || oversize > 0 || strange > 0 {
 		t.Errorf("%d datagrams relayed, %d over 256 bytes, %d of strangers", relayed, oversize, strange)
 	}
 }
@@ -123,8 +123,8 @@
 			}
 		}
 	}
-	got := settlings(events, []Mark{{AtMs: 3000, Label: "kill s2"}}, start.Add(-2*time.Second), start)
-	if len(got) != 2 || got[0].MaxMs != 1500 || got[0].Largest != 3 || got[1].MaxMs != 2800 || got[1].P50Ms != 2800 || got[1].Moves != 2 || got[1].Digests != 1 || got[1].Largest != 2 {
+	got := viewConvergences(events, []Mark{{AtMs: 3000, Label: "kill s2"}}, start.Add(-2*time.Second), start)
+	if len(got) != 2 || got[0].MaxMs != 1500 || got[0].Largest != 3 || got[1].MaxMs != 2800 || got[1].P50Ms != 2800 || got[1].Changes != 2 || got[1].Digests != 1 || got[1].Largest != 2 {
 		t.Errorf("reckoned %+v", got)
 	}
 	if b := history.Dropped("settled", 2*time.Second, events); b != nil {
