--- a/internal/lab/bell.go
+++ b/internal/lab/bell.go
@@ -11,4 +11,4 @@
 	n.ch = make(chan struct{})
 }
 
-func (b *notifier) changed() <-chan struct{} { return b.ch }
+func (n *notifier) changed() <-chan struct{} { return n.ch }
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -78,7 +78,7 @@
 		c.requests.recordOutcome(id, c.failure(id, err, sent))
 	case response.StatusCode == http.StatusOK && string(answer) != "ok:"+id:
 		c.requests.recordOutcome(id, Forged)
-	case response.StatusCode == http.StatusOK && c.requests.Elapsed()-sent > deadline+50*time.Millisecond:
+	case response.StatusCode == http.StatusOK && c.requests.Elapsed()-sent > deadline+latenessTolerance:
 		c.requests.recordOutcome(id, Late)
 	case response.StatusCode == http.StatusOK:
 		c.requests.recordOutcome(id, Served)
--- a/internal/lab/fake_server.go
+++ b/internal/lab/fake_server.go
@@ -105,7 +105,7 @@
 	drained := s.drainedAt
 	s.mu.Unlock()
 	at := arrivalTime(r)
-	if !drained.IsZero() && at.Sub(drained) > 1500*time.Millisecond {
+	if !drained.IsZero() && at.Sub(drained) > removalGrace {
 		s.requests.RecordAfterDrain(s.Name, id, drained, at)
 	}
 	s.requests.RecordArrival(s.Name, id, at)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -81,7 +81,7 @@
 	if len(result.Faults) != 8 {
 		t.Errorf("faults played: %v, want 4 and their ends", result.Faults)
 	}
-	if d := result.Datagrams; d.Relayed == 0 || d.Dropped == 0 || d.Strange > 0 {
+	if d := result.Datagrams; d.Relayed == 0 || d.Dropped == 0 || d.Unknown > 0 {
 		t.Errorf("datagrams %+v, want some relayed and some dropped, none from strangers", d)
 	}
 	if err := MergeLogs(folder, filepath.Join(folder, "merged.jsonl")); err != nil {
--- a/internal/lab/latency.go
+++ b/internal/lab/latency.go
@@ -159,70 +159,87 @@
 	return l, nil
 }
 
+// run makes one run of the benchmark, with a sidecar and servers of its own.
 func (o *LatencyOptions) run(ctx context.Context, program, folder string, seed uint64) (*LatencyRun, error) {
-	exp := &Experiment{Name: "latency", Seed: seed, Duration: Duration{o.Warmup + o.Duration},
-		Fleet:  Fleet{Sidecars: 1, Servers: o.Servers, Zones: []string{"a"}, ProbePrice: o.ProbePrice},
-		Server: Server{Capacity: 256, Queue: 256, Latency: Duration{time.Microsecond}},
-		Load:   Load{Rate: o.Rate, Shape: "poisson", Deadline: Duration{time.Second}}}
+	exp := o.experiment(seed)
 	if err := exp.CheckDescriptors(1); err != nil {
 		return nil, err
 	}
-	w, err := newTestbed(exp, program, folder, slog.New(slog.DiscardHandler))
+	bed, err := newTestbed(exp, program, folder, slog.New(slog.DiscardHandler))
 	if err != nil {
 		return nil, err
 	}
-	defer w.close()
-	if err := w.sidecars.startAll(); err != nil {
+	defer bed.close()
+	if err := bed.sidecars.startAll(); err != nil {
 		return nil, err
 	}
-	w.requests.start = time.Now()
-	late := newLateness(w.requests)
-	watched, end := context.WithCancel(ctx)
-	defer end()
+	bed.requests.start = time.Now()
+	late := newLateness(bed.requests)
+	watched, stopWatch := context.WithCancel(ctx)
+	defer stopWatch()
 	go late.watch(watched)
+	direct := newCallPath(bed.requests, randomServer(bed.servers, seed))
+	listenAddress := bed.sidecars.ListenAddress(0)
+	proxied := newCallPath(bed.requests, func() string { return listenAddress })
+	defer direct.http.CloseIdleConnections()
+	defer proxied.http.CloseIdleConnections()
+	cpuBefore, err := o.callInTurn(ctx, bed, seed, direct, proxied)
+	if err != nil {
+		return nil, err
+	}
+	r := &LatencyRun{Seed: seed, Direct: direct.result(), Proxied: proxied.result()}
+	if r.Proxied.Sent > 0 {
+		r.CPU = ms(bed.sidecars.cpuTime(0)-cpuBefore) / float64(r.Proxied.Sent)
+	}
+	report := late.report()
+	r.LabLate99, r.Late = report.Timers.P99, report.Late
+	return r, nil
+}
+
+// experiment describes the testbed of one run: servers that answer at once.
+func (o *LatencyOptions) experiment(seed uint64) *Experiment {
+	return &Experiment{Name: "latency", Seed: seed, Duration: Duration{o.Warmup + o.Duration},
+		Fleet:  Fleet{Sidecars: 1, Servers: o.Servers, Zones: []string{"a"}, ProbePrice: o.ProbePrice},
+		Server: Server{Capacity: 256, Queue: 256, Latency: Duration{time.Microsecond}},
+		Load:   Load{Rate: o.Rate, Shape: "poisson", Deadline: Duration{time.Second}}}
+}
+
+// randomServer returns a function that draws a server's address; it is safe for concurrent use.
+func randomServer(servers []*FakeServer, seed uint64) func() string {
 	random := rand.New(rand.NewPCG(seed, 0x1a7))
-	var drawing sync.Mutex
-	straight := newCallPath(w.requests, func() string {
-		drawing.Lock()
-		defer drawing.Unlock()
-		return w.servers[random.IntN(len(w.servers))].Address()
-	})
-	listen := w.sidecars.ListenAddress(0)
-	through := newCallPath(w.requests, func() string { return listen })
-	defer straight.http.CloseIdleConnections()
-	defer through.http.CloseIdleConnections()
+	var mu sync.Mutex // guards random
+	return func() string {
+		mu.Lock()
+		defer mu.Unlock()
+		return servers[random.IntN(len(servers))].Address()
+	}
+}
+
+// callInTurn makes the calls of one run over both paths in turn, at random times, and waits for all. It returns the
+// sidecar's processor time at the first counted call.
+func (o *LatencyOptions) callInTurn(ctx context.Context, bed *testbed, seed uint64, direct, proxied *callPath) (cpuBefore time.Duration, err error) {
 	arrivals := rand.New(rand.NewPCG(seed, 0xa11))
 	var calls sync.WaitGroup
-	var cpu time.Duration
+	defer calls.Wait()
 	at := time.Duration(0)
-	for n := 0; ; n += 2 { // in pairs, so that both ways have as many
-		counts := at >= o.Warmup
-		for k, way := range []*callPath{straight, through} {
+	for n := 0; at < o.Warmup+o.Duration; n += 2 { // in pairs, so that both paths have as many
+		isCounted := at >= o.Warmup
+		for k, path := range []*callPath{direct, proxied} {
 			at += time.Duration(arrivals.ExpFloat64() / (2 * o.Rate) * float64(time.Second))
-			if !w.requests.waitUntil(ctx, at) {
-				return nil, ctx.Err()
+			if !bed.requests.waitUntil(ctx, at) {
+				return 0, ctx.Err()
 			}
-			if counts && cpu == 0 {
-				cpu = w.sidecars.cpuTime(0)
+			if isCounted && cpuBefore == 0 {
+				cpuBefore = bed.sidecars.cpuTime(0)
 			}
 			calls.Add(1)
 			go func() {
 				defer calls.Done()
-				way.call(strconv.FormatUint(seed<<32+uint64(n+k), 16), counts)
+				path.call(strconv.FormatUint(seed<<32+uint64(n+k), 16), isCounted)
 			}()
 		}
-		if at >= o.Warmup+o.Duration {
-			break
-		}
 	}
-	calls.Wait()
-	p := &LatencyRun{Seed: seed, Direct: straight.result(), Proxied: through.result()}
-	if p.Proxied.Sent > 0 {
-		p.CPU = ms(w.sidecars.cpuTime(0)-cpu) / float64(p.Proxied.Sent)
-	}
-	report := late.report()
-	p.LabLate99, p.Late = report.Timers.P99, report.Late
-	return p, nil
+	return cpuBefore, nil
 }
 
 // quantiles are the quantiles told.
--- a/internal/lab/plot.go
+++ b/internal/lab/plot.go
@@ -11,87 +11,133 @@
 	"gonum.org/v1/plot/vg/vgimg"
 )
 
+// Limits of a result's plot.
+const (
+	plotWidth      = 28 * vg.Centimeter
+	plotHeight     = 18 * vg.Centimeter
+	minPlotLatency = 0.1 // ms; a log axis has no 0
+	maxFaultLabels = 40  // more would not be readable
+)
+
+var (
+	green  = color.RGBA{G: 140, A: 255}
+	red    = color.RGBA{R: 200, A: 255}
+	blue   = color.RGBA{B: 200, A: 255}
+	purple = color.RGBA{R: 200, B: 200, A: 255}
+	brown  = color.RGBA{R: 120, A: 255}
+)
+
+// chart is one of a result's charts, with the range of its values.
+type chart struct {
+	*plot.Plot
+	min, max float64
+}
+
 // Plot draws throughput and errors (above) and p50, p99 and p99.9 (below)
 // a second, with the faults marked, as a PNG file.
 func (r *Result) Plot(path string) error {
-	line := func(p *plot.Plot, name string, c color.Color, value func(Second) float64) error {
+	throughput, latency := r.newCharts()
+	if err := r.addLines(throughput, latency); err != nil {
+		return err
+	}
+	for _, c := range []*chart{throughput, latency} {
+		c.Legend.Top = true
+		c.Add(plotter.NewGrid())
+	}
+	if err := r.addFaults(throughput, latency); err != nil {
+		return err
+	}
+	// Without load there is no range, and one value alone is given a range around it, which a log axis cannot have.
+	for _, c := range []*chart{throughput, latency} {
+		c.X.Min, c.X.Max = 0, max(1, c.X.Max)
+		c.Y.Min, c.Y.Max = c.min, max(1, c.Y.Max)
+	}
+	return writePNG(path, throughput.Plot, latency.Plot)
+}
+
+// newCharts makes the empty charts.
+func (r *Result) newCharts() (throughput, latency *chart) {
+	throughput = &chart{Plot: plot.New(), max: 1}
+	throughput.Title.Text = r.Name + ": requests a second, by when sent"
+	throughput.Y.Label.Text = "requests/s"
+	latency = &chart{Plot: plot.New(), min: minPlotLatency, max: 1}
+	latency.Y.Label.Text = "latency ms (log)"
+	latency.X.Label.Text = "seconds; dashed: faults"
+	latency.Y.Scale = plot.LogScale{}
+	latency.Y.Tick.Marker = plot.LogTicks{}
+	for _, s := range r.Series {
+		throughput.max = max(throughput.max, float64(max(s.Served, s.Errors)))
+		latency.max = max(latency.max, s.Latency.P999)
+	}
+	return throughput, latency
+}
+
+// addLines draws the series.
+func (r *Result) addLines(throughput, latency *chart) error {
+	for _, l := range []struct {
+		chart *chart
+		name  string
+		color color.Color
+		value func(Second) float64
+	}{
+		{throughput, "served", green, func(s Second) float64 { return float64(s.Served) }},
+		{throughput, "errors", red, func(s Second) float64 { return float64(s.Errors) }},
+		{latency, "p50", blue, func(s Second) float64 { return max(minPlotLatency, s.Latency.P50) }},
+		{latency, "p99", purple, func(s Second) float64 { return max(minPlotLatency, s.Latency.P99) }},
+		{latency, "p99.9", brown, func(s Second) float64 { return max(minPlotLatency, s.Latency.P999) }},
+	} {
 		points := make(plotter.XYs, len(r.Series))
 		for i, s := range r.Series {
-			points[i] = plotter.XY{X: float64(s.At), Y: value(s)}
-		}
-		l, err := plotter.NewLine(points)
-		if err != nil {
-			return err
+			points[i] = plotter.XY{X: float64(s.At), Y: l.value(s)}
 		}
-		l.Color = c
-		p.Add(l)
-		p.Legend.Add(name, l)
-		return nil
-	}
-	top, bottom := plot.New(), plot.New()
-	top.Title.Text = r.Name + ": requests a second, by when sent"
-	top.Y.Label.Text = "requests/s"
-	bottom.Y.Label.Text = "latency ms (log)"
-	bottom.X.Label.Text = "seconds; dashed: faults"
-	bottom.Y.Scale = plot.LogScale{}
-	bottom.Y.Tick.Marker = plot.LogTicks{}
-	for _, err := range []error{
-		line(top, "served", color.RGBA{G: 140, A: 255}, func(s Second) float64 { return float64(s.Served) }),
-		line(top, "errors", color.RGBA{R: 200, A: 255}, func(s Second) float64 { return float64(s.Errors) }),
-		line(bottom, "p50", color.RGBA{B: 200, A: 255}, func(s Second) float64 { return max(0.1, s.Latency.P50) }),
-		line(bottom, "p99", color.RGBA{R: 200, B: 200, A: 255}, func(s Second) float64 { return max(0.1, s.Latency.P99) }),
-		line(bottom, "p99.9", color.RGBA{R: 120, A: 255}, func(s Second) float64 { return max(0.1, s.Latency.P999) }),
-	} {
+		line, err := plotter.NewLine(points)
 		if err != nil {
 			return err
 		}
+		line.Color = l.color
+		l.chart.Add(line)
+		l.chart.Legend.Add(l.name, line)
 	}
-	for _, p := range []*plot.Plot{top, bottom} {
-		p.Legend.Top = true
-		p.Add(plotter.NewGrid())
-	}
-	// A fault's mark spans each plot from its floor to the highest of its lines.
-	spans := map[*plot.Plot][2]float64{top: {0, 1}, bottom: {0.1, 1}}
-	for _, s := range r.Series {
-		spans[top] = [2]float64{0, max(spans[top][1], float64(max(s.Served, s.Errors)))}
-		spans[bottom] = [2]float64{0.1, max(spans[bottom][1], s.Latency.P999)}
-	}
+	return nil
+}
+
+// addFaults marks the faults in both charts, each from the floor to the highest value, and labels them in the upper one.
+func (r *Result) addFaults(throughput, latency *chart) error {
 	var labels plotter.XYLabels
 	for _, m := range r.Faults {
 		x := m.AtMs / 1000
-		for _, p := range []*plot.Plot{top, bottom} {
-			mark, err := plotter.NewLine(plotter.XYs{{X: x, Y: spans[p][0]}, {X: x, Y: spans[p][1]}})
+		for _, c := range []*chart{throughput, latency} {
+			mark, err := plotter.NewLine(plotter.XYs{{X: x, Y: c.min}, {X: x, Y: c.max}})
 			if err != nil {
 				return err
 			}
 			mark.Dashes = []vg.Length{vg.Points(3), vg.Points(3)}
 			mark.Color = color.Gray{Y: 90}
-			p.Add(mark)
+			c.Add(mark)
 		}
 		labels.XYs = append(labels.XYs, plotter.XY{X: x, Y: 0})
 		labels.Labels = append(labels.Labels, m.Label)
 	}
-	if len(labels.Labels) > 0 && len(labels.Labels) <= 40 {
-		names, err := plotter.NewLabels(labels)
-		if err != nil {
-			return err
-		}
-		for i := range names.TextStyle {
-			names.TextStyle[i].Rotation = 1.5708
-			names.TextStyle[i].Font.Size = vg.Points(7)
-		}
-		top.Add(names)
+	if len(labels.Labels) == 0 || len(labels.Labels) > maxFaultLabels {
+		return nil
 	}
-	// Without load there is no range, and one value alone is given a range around it, which a log axis cannot have.
-	for _, p := range []*plot.Plot{top, bottom} {
-		p.X.Min, p.X.Max = 0, max(1, p.X.Max)
-		p.Y.Min, p.Y.Max = spans[p][0], max(1, p.Y.Max)
+	names, err := plotter.NewLabels(labels)
+	if err != nil {
+		return err
+	}
+	for i := range names.TextStyle {
+		names.TextStyle[i].Rotation = 1.5708 // a quarter turn
+		names.TextStyle[i].Font.Size = vg.Points(7)
 	}
-	const width, height = 28 * vg.Centimeter, 18 * vg.Centimeter
-	canvas := vgimg.New(width, height)
-	dc := draw.New(canvas)
+	throughput.Add(names)
+	return nil
+}
+
+// writePNG draws one plot above the other into a file.
+func writePNG(path string, top, bottom *plot.Plot) error {
+	canvas := vgimg.New(plotWidth, plotHeight)
 	tiles := draw.Tiles{Rows: 2, Cols: 1, PadY: vg.Millimeter * 4, PadX: vg.Millimeter * 4, PadTop: vg.Millimeter * 2, PadBottom: vg.Millimeter * 2}
-	canvases := plot.Align([][]*plot.Plot{{top}, {bottom}}, tiles, dc)
+	canvases := plot.Align([][]*plot.Plot{{top}, {bottom}}, tiles, draw.New(canvas))
 	top.Draw(canvases[0][0])
 	bottom.Draw(canvases[1][0])
 	file, err := os.Create(path)
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -38,7 +38,7 @@
 		Relayed  int `json:"relayed"`
 		Dropped  int `json:"dropped"`
 		Oversize int `json:"oversize"`
-		Strange  int `json:"strange"`
+		Unknown  int `json:"strange"` // from no sidecar of the lab
 	} `json:"datagrams"`
 
 	AfterBan int `json:"after_ban"` // requests that reached a server over 1.5 s after its sidecar's yes to a ban
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -13,97 +13,141 @@
 	"bramblestand/internal/lab/history"
 )
 
-// Run carries out an experiment: stand-ins and sidecars up, the load
-// and the schedule played, everything ended, and the result reckoned. The
-// folder receives the sidecars' configurations and logs, their machines'
-// disks and, with operators, history.jsonl. Run leaves no
-// process behind, also when ctx ends early. It refuses what this process has
-// too few file descriptors for.
+// drainTimeout is how long after the load's end and the last deadline a run waits for its requests.
+const drainTimeout = 10 * time.Second
+
+// Run carries out an experiment: it starts the fake servers and the sidecars, runs the load and the schedule of faults,
+// ends everything and returns the result. The folder receives the sidecars' configurations and logs, their machines'
+// disks and, with operators, history.jsonl. Run leaves no process behind, also when ctx ends early. It fails at once
+// where the experiment can need more file descriptors than this process may have.
 func Run(ctx context.Context, exp *Experiment, program, folder string, log *slog.Logger) (*Result, error) {
 	if err := exp.CheckDescriptors(1); err != nil {
 		return nil, err
 	}
-	w, err := newTestbed(exp, program, folder, log)
+	bed, err := newTestbed(exp, program, folder, log)
 	if err != nil {
 		return nil, err
 	}
-	defer w.close()
+	defer bed.close()
 	schedule := exp.Schedule()
+	bed.holdJoiners(schedule)
+	r := &experimentRun{testbed: bed, startedAt: time.Now(), loopbackAtStart: loopbackSent()}
+	sampling, stopSampling := context.WithCancel(ctx)
+	defer stopSampling()
+	samples := make(chan []ReceivedLoad, 1)
+	go func() { samples <- bed.sampleReceivedLoad(sampling) }()
+	if err := bed.sidecars.startAll(); err != nil {
+		return nil, err
+	}
+	log.Info("the fleet is up", "sidecars", exp.Fleet.Sidecars, "servers", exp.Fleet.Servers, "discovery", bed.discovery.Address())
+	r.runLoad(ctx, schedule)
+	events := bed.history.Events()
+	result := r.result(events)
+	stopSampling()
+	result.ReceivedLoad = <-samples
+	for i := range result.ReceivedLoad {
+		result.ReceivedLoad[i].At = result.ReceivedLoad[i].at.Sub(bed.requests.start).Seconds()
+	}
+	r.addUsage(result)
+	if exp.Ops.On {
+		if err := writeHistory(filepath.Join(folder, "history.jsonl"), events); err != nil {
+			return nil, err
+		}
+	}
+	return result, nil
+}
+
+// experimentRun is one run of an experiment on a testbed, whose fleet is up.
+type experimentRun struct {
+	*testbed
+	startedAt       time.Time // of the first sidecar's start
+	loopbackAtStart [2]uint64 // bytes and packets
+
+	late    *lateness
+	marks   []Mark
+	control *Control // nil without operators
+}
+
+// holdJoiners keeps the sidecars that join in the run from being started with the others.
+func (w *testbed) holdJoiners(schedule []Event) {
 	for _, ev := range schedule {
+		if ev.Fault.Kind != "join" || ev.Heal {
+			continue
+		}
 		for _, i := range ev.Fault.Sidecars {
-			if ev.Fault.Kind == "join" && !ev.Heal {
-				w.sidecars.holdDown(i, false)
-			}
+			w.sidecars.holdDown(i, false)
 		}
 	}
-	started, carried := time.Now(), loopbackSent()
-	sampling, sampled := context.WithCancel(ctx)
-	defer sampled()
-	samples := make(chan []ReceivedLoad, 1)
-	go func() { samples <- w.sampleReceivedLoad(sampling) }()
-	if err := w.sidecars.startAll(); err != nil {
-		return nil, err
-	}
-	log.Info("the fleet is up", "sidecars", exp.Fleet.Sidecars, "servers", exp.Fleet.Servers, "discovery", w.discovery.Address())
-	w.requests.start = time.Now() // the lab's clock starts with the load
-	late := newLateness(w.requests)
-	runCtx, cancel := context.WithTimeout(ctx, exp.Duration.Duration+exp.Load.Deadline.Duration+10*time.Second)
+}
+
+// runLoad runs the clients, the schedule of faults and the operators to their ends. The lab's clock starts with it.
+func (r *experimentRun) runLoad(ctx context.Context, schedule []Event) {
+	r.requests.start = time.Now()
+	r.late = newLateness(r.requests)
+	ctx, cancel := context.WithTimeout(ctx, r.exp.Duration.Duration+r.exp.Load.Deadline.Duration+drainTimeout)
 	defer cancel()
-	go late.watch(runCtx)
-	var played []Mark
-	done := make(chan struct{})
-	go func() { played = w.runSchedule(runCtx, schedule); close(done) }()
+	go r.late.watch(ctx)
+	scheduleDone := make(chan struct{})
+	go func() {
+		defer close(scheduleDone)
+		r.marks = r.runSchedule(ctx, schedule)
+	}()
 	var load sync.WaitGroup
-	for i := range exp.Fleet.Sidecars {
+	start := func(f func()) {
 		load.Add(1)
 		go func() {
 			defer load.Done()
-			newClient(i, exp, w.requests, w.sidecars, late).run(runCtx, exp.Arrivals(i))
+			f()
 		}()
 	}
-	var control *Control
-	if exp.Ops.On {
-		operators := newOperators(exp, w.sidecars, w.requests, w.history)
-		load.Add(2)
-		go func() { defer load.Done(); operators.run(runCtx) }()
-		go func() { defer load.Done(); control = operators.measureControl(runCtx, carried) }()
+	for i := range r.exp.Fleet.Sidecars {
+		start(func() { newClient(i, r.exp, r.requests, r.sidecars, r.late).run(ctx, r.exp.Arrivals(i)) })
+	}
+	if r.exp.Ops.On {
+		operators := newOperators(r.exp, r.sidecars, r.requests, r.history)
+		start(func() { operators.run(ctx) })
+		start(func() { r.control = operators.measureControl(ctx, r.loopbackAtStart) })
 	}
 	load.Wait()
 	cancel()
-	<-done
+	<-scheduleDone
+}
+
+// result analyzes the run.
+func (r *experimentRun) result(events []history.Event) *Result {
 	var running []string
-	for i := range exp.Fleet.Sidecars {
-		if w.sidecars.IsAccepting(i) {
+	for i := range r.exp.Fleet.Sidecars {
+		if r.sidecars.IsAccepting(i) {
 			running = append(running, sidecarName(i))
 		}
 	}
-	events := w.history.Events()
-	result := analyze(exp, w.requests, late, w.discoveryOutages, played, w.sidecars.Restarts(), events)
-	if exp.Fleet.View && exp.Ops.On {
-		result.Views = viewConvergences(events, played, started, w.requests.start)
+	result := analyze(r.exp, r.requests, r.late, r.discoveryOutages, r.marks, r.sidecars.Restarts(), events)
+	if r.exp.Fleet.View && r.exp.Ops.On {
+		result.Views = viewConvergences(events, r.marks, r.startedAt, r.requests.start)
 	}
-	result.Control = control
-	result.Broken, result.UnexpectedFailures = checkHistory(exp, events, running), w.sidecars.UnexpectedFailures()
-	sampled()
-	result.ReceivedLoad = <-samples
-	for i := range result.ReceivedLoad {
-		result.ReceivedLoad[i].At = result.ReceivedLoad[i].at.Sub(w.requests.start).Seconds()
-	}
-	result.SidecarCPUSeconds, result.SidecarMeanMB, result.SidecarPeakMB = w.sidecars.Usage()
+	result.Control = r.control
+	result.Broken = checkHistory(r.exp, events, running)
+	result.UnexpectedFailures = r.sidecars.UnexpectedFailures()
+	return result
+}
+
+// addUsage adds what the processes used and the relay carried.
+func (r *experimentRun) addUsage(result *Result) {
+	result.SidecarCPUSeconds, result.SidecarMeanMB, result.SidecarPeakMB = r.sidecars.Usage()
 	result.LabCPUSeconds, result.LabPeakMB = labUsage()
-	if w.relay != nil {
-		result.Datagrams.Relayed, result.Datagrams.Dropped, result.Datagrams.Oversize, result.Datagrams.Strange = w.relay.Counts()
+	if r.relay != nil {
+		d := &result.Datagrams
+		d.Relayed, d.Dropped, d.Oversize, d.Unknown = r.relay.Counts()
 	}
-	if exp.Ops.On {
-		file, err := os.Create(filepath.Join(folder, "history.jsonl"))
-		if err != nil {
-			return nil, err
-		}
-		if err := errors.Join(history.Write(file, events), file.Close()); err != nil {
-			return nil, err
-		}
+}
+
+// writeHistory writes the history of a run to a file.
+func writeHistory(path string, events []history.Event) error {
+	file, err := os.Create(path)
+	if err != nil {
+		return err
 	}
-	return result, nil
+	return errors.Join(history.Write(file, events), file.Close())
 }
 
 // newTestbed brings up all that an experiment needs but its sidecars, which the caller starts.
--- a/internal/lab/search.go
+++ b/internal/lab/search.go
@@ -59,97 +59,171 @@
 	return slices.Sorted(maps.Keys(rules))
 }
 
-// Search draws a schedule of faults for each seed over base, runs it, and
-// shrinks what breaks a rule. It ends on its bounds, or with ctx, with what it
-// has. say gets a line on each step.
-func Search(ctx context.Context, base *Experiment, o SearchOptions, run Runner, out string, say func(string)) (*SearchReport, error) {
-	if allowed := (&faultGenerator{exp: base}).kinds(); len(o.Kinds) > 0 {
-		for _, k := range o.Kinds {
-			if !slices.Contains(allowed, k) {
-				return nil, fmt.Errorf("kinds: %q is not one of those that the experiment allows: %s", k, strings.Join(allowed, ", "))
-			}
+// Search draws a schedule of faults for each seed over base, runs it, and shrinks what breaks a rule. It ends on its
+// bounds, or with ctx, with what it has. progress gets a line on each step.
+func Search(ctx context.Context, base *Experiment, o SearchOptions, run Runner, out string, progress func(string)) (*SearchReport, error) {
+	if err := o.checkKinds(base); err != nil {
+		return nil, err
+	}
+	s := &search{
+		base:      base,
+		options:   o,
+		run:       run,
+		folder:    out,
+		progress:  progress,
+		startedAt: time.Now(),
+		report:    &SearchReport{Base: base.Name, Wanted: o.Seeds, Faults: map[string]int{}},
+	}
+	s.runSeeds(ctx)
+	report := s.report
+	slices.SortFunc(report.Findings, func(a, b Finding) int { return int(a.Seed) - int(b.Seed) })
+	if o.MaxFindings > 0 && len(report.Findings) > o.MaxFindings { // runs beside the last one may have found more
+		report.Findings = report.Findings[:o.MaxFindings]
+	}
+	for i := range report.Findings {
+		if err := s.shrinkFinding(ctx, &report.Findings[i]); err != nil {
+			return report, err
 		}
 	}
-	began := time.Now()
-	report := &SearchReport{Base: base.Name, Wanted: o.Seeds, Faults: map[string]int{}}
-	var mu sync.Mutex
+	report.Seconds = time.Since(s.startedAt).Seconds()
+	return report, WriteJSON(filepath.Join(out, "search.json"), report)
+}
+
+// checkKinds reports a kind of fault that the experiment does not allow.
+func (o *SearchOptions) checkKinds(base *Experiment) error {
+	allowed := (&faultGenerator{exp: base}).kinds()
+	for _, kind := range o.Kinds {
+		if !slices.Contains(allowed, kind) {
+			return fmt.Errorf("kinds: %q is not one of those that the experiment allows: %s", kind, strings.Join(allowed, ", "))
+		}
+	}
+	return nil
+}
+
+// search is a search in progress.
+type search struct {
+	base      *Experiment
+	options   SearchOptions
+	run       Runner
+	folder    string
+	startedAt time.Time
+
+	mu       sync.Mutex // guards the fields below
+	progress func(string)
+	report   *SearchReport
+}
+
+// runSeeds runs the schedules of all seeds, options.Parallel at a time, until a bound is reached.
+func (s *search) runSeeds(ctx context.Context) {
 	seeds := make(chan uint64)
 	var workers sync.WaitGroup
-	for range max(1, o.Parallel) {
+	for range max(1, s.options.Parallel) {
 		workers.Add(1)
 		go func() {
 			defer workers.Done()
 			for seed := range seeds {
-				exp := DrawFaults(base, seed, o.Kinds)
-				folder := filepath.Join(out, fmt.Sprintf("seed-%d", seed))
-				result, err := run(ctx, exp, filepath.Join(folder, "logs"))
-				mu.Lock()
-				switch {
-				case ctx.Err() != nil: // cut short: it proves nothing
-				case err != nil:
-					report.Failed = append(report.Failed, fmt.Sprintf("seed %d: %v", seed, err))
-				default:
-					report.Runs++
-					for _, f := range exp.Faults {
-						report.Faults[f.Kind]++
-					}
-					if result.Lateness.Late {
-						report.LateRuns++
-					}
-				}
-				if err == nil && ctx.Err() == nil && result.Breaches() > 0 {
-					report.Findings = append(report.Findings, Finding{Seed: seed, Kinds: result.kinds(), Faults: len(exp.Faults), ShrunkFaults: len(exp.Faults),
-						Folder: folder, Breaks: result.breaks()})
-					say(fmt.Sprintf("seed %d breaks %v with %d faults", seed, result.kinds(), len(exp.Faults)))
-				} else if err == nil {
-					os.RemoveAll(folder)
-				}
-				took := time.Since(began)
-				left := took / time.Duration(max(report.Runs, 1)) * time.Duration(o.Seeds-report.Runs)
-				if o.MaxDuration > 0 {
-					left = min(left, max(o.MaxDuration-took, 0))
-				}
-				say(fmt.Sprintf("%d of %d seeds, %d broke a rule, %v gone, about %v left", report.Runs, o.Seeds, len(report.Findings),
-					took.Round(time.Second), left.Round(time.Second)))
-				mu.Unlock()
+				s.runSeed(ctx, seed)
 			}
 		}()
 	}
-	for i := range o.Seeds {
-		mu.Lock()
-		enough := o.MaxFindings > 0 && len(report.Findings) >= o.MaxFindings
-		mu.Unlock()
-		if enough || ctx.Err() != nil || o.MaxDuration > 0 && time.Since(began) > o.MaxDuration {
+	for i := range s.options.Seeds {
+		if s.hasEnough() || ctx.Err() != nil || s.isOverTime() {
 			break
 		}
 		select {
-		case seeds <- o.FirstSeed + uint64(i):
+		case seeds <- s.options.FirstSeed + uint64(i):
 		case <-ctx.Done():
 		}
 	}
 	close(seeds)
 	workers.Wait()
-	slices.SortFunc(report.Findings, func(a, b Finding) int { return int(a.Seed) - int(b.Seed) })
-	if o.MaxFindings > 0 && len(report.Findings) > o.MaxFindings { // what ran beside the last one
-		report.Findings = report.Findings[:o.MaxFindings]
+}
+
+// hasEnough reports whether as many findings were made as are wanted.
+func (s *search) hasEnough() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.options.MaxFindings > 0 && len(s.report.Findings) >= s.options.MaxFindings
+}
+
+// isOverTime reports whether no run may begin any more.
+func (s *search) isOverTime() bool {
+	return s.options.MaxDuration > 0 && time.Since(s.startedAt) > s.options.MaxDuration
+}
+
+// runSeed runs the schedule of one seed, and keeps its folder where it broke a rule or could not be run.
+func (s *search) runSeed(ctx context.Context, seed uint64) {
+	exp := DrawFaults(s.base, seed, s.options.Kinds)
+	folder := filepath.Join(s.folder, fmt.Sprintf("seed-%d", seed))
+	result, err := s.run(ctx, exp, filepath.Join(folder, "logs"))
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	isCutShort := ctx.Err() != nil // then the run proves nothing
+	switch {
+	case isCutShort:
+	case err != nil:
+		s.report.Failed = append(s.report.Failed, fmt.Sprintf("seed %d: %v", seed, err))
+	default:
+		s.report.addRun(exp, result)
 	}
-	for i := range report.Findings {
-		f := &report.Findings[i]
-		found := DrawFaults(base, f.Seed, o.Kinds)
-		if err := writeExperiment(filepath.Join(f.Folder, "found.toml"), found); err != nil {
-			return report, err
-		}
-		s := shrinker{ctx: ctx, run: run, folder: f.Folder, kinds: f.Kinds, attempts: max(1, o.Attempts), parallel: max(1, o.Parallel), breaks: f.Breaks,
-			mayContinue: func() bool { return ctx.Err() == nil && (o.MaxDuration == 0 || time.Since(began) < o.MaxDuration) }}
-		small := s.shrink(found)
-		f.ShrunkFaults, f.ShrinkRuns, f.Breaks = len(small.Faults), s.runs, s.breaks
-		if err := writeExperiment(filepath.Join(f.Folder, "small.toml"), small); err != nil {
-			return report, err
-		}
-		say(fmt.Sprintf("seed %d: %d faults shrunk to %d in %d runs: %s", f.Seed, f.Faults, f.ShrunkFaults, f.ShrinkRuns, filepath.Join(f.Folder, "small.toml")))
+	if err == nil && !isCutShort && result.Breaches() > 0 {
+		s.report.Findings = append(s.report.Findings, Finding{Seed: seed, Kinds: result.kinds(), Faults: len(exp.Faults), ShrunkFaults: len(exp.Faults),
+			Folder: folder, Breaks: result.breaks()})
+		s.progress(fmt.Sprintf("seed %d breaks %v with %d faults", seed, result.kinds(), len(exp.Faults)))
+	} else if err == nil {
+		os.RemoveAll(folder)
 	}
-	report.Seconds = time.Since(began).Seconds()
-	return report, WriteJSON(filepath.Join(out, "search.json"), report)
+	s.progress(s.progressLine())
+}
+
+// addRun counts one run that ended.
+func (r *SearchReport) addRun(exp *Experiment, result *Result) {
+	r.Runs++
+	for _, f := range exp.Faults {
+		r.Faults[f.Kind]++
+	}
+	if result.Lateness.Late {
+		r.LateRuns++
+	}
+}
+
+// progressLine says how far the search is. The caller holds s.mu.
+func (s *search) progressLine() string {
+	elapsed := time.Since(s.startedAt)
+	remaining := elapsed / time.Duration(max(s.report.Runs, 1)) * time.Duration(s.options.Seeds-s.report.Runs)
+	if s.options.MaxDuration > 0 {
+		remaining = min(remaining, max(s.options.MaxDuration-elapsed, 0))
+	}
+	return fmt.Sprintf("%d of %d seeds, %d broke a rule, %v elapsed, about %v remaining", s.report.Runs, s.options.Seeds, len(s.report.Findings),
+		elapsed.Round(time.Second), remaining.Round(time.Second))
+}
+
+// shrinkFinding writes a finding's schedule to found.toml, shrinks it, and writes the smallest one to small.toml.
+func (s *search) shrinkFinding(ctx context.Context, f *Finding) error {
+	found := DrawFaults(s.base, f.Seed, s.options.Kinds)
+	if err := writeExperiment(filepath.Join(f.Folder, "found.toml"), found); err != nil {
+		return err
+	}
+	shrinker := shrinker{
+		ctx:      ctx,
+		run:      s.run,
+		folder:   f.Folder,
+		kinds:    f.Kinds,
+		attempts: max(1, s.options.Attempts),
+		parallel: max(1, s.options.Parallel),
+		breaks:   f.Breaks,
+		mayContinue: func() bool {
+			return ctx.Err() == nil && (s.options.MaxDuration == 0 || time.Since(s.startedAt) < s.options.MaxDuration)
+		},
+	}
+	small := shrinker.shrink(found)
+	f.ShrunkFaults, f.ShrinkRuns, f.Breaks = len(small.Faults), shrinker.runs, shrinker.breaks
+	path := filepath.Join(f.Folder, "small.toml")
+	if err := writeExperiment(path, small); err != nil {
+		return err
+	}
+	s.progress(fmt.Sprintf("seed %d: %d faults shrunk to %d in %d runs: %s", f.Seed, f.Faults, f.ShrunkFaults, f.ShrinkRuns, path))
+	return nil
 }
 
 // breaks lists what a result breaks, for people.
--- a/internal/lab/selectors.go
+++ b/internal/lab/selectors.go
@@ -2,10 +2,15 @@
 
 import (
 	"fmt"
+	"maps"
+	"slices"
 	"strconv"
 	"strings"
 )
 
+// maxGroupDepth is how deep groups may name other groups.
+const maxGroupDepth = 4
+
 // selectorResolver resolves what an experiment's faults call endpoints by.
 type selectorResolver struct{ exp *Experiment }
 
@@ -22,70 +27,89 @@
 	return n.resolve(selectors, 0)
 }
 
+// resolve resolves selectors, of which groups may name others maxGroupDepth deep.
 func (n selectorResolver) resolve(selectors []string, depth int) (map[endpoint]bool, error) {
 	set := map[endpoint]bool{}
-	fill := func(from, to endpoint) {
-		for e := from; e < to; e++ {
-			set[e] = true
-		}
-	}
-	for _, text := range selectors {
-		kind, name, _ := strings.Cut(text, ":")
-		found := false
-		switch {
-		case text == "all":
-			fill(0, n.server(0))
-			found = true
-		case text == "servers":
-			fill(n.server(0), n.discovery())
-			found = true
-		case text == "discovery":
-			set[n.discovery()] = true
-			found = true
-		case kind == "zone":
-			for i := range n.sidecars() {
-				if n.exp.zoneOf(i) == name {
-					set[endpoint(i)], found = true, true
-				}
-			}
-		case kind == "machine":
-			for i := range n.sidecars() {
-				if strconv.Itoa(n.exp.machineOf(i)) == name {
-					set[endpoint(i)], found = true, true
-				}
-			}
-		case kind == "group":
-			members, ok := n.exp.Groups[name]
-			if !ok || depth > 4 {
-				return nil, fmt.Errorf("%q is not a group (or groups name each other too deep)", text)
-			}
-			more, err := n.resolve(members, depth+1)
-			if err != nil {
-				return nil, fmt.Errorf("%s: %w", text, err)
-			}
-			for e := range more {
-				set[e] = true
-			}
-			found = true
-		default:
-			first, last, isRange := strings.Cut(text, "-")
-			if !isRange {
-				last = first
-			}
-			from, err1 := n.parseEndpoint(first)
-			to, err2 := n.parseEndpoint(last)
-			if err1 == nil && err2 == nil && from <= to && first[0] == last[0] {
-				fill(from, to+1)
-				found = true
+	for _, selector := range selectors {
+		var found []endpoint
+		if group, ok := strings.CutPrefix(selector, "group:"); ok {
+			var err error
+			if found, err = n.resolveGroup(group, depth); err != nil {
+				return nil, err
 			}
+		} else if found = n.resolveOne(selector); len(found) == 0 {
+			return nil, fmt.Errorf("%q names no sidecar, server, zone, machine or group of the experiment", selector)
 		}
-		if !found {
-			return nil, fmt.Errorf("%q names no sidecar, server, zone, machine or group of the experiment", text)
+		for _, e := range found {
+			set[e] = true
 		}
 	}
 	return set, nil
 }
 
+// resolveOne resolves a selector that is no group, to none where it names nothing.
+func (n selectorResolver) resolveOne(selector string) []endpoint {
+	kind, name, _ := strings.Cut(selector, ":")
+	switch {
+	case selector == "all":
+		return endpointRange(0, n.server(0))
+	case selector == "servers":
+		return endpointRange(n.server(0), n.discovery())
+	case selector == "discovery":
+		return []endpoint{n.discovery()}
+	case kind == "zone":
+		return n.sidecarsWhere(func(i int) bool { return n.exp.zoneOf(i) == name })
+	case kind == "machine":
+		return n.sidecarsWhere(func(i int) bool { return strconv.Itoa(n.exp.machineOf(i)) == name })
+	}
+	return n.resolveRange(selector)
+}
+
+// resolveGroup resolves a group of the experiment, which may be empty.
+func (n selectorResolver) resolveGroup(name string, depth int) ([]endpoint, error) {
+	members, ok := n.exp.Groups[name]
+	if !ok || depth > maxGroupDepth {
+		return nil, fmt.Errorf("\"group:%s\" is not a group (or groups name each other too deep)", name)
+	}
+	set, err := n.resolve(members, depth+1)
+	if err != nil {
+		return nil, fmt.Errorf("group:%s: %w", name, err)
+	}
+	return slices.Collect(maps.Keys(set)), nil
+}
+
+// resolveRange resolves "s3" or "s0-s9", to none where it is neither.
+func (n selectorResolver) resolveRange(selector string) []endpoint {
+	first, last, isRange := strings.Cut(selector, "-")
+	if !isRange {
+		last = first
+	}
+	from, err1 := n.parseEndpoint(first)
+	to, err2 := n.parseEndpoint(last)
+	if err1 != nil || err2 != nil || from > to || first[0] != last[0] {
+		return nil
+	}
+	return endpointRange(from, to+1)
+}
+
+// sidecarsWhere returns the sidecars that match.
+func (n selectorResolver) sidecarsWhere(matches func(i int) bool) (found []endpoint) {
+	for i := range n.sidecars() {
+		if matches(i) {
+			found = append(found, endpoint(i))
+		}
+	}
+	return found
+}
+
+// endpointRange returns the endpoints in [from, to).
+func endpointRange(from, to endpoint) (all []endpoint) {
+	for e := from; e < to; e++ {
+		all = append(all, e)
+	}
+	return all
+}
+
 // parseEndpoint resolves "s3" or "v3".
 func (n selectorResolver) parseEndpoint(text string) (endpoint, error) {
 	if len(text) > 1 {
--- a/internal/lab/sidecar_start.go
+++ b/internal/lab/sidecar_start.go
@@ -91,54 +91,74 @@
 	return listener.Addr().String(), nil
 }
 
-// launch starts a process of sidecar i and waits for its yes: of its operators' address where there is one (the
-// application's says no while it is drained). It holds p.act.
-func (s *Sidecars) launch(i int, listen string) error {
-	state := s.states[i]
+// launch starts a process of sidecar i and waits until it is ready. The caller holds the sidecar's startMu.
+func (s *Sidecars) launch(i int, listenAddress string) error {
 	process := &sidecarProcess{exited: make(chan struct{})}
-	asks := "http://" + listen + "/health/ready"
-	if s.exp.Ops.On {
+	readyURL := "http://" + listenAddress + "/health/ready"
+	if s.exp.Ops.On { // the admin address says ready while the sidecar is drained, too
 		var err error
 		if process.adminAddress, err = s.freeAddress(i); err != nil {
 			return err
 		}
-		asks = "http://" + process.adminAddress + "/ready"
+		readyURL = "http://" + process.adminAddress + "/ready"
+	}
+	logFile, err := s.prepareCommand(i, listenAddress, process)
+	if err != nil {
+		return err
 	}
-	path := filepath.Join(s.folder, fmt.Sprintf("s%02d.json", i))
-	if err := os.WriteFile(path, s.config(i, listen), 0o600); err != nil {
+	if err := s.startProcess(i, process); err != nil {
+		logFile.Close()
 		return err
 	}
+	go s.watchProcess(i, process, logFile)
+	return s.awaitReady(i, process, readyURL, logFile.Name())
+}
+
+// prepareCommand writes the configuration of sidecar i, opens its log file and makes the command of a process.
+func (s *Sidecars) prepareCommand(i int, listenAddress string, process *sidecarProcess) (*os.File, error) {
+	configPath := filepath.Join(s.folder, fmt.Sprintf("s%02d.json", i))
+	if err := os.WriteFile(configPath, s.config(i, listenAddress), 0o600); err != nil {
+		return nil, err
+	}
 	logFile, err := os.OpenFile(filepath.Join(s.folder, fmt.Sprintf("s%02d.log", i)), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return err
+		return nil, err
 	}
 	process.cmd = exec.Command(s.program)
-	process.cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+path, "BALANCER_LOG=json", "BALANCER_OPS="+process.adminAddress, "TMPDIR="+s.disk(i).tmp())
-	logged := struct{ io.Writer }{logFile} // by a pipe: a full disk must not take the log
-	process.cmd.Stdout, process.cmd.Stderr = logged, logged
+	process.cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+configPath, "BALANCER_LOG=json", "BALANCER_OPS="+process.adminAddress, "TMPDIR="+s.disk(i).tmp())
+	throughPipe := struct{ io.Writer }{logFile} // so that the file size limit of a full disk does not apply to the log
+	process.cmd.Stdout, process.cmd.Stderr = throughPipe, throughPipe
 	process.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	return logFile, nil
+}
+
+// startProcess starts a process under the faults that are active on its sidecar.
+func (s *Sidecars) startProcess(i int, process *sidecarProcess) error {
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	if err := startChild(process.cmd); err != nil {
-		s.mu.Unlock()
-		logFile.Close()
 		return err
 	}
+	state := s.states[i]
 	state.processes = append(state.processes, process)
 	s.limitFileSize(i, process)
-	if state.downFaults > 0 || s.isStopping { // a fault came as it started
+	if state.downFaults > 0 || s.isStopping { // a fault began during the start
 		process.isEndExpected = true
 		process.cmd.Process.Kill()
 	} else if state.pauseFaults > 0 {
 		process.cmd.Process.Signal(syscall.SIGSTOP)
 	}
-	s.mu.Unlock()
-	go s.watchProcess(i, process, logFile)
+	return nil
+}
+
+// awaitReady waits until a process answers that it is ready, and kills it after startTimeout.
+func (s *Sidecars) awaitReady(i int, process *sidecarProcess, readyURL, logPath string) error {
 	client := &http.Client{Timeout: 500 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 	for end := time.Now().Add(startTimeout); ; time.Sleep(10 * time.Millisecond) {
 		if process.hasExited() {
-			return fmt.Errorf("ended before its yes (see %s)", logFile.Name())
+			return fmt.Errorf("process ended before it was ready (see %s)", logPath)
 		}
-		if response, err := client.Get(asks); err == nil {
+		if response, err := client.Get(readyURL); err == nil {
 			response.Body.Close()
 			if response.StatusCode == http.StatusOK {
 				s.mu.Lock()
@@ -148,8 +168,8 @@
 			}
 		}
 		s.mu.Lock()
-		if state.pauseFaults > 0 {
-			end = time.Now().Add(startTimeout) // a paused one is not to blame
+		if s.states[i].pauseFaults > 0 {
+			end = time.Now().Add(startTimeout) // time in which it is paused does not count
 		}
 		s.mu.Unlock()
 		if time.Now().After(end) {
@@ -158,7 +178,7 @@
 			s.mu.Unlock()
 			process.cmd.Process.Kill()
 			<-process.exited
-			return fmt.Errorf("no yes at %s within %v", asks, startTimeout)
+			return fmt.Errorf("not ready at %s within %v", readyURL, startTimeout)
 		}
 	}
 }
--- a/internal/lab/summary.go
+++ b/internal/lab/summary.go
@@ -7,9 +7,9 @@
 
 // Summary is a few lines for people.
 func (r *Result) Summary() string {
-	return fmt.Sprintf("%s: %d sidecars, %d servers, %d requests\noutcomes %v\nran twice %d, copies %d, after drain %d, strange %d; datagrams %+v; breaches %d\n"+
+	return fmt.Sprintf("%s: %d sidecars, %d servers, %d requests\noutcomes %v\nran twice %d, copies %d, after drain %d, unknown ids %d; datagrams relayed %d, dropped %d, too long %d, of unknown senders %d; breaches %d\n"+
 		"latency ms p50 %.1f p99 %.1f p99.9 %.1f max %.1f\nsidecars: %.1f CPU s, %.1f MB mean peak, %.1f MB largest; lab: %.1f CPU s, %.1f MB\n",
-		r.Name, r.Sidecars, r.Servers, r.Requests, r.Outcomes, r.RanTwice, r.Copies, r.AfterDrain, r.UnknownIDs, r.Datagrams, r.Breaches(),
+		r.Name, r.Sidecars, r.Servers, r.Requests, r.Outcomes, r.RanTwice, r.Copies, r.AfterDrain, r.UnknownIDs, r.Datagrams.Relayed, r.Datagrams.Dropped, r.Datagrams.Oversize, r.Datagrams.Unknown, r.Breaches(),
 		r.Latency.P50, r.Latency.P99, r.Latency.P999, r.Latency.Max, r.SidecarCPUSeconds, r.SidecarMeanMB, r.SidecarPeakMB, r.LabCPUSeconds, r.LabPeakMB) +
 		r.formatSummary() + r.restartSummary()
 }
--- a/internal/lab/validate.go
+++ b/internal/lab/validate.go
@@ -1,18 +1,55 @@
 package lab
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 	"time"
 )
 
+// validate reports the first field that is out of range, by its TOML key.
 func (e *Experiment) validate() error {
-	type check struct {
-		bad   bool
-		field string
-		what  string
+	if err := e.validateRanges(); err != nil {
+		return err
+	}
+	for i, f := range e.Faults {
+		if err := e.validateFault(f); err != nil {
+			return fmt.Errorf("fault[%d].%w", i, err)
+		}
 	}
-	checks := []check{
+	for i, op := range e.Ops.Calls {
+		if !slices.Contains(opsCalls, op) {
+			return fmt.Errorf("ops.calls[%d]: %q is not one of %v", i, op, opsCalls)
+		}
+	}
+	for i, c := range e.Calls {
+		if err := e.validateCall(c); err != nil {
+			return fmt.Errorf("call[%d].%w", i, err)
+		}
+	}
+	for i, c := range e.Checks {
+		switch {
+		case !slices.Contains(checkKinds, c.Kind):
+			return fmt.Errorf("check[%d].kind: %q is not one of %v", i, c.Kind, checkKinds)
+		case c.Kind != "register" && c.Field == "":
+			return fmt.Errorf("check[%d].field: is empty", i)
+		}
+	}
+	for i, c := range e.Chaos {
+		if err := e.validateChaos(c); err != nil {
+			return fmt.Errorf("chaos[%d].%w", i, err)
+		}
+	}
+	return nil
+}
+
+// validateRanges checks the fields outside lists.
+func (e *Experiment) validateRanges() error {
+	for _, c := range []struct {
+		isInvalid bool
+		field     string
+		reason    string
+	}{
 		{e.Duration.Duration <= 0 || e.Duration.Duration > time.Hour, "duration", "is not within (0, 1h]"},
 		{e.Fleet.Sidecars < 1 || e.Fleet.Sidecars > 300, "fleet.sidecars", "is not within 1 to 300"},
 		{e.Fleet.Servers < 1 || e.Fleet.Servers > 1000, "fleet.servers", "is not within 1 to 1000"},
@@ -34,116 +71,126 @@
 		{e.Load.MaxRequests < 0, "load.max_requests", "is negative"},
 		{e.Load.Deadline.Duration < 50*time.Millisecond, "load.deadline", "is under 50ms"},
 		{e.Load.OrderShare < 0 || e.Load.OrderShare > 1, "load.order_share", "is not within 0 to 1"},
-	}
-	for _, c := range checks {
-		if c.bad {
-			return fmt.Errorf("%s %s", c.field, c.what)
-		}
-	}
-	for i, f := range e.Faults {
-		if err := e.validateFault(f); err != nil {
-			return fmt.Errorf("fault[%d].%w", i, err)
-		}
-	}
-	for i, c := range e.Ops.Calls {
-		if !slices.Contains(opsCalls, c) {
-			return fmt.Errorf("ops.calls[%d]: %q is not one of %v", i, c, opsCalls)
-		}
-	}
-	for i, c := range e.Calls {
-		switch {
-		case !slices.Contains(opsCalls, c.Op):
-			return fmt.Errorf("call[%d].op: %q is not one of %v", i, c.Op, opsCalls)
-		case c.At.Duration < 0 || c.At.Duration > e.Duration.Duration:
-			return fmt.Errorf("call[%d].at: %v is not within the duration", i, c.At)
-		case c.Sidecar < 0 || c.Sidecar >= e.Fleet.Sidecars:
-			return fmt.Errorf("call[%d].sidecar: %d is not within 0 to %d", i, c.Sidecar, e.Fleet.Sidecars-1)
-		case c.Server < 0 || c.Server >= e.Fleet.Servers:
-			return fmt.Errorf("call[%d].server: %d is not within 0 to %d", i, c.Server, e.Fleet.Servers-1)
+	} {
+		if c.isInvalid {
+			return fmt.Errorf("%s %s", c.field, c.reason)
 		}
 	}
-	for i, c := range e.Checks {
-		switch {
-		case !slices.Contains(checkKinds, c.Kind):
-			return fmt.Errorf("check[%d].kind: %q is not one of %v", i, c.Kind, checkKinds)
-		case c.Kind != "register" && c.Field == "":
-			return fmt.Errorf("check[%d].field: is empty", i)
-		}
+	return nil
+}
+
+// validateCall checks a call of an operator; errors begin with the field.
+func (e *Experiment) validateCall(c Call) error {
+	switch {
+	case !slices.Contains(opsCalls, c.Op):
+		return fmt.Errorf("op: %q is not one of %v", c.Op, opsCalls)
+	case c.At.Duration < 0 || c.At.Duration > e.Duration.Duration:
+		return fmt.Errorf("at: %v is not within the duration", c.At)
+	case c.Sidecar < 0 || c.Sidecar >= e.Fleet.Sidecars:
+		return fmt.Errorf("sidecar: %d is not within 0 to %d", c.Sidecar, e.Fleet.Sidecars-1)
+	case c.Server < 0 || c.Server >= e.Fleet.Servers:
+		return fmt.Errorf("server: %d is not within 0 to %d", c.Server, e.Fleet.Servers-1)
 	}
-	for i, c := range e.Chaos {
-		switch {
-		case !slices.Contains(sidecarKinds, c.Kind) && !slices.Contains(serverKinds, c.Kind):
-			return fmt.Errorf("chaos[%d].kind: %q is not a kind of fault with targets", i, c.Kind)
-		case c.Kind == "isolate" && !e.Fleet.datagrams():
-			return fmt.Errorf("chaos[%d].kind: \"isolate\" needs fleet.peers or fleet.view", i)
-		case c.Count < 0 || c.Count > 1000:
-			return fmt.Errorf("chaos[%d].count: %d is not within 0 to 1000", i, c.Count)
-		case c.For.Duration < 0:
-			return fmt.Errorf("chaos[%d].for: is negative", i)
-		}
+	return nil
+}
+
+// validateChaos checks faults that are drawn; errors begin with the field.
+func (e *Experiment) validateChaos(c Chaos) error {
+	switch {
+	case !slices.Contains(sidecarKinds, c.Kind) && !slices.Contains(serverKinds, c.Kind):
+		return fmt.Errorf("kind: %q is not a kind of fault with targets", c.Kind)
+	case c.Kind == "isolate" && !e.Fleet.datagrams():
+		return errors.New("kind: \"isolate\" needs fleet.peers or fleet.view")
+	case c.Count < 0 || c.Count > 1000:
+		return fmt.Errorf("count: %d is not within 0 to 1000", c.Count)
+	case c.For.Duration < 0:
+		return errors.New("for: is negative")
 	}
 	return nil
 }
 
+// validateFault checks a fault; errors begin with the field.
 func (e *Experiment) validateFault(f Fault) error {
-	inRange := func(field string, list []int, n int) error {
-		if len(list) == 0 {
-			return fmt.Errorf("%s: is empty for kind %q", field, f.Kind)
-		}
-		for _, v := range list {
-			if v < 0 || v >= n {
-				return fmt.Errorf("%s: %d is not within 0 to %d", field, v, n-1)
-			}
-		}
-		return nil
+	if err := e.validateFaultRanges(f); err != nil {
+		return err
+	}
+	if err := e.validateFaultKind(f); err != nil {
+		return err
 	}
-	for _, share := range []struct {
+	return e.validateTargets(f)
+}
+
+// validateFaultRanges checks what does not depend on the kind.
+func (e *Experiment) validateFaultRanges(f Fault) error {
+	for _, fraction := range []struct {
 		field string
 		value float64
 	}{{"share", f.Share}, {"loss", f.Loss}, {"duplicate", f.Duplicate}, {"reorder", f.Reorder}} {
-		if share.value < 0 || share.value > 1 {
-			return fmt.Errorf("%s: %v is not within 0 to 1", share.field, share.value)
+		if fraction.value < 0 || fraction.value > 1 {
+			return fmt.Errorf("%s: %v is not within 0 to 1", fraction.field, fraction.value)
 		}
 	}
 	switch {
 	case f.At.Duration < 0 || f.At.Duration > e.Duration.Duration:
 		return fmt.Errorf("at: %v is not within the duration", f.At)
 	case f.For.Duration < 0:
-		return fmt.Errorf("for: is negative")
-	case (f.Kind == "isolate" || f.Kind == "peers") && !e.Fleet.datagrams():
-		return fmt.Errorf("kind: %q needs fleet.peers or fleet.view", f.Kind)
+		return errors.New("for: is negative")
 	case !slices.Contains([]string{"", "both", "in", "out"}, f.Direction):
 		return fmt.Errorf("direction: %q is not \"both\", \"in\" or \"out\"", f.Direction)
 	case f.Rate < 0:
-		return fmt.Errorf("rate: is negative")
+		return errors.New("rate: is negative")
+	}
+	return nil
+}
+
+// validateFaultKind checks what a kind needs besides its targets.
+func (e *Experiment) validateFaultKind(f Fault) error {
+	switch {
+	case (f.Kind == "isolate" || f.Kind == "peers") && !e.Fleet.datagrams():
+		return fmt.Errorf("kind: %q needs fleet.peers or fleet.view", f.Kind)
 	case f.Kind == "upgrade" && !e.Ops.On:
-		return fmt.Errorf("kind: \"upgrade\" needs ops.on")
+		return errors.New("kind: \"upgrade\" needs ops.on")
 	case f.Kind == "disk" && !slices.Contains([]string{"full", "readonly", "slow"}, f.Mode):
 		return fmt.Errorf("mode: %q is not \"full\", \"readonly\" or \"slow\"", f.Mode)
 	case f.Kind == "disk" && f.Mode == "slow" && f.Delay.Duration <= 0:
-		return fmt.Errorf("delay: is not positive")
+		return errors.New("delay: is not positive")
 	case f.Kind == "flap" && f.Period.Duration < 20*time.Millisecond:
-		return fmt.Errorf("period: is under 20ms")
+		return errors.New("period: is under 20ms")
 	case f.Kind == "flap" && (f.For.Duration <= 0 || f.For.Duration/f.Period.Duration > 10000):
-		return fmt.Errorf("for: is 0 or over 10000 periods")
+		return errors.New("for: is 0 or over 10000 periods")
 	case f.Kind == "split" && len(f.Groups) < 2:
-		return fmt.Errorf("groups: are fewer than 2")
+		return errors.New("groups: are fewer than 2")
+	case f.Kind == "discovery" && f.Mode != "down" && f.Mode != "lag":
+		return fmt.Errorf("mode: %q is neither \"down\" nor \"lag\"", f.Mode)
+	}
+	return nil
+}
+
+// validateTargets checks the sidecars, servers, machines or links of a fault.
+func (e *Experiment) validateTargets(f Fault) error {
+	inRange := func(field string, list []int, n int) error {
+		if len(list) == 0 {
+			return fmt.Errorf("%s: is empty for kind %q", field, f.Kind)
+		}
+		for _, v := range list {
+			if v < 0 || v >= n {
+				return fmt.Errorf("%s: %d is not within 0 to %d", field, v, n-1)
+			}
+		}
+		return nil
+	}
+	switch {
 	case slices.Contains(sidecarKinds, f.Kind):
 		return inRange("sidecars", f.Sidecars, e.Fleet.Sidecars)
 	case slices.Contains(serverKinds, f.Kind):
 		return inRange("servers", f.Servers, e.Fleet.Servers)
-	case f.Kind == "discovery":
-		if f.Mode != "down" && f.Mode != "lag" {
-			return fmt.Errorf("mode: %q is neither \"down\" nor \"lag\"", f.Mode)
-		}
-		return nil
-	case f.Kind == "peers":
-		return nil
 	case slices.Contains(machineKinds, f.Kind):
 		return inRange("machines", f.Machines, e.machineCount())
 	case slices.Contains(linkKinds, f.Kind):
 		_, err := selectorResolver{e}.linkRule(f)
 		return err
+	case f.Kind == "discovery" || f.Kind == "peers":
+		return nil
 	}
 	return fmt.Errorf("kind: %q is not a known fault", f.Kind)
 }
--- a/internal/lab/views.go
+++ b/internal/lab/views.go
@@ -33,105 +33,135 @@
 		v.After, v.P50Ms, v.MaxMs, v.Changes, v.Digests, v.Largest, v.Isolated)
 }
 
-// viewConvergences reckons each fault's from what the sidecars told.
-func viewConvergences(events []history.Event, marks []Mark, started, start time.Time) []ViewConvergence {
-	type seen struct {
-		at                 int64
-		digest, since, cut string
-		epoch              string
-		members            int
+// viewAnswer is one answer of a sidecar on its membership view. The keys of its fields are those of the admin call.
+type viewAnswer struct {
+	at            int64 // microseconds of the lab's clock
+	digest        string
+	stableSince   string // RFC 3339
+	isIsolated    bool
+	epoch         string
+	stableMembers int // members in the stable view
+}
+
+// viewConvergences reports how the views converged after each fault, from the observations of a run. startedAt is when
+// the first process was started, clockStart the start of the lab's clock.
+func viewConvergences(events []history.Event, marks []Mark, startedAt, clockStart time.Time) []ViewConvergence {
+	bySidecar, last := viewAnswers(events)
+	phases := viewPhases(marks, ms(startedAt.Sub(clockStart)))
+	for i := range phases {
+		end := float64(last)/1000 + 1
+		if i+1 < len(phases) {
+			end = phases[i+1].AtMs
+		}
+		phases[i].addSidecars(bySidecar, end, clockStart)
 	}
-	// An answer's fields are observations of one call.
-	type key struct {
+	return phases
+}
+
+// viewAnswers joins the observations of each call, and returns the answers by sidecar in time order, and the time of the
+// last observation of any kind.
+func viewAnswers(events []history.Event) (bySidecar map[string][]*viewAnswer, last int64) {
+	type callKey struct {
 		sidecar string
 		call    int64
 	}
-	answers := map[key]*seen{}
+	answers := map[callKey]*viewAnswer{}
 	for _, e := range events {
 		if e.Kind != history.Observe {
 			continue
 		}
-		k := key{e.Sidecar, e.Call}
+		k := callKey{e.Sidecar, e.Call}
 		if answers[k] == nil {
-			answers[k] = &seen{at: e.Call}
-		}
-		switch a := answers[k]; e.Key {
-		case "digest":
-			a.digest = e.Value
-		case "settled_since":
-			a.since = e.Value
-		case "cut_off":
-			a.cut = e.Value
-		case "epoch":
-			a.epoch = e.Value
-		case "settled":
-			a.members = len(e.Set)
+			answers[k] = &viewAnswer{at: e.Call}
 		}
+		answers[k].addField(e)
 	}
-	bySidecar := map[string][]*seen{}
-	final := int64(0)
+	bySidecar = map[string][]*viewAnswer{}
 	for k, a := range answers {
-		final = max(final, a.at)
+		last = max(last, a.at)
 		if a.digest != "" {
 			bySidecar[k.sidecar] = append(bySidecar[k.sidecar], a)
 		}
 	}
 	for _, list := range bySidecar {
-		slices.SortFunc(list, func(a, b *seen) int { return cmp.Compare(a.at, b.at) })
+		slices.SortFunc(list, func(a, b *viewAnswer) int { return cmp.Compare(a.at, b.at) })
 	}
-	phases := []ViewConvergence{{After: "start", AtMs: ms(started.Sub(start))}}
+	return bySidecar, last
+}
+
+// addField takes one field of the answer to the admin call for the fleet.
+func (a *viewAnswer) addField(e history.Event) {
+	switch e.Key {
+	case "digest":
+		a.digest = e.Value
+	case "settled_since":
+		a.stableSince = e.Value
+	case "cut_off":
+		a.isIsolated = e.Value == "true"
+	case "epoch":
+		a.epoch = e.Value
+	case "settled":
+		a.stableMembers = len(e.Set)
+	}
+}
+
+// viewPhases returns the start and each fault, those of one moment as one.
+func viewPhases(marks []Mark, startMs float64) []ViewConvergence {
+	phases := []ViewConvergence{{After: "start", AtMs: startMs}}
 	for _, m := range marks {
-		if last := &phases[len(phases)-1]; m.AtMs-last.AtMs < 1 { // one moment's faults are one
+		if last := &phases[len(phases)-1]; m.AtMs-last.AtMs < 1 {
 			last.After += ", " + m.Label
 			continue
 		}
 		phases = append(phases, ViewConvergence{After: m.Label, AtMs: m.AtMs})
 	}
-	for i := range phases {
-		p := &phases[i]
-		end := float64(final)/1000 + 1
-		if i+1 < len(phases) {
-			end = phases[i+1].AtMs
+	return phases
+}
+
+// addSidecars takes the answers of all sidecars in a phase that lasts until endMs.
+func (v *ViewConvergence) addSidecars(bySidecar map[string][]*viewAnswer, endMs float64, clockStart time.Time) {
+	digests := map[string]bool{}
+	var changedAfter []float64
+	for _, list := range bySidecar {
+		last := v.lastAnswer(list, endMs)
+		if last == nil || float64(last.at)/1000 < endMs-history.UpGap.Seconds()*1000 { // it is down at the end
+			continue
 		}
-		digests := map[string]bool{}
-		var took []float64
-		for _, list := range bySidecar {
-			var last *seen
-			before := ""
-			for _, a := range list {
-				at := float64(a.at) / 1000
-				if at >= end {
-					break
-				}
-				if at >= p.AtMs {
-					if before != "" && a.epoch != before {
-						p.Changes++
-					}
-					last = a
-				}
-				before = a.epoch
-			}
-			if last == nil || float64(last.at)/1000 < end-history.UpGap.Seconds()*1000 { // it is down at the end
-				continue
-			}
-			digests[last.digest] = true
-			p.Largest = max(p.Largest, last.members)
-			if last.cut == "true" {
-				p.Isolated++
-			}
-			since, err := time.Parse(time.RFC3339Nano, last.since)
-			if moved := ms(since.Sub(start)); err == nil && moved >= p.AtMs {
-				took = append(took, moved-p.AtMs)
-			} else {
-				took = append(took, 0)
-			}
+		digests[last.digest] = true
+		v.Largest = max(v.Largest, last.stableMembers)
+		if last.isIsolated {
+			v.Isolated++
 		}
-		p.Digests = len(digests)
-		if slices.Sort(took); len(took) > 0 {
-			p.P50Ms, p.MaxMs = took[len(took)/2], took[len(took)-1]
+		since, err := time.Parse(time.RFC3339Nano, last.stableSince)
+		if changed := ms(since.Sub(clockStart)); err == nil && changed >= v.AtMs {
+			changedAfter = append(changedAfter, changed-v.AtMs)
+		} else {
+			changedAfter = append(changedAfter, 0)
 		}
 	}
-	return phases
+	v.Digests = len(digests)
+	if slices.Sort(changedAfter); len(changedAfter) > 0 {
+		v.P50Ms, v.MaxMs = changedAfter[len(changedAfter)/2], changedAfter[len(changedAfter)-1]
+	}
+}
+
+// lastAnswer returns a sidecar's last answer in the phase, nil for none, and counts the changes of its view in it.
+func (v *ViewConvergence) lastAnswer(list []*viewAnswer, endMs float64) (last *viewAnswer) {
+	epoch := ""
+	for _, a := range list {
+		at := float64(a.at) / 1000
+		if at >= endMs {
+			break
+		}
+		if at >= v.AtMs {
+			if epoch != "" && a.epoch != epoch {
+				v.Changes++
+			}
+			last = a
+		}
+		epoch = a.epoch
+	}
+	return last
 }
 
 // viewFigures are a result's settlings as figures: by the fault's place among all and its kind.
