--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// client is the application beside one sidecar.
+// client is the application of one sidecar.
 type client struct {
 	index    int
 	exp      *Experiment
@@ -41,7 +41,7 @@
 		id := fmt.Sprintf("%02x%06x%08x", c.index, i, uint32(c.exp.Seed))
 		order := float64(i%1000)/1000 < c.exp.Load.OrderShare
 		if !c.sidecars.IsAccepting(c.index) {
-			c.requests.recordUnsent(c.index) // the application stops and starts with its sidecar: this one waits for it
+			c.requests.recordUnsent(c.index) // an application stops and starts with its sidecar
 			continue
 		}
 		wg.Add(1)
@@ -89,9 +89,9 @@
 	}
 }
 
-// failure classes a request without a whole answer: never taken where the
-// connection never came up; cut where its sidecar was killed or paused while
-// it was out; lost otherwise.
+// failure returns the outcome of a request without a complete response:
+// unreached if there was no connection, cut if its sidecar was killed or paused
+// meanwhile, else lost.
 func (c *client) failure(id string, err error, sent time.Duration) Outcome {
 	if errors.Is(err, context.DeadlineExceeded) {
 		c.requests.recordClientTimeout(id)
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -10,7 +10,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Repeated is the figures of several runs of one experiment, with seeds in a row.
+// Repeated is the figures of several runs of one experiment, with consecutive seeds.
 type Repeated struct {
 	Format  int               `json:"format"`
 	Name    string            `json:"name"`
@@ -48,7 +48,7 @@
 	return f
 }
 
-// Repeat sums up runs of one experiment. It needs one at least.
+// Repeat summarizes runs of one experiment, of which there must be at least one.
 func Repeat(results []*Result) *Repeated {
 	r := &Repeated{Format: resultFormat, Name: results[0].Name, Runs: len(results), Figures: map[string]Spread{}}
 	values := map[string]*hdrhistogram.Histogram{}
@@ -90,7 +90,7 @@
 	return Repeat([]*Result{one}), nil
 }
 
-// Table is the figures of several runs, one a line.
+// Table formats the figures of several runs, one per line.
 func (r *Repeated) Table() string {
 	var text strings.Builder
 	w := tabwriter.NewWriter(&text, 0, 4, 2, ' ', tabwriter.AlignRight)
@@ -106,9 +106,9 @@
 	return text.String()
 }
 
-// Compare is a side-by-side table: medians, b less a, b over a. Where the
-// ranges of the two meet the line says so: the difference is within the spread. Where
-// either is one run there is no spread to tell by.
+// Compare formats a side-by-side table: medians, b minus a, b over a. A line
+// says whether the ranges of the two overlap, so that the difference is within
+// the spread. With only one run of either the spread is unknown.
 func Compare(a, b *Repeated) string {
 	var text strings.Builder
 	w := tabwriter.NewWriter(&text, 0, 4, 2, ' ', 0)
--- a/internal/lab/control.go
+++ b/internal/lab/control.go
@@ -34,9 +34,9 @@
 // ControlSpan is the means over sidecars; those that restarted in it are left out.
 type ControlSpan struct {
 	Sidecars  int                    `json:"sidecars"`
-	Seconds   float64                `json:"seconds"`              // that it lasted, mean
-	WireBytes float64                `json:"wire_bytes_per_s"`     // a sidecar, all kinds both ways, headers reckoned
-	MaxBytes  float64                `json:"wire_bytes_per_s_max"` // the sidecar with the most
+	Seconds   float64                `json:"seconds"`              // mean duration
+	WireBytes float64                `json:"wire_bytes_per_s"`     // of a sidecar, all kinds in both directions, with estimated headers
+	MaxBytes  float64                `json:"wire_bytes_per_s_max"` // of the sidecar with the maximum
 	Kinds     map[string]ControlRate `json:"kinds"`
 	CPU       float64                `json:"cpu_share"` // of a core, of the whole process, serving included
 	// What the kernel counted on the loopback interface meanwhile, of all that used it, without Ethernet's frames,
@@ -45,26 +45,26 @@
 	LoopbackPackets float64 `json:"loopback_packets_per_s"`
 }
 
-// ControlRate is one kind, a sidecar a second.
+// ControlRate is the traffic of one kind, per sidecar and second.
 type ControlRate struct {
 	Sent          float64 `json:"sent_per_s"` // messages
 	SentBytes     float64 `json:"sent_bytes_per_s"`
 	Received      float64 `json:"received_per_s"`
 	ReceivedBytes float64 `json:"received_bytes_per_s"`
 	Connections   float64 `json:"connections_per_s"` // opened, accepted and failed
-	Packets       float64 `json:"packets_per_s"`     // reckoned
-	WireBytes     float64 `json:"wire_bytes_per_s"`  // reckoned
+	Packets       float64 `json:"packets_per_s"`     // estimated
+	WireBytes     float64 `json:"wire_bytes_per_s"`  // estimated
 }
 
-// controlSample is what was known at one time.
+// controlSample is the control traffic of all sidecars at one time.
 type controlSample struct {
 	status   map[int]controltraffic.Status // by sidecar
-	at       map[int]time.Duration         // when it had answered
+	at       map[int]time.Duration         // when it responded
 	cpu      map[int]time.Duration
 	loopback [2]uint64 // bytes, packets
 }
 
-// measureControl looks at all sidecars at the times above. Before is the loopback's count before they started.
+// measureControl samples all sidecars at the times above. before is the loopback's count before they started.
 func (o *operators) measureControl(ctx context.Context, before [2]uint64) *Control {
 	end := o.exp.Duration.Duration
 	if !o.requests.waitUntil(ctx, min(startSpanEnd, end)) {
@@ -87,18 +87,18 @@
 func (o *operators) controlSample() controlSample {
 	s := controlSample{status: map[int]controltraffic.Status{}, at: map[int]time.Duration{}, cpu: map[int]time.Duration{}}
 	var mu sync.Mutex
-	var asking sync.WaitGroup
-	places := make(chan struct{}, maxControlCalls)
+	var calls sync.WaitGroup
+	slots := make(chan struct{}, maxControlCalls)
 	for i := range o.exp.Fleet.Sidecars {
-		asking.Add(1)
-		places <- struct{}{}
+		calls.Add(1)
+		slots <- struct{}{}
 		go func() {
-			defer asking.Done()
-			defer func() { <-places }()
+			defer calls.Done()
+			defer func() { <-slots }()
 			code, text := o.adminCall(http.MethodGet, i, "/control", "")
 			var status controltraffic.Status
 			if code != http.StatusOK || json.Unmarshal([]byte(text), &status) != nil {
-				return // it is down, or comes up
+				return // it is down or not ready yet
 			}
 			cpu := o.sidecars.cpuTime(i)
 			mu.Lock()
@@ -106,12 +106,12 @@
 			s.status[i], s.at[i], s.cpu[i] = status, o.requests.Elapsed(), cpu
 		}()
 	}
-	asking.Wait()
+	calls.Wait()
 	s.loopback = loopbackSent()
 	return s
 }
 
-// spanBetween reckons what passed between two samples; from one without sidecars, since each process's start.
+// spanBetween returns the rates between two samples; from an empty one, since each process's start.
 func spanBetween(from, to controlSample) ControlSpan {
 	s := ControlSpan{Kinds: map[string]ControlRate{}}
 	for i, now := range to.status {
@@ -119,7 +119,7 @@
 		seconds := now.Seconds - then.Seconds
 		off := time.Duration(seconds*float64(time.Second)) - (to.at[i] - from.at[i])
 		if from.status != nil && (!ok || off.Abs() > controlSlack) {
-			continue // it did not answer, or is another process
+			continue // it did not respond, or is another process
 		}
 		s.Sidecars++
 		s.Seconds += seconds
@@ -151,7 +151,7 @@
 	return s
 }
 
-// loopbackSent gives the bytes and packets that the loopback interface has sent.
+// loopbackSent returns the bytes and packets that the loopback interface has sent.
 func loopbackSent() (n [2]uint64) {
 	text, _ := os.ReadFile("/proc/net/dev")
 	for _, line := range strings.Split(string(text), "\n") {
@@ -165,10 +165,10 @@
 	return n
 }
 
-// String is two lines for people.
+// String describes it in two lines.
 func (c *Control) String() string {
 	line := func(name string, s *ControlSpan) string {
-		text := fmt.Sprintf("control, %s of %.1f s, a sidecar: %.0f B/s (most %.0f)", name, s.Seconds, s.WireBytes, s.MaxBytes)
+		text := fmt.Sprintf("control, %s of %.1f s, a sidecar: %.0f B/s (maximum %.0f)", name, s.Seconds, s.WireBytes, s.MaxBytes)
 		for _, kind := range controltraffic.Kinds {
 			text += fmt.Sprintf(", %s %.0f", kind, s.Kinds[kind].WireBytes)
 		}
--- a/internal/lab/control_table.go
+++ b/internal/lab/control_table.go
@@ -15,7 +15,7 @@
 	"bramblestand/internal/controltraffic"
 )
 
-// ControlTable is what control costs by servers listed and calls a second.
+// ControlTable is the control traffic by number of servers and rate of requests.
 type ControlTable struct {
 	Format   int          `json:"format"`
 	Cores    int          `json:"cores"`
@@ -33,22 +33,22 @@
 	Price      float64         `json:"probe_price"`      // prices.probe of the settings
 	StartBytes float64         `json:"start_bytes"`      // on the wire in all, from the process's start to 10 s of the load
 	PeakMB     float64         `json:"peak_mb"`          // peak resident memory of the sidecar with the most
-	Ratio      [2]float64      `json:"reckoned_over_lo"` // reckoned bytes over loopback's, start and steady; 0 where others share it
+	Ratio      [2]float64      `json:"reckoned_over_lo"` // estimated bytes over loopback's, start and steady; 0 if other traffic used it
 	Outcomes   map[Outcome]int `json:"outcomes"`         // of the calls
-	Breaches   int             `json:"breaches"`         // of the rules: calls lost, as on a machine that stalls
+	Breaches   int             `json:"breaches"`         // of the rules, as requests lost on a machine that stalls
 	Late       bool            `json:"lab_ran_late"`     // then its times are not to be trusted
 	TimerP99   float64         `json:"lab_late_p99_ms"`  // of the lab's timers
 	Control                    // start and steady
 }
 
-// probeSettings names what else of the lab's settings decides the pace of probes.
+// probeSettings describes the other settings of the lab that determine the probe rate.
 const probeSettings = "limits.probes true, discovery subscribe, target of the classes 0.6 s, no peers: min(4, 0.005 / probe_price) probes a call and 1 a second at the least"
 
-// MeasureControl plays an experiment without faults for all of these servers, rates and prices, so many at a time. Tell is told
-// of each row. Where one is played at a time the rows say how the reckoned bytes compare with the kernel's count, which
-// is of all that uses the loopback interface: it means something without calls, while nothing else does.
+// MeasureControl runs an experiment without faults for all combinations of servers, rates and prices, parallel of them at
+// a time, and calls progress with each row. If one runs at a time, rows without requests compare the estimated bytes with
+// the kernel's count, which is of all users of the loopback interface.
 func MeasureControl(ctx context.Context, program, folder string, sidecars int, servers []int, rates, prices []float64, duration time.Duration,
-	parallel int, tell func(string)) (*ControlTable, error) {
+	parallel int, progress func(string)) (*ControlTable, error) {
 	t := &ControlTable{Format: resultFormat, Cores: runtime.NumCPU(), Parallel: parallel, Sidecars: sidecars, Duration: Duration{duration}, Settings: probeSettings}
 	type point struct {
 		servers     int
@@ -63,8 +63,8 @@
 		}
 	}
 	rows, errs := make([]ControlRow, len(points)), make([]error, len(points))
-	places := make(chan struct{}, parallel)
-	var playing sync.WaitGroup
+	slots := make(chan struct{}, parallel)
+	var running sync.WaitGroup
 	for k, p := range points {
 		text := fmt.Sprintf("name = \"control\"\nseed = %d\nduration = %q\n[fleet]\nsidecars = %d\nservers = %d\nprobe_price = %v\n[load]\nrate = %v\n[ops]\non = true\nobserve = []\n",
 			k+1, duration, sidecars, p.servers, p.price, p.rate)
@@ -75,25 +75,25 @@
 		if err != nil {
 			return nil, err
 		}
-		places <- struct{}{}
-		playing.Add(1)
+		slots <- struct{}{}
+		running.Add(1)
 		go func() {
-			defer playing.Done()
-			defer func() { <-places }()
+			defer running.Done()
+			defer func() { <-slots }()
 			result, err := Run(ctx, exp, program, filepath.Join(folder, fmt.Sprintf("%d-%v-%v", p.servers, p.rate, p.price)), slog.New(slog.DiscardHandler))
 			switch {
 			case err != nil:
 				errs[k] = err
 				return
 			case result.Control == nil || result.Control.Steady == nil || result.Control.Steady.Sidecars < sidecars:
-				errs[k] = fmt.Errorf("%d servers, %v calls/s: cut short, or a sidecar did not tell", p.servers, p.rate)
+				errs[k] = fmt.Errorf("%d servers, %v calls/s: cut short, or a sidecar did not respond", p.servers, p.rate)
 				return
 			}
 			rows[k] = controlRow(p.servers, p.rate, p.price, result, parallel == 1 && p.rate == 0)
-			tell(rows[k].String())
+			progress(rows[k].String())
 		}()
 	}
-	playing.Wait()
+	running.Wait()
 	for _, err := range errs {
 		if err != nil {
 			return nil, err
@@ -116,7 +116,7 @@
 	return row
 }
 
-// String is a line for people.
+// String describes it in one line.
 func (r ControlRow) String() string {
 	text := fmt.Sprintf("price %v, %d servers, %v calls/s: start %.0f bytes, steady %.0f B/s, %.2f%% of a core, %.1f MB", r.Price, r.Servers, r.Rate, r.StartBytes,
 		r.Steady.WireBytes, r.Steady.CPU*100, r.PeakMB)
@@ -134,7 +134,7 @@
 	return n
 }
 
-// Table is the rows for people: bytes on the wire with headers, of one sidecar.
+// Table formats the rows: bytes on the wire with headers, of one sidecar.
 func (t *ControlTable) Table() string {
 	var text strings.Builder
 	w := tabwriter.NewWriter(&text, 0, 4, 2, ' ', tabwriter.AlignRight)
--- a/internal/lab/datagram_relay.go
+++ b/internal/lab/datagram_relay.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// maxDatagramSize is the protocol's bound on a datagram between sidecars, in bytes.
+// maxDatagramSize is the protocol's limit of a datagram between sidecars, in bytes.
 const maxDatagramSize = 256
 
-// relayBufferSize is asked of the system for each of the relay's sockets, in bytes, so that it drops nothing unasked.
+// relayBufferSize is the receive buffer of each of the relay's sockets, in bytes, large enough that only faults drop datagrams.
 const relayBufferSize = 4 << 20
 
 const relayAddress = "127.0.0.1"
@@ -19,12 +19,12 @@
 // DatagramRelay carries the datagrams between sidecars, through the network's faults.
 // A sidecar sends to the hub (its peers_all); the hub sends a copy to every
 // other sidecar from that sender's relay socket, the address that the others
-// know it by (its entry in their peers), so that they take it as the
-// sender's. What is sent to a relay goes to its sidecar alone.
+// know it by (its entry in their peers). What is sent to a relay socket goes
+// to its sidecar alone.
 type DatagramRelay struct {
 	hub    *net.UDPConn
-	relays []*net.UDPConn         // relays[i] is what the others know sidecar i by
-	listen []netip.AddrPort       // where sidecar i takes datagrams
+	relays []*net.UDPConn         // relays[i] is how the others address sidecar i
+	listen []netip.AddrPort       // where sidecar i receives datagrams
 	index  map[netip.AddrPort]int // listen address to sidecar
 	net    *Network
 	subnet subnet
@@ -52,7 +52,7 @@
 	if p.hub, err = open(relayAddress); err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	var owns []*net.UDPConn // free ports for the sidecars, given back once all relays have theirs
+	var owns []*net.UDPConn // free ports for the sidecars, released once all relays have theirs
 	defer func() {
 		for _, own := range owns {
 			own.Close()
@@ -103,7 +103,7 @@
 	return p.listen[i].String()
 }
 
-// ReassignAddress gives sidecar i another peer_listen, for a port taken meanwhile.
+// ReassignAddress gives sidecar i another peer_listen, since its port is in use.
 func (p *DatagramRelay) ReassignAddress(i int) error {
 	own, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(p.subnet.address(i))})
 	if err != nil {
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// serve relays what comes to the hub (to, -1) to all others, and what comes
-// to relay to straight to sidecar to.
+// serve relays the datagrams received by the hub (to is -1) to all other
+// sidecars, and those received by relay socket to only to that sidecar.
 func (p *DatagramRelay) serve(conn *net.UDPConn, to int) {
 	buffer := make([]byte, 2048)
 	for {
@@ -167,7 +167,7 @@
 	}
 }
 
-// Counts gives what was relayed, dropped by faults, too long, and from strangers.
+// Counts returns the datagrams relayed, dropped by faults, too long, and from unknown senders.
 func (p *DatagramRelay) Counts() (relayed, dropped, oversize, strange int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/descriptors.go
+++ b/internal/lab/descriptors.go
@@ -12,20 +12,20 @@
 const (
 	sidecarSockets    = 1024 // limits.sockets of every sidecar's configuration
 	descriptorsSpare  = 64   // standard streams, the runtime's own, result files, connections on their way out
-	descriptorsExcess = 0.1  // share by which the reckoning may pass the limit, see CheckDescriptors
+	descriptorsExcess = 0.1  // fraction by which the estimate may exceed the limit, see CheckDescriptors
 )
 
-// Descriptors reckons the file descriptors that the lab's own process can need at once for the experiment:
+// Descriptors estimates the file descriptors that the lab's own process can need at once for the experiment:
 //
 //	listeners    one a server and one for discovery
-//	stand-ins    for each sidecar: a connection to every server, as its first list has it probe all that is new, or
-//	             one for each of the load's calls out, whichever is more (calls take the probes' connections over),
-//	             bounded by what limits.sockets leaves it for endpoints; 2 to discovery
-//	load         for each sidecar: calls out at once, rate x deadline at the most, times the factor of a burst,
-//	             bounded by the sidecar's connections from clients; 1 for the lab's look whether it is ready
-//	operators    where they are on: one to each sidecar that observes, and as many for calls
-//	datagrams    where sidecars have a path between them: a relay socket a sidecar and the hub
-//	processes    for each sidecar, twice where the experiment upgrades any: its log file, the pipe to it, the process's handle
+//	servers      for each sidecar: a connection to every server, since it probes all new endpoints at its first list, or
+//	             one for each request in flight, whichever is more (requests reuse the probes' connections), limited by
+//	             its share of limits.sockets for endpoints; 2 to discovery
+//	load         for each sidecar: requests in flight, at most rate x deadline times the factor of a burst, limited by
+//	             the sidecar's connections from clients; 1 for the lab's readiness check
+//	operators    with operators: one to each sidecar for observations, and one for calls
+//	datagrams    with peers or views: a relay socket for each sidecar, and the hub
+//	processes    for each sidecar, twice if the experiment upgrades any: its log file, the pipe to it, the process's handle
 //	disks        one a machine whose disk may be slow (the state file's lock)
 //	spare        64
 func (e *Experiment) Descriptors() int {
@@ -62,9 +62,9 @@
 	return descriptorsSpare + f.Servers + 1 + f.Sidecars*sidecar + slow + 1
 }
 
-// CheckDescriptors refuses an experiment, played so many at a time, that needs more descriptors than this process may
-// have: beyond that the stand-ins stop accepting and the load stops connecting, which looks like the sidecars' fault.
-// A tenth over the limit is let pass: the fleet's starts do not all reach their most in one instant.
+// CheckDescriptors returns an error for an experiment that, parallel times at once, needs more descriptors than this
+// process may have: the fake servers would stop accepting and the load would stop connecting, which would look like
+// failures of the sidecars. descriptorsExcess is tolerated, since the starts do not all reach their maximum at once.
 func (e *Experiment) CheckDescriptors(parallel int) error {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
--- a/internal/lab/disk.go
+++ b/internal/lab/disk.go
@@ -43,18 +43,18 @@
 	return <-done
 }
 
-// disk is one machine's: a folder with the kept state of its sidecars and
-// their TMPDIR. Each of its faults is counted, and ends with the last.
+// disk is the disk of one machine: a folder with the persisted state of its
+// sidecars and their TMPDIR. Faults of one kind are counted, and end with the last.
 type disk struct {
 	folder string
 
 	mu       sync.Mutex
 	full     int
 	readonly int
-	slow     map[int]func() // by fault, what ends it
+	slow     map[int]func() // by fault, ends it
 }
 
-// newDisk makes the folder, or takes an earlier run's of the same place.
+// newDisk makes the folder, or uses that of an earlier run.
 func newDisk(folder string) (*disk, error) {
 	d := &disk{folder: folder, slow: map[int]func(){}}
 	return d, d.makeFolders()
@@ -72,7 +72,7 @@
 func (d *disk) state() string { return filepath.Join(d.folder, "state") }
 func (d *disk) tmp() string   { return filepath.Join(d.folder, "tmp") }
 
-// reboot clears what a loss of power takes (TMPDIR); replace empties the whole disk, as a new machine's.
+// reboot clears TMPDIR, as a loss of power does; replace empties the disk, as a new machine's is.
 func (d *disk) reboot() error { return d.clear(d.tmp()) }
 
 func (d *disk) replace() error { return d.clear(d.folder) }
@@ -89,7 +89,7 @@
 	return d.applyPermissions()
 }
 
-// applyPermissions gives folders and files the permissions of the faults now on. It holds d.mu.
+// applyPermissions sets the permissions of folders and files by the active faults. The caller holds d.mu.
 func (d *disk) applyPermissions() error {
 	return filepath.WalkDir(d.folder, func(path string, e fs.DirEntry, err error) error {
 		if errors.Is(err, fs.ErrNotExist) {
@@ -111,7 +111,7 @@
 	})
 }
 
-// setReadonly forbids writing (on) or ends one such fault.
+// setReadonly begins or ends a fault that forbids writing.
 func (d *disk) setReadonly(on bool) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -119,14 +119,14 @@
 	return d.applyPermissions()
 }
 
-// setFull counts faults that make the disk full; limit gives the processes' file size limit.
+// setFull counts the faults that make the disk full; fileSizeLimit returns the effect.
 func (d *disk) setFull(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.full += sign(on)
 }
 
-// fileSizeLimit is the file size a process of this machine may write now, in bytes.
+// fileSizeLimit is the current file size limit of this machine's processes, in bytes.
 func (d *disk) fileSizeLimit() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -136,8 +136,8 @@
 	return unix.RLIM_INFINITY
 }
 
-// setSlow makes every save of a state file on this disk wait up to delay: the
-// lab holds the files' locks for delay at a time, with gaps for one to get in.
+// setSlow begins or ends a fault that delays every save of a state file on this
+// disk by up to delay: the lab locks the files for delay at a time, with gaps.
 func (d *disk) setSlow(fault int, delay time.Duration, on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -154,17 +154,17 @@
 }
 
 func (d *disk) holdLocks(delay time.Duration, stop <-chan struct{}) {
-	const gap = 60 * time.Millisecond // bbolt tries its lock each 50 ms
+	const gap = 60 * time.Millisecond // longer than the 50 ms between two attempts of bbolt to lock
 	for {
-		var held []*os.File
+		var locked []*os.File
 		paths, _ := filepath.Glob(filepath.Join(d.state(), "*.db"))
 		for _, path := range paths {
 			f, err := os.Open(path)
 			if err != nil {
 				continue
 			}
-			for try := 0; ; try++ { // a save that has it is soon done
-				if err = unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err == nil || try == 500 {
+			for attempt := 0; ; attempt++ { // a save that holds the lock is short
+				if err = unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err == nil || attempt == 500 {
 					break
 				}
 				time.Sleep(time.Millisecond)
@@ -173,7 +173,7 @@
 				f.Close()
 				continue
 			}
-			held = append(held, f)
+			locked = append(locked, f)
 		}
 		ended := false
 		select {
@@ -181,8 +181,8 @@
 		case <-stop:
 			ended = true
 		}
-		for _, f := range held {
-			f.Close() // gives the lock back
+		for _, f := range locked {
+			f.Close() // releases the lock
 		}
 		if ended {
 			return
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// DrawFaults is base with 2 to 7 faults drawn from the seed, after those it has:
+// DrawFaults returns base with 2 to 7 random faults after those it has: their
 // kinds (of those given, or of all that base allows), times, targets and
-// lengths, which may overlap.
+// durations, which may overlap, follow from the seed.
 func DrawFaults(base *Experiment, seed uint64, kinds []string) *Experiment {
 	exp := *base
 	exp.Seed = seed
@@ -44,8 +44,8 @@
 	return kinds
 }
 
-func (d *faultGenerator) duration(least, most time.Duration) Duration {
-	return Duration{(least + time.Duration(d.random.Int64N(int64(max(most-least, 1))))).Round(time.Millisecond)}
+func (d *faultGenerator) duration(minimum, maximum time.Duration) Duration {
+	return Duration{(minimum + time.Duration(d.random.Int64N(int64(max(maximum-minimum, 1))))).Round(time.Millisecond)}
 }
 
 func (d *faultGenerator) subset(n int) []int {
@@ -54,7 +54,7 @@
 
 func (d *faultGenerator) choose(of ...string) string { return of[d.random.IntN(len(of))] }
 
-// selectors names sidecars (s) or servers (v) by their numbers.
+// selectors returns the selectors of sidecars ("s") or servers ("v").
 func selectors(prefix string, numbers []int) []string {
 	var list []string
 	for _, i := range numbers {
@@ -64,9 +64,9 @@
 }
 
 func (d *faultGenerator) fault(kind string) Fault {
-	whole := d.exp.Duration.Duration
-	f := Fault{Kind: kind, At: d.duration(whole/10, whole*6/10), For: d.duration(whole/40, whole/4)}
-	ways := func() string { return d.choose("both", "in", "out") }
+	total := d.exp.Duration.Duration
+	f := Fault{Kind: kind, At: d.duration(total/10, total*6/10), For: d.duration(total/40, total/4)}
+	direction := func() string { return d.choose("both", "in", "out") }
 	switch {
 	case kind == "join" || kind == "upgrade":
 		f.For = Duration{}
@@ -74,13 +74,13 @@
 	case slices.Contains(sidecarKinds, kind):
 		f.Sidecars = d.subset(d.exp.Fleet.Sidecars)
 		if kind == "isolate" {
-			f.Direction = ways()
+			f.Direction = direction()
 		}
 	case slices.Contains(serverKinds, kind):
 		f.Servers = d.subset(d.exp.Fleet.Servers)
 		switch kind {
 		case "partition":
-			f.Direction = ways()
+			f.Direction = direction()
 		case "delay":
 			f.Delay, f.Jitter = d.duration(time.Millisecond, 200*time.Millisecond), d.duration(0, 50*time.Millisecond)
 		}
@@ -104,7 +104,7 @@
 	default: // link, cut, flap
 		f.From = selectors("s", d.subset(d.exp.Fleet.Sidecars))
 		f.To = [][]string{{"all"}, selectors("s", d.subset(d.exp.Fleet.Sidecars)), selectors("v", d.subset(d.exp.Fleet.Servers)), {"discovery"}}[d.random.IntN(4)]
-		f.Direction = ways()
+		f.Direction = direction()
 		switch kind {
 		case "link":
 			f.Loss, f.Duplicate, f.Reorder = d.random.Float64()/2, d.random.Float64()/2, d.random.Float64()/2
@@ -115,7 +115,7 @@
 		}
 	}
 	if (kind == "kill" || kind == "term" || kind == "machine-kill") && d.random.IntN(8) == 0 {
-		f.For = Duration{} // gone for good
+		f.For = Duration{} // until the end
 	}
 	return f
 }
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -12,7 +12,7 @@
 type Experiment struct {
 	Name     string   `toml:"name"`
 	Seed     uint64   `toml:"seed"`
-	Duration Duration `toml:"duration"` // of the load; the lab then waits for what is out
+	Duration Duration `toml:"duration"` // of the load; the lab then waits for the requests in flight
 	Sidecar  string   `toml:"sidecar"`  // path of the program, relative to the file's folder or absolute
 	Fleet    Fleet    `toml:"fleet"`
 	Server   Server   `toml:"server"`
@@ -26,34 +26,34 @@
 	Groups map[string][]string `toml:"groups"`
 }
 
-// Fleet gives how many of each there are.
+// Fleet is the number and kind of sidecars, servers and machines.
 type Fleet struct {
 	Sidecars int      `toml:"sidecars"` // 1 to 300
 	Servers  int      `toml:"servers"`  // 1 to 1000
-	Zones    []string `toml:"zones"`    // servers and sidecars are dealt to them in turn
-	Peers    bool     `toml:"peers"`    // sidecars share probes' answers by datagram, through the lab
-	View     bool     `toml:"view"`     // sidecars keep a view of the fleet, by datagrams through the lab
-	State    bool     `toml:"state"`    // sidecars keep state on their machine's disk, which outlives their crashes
-	Machines int      `toml:"machines"` // sidecars are dealt to them in turn; 0 for one each
-	// ProbePrice is the settings' prices.probe, in requests' worth: by it the module decides how many probes it sends.
+	Zones    []string `toml:"zones"`    // servers and sidecars are assigned round robin
+	Peers    bool     `toml:"peers"`    // sidecars gossip load reports by datagram, through the lab
+	View     bool     `toml:"view"`     // sidecars maintain a membership view, by datagrams through the lab
+	State    bool     `toml:"state"`    // sidecars persist state on their machine's disk, which survives their crashes
+	Machines int      `toml:"machines"` // sidecars are assigned round robin; 0 for one each
+	// ProbePrice is prices.probe of the settings, the cost of a load probe in requests; the probe rate depends on it.
 	ProbePrice float64 `toml:"probe_price"` // 0 for 1
 }
 
-// datagrams tells whether sidecars have a path between them.
+// datagrams reports whether sidecars send datagrams to each other.
 func (f *Fleet) datagrams() bool { return f.Peers || f.View }
 
-// Ops is the operators: with On every sidecar has an operators' address, is
-// asked there what it knows, and gets random calls.
+// Ops is the operators: with On every sidecar has an admin address, where the
+// lab observes its state and makes random calls.
 type Ops struct {
 	On           bool     `toml:"on"`
 	Rate         float64  `toml:"rate"`          // random calls a second, over the fleet; 0 for none
 	Calls        []string `toml:"calls"`         // drawn evenly; default ban, enable, drain, undrain
 	Servers      int      `toml:"servers"`       // bans are of the first so many servers; default 3
-	Observe      []string `toml:"observe"`       // paths asked of every sidecar, default /pin-servers; answers are JSON objects
+	Observe      []string `toml:"observe"`       // paths polled at every sidecar, default /pin-servers; responses are JSON objects
 	ObserveEvery Duration `toml:"observe_every"` // default 200ms
 }
 
-// Call is one operators' call at a set time: Op "ban" or "enable" of Server
+// Call is one admin call at a set time: Op "ban" or "enable" of Server
 // (its number), "drain" or "undrain", at Sidecar.
 type Call struct {
 	At      Duration `toml:"at"`
@@ -62,14 +62,14 @@
 	Server  int      `toml:"server"`
 }
 
-// Check is a promise that the history is held to. Kinds, and what they take:
+// Check is a guarantee that the history is checked for. Kinds, and their fields:
 //
 //	register  bans and drain are linearizable at every sidecar (always on with operators)
-//	holder    Field: an object of things held and their tokens; no two sidecars hold one at a time
-//	tokens    Field: as holder; no token is told after a larger one
-//	settled   Field: later than Within after the last fault all running sidecars tell one value
-//	dropped   Field: a list of sidecars; none that has answered for Within is missing from that of a majority
-//	kept      Field: a list; what a yes to call Op put there is not missing later than Within, until Undo
+//	holder    Field: an object of leases and their fencing tokens; no two sidecars hold a lease at a time
+//	tokens    Field: as holder; no token is reported after a larger one
+//	settled   Field: later than Within after the last fault all running sidecars report one value
+//	dropped   Field: a list of sidecars; none that has responded for Within is missing from that of a majority
+//	kept      Field: a list; an element that a confirmed call Op added is not missing later than Within, until Undo
 type Check struct {
 	Kind   string   `toml:"kind"`
 	Field  string   `toml:"field"`
@@ -78,13 +78,13 @@
 	Undo   string   `toml:"undo"`
 }
 
-// Server is how every stand-in pin server behaves.
+// Server is how every fake server behaves.
 type Server struct {
 	Capacity  int      `toml:"capacity"`   // requests run at once
-	Queue     int      `toml:"queue"`      // requests waiting beyond those; more are turned away
-	Latency   Duration `toml:"latency"`    // mean time of a request, warm
-	ErrorRate float64  `toml:"error_rate"` // share of requests answered 500 after their time, 0 to 1
-	ColdStart Duration `toml:"cold_start"` // after a start, latency is up to 4 times longer, falling to 1 over this time
+	Queue     int      `toml:"queue"`      // requests queued beyond those; more are rejected
+	Latency   Duration `toml:"latency"`    // mean service time of a request after the warm-up
+	ErrorRate float64  `toml:"error_rate"` // fraction of requests answered 500 after their service time, 0 to 1
+	ColdStart Duration `toml:"cold_start"` // warm-up after a start: latency is up to 4 times higher and falls linearly to normal
 }
 
 // Load is the application's traffic beside each sidecar.
@@ -96,31 +96,31 @@
 	BurstFactor float64  `toml:"burst_factor"` // bursts: the rate is this many times higher
 	MaxRequests int      `toml:"max_requests"` // a bound over all sidecars; 0 means 1,000,000
 	Deadline    Duration `toml:"deadline"`     // sent as X-Time-Left-Ms
-	OrderShare  float64  `toml:"order_share"`  // share of requests of the class that must never run twice
+	OrderShare  float64  `toml:"order_share"`  // fraction of requests of the class that must never run twice
 }
 
-// Fault is one fault at a set time; For is how long it lasts, 0 for good. Kinds, and what they take:
+// Fault is one fault at a set time; For is how long it lasts, 0 until the end. Kinds, and their fields:
 //
 //	kill             sidecars: SIGKILL; restarted after For
 //	pause            sidecars: SIGSTOP, SIGCONT after For
-//	term             sidecars: SIGTERM (a planned restart, or leaving for good); started again after For
+//	term             sidecars: SIGTERM (a planned restart, or removal); started again after For
 //	join             sidecars: not started before At
-//	upgrade          sidecars: a second process takes over by the operators' address
+//	upgrade          sidecars: a second process takes over (handover)
 //	partition        servers: silent both ways ("both"), or only to ("in") or from ("out") the server, healed after For
-//	delay            servers: every chunk each way waits Delay, and up to Jitter more
+//	delay            servers: every chunk in both directions is delayed by Delay, and up to Jitter more
 //	reset            servers: open connections are reset, and new ones for For
-//	drain            servers: Terminating in discovery; Ready again, and cold, after For
-//	discovery        (no targets): "down" is silent for For, "lag" holds each change up to Delay for For
+//	drain            servers: Terminating in discovery; Ready again, and warming up, after For
+//	discovery        (no targets): "down" does not respond for For, "lag" delays each change by up to Delay for For
 //	isolate          sidecars: datagrams to ("in") and from ("out") them, or both, dropped
-//	peers            (no targets): a Share of all datagrams dropped and the rest held Delay
+//	peers            (no targets): a Share of all datagrams dropped and the rest delayed by Delay
 //	link             links From To: Loss, Duplicate, Reorder, Rate, Delay, Jitter
-//	cut              links From To: nothing passes; "out" only from From, "in" only to it
+//	cut              links From To: all traffic blocked; "out" only from From, "in" only to it
 //	flap             links From To: cut for the first half of every Period
 //	split            Groups: cut between those that are named in groups and share none
 //	machine-kill     machines: all their sidecars killed; started again with the disk (TMPDIR cleared) after For
 //	machine-replace  machines: the same, and the disk is empty when they come back
 //	machine-pause    machines: all their sidecars paused
-//	disk             machines: Mode "full", "readonly", or "slow" (each save of state waits up to Delay)
+//	disk             machines: Mode "full", "readonly", or "slow" (each save of state is delayed by up to Delay)
 type Fault struct {
 	At        Duration `toml:"at" json:"at"`
 	Kind      string   `toml:"kind" json:"kind"`
@@ -131,15 +131,15 @@
 	Direction string   `toml:"direction,omitempty" json:"direction,omitempty"` // "both" (default), "in" or "out"
 	Delay     Duration `toml:"delay,omitempty" json:"delay,omitzero"`
 	Mode      string   `toml:"mode,omitempty" json:"mode,omitempty"`   // discovery: "down" or "lag"; disk: "full", "readonly", "slow"
-	Share     float64  `toml:"share,omitempty" json:"share,omitempty"` // peers: the share of datagrams dropped, 0 to 1
+	Share     float64  `toml:"share,omitempty" json:"share,omitempty"` // peers: the fraction of datagrams dropped, 0 to 1
 
 	// Links, named by selectors: "s3", "s0-s9", "v3", "zone:a", "machine:0", "group:NAME", "all", "servers", "discovery".
 	From      []string   `toml:"from,omitempty" json:"from,omitempty"`           // default "all" (sidecars)
 	To        []string   `toml:"to,omitempty" json:"to,omitempty"`               // default "all" (sidecars)
 	Groups    [][]string `toml:"groups,omitempty" json:"groups,omitempty"`       // split
-	Loss      float64    `toml:"loss,omitempty" json:"loss,omitempty"`           // share of datagrams, 0 to 1
-	Duplicate float64    `toml:"duplicate,omitempty" json:"duplicate,omitempty"` // share of datagrams, 0 to 1
-	Reorder   float64    `toml:"reorder,omitempty" json:"reorder,omitempty"`     // share of datagrams, 0 to 1
+	Loss      float64    `toml:"loss,omitempty" json:"loss,omitempty"`           // fraction of datagrams, 0 to 1
+	Duplicate float64    `toml:"duplicate,omitempty" json:"duplicate,omitempty"` // fraction of datagrams, 0 to 1
+	Reorder   float64    `toml:"reorder,omitempty" json:"reorder,omitempty"`     // fraction of datagrams, 0 to 1
 	Rate      float64    `toml:"rate,omitempty" json:"rate,omitempty"`           // datagrams a second on each link; 0 for no limit
 	Jitter    Duration   `toml:"jitter,omitempty" json:"jitter,omitzero"`
 	Period    Duration   `toml:"period,omitempty" json:"period,omitzero"` // flap
@@ -175,7 +175,7 @@
 	checkKinds   = []string{"register", "holder", "tokens", "settled", "dropped", "kept"}
 )
 
-// zoneOf and machine are where sidecar i is dealt to.
+// zoneOf returns the zone of sidecar i.
 func (e *Experiment) zoneOf(i int) string { return e.Fleet.Zones[i%len(e.Fleet.Zones)] }
 
 func (e *Experiment) machineOf(i int) int { return i % e.machineCount() }
--- a/internal/lab/fake_discovery.go
+++ b/internal/lab/fake_discovery.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Instance is one entry of discovery's list, as the protocol gives it.
+// Instance is one entry of the endpoint list, in the protocol's JSON.
 type Instance struct {
 	Name            string  `json:"host"`
 	Address         string  `json:"dial"`
@@ -30,11 +30,11 @@
 	Instances []Instance `json:"hosts"`
 }
 
-// FakeDiscovery is a stand-in discovery agent: the whole list at
-// GET /registry/instances, and watches by ?after=SEQ&wait_ms=MS. Each caller is
-// told to dial the servers by the loopback address it called. It can go
-// silent (down) and can hold each change for a random time up to a lag, so
-// that changes may also be told out of order.
+// FakeDiscovery is a fake discovery service: the full list at
+// GET /registry/instances, and watches by ?after=SEQ&wait_ms=MS. Each caller
+// gets the servers' addresses on the loopback address that it called. Faults
+// make it unresponsive (down) or delay each change by a random time up to a
+// lag, so that changes may be published out of order.
 type FakeDiscovery struct {
 	listener *FaultListener // nil where requests come by ServeHTTP alone
 	http     *http.Server
@@ -44,15 +44,15 @@
 	mu          sync.Mutex
 	version     int64
 	instances   map[string]Instance
-	changedAt   map[string]int64 // the seq at which each host last changed
+	changedAt   map[string]int64 // the version in which each instance last changed
 	order       []string
-	downFaults  int // faults that make it silent
+	downFaults  int // faults that make it unresponsive
 	lags        []time.Duration
-	unannounced []func() // to call when the agent answers again
-	changes     notifier // rung on every change
+	unannounced []func() // to call when it responds again
+	changes     notifier // notified on every change
 }
 
-// NewFakeDiscovery serves on a listener of the network's.
+// NewFakeDiscovery serves on a listener of the network until Close.
 func NewFakeDiscovery(seed uint64, listener *FaultListener) *FakeDiscovery {
 	d := NewFakeDiscoveryHandler(seed)
 	d.listener, d.http = listener, &http.Server{Handler: d, ReadHeaderTimeout: 5 * time.Second}
@@ -60,20 +60,20 @@
 	return d
 }
 
-// NewFakeDiscoveryHandler makes an agent without a socket: requests come by ServeHTTP.
+// NewFakeDiscoveryHandler makes a service without a socket, whose caller calls ServeHTTP.
 func NewFakeDiscoveryHandler(seed uint64) *FakeDiscovery {
 	return &FakeDiscovery{random: rand.New(rand.NewPCG(seed, 0xd15c)),
 		instances: map[string]Instance{}, changedAt: map[string]int64{}, changes: newNotifier(), version: 1}
 }
 
-// Address is where the agent listens by 127.0.0.1, host:port.
+// Address is the service's address on 127.0.0.1, host:port.
 func (d *FakeDiscovery) Address() string { return d.listener.AddressFor("127.0.0.1") }
 
-// Close stops the agent at once.
+// Close stops the service at once.
 func (d *FakeDiscovery) Close() { d.http.Close() }
 
-// Set puts a host's entry in the list, now or, under lag, a little later;
-// told, where not nil, is called once the agent can tell it (not while down).
+// Set changes an instance in the list, now or, under lag, a little later;
+// announced, unless nil, is called once callers can get the change (not while down).
 func (d *FakeDiscovery) Set(h Instance, told func()) {
 	d.mu.Lock()
 	var wait time.Duration
@@ -104,7 +104,7 @@
 	d.changes.notifyAll()
 }
 
-// SetDown makes the agent silent, or ends one such fault; it answers again once none is left.
+// SetDown begins or ends a fault that makes the service unresponsive. It responds again once all have ended.
 func (d *FakeDiscovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -122,7 +122,7 @@
 	d.changes.notifyAll()
 }
 
-// SetLag holds each later change for up to this long, or ends one such fault; several add up.
+// SetLag begins or ends a fault that delays each later change by up to lag; several add up.
 func (d *FakeDiscovery) SetLag(lag time.Duration, on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -133,7 +133,7 @@
 	}
 }
 
-// ServeHTTP answers a call for the list or a watch.
+// ServeHTTP responds to a request for the list or a watch.
 func (d *FakeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/registry/instances" {
 		http.NotFound(w, r)
@@ -155,14 +155,14 @@
 		case <-wake:
 		case <-ctx.Done():
 			if down {
-				<-r.Context().Done() // silent while down, until the caller leaves
+				<-r.Context().Done() // no response while down, until the caller disconnects
 				return
 			}
 		}
 	}
 	d.mu.Lock()
-	answer := listResponse{Version: d.version, IsFull: after == 0} // no after, or after=0
-	mine := net.IPv4(127, 0, 0, 1).String()                        // the caller's own address of every stand-in
+	answer := listResponse{Version: d.version, IsFull: after == 0} // without after, or with after=0
+	mine := net.IPv4(127, 0, 0, 1).String()                        // the caller's own address of every server
 	if called, ok := r.Context().Value(http.LocalAddrContextKey).(*net.TCPAddr); ok {
 		mine = called.IP.String()
 	}
--- a/internal/lab/fake_server.go
+++ b/internal/lab/fake_server.go
@@ -10,27 +10,26 @@
 	"time"
 )
 
-// FakeServer is a stand-in pin server after the platform's protocol: it runs
-// up to Capacity requests at once with Queue more waiting, turns the rest
-// away with 503 and X-Unprocessed: 1, answers 200 with "ok:" and the
-// request's id as body (or 500 at the error rate), gives a load report in
-// X-Backend-Load and at /stats, is slower while cold, and records every id
-// that it ran.
+// FakeServer is a fake endpoint that speaks the platform's protocol: it runs
+// up to Capacity requests at once with Queue more waiting, rejects the rest
+// with 503 and X-Unprocessed: 1, answers 200 with "ok:" and the request's id
+// as body (or 500 at the error rate), sends a load report in X-Backend-Load
+// and at /stats, is slower while warming up, and records every id that it ran.
 type FakeServer struct {
 	Name string
 	Zone string
 
 	*ServerModel
-	Listener    *FaultListener // of the network between sidecars and this server
+	Listener    *FaultListener // injects the network faults between sidecars and this server
 	http        *http.Server
 	requests    *RequestTable
 	mu          sync.Mutex
-	drainedAt   time.Time // when discovery first told Terminating; zero while not
+	drainedAt   time.Time // when discovery first reported Terminating; zero while ready
 	drainFaults int       // faults that drain it
 	received    callCounters
 }
 
-// NewFakeServer serves on a listener of the network's.
+// NewFakeServer serves on a listener of the network until Close.
 func NewFakeServer(name, zone string, spec Server, ledger *RequestTable, seed uint64, listener *FaultListener) *FakeServer {
 	s := &FakeServer{Name: name, Zone: zone, ServerModel: NewServerModel(spec, seed), Listener: listener, requests: ledger}
 	s.http = &http.Server{Handler: s, IdleTimeout: 5 * time.Second, ReadHeaderTimeout: 5 * time.Second, ConnContext: withConn}
@@ -40,12 +39,12 @@
 
 type connKey struct{}
 
-// withConn lets a handler find the connection that a request came by.
+// withConn adds the connection to the context of its requests.
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// arrivalTime is when a request's last bytes came to the server's machine, before any hold of the lab's.
+// arrivalTime is when a request's last bytes reached the server's machine, before any injected delay.
 func arrivalTime(r *http.Request) time.Time {
 	if c, ok := r.Context().Value(connKey{}).(*faultConn); ok {
 		return time.Unix(0, c.receivedAt.Load())
@@ -53,13 +52,13 @@
 	return time.Now()
 }
 
-// Address is where the server listens by 127.0.0.1, host:port.
+// Address is the server's address on 127.0.0.1, host:port.
 func (s *FakeServer) Address() string { return s.Listener.AddressFor("127.0.0.1") }
 
 // Close stops the server at once.
 func (s *FakeServer) Close() { s.http.Close() }
 
-// countDrain counts faults that drain the server; it tells whether this one changes what discovery tells.
+// countDrain counts the faults that drain the server, and reports whether this change is one of its state in discovery.
 func (s *FakeServer) countDrain(on bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,8 +66,8 @@
 	return on && s.drainFaults == 1 || !on && s.drainFaults == 0
 }
 
-// SetDrained marks when discovery first told that the server drains (zero:
-// it serves again, started anew and cold).
+// SetDrained sets when discovery first reported that the server drains. Zero
+// means that it serves again, restarted and warming up.
 func (s *FakeServer) SetDrained(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +77,7 @@
 	s.drainedAt = at
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP responds to one request.
 func (s *FakeServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/health/live":
--- a/internal/lab/fault_listener.go
+++ b/internal/lab/fault_listener.go
@@ -9,11 +9,10 @@
 	"time"
 )
 
-// FaultListener wraps a listener and lets the network's faults act on the
-// connections it accepts, in the lab's own process at one descriptor a
-// connection. A link that is cut holds bytes (new connections come up when it
-// is whole); where the cut is a partition of a machine, connections that
-// lived through it are reset at its end.
+// FaultListener wraps a listener and applies the network's faults to the
+// connections that it accepts. A cut link blocks bytes until it is restored,
+// and new connections as well. If the cut is a partition of a machine,
+// connections that existed during it are reset at its end.
 type FaultListener struct {
 	net.Listener
 	net     *Network
@@ -27,11 +26,11 @@
 	conns       map[*faultConn]struct{}
 }
 
-// Listen makes a listener for endpoint self on a port of the system's
-// choice, reached by any loopback address and by nothing else.
+// Listen makes a listener for endpoint self on a free port, which only
+// loopback addresses can reach, all of them.
 func (n *Network) Listen(self endpoint, sub subnet) (*FaultListener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		return raw.Control(func(fd uintptr) { // best effort: Accept checks each peer as well
+		return raw.Control(func(fd uintptr) { // best effort: Accept checks each peer, too
 			syscall.SetsockoptString(int(fd), syscall.SOL_SOCKET, syscall.SO_BINDTODEVICE, "lo")
 		})
 	}}
@@ -46,13 +45,13 @@
 	return f, nil
 }
 
-// AddressFor is the listener's address as the holder of this loopback address dials it, host:port.
+// AddressFor is the listener's address on a loopback address, host:port.
 func (f *FaultListener) AddressFor(ip string) string {
 	_, port, _ := net.SplitHostPort(f.Addr().String())
 	return net.JoinHostPort(ip, port)
 }
 
-// recheck marks connections that a partition parts, and resets those whose partition ended.
+// recheck marks the connections that are in a partition, and resets those whose partition has ended.
 func (f *FaultListener) recheck() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -67,16 +66,15 @@
 	}
 }
 
-// resetConn resets a connection and forgets it; the lock is held.
+// resetConn resets a connection and removes it. The caller holds f.mu.
 func (f *FaultListener) resetConn(c *faultConn) {
 	delete(f.conns, c)
 	c.closeOnce.Do(func() { close(c.closed) })
 	reset(c.Conn)
 }
 
-// Accept returns the next connection that comes up: one whose link is cut
-// comes up once it is whole, or is reset at the end of a partition; while
-// resets are on, each is reset at once.
+// Accept returns the next connection. While a reset fault is active, each one
+// is reset at once.
 func (f *FaultListener) Accept() (net.Conn, error) {
 	for {
 		inner, err := f.Listener.Accept()
@@ -114,7 +112,7 @@
 	return err
 }
 
-// Reset resets every open connection, and until the matching Reset(false) every new one.
+// Reset begins a fault that resets every open and every new connection, or ends one.
 func (f *FaultListener) Reset(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -140,13 +138,13 @@
 	net.Conn
 	listener       *FaultListener
 	peer           endpoint
-	wasPartitioned bool          // lived through a partition; the listener's lock guards it
-	closeOnce      sync.Once     // of done
+	wasPartitioned bool          // during its lifetime; guarded by the listener's mu
+	closeOnce      sync.Once     // guards closing closed
 	closed         chan struct{} // closed with the connection
-	receivedAt     atomic.Int64  // when the last bytes came to the machine, before any hold: Unix nanoseconds
+	receivedAt     atomic.Int64  // when the last bytes reached the machine, before any delay: Unix nanoseconds
 }
 
-// awaitLink waits until the link from one end to the other is whole, and for its delay.
+// awaitLink waits until the link from one end to the other is not cut, and for its delay.
 func (c *faultConn) awaitLink(from, to endpoint) error {
 	for {
 		changed := c.listener.net.changed()
@@ -170,20 +168,20 @@
 	}
 }
 
-// Read passes on what came once the way to the server is open.
+// Read returns received bytes once the link to the server allows it.
 func (c *faultConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
 		c.listener.traffic.in.Add(int64(n))
 		c.receivedAt.Store(time.Now().UnixNano())
-		if held := c.awaitLink(c.peer, c.listener.self); held != nil {
-			return 0, held
+		if err := c.awaitLink(c.peer, c.listener.self); err != nil {
+			return 0, err
 		}
 	}
 	return n, err
 }
 
-// Write sends once the way from the server is open.
+// Write sends once the link from the server allows it.
 func (c *faultConn) Write(b []byte) (int, error) {
 	if err := c.awaitLink(c.listener.self, c.peer); err != nil {
 		return 0, err
--- a/internal/lab/inject.go
+++ b/internal/lab/inject.go
@@ -8,7 +8,7 @@
 	"bramblestand/internal/lab/history"
 )
 
-// discoveryOutages are the spells in which a link fault kept sidecars from hearing discovery, by sidecar and fault.
+// discoveryOutages are the windows in which a link fault cut sidecars off from discovery, by sidecar and fault.
 type discoveryOutages map[[2]int]window
 
 func (b discoveryOutages) record(sidecar, fault int, ends bool, at time.Duration) {
@@ -20,7 +20,7 @@
 	}
 }
 
-// overlaps tells whether a sidecar could not hear discovery at some time in [from, to].
+// overlaps reports whether a sidecar was cut off from discovery at any time in [from, to].
 func (b discoveryOutages) overlaps(sidecar int, from, to time.Duration) bool {
 	for k, w := range b {
 		if k[0] == sidecar && w.from <= to && from <= w.to {
@@ -30,7 +30,7 @@
 	return false
 }
 
-// Mark is a fault as played, on the lab's clock, for reports.
+// Mark is the begin or end of a fault on the lab's clock, for reports.
 type Mark struct {
 	AtMs  float64 `json:"at_ms"`
 	Label string  `json:"label"`
@@ -38,7 +38,7 @@
 
 func (w *testbed) runSchedule(ctx context.Context, events []Event) []Mark {
 	var marks []Mark
-	begun := map[int]chan struct{}{} // by fault, closed when its begin was acted on
+	begun := map[int]chan struct{}{} // by fault, closed when its begin was applied
 	var acting sync.WaitGroup
 	defer acting.Wait()
 	for _, ev := range events {
@@ -56,8 +56,8 @@
 	return marks
 }
 
-// startEvent begins or ends a fault: links at once and in order; sidecars, machines
-// and servers beside other events, which a slow kill or start must not hold up, but not before the fault's own begin is done.
+// startEvent begins or ends a fault. Links change at once and in order. Sidecars, machines and servers change
+// concurrently with other events, since a kill or start may take long, but a fault's end waits for its begin.
 func (w *testbed) startEvent(ev Event, begun map[int]chan struct{}, acting *sync.WaitGroup) {
 	if rule, _ := (selectorResolver{w.exp}).linkRule(ev.Fault); rule != nil {
 		w.applyLinkEvent(ev, rule)
@@ -78,7 +78,7 @@
 	}()
 }
 
-// applyLinkEvent puts the rule of a fault on, or takes it off.
+// applyLinkEvent activates or deactivates the rule of a fault.
 func (w *testbed) applyLinkEvent(ev Event, rule *Rule) {
 	if ev.Heal {
 		if end := w.endRules[ev.ID]; end != nil {
@@ -102,7 +102,7 @@
 
 func (w *testbed) applyEvent(ev Event) {
 	f := ev.Fault
-	var side sync.WaitGroup // on several sidecars side by side: each waits for its own end or yes
+	var side sync.WaitGroup // several sidecars at a time, since each change waits for an exit or for readiness
 	defer side.Wait()
 	each := func(i int, do func(int)) {
 		side.Add(1)
@@ -112,7 +112,7 @@
 		switch {
 		case f.Kind == "join" && !ev.Heal:
 			each(i, w.sidecars.Release)
-		case f.Kind == "join": // one that joined for a while only
+		case f.Kind == "join": // the end of a temporary join
 			each(i, w.sidecars.Terminate)
 		case f.Kind == "upgrade" && !ev.Heal:
 			each(i, w.sidecars.Upgrade)
@@ -137,7 +137,7 @@
 			if ev.Heal {
 				s.SetDrained(time.Time{})
 				w.discovery.Set(instanceOf(s, "Ready"), nil)
-			} else { // the 1.5 s run from when discovery can tell it
+			} else { // removalGrace begins when discovery can report it
 				w.discovery.Set(instanceOf(s, "Terminating"), func() { s.SetDrained(time.Now()) })
 			}
 		}
@@ -154,7 +154,7 @@
 	}
 }
 
-// applyMachineEvent acts on one machine: all its sidecars together, and its disk.
+// applyMachineEvent begins or ends a fault of one machine: of all its sidecars together, and its disk.
 func (w *testbed) applyMachineEvent(ev Event, m int, each func(int, func(int))) {
 	f := ev.Fault
 	var mine []int
@@ -164,17 +164,17 @@
 		}
 	}
 	d := w.disks[m]
-	trouble := func(err error) {
+	recordError := func(err error) {
 		if err != nil {
-			w.sidecars.recordFailure(mine[0], "machine %d: the lab's disk: %v", m, err)
+			w.sidecars.recordFailure(mine[0], "machine %d: disk of the lab: %v", m, err)
 		}
 	}
-	loses := f.Kind == "machine-replace" || f.Kind == "machine-kill" && !w.exp.Fleet.State // all that its sidecars were promised to keep
+	loses := f.Kind == "machine-replace" || f.Kind == "machine-kill" && !w.exp.Fleet.State // all settings that its sidecars had confirmed
 	switch {
 	case f.Kind == "disk" && f.Mode == "full":
 		w.sidecars.SetFull(m, !ev.Heal)
 	case f.Kind == "disk" && f.Mode == "readonly":
-		trouble(d.setReadonly(!ev.Heal))
+		recordError(d.setReadonly(!ev.Heal))
 	case f.Kind == "disk":
 		d.setSlow(ev.ID, f.Delay.Duration, !ev.Heal)
 	case f.Kind == "machine-pause" && !ev.Heal:
@@ -199,9 +199,9 @@
 			<-process.exited
 		}
 		if f.Kind == "machine-replace" {
-			trouble(d.replace())
+			recordError(d.replace())
 		} else {
-			trouble(d.reboot())
+			recordError(d.reboot())
 		}
 	default:
 		for _, i := range mine {
--- a/internal/lab/latency.go
+++ b/internal/lab/latency.go
@@ -19,43 +19,43 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// LatencyOptions is a benchmark of what one sidecar adds to a call. Rates are a second, and of each way.
+// LatencyOptions is a benchmark of the latency that one sidecar adds to a call. Rates are per second and path.
 type LatencyOptions struct {
 	Servers    int           // 1 to 1000
 	Rate       float64       // calls, over 0 to 2000
 	Runs       int           // 1 to 100
-	Warmup     time.Duration // of each play, sent and not counted
-	Duration   time.Duration // of each play, counted
+	Warmup     time.Duration // of each run, sent and not counted
+	Duration   time.Duration // of each run, counted
 	ProbePrice float64       // prices.probe of the settings; 0 for 1
 	Seed       uint64
 }
 
-// Latency is what the benchmark measured, in milliseconds: a call's time from its send to the last byte of its answer.
+// Latency is the benchmark's result, in milliseconds: from the send of a call to the last byte of its response.
 type Latency struct {
 	Format     int          `json:"format"`
 	Servers    int          `json:"servers"`
-	Rate       float64      `json:"rate"` // calls a second, of each way
+	Rate       float64      `json:"rate"` // calls per second and path
 	ProbePrice float64      `json:"probe_price"`
 	Warmup     Duration     `json:"warm"`
 	Duration   Duration     `json:"duration"`
 	Runs       []LatencyRun `json:"plays"`
-	// Over plays, at p50, p99 and p99.9.
+	// Over runs, at p50, p99 and p99.9.
 	Direct  map[string]LatencySpread `json:"straight_ms"`
 	Proxied map[string]LatencySpread `json:"through_ms"`
 	Added   map[string]LatencySpread `json:"added_ms"`
-	// MaxAdded is p99 through the sidecar less the median straight: what 99 in 100 calls have added at the most,
-	// where Added at p99 takes the tails of both ways to fall on the same calls.
+	// MaxAdded is the proxied p99 minus the direct median, an upper bound of what is added to 99 of 100 calls. Added at
+	// p99 assumes that the same calls are in the tails of both paths.
 	MaxAdded LatencySpread `json:"added_most_ms"`
 }
 
-// LatencySpread is one figure over plays, in milliseconds.
+// LatencySpread is one figure over runs, in milliseconds.
 type LatencySpread struct {
 	Min    float64 `json:"min"`
 	Median float64 `json:"median"`
 	Max    float64 `json:"max"`
 }
 
-// LatencyRun is one play.
+// LatencyRun is one run of the benchmark.
 type LatencyRun struct {
 	Seed      uint64      `json:"seed"`
 	Direct    PathLatency `json:"straight"`
@@ -65,14 +65,14 @@
 	Late      bool        `json:"lab_ran_late"`
 }
 
-// PathLatency is the calls of one way.
+// PathLatency is the calls of one path.
 type PathLatency struct {
 	Sent    int         `json:"sent"`   // counted ones
-	Served  int         `json:"served"` // with the right answer
+	Served  int         `json:"served"` // with the expected response
 	Latency Percentiles `json:"latency_ms"`
 }
 
-// callPath sends calls one way.
+// callPath sends calls directly to servers or through the sidecar.
 type callPath struct {
 	http     *http.Client
 	to       func() string // host:port
@@ -89,7 +89,7 @@
 		to: to, requests: ledger, histogram: newHistogram()}
 }
 
-// call makes one call, and counts it where that is wanted.
+// call makes one call, and counts it if counts is true.
 func (w *callPath) call(id string, counts bool) {
 	r, err := http.NewRequest(http.MethodGet, "http://"+w.to()+"/read/"+id, http.NoBody)
 	if err != nil {
@@ -124,10 +124,10 @@
 	return PathLatency{Sent: w.sent, Served: w.served, Latency: percentiles(w.histogram)}
 }
 
-// MeasureLatency plays the same calls straight to a server drawn at random and through one sidecar, in turn, in one
-// open-loop stream: neither way's calls wait for any answer. The servers answer at once. Each play has a sidecar and
-// servers of its own. Tell is told of each play.
-func MeasureLatency(ctx context.Context, program, folder string, o LatencyOptions, tell func(string)) (*Latency, error) {
+// MeasureLatency makes the same calls directly to a random server and through one sidecar, in turn, in one open-loop
+// stream: no call waits for a response. The servers respond at once. Each run has a sidecar and servers of its own;
+// progress is called with each run.
+func MeasureLatency(ctx context.Context, program, folder string, o LatencyOptions, progress func(string)) (*Latency, error) {
 	for _, c := range []struct {
 		bad         bool
 		field, what string
@@ -148,12 +148,12 @@
 		l.ProbePrice = 1
 	}
 	for n := range o.Runs {
-		p, err := o.run(ctx, program, filepath.Join(folder, fmt.Sprintf("play-%v-%d", o.Rate, n)), o.Seed+uint64(n))
+		p, err := o.run(ctx, program, filepath.Join(folder, fmt.Sprintf("run-%v-%d", o.Rate, n)), o.Seed+uint64(n))
 		if err != nil {
-			return nil, fmt.Errorf("play %d: %w", n, err)
+			return nil, fmt.Errorf("run %d: %w", n, err)
 		}
 		l.Runs = append(l.Runs, *p)
-		tell(p.String())
+		progress(p.String())
 	}
 	l.summarize()
 	return l, nil
@@ -242,7 +242,7 @@
 	return cpuBefore, nil
 }
 
-// quantiles are the quantiles told.
+// quantiles are the reported quantiles.
 var quantiles = []struct {
 	name string
 	of   func(Percentiles) float64
@@ -268,18 +268,18 @@
 	l.MaxAdded = over(func(p LatencyRun) float64 { return p.Proxied.Latency.P99 - p.Direct.Latency.P50 })
 }
 
-// String is a line for people.
+// String describes it in one line.
 func (p LatencyRun) String() string {
 	return fmt.Sprintf("seed %d: straight %d of %d, p50 %.3f p99 %.3f p99.9 %.3f ms; through %d of %d, p50 %.3f p99 %.3f p99.9 %.3f ms; %.3f ms of processor a call",
 		p.Seed, p.Direct.Served, p.Direct.Sent, p.Direct.Latency.P50, p.Direct.Latency.P99, p.Direct.Latency.P999,
 		p.Proxied.Served, p.Proxied.Sent, p.Proxied.Latency.P50, p.Proxied.Latency.P99, p.Proxied.Latency.P999, p.CPU)
 }
 
-// Table is the figures for people.
+// Table formats the figures.
 func (l *Latency) Table() string {
 	var text strings.Builder
 	w := tabwriter.NewWriter(&text, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(w, "%v calls/s, %d servers, %d plays, ms\tmin\tmedian\tmax\t\n", l.Rate, l.Servers, len(l.Runs))
+	fmt.Fprintf(w, "%v calls/s, %d servers, %d runs, ms\tmin\tmedian\tmax\t\n", l.Rate, l.Servers, len(l.Runs))
 	line := func(name string, s LatencySpread) {
 		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.3f\t\n", name, s.Min, s.Median, s.Max)
 	}
--- a/internal/lab/lateness.go
+++ b/internal/lab/lateness.go
@@ -11,12 +11,12 @@
 
 const (
 	tickInterval   = 5 * time.Millisecond
-	stallThreshold = 30 * time.Millisecond // a timer this late marks a spell in which the lab could not keep time
-	maxTimerP99    = 20 * time.Millisecond // timers whose p99 is later make the whole run late
+	stallThreshold = 30 * time.Millisecond // a timer this late marks a stall of the lab
+	maxTimerP99    = 20 * time.Millisecond // with a higher p99 of the timers the whole run is late
 )
 
-// lateness measures how late the lab's own timers and arrivals ran. What a
-// sidecar seems to do wrong in a spell in which they did is not held against it.
+// lateness measures the delays of the lab's own timers and sends. Late
+// responses during its stalls do not count as a sidecar's.
 type lateness struct {
 	requests *RequestTable
 
@@ -30,7 +30,7 @@
 	return &lateness{requests: ledger, timers: newHistogram(), arrivals: newHistogram()}
 }
 
-// watch keeps a timer until ctx ends.
+// watch measures a periodic timer until ctx ends.
 func (l *lateness) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		due := l.requests.Elapsed() + tickInterval
@@ -39,7 +39,7 @@
 	}
 }
 
-// record records what was due at due and happens now.
+// record records an event that was scheduled for due and happens now.
 func (l *lateness) record(h *hdrhistogram.Histogram, due time.Duration) {
 	now := l.requests.Elapsed()
 	l.mu.Lock()
@@ -50,7 +50,7 @@
 	}
 }
 
-// stalledWithin is how much of [from, to] the lab could not keep time.
+// stalledWithin is how much of [from, to] the lab was stalled.
 func (l *lateness) stalledWithin(from, to time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,16 +61,16 @@
 	return sum
 }
 
-// Lateness is how late the lab itself ran, in milliseconds: its timers, and
-// the requests that it sent. StalledMs sums the spells of 30 ms and more.
+// Lateness is the delay of the lab's own timers and sends, in milliseconds.
+// StalledMs is the sum of its stalls, which are of 30 ms and more.
 type Lateness struct {
 	Timers    Percentiles `json:"timers_ms"`
 	Arrivals  Percentiles `json:"arrivals_ms"`
 	StalledMs float64     `json:"stalled_ms"`
-	Late      bool        `json:"late"` // timers' p99 over 20 ms: figures of time in this result are not to be trusted
+	Late      bool        `json:"late"` // timers' p99 over 20 ms: the times in this result are not reliable
 }
 
-// report merges the spells, so that those that several timers saw count once, and sums up.
+// report merges overlapping stalls, so that each counts once, and returns the summary.
 func (l *lateness) report() Lateness {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/merge_logs.go
+++ b/internal/lab/merge_logs.go
@@ -11,7 +11,7 @@
 
 // MergeLogs writes every JSON log line of the folder's *.log files into one
 // file, ordered by their "time" fields, each with "file" added. Lines that are
-// not JSON objects are kept, under "text", at the time of the line before.
+// not JSON objects are written as "text", with the time of the line before.
 func MergeLogs(folder, out string) error {
 	paths, err := filepath.Glob(filepath.Join(folder, "*.log"))
 	if err != nil {
--- a/internal/lab/network.go
+++ b/internal/lab/network.go
@@ -8,25 +8,25 @@
 )
 
 // endpoint is one end of a link: sidecars from 0, then servers, then discovery.
-// stranger is anything else, which only rules for all endpoints meet.
+// unknownEndpoint is any other, which only rules for all endpoints match.
 type endpoint int
 
 const unknownEndpoint endpoint = -1
 
-// Rule is one fault on directed links, for as long as it is on. Losses,
-// duplicates, reorders and the rate concern datagrams alone; TCP is held or
-// delayed, as its retransmissions would make of it.
+// Rule is one fault on directed links while it is active. Loss, duplication,
+// reordering and the rate apply to datagrams alone; TCP is blocked or delayed,
+// which is the effect of its retransmissions.
 type Rule struct {
-	Match     func(from, to endpoint) bool // the links it is on
-	Cut       bool                         // nothing passes; TCP bytes are held until it ends
-	Resets    bool                         // TCP connections that lived through it are reset at its end, as at a machine's return
-	Datagrams bool                         // TCP is untouched
-	Loss      float64                      // share of datagrams dropped, 0 to 1
-	Duplicate float64                      // share of datagrams sent twice, 0 to 1
-	Reorder   float64                      // share of datagrams held reorderHold longer, so that later ones overtake, 0 to 1
-	Rate      float64                      // datagrams a second that pass a link, the rest dropped; 0 for no limit
+	Match     func(from, to endpoint) bool // the links that it applies to
+	Cut       bool                         // all traffic is blocked; TCP bytes are delivered at its end
+	Resets    bool                         // TCP connections that existed during it are reset at its end, as when a machine comes back
+	Datagrams bool                         // TCP is not affected
+	Loss      float64                      // fraction of datagrams dropped, 0 to 1
+	Duplicate float64                      // fraction of datagrams duplicated, 0 to 1
+	Reorder   float64                      // fraction of datagrams delayed by reorderDelay, so that later ones overtake them, 0 to 1
+	Rate      float64                      // datagrams a second on each link, the rest dropped; 0 for no limit
 	Delay     time.Duration                // of each datagram, and of each chunk of TCP
-	Jitter    time.Duration                // up to this much more, drawn evenly
+	Jitter    time.Duration                // maximum of an additional delay, uniformly distributed
 
 	buckets map[[2]endpoint]*bucket
 }
@@ -38,12 +38,12 @@
 
 const reorderDelay = 30 * time.Millisecond
 
-// takeToken tells whether the rate lets one more datagram pass now. It holds the network's lock.
+// takeToken reports whether the rate limit allows one more datagram now. The caller holds the network's mu.
 func (r *Rule) takeToken(from, to endpoint, now time.Time) bool {
 	if r.buckets == nil {
 		r.buckets = map[[2]endpoint]*bucket{}
 	}
-	burst := max(1, r.Rate/10) // a tenth of a second's worth
+	burst := max(1, r.Rate/10) // the tokens of a tenth of a second
 	b := r.buckets[[2]endpoint{from, to}]
 	if b == nil {
 		b = &bucket{burst, now}
@@ -57,8 +57,8 @@
 	return true
 }
 
-// Network is the faults now on the links between all endpoints. What a link
-// does is what its rules come to together, so that faults may overlap and end in any order.
+// Network is the active faults on the links between all endpoints. The rules
+// of a link combine, so that faults may overlap and end in any order.
 type Network struct {
 	mu        sync.Mutex
 	rules     []*Rule
@@ -67,12 +67,12 @@
 	changes   notifier
 }
 
-// NewNetwork makes one without faults; the seed draws losses and jitter.
+// NewNetwork makes a network without faults; the seed is that of losses and jitter.
 func NewNetwork(seed uint64) *Network {
 	return &Network{random: rand.New(rand.NewPCG(seed, 0x11e7)), changes: newNotifier()}
 }
 
-// Begin puts a rule on; the function returned takes it off again.
+// Begin activates a rule; the returned function deactivates it.
 func (n *Network) Begin(r *Rule) (end func()) {
 	n.change(func() { n.rules = append(n.rules, r) })
 	return func() {
@@ -97,7 +97,7 @@
 	return n.changes.changed()
 }
 
-// streamState tells what a TCP link does now: whether bytes are held, whether that ends in a reset, and how long each chunk waits.
+// streamState reports whether a TCP link is cut, whether that ends in a reset, and the delay of each chunk.
 func (n *Network) streamState(from, to endpoint) (cut, resets bool, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -111,7 +111,7 @@
 	return
 }
 
-// jitter draws a rule's. It holds n.mu.
+// jitter draws a rule's additional delay. The caller holds n.mu.
 func (n *Network) jitter(r *Rule) time.Duration {
 	if r.Jitter <= 0 {
 		return 0
@@ -119,7 +119,7 @@
 	return time.Duration(n.random.Int64N(int64(r.Jitter)))
 }
 
-// datagramDelays gives the delays after which copies of one datagram arrive; none where it is lost.
+// datagramDelays returns the delay of each copy of one datagram, none if it is lost.
 func (n *Network) datagramDelays(from, to endpoint) []time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/lab/notifier.go
+++ b/internal/lab/notifier.go
@@ -1,7 +1,7 @@
 package lab
 
-// notifier tells waiters that something changed: heard gives a channel that the
-// next ring closes. Its owner's lock guards it.
+// notifier notifies waiters of changes: changed returns a channel that the next
+// notifyAll closes. Its owner's lock guards it.
 type notifier struct{ ch chan struct{} }
 
 func newNotifier() notifier { return notifier{make(chan struct{})} }
--- a/internal/lab/operators.go
+++ b/internal/lab/operators.go
@@ -15,14 +15,14 @@
 	"bramblestand/internal/lab/history"
 )
 
-// adminTimeout is how long the lab waits for an answer of an operators' address, whose own bound is 2 s.
+// adminTimeout is how long the lab waits for a response of an admin address, whose own limit is 2 s.
 const adminTimeout = 4 * time.Second
 
-// finalQuietPeriod is kept free of random calls at the end of a run, so that its last state is observed.
+// finalQuietPeriod is the end of a run without random calls, so that its final state is observed.
 const finalQuietPeriod = time.Second
 
-// operators makes the operators' calls of an experiment and observes every
-// sidecar's operators' address, all into the history.
+// operators makes the admin calls of an experiment and polls every sidecar's
+// admin address, and records both in the history.
 type operators struct {
 	exp      *Experiment
 	sidecars *Sidecars
@@ -63,7 +63,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			// Spread over the period, so that the lab does not ask all at once; the last is at the run's end.
+			// Spread over the period, so that the lab does not poll all at once; the last is at the run's end.
 			for at := every * time.Duration(i) / time.Duration(o.exp.Fleet.Sidecars); at < o.exp.Duration.Duration; at += every {
 				if !o.requests.waitUntil(ctx, at) {
 					return
@@ -75,7 +75,8 @@
 	wg.Wait()
 }
 
-// adminCall makes one request of sidecar i's operators' address; status 0 where none answered whole.
+// adminCall sends one request to sidecar i's admin address. The status is 0 without a complete response, -1 if the
+// sidecar is down.
 func (o *operators) adminCall(method string, i int, path, body string) (status int, answer string) {
 	address := o.sidecars.AdminAddress(i)
 	if address == "" {
@@ -97,7 +98,7 @@
 	return response.StatusCode, string(text)
 }
 
-// call makes an operators' call and records what it came to.
+// call makes an admin call and records its outcome.
 func (o *operators) call(c Call) {
 	key, path, body := "drained", "/"+c.Op, ""
 	if c.Op == "ban" || c.Op == "enable" {
@@ -112,13 +113,13 @@
 		e.Outcome = history.OK
 	case status >= 400 && status < 500 || status < 0:
 		e.Outcome = history.No
-	default: // 503, or no answer: it may have been done
+	default: // 503, or no response: it may have taken effect
 		e.Outcome = history.Unknown
 	}
 	o.history.Add(e)
 }
 
-// observe asks sidecar i and records each field of the answers.
+// observe polls sidecar i and records each field of the responses.
 func (o *operators) observe(i int) {
 	paths := o.exp.Ops.Observe
 	if o.exp.Fleet.View {
@@ -129,7 +130,7 @@
 		status, text := o.adminCall(http.MethodGet, i, path, "")
 		to := o.requests.nowMicros()
 		if status != http.StatusOK {
-			continue // it is down, or comes up
+			continue // it is down or not ready yet
 		}
 		var fields map[string]json.RawMessage
 		if err := json.Unmarshal([]byte(text), &fields); err != nil {
--- a/internal/lab/process_usage.go
+++ b/internal/lab/process_usage.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// sampleUsage reads what /proc tells of a running process's CPU time and peak
-// memory; sampling one life twice counts it once. It holds s.mu.
+// sampleUsage reads a running process's CPU time and peak memory from /proc. It
+// may be called any number of times for a process. The caller holds s.mu.
 func (s *Sidecars) sampleUsage(state *sidecarState, process *sidecarProcess) {
 	pid := process.cmd.Process.Pid
 	if fields := statFields(pid); len(fields) > 12 {
 		user, _ := strconv.ParseInt(fields[11], 10, 64)
 		system, _ := strconv.ParseInt(fields[12], 10, 64)
-		process.cpu = time.Duration(user+system) * 10 * time.Millisecond // clock ticks of 100 Hz
+		process.cpu = time.Duration(user+system) * 10 * time.Millisecond // in clock ticks of 100 Hz
 	}
 	if status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid)); err == nil {
 		for _, line := range strings.Split(string(status), "\n") {
@@ -30,14 +30,14 @@
 	}
 }
 
-// statFields are the fields of /proc/PID/stat from the process's state on; none where there is no such process.
+// statFields returns the fields of /proc/PID/stat from the process's state on, none if there is no such process.
 func statFields(pid int) []string {
 	stat, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
-	return strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:])) // the name before may hold anything
+	return strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:])) // the name before may contain any character
 }
 
-// Usage is what the sidecars took, those still running sampled now: CPU
-// seconds over all, and the mean and largest peak resident memory of one, in MB.
+// Usage is the CPU time of all sidecars until now, in seconds, and the mean
+// and the largest peak resident memory of one, in MB.
 func (s *Sidecars) Usage() (cpu float64, meanMB, peakMB float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,8 +53,8 @@
 	return
 }
 
-// cpuTime is the processor time of sidecar i's processes so far, by the scheduler's count of each thread, which is finer
-// than the ticks of Cost.
+// cpuTime is the CPU time of sidecar i's running processes, from the scheduler's count of each thread, which has a finer
+// resolution than the ticks of Usage.
 func (s *Sidecars) cpuTime(i int) (sum time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/promises.go
+++ b/internal/lab/promises.go
@@ -8,7 +8,7 @@
 	"bramblestand/internal/lab/history"
 )
 
-// checkHistory holds the history to the experiment's promises.
+// checkHistory runs the experiment's checks on the history. running is the sidecars that run at the end.
 func checkHistory(exp *Experiment, events []history.Event, running []string) []history.Break {
 	var broken []history.Break
 	add := func(b *history.Break) {
@@ -53,7 +53,8 @@
 	return broken
 }
 
-// registerStep is what an event means for one sidecar's drain or for its ban of one server: "true" while it holds.
+// registerStep is the effect of an event on the register of one sidecar's drain, or of its ban of one server, which is
+// "true" while active.
 func registerStep(e history.Event, sidecar, key string) (kind, value string) {
 	switch {
 	case e.Sidecar != sidecar:
@@ -69,8 +70,8 @@
 	return "", ""
 }
 
-// requestsAfterBan finds requests that a sidecar sent to a server longer than grace
-// after its yes to a ban, before anything that may have ended the ban was called.
+// requestsAfterBan finds requests that a sidecar sent to a server longer than grace after it confirmed a ban, and before
+// any call that may have ended the ban. The caller holds t.mu.
 func (t *RequestTable) requestsAfterBan(events []history.Event, grace time.Duration) (found []string) {
 	type key struct{ sidecar, server string }
 	arrivals := map[key][]arrival{}
--- a/internal/lab/received_load.go
+++ b/internal/lab/received_load.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// callCounters counts what stand-ins were asked.
+// callCounters counts the requests that a fake server received.
 type callCounters struct {
 	probes atomic.Int64 // for load reports
 	calls  atomic.Int64 // all other requests
 }
 
-// connTraffic counts what came over a stand-in's connections, in bytes of payload, faults' holds past.
+// connTraffic counts the connections that a listener accepted and their payload in bytes, without what faults block.
 type connTraffic struct{ conns, in, out atomic.Int64 }
 
-// ReceivedLoad is what the stand-ins and the loopback device had to bear from the start up to one instant of the lab's clock.
-// Loopback counts all traffic of the network namespace, TCP, UDP and IP headers in, frames not.
+// ReceivedLoad is the traffic that the fake servers and the loopback interface received since the start, at one time of
+// the lab's clock. Loopback counts all traffic of the network namespace, with TCP, UDP and IP headers, without frames.
 type ReceivedLoad struct {
 	at              time.Time
 	At              float64 `json:"at_s"` // before 0 while the sidecars start
 	Probes          int64   `json:"probes"`
 	Calls           int64   `json:"calls"`
-	Conns           int64   `json:"conns"` // that pin servers took
-	Bytes           int64   `json:"bytes"` // of pin servers' connections, both ways
+	Conns           int64   `json:"conns"` // accepted by servers
+	Bytes           int64   `json:"bytes"` // of servers' connections, both directions
 	DiscoveryCalls  int64   `json:"lists"` // calls of discovery
 	DiscoveryConns  int64   `json:"list_conns"`
-	DiscoveryBytes  int64   `json:"list_bytes"` // of discovery's connections, both ways
+	DiscoveryBytes  int64   `json:"list_bytes"` // of discovery's connections, both directions
 	Datagrams       int64   `json:"datagrams"`  // relayed, each copy
 	LoopbackBytes   int64   `json:"loopback_bytes"`
 	LoopbackPackets int64   `json:"loopback_packets"`
@@ -55,7 +55,7 @@
 	return b
 }
 
-// sampleReceivedLoad samples until ctx ends, and gives all.
+// sampleReceivedLoad samples until ctx ends, and returns all samples.
 func (w *testbed) sampleReceivedLoad(ctx context.Context) (all []ReceivedLoad) {
 	tick := time.NewTicker(receivedLoadInterval)
 	defer tick.Stop()
--- a/internal/lab/requests.go
+++ b/internal/lab/requests.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Outcome is what became of one request, as the client beside its sidecar saw it.
+// Outcome is the result of one request, as its client saw it.
 type Outcome string
 
-// The outcomes of a request. Lost and Forged break the rules; Cut is a
-// request in the hands of a sidecar that was killed or paused meanwhile.
+// The outcomes of a request. Lost and Forged are breaches; Cut is a request
+// whose sidecar was killed or paused before the response.
 const (
 	Served     Outcome = "served"
-	Late       Outcome = "late"    // served, after its time and 50 ms
+	Late       Outcome = "late"    // served, after its deadline and latenessTolerance
 	Rejected   Outcome = "refused" // 429 or 503
 	Failed     Outcome = "failed"  // any other status
 	Unreached  Outcome = "unreached"
 	Cut        Outcome = "cut"
 	Lost       Outcome = "lost"
-	Forged     Outcome = "forged" // a 200 whose body no server made for this request
+	Forged     Outcome = "forged" // a 200 with a body that no server wrote for this request
 	Unfinished Outcome = "unfinished"
-	Excused    Outcome = "excused" // late, or given up by its client, as the lab itself ran late
+	Excused    Outcome = "excused" // late, or timed out at its client, because the lab itself ran late
 )
 
 type record struct {
@@ -30,18 +30,18 @@
 	sent           time.Duration
 	duration       time.Duration
 	outcome        Outcome
-	clientTimedOut bool      // its client gave up waiting
+	clientTimedOut bool      // its client's timeout ran out
 	ranAt          []string  // servers that ran it
-	arrivals       []arrival // at servers, where the run has operators
+	arrivals       []arrival // at servers, only in runs with operators
 }
 
-// arrival is a request's last byte at a server.
+// arrival is the time of a request's last byte at a server.
 type arrival struct {
 	id, server string
 	at         time.Duration
 }
 
-// drainBreach is a request that came to a server over 1.5 s into its drain.
+// drainBreach is a request that reached a server longer than removalGrace after its drain began.
 type drainBreach struct {
 	text        string // server:id
 	sidecar     int
@@ -57,25 +57,25 @@
 	unknownIDs      []string // ids that no client sent, as server:id
 	afterDrain      []drainBreach
 	recordsArrivals bool                    // record them
-	unsent          map[int][]time.Duration // by sidecar, when a request was not sent as it was not up
+	unsent          map[int][]time.Duration // by sidecar, when a request was not sent because it was down
 }
 
-// recordUnsent records a request that was not sent now, as the sidecar was not up.
+// recordUnsent records that a request was not sent now, because the sidecar was down.
 func (t *RequestTable) recordUnsent(sidecar int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.unsent[sidecar] = append(t.unsent[sidecar], t.Elapsed())
 }
 
-// NewRequestTable starts the lab's clock.
+// NewRequestTable makes an empty table and starts the lab's clock.
 func NewRequestTable() *RequestTable {
 	return &RequestTable{start: time.Now(), records: map[string]*record{}, unsent: map[int][]time.Duration{}}
 }
 
-// Elapsed is the lab's clock: the time since the ledger began.
+// Elapsed is the time on the lab's clock.
 func (t *RequestTable) Elapsed() time.Duration { return time.Since(t.start) }
 
-// waitUntil waits for a time of the lab's clock, and tells whether it came before ctx ended.
+// waitUntil waits for a time of the lab's clock, and reports whether it was reached before ctx ended.
 func (t *RequestTable) waitUntil(ctx context.Context, at time.Duration) bool {
 	wait := at - t.Elapsed()
 	if wait <= 0 {
@@ -89,10 +89,10 @@
 	}
 }
 
-// nowMicros is the lab's clock in microseconds.
+// nowMicros is the time on the lab's clock in microseconds.
 func (t *RequestTable) nowMicros() int64 { return t.Elapsed().Microseconds() }
 
-// recordSent records a request as sent now, and gives the time.
+// recordSent records a request as sent now, and returns the time.
 func (t *RequestTable) recordSent(id string, sidecar int, order bool) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -108,14 +108,14 @@
 	r.outcome, r.duration = outcome, t.Elapsed()-r.sent
 }
 
-// recordClientTimeout records that a client's own time ran out.
+// recordClientTimeout records that a client's own timeout ran out.
 func (t *RequestTable) recordClientTimeout(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.records[id].clientTimedOut = true
 }
 
-// IsKnown tells whether a client sent this id.
+// IsKnown reports whether a client sent this id.
 func (t *RequestTable) IsKnown(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -138,7 +138,7 @@
 	t.unknownIDs = append(t.unknownIDs, server+":"+id)
 }
 
-// RecordAfterDrain records a request that came to a server over 1.5 s into its drain.
+// RecordAfterDrain records a request that reached a server longer than removalGrace after its drain began.
 func (t *RequestTable) RecordAfterDrain(server, id string, drained, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -147,7 +147,7 @@
 	}
 }
 
-// RecordArrival records when a request came to a server.
+// RecordArrival records when a request reached a server.
 func (t *RequestTable) RecordArrival(server, id string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/lab/restarts.go
+++ b/internal/lab/restarts.go
@@ -5,15 +5,13 @@
 	"time"
 )
 
-// Restart is what one start again of a sidecar went through: the seconds from
-// the load's start to its exec, the milliseconds from the exec to its yes at
-// /health/ready, to the first answer it served to a request sent after the
-// exec (-1 for none), and until its requests were served as well as a steady
-// sidecar's (99% of at least 5 sent in one second; -1 for never). Then its
-// requests sent in the 5 s after the exec that were refused, failed (failed
-// or late), unreached (it did not take them: it was not up) and lost; and
-// those its application did not send between the exec and the yes, as the
-// sidecar was not ready (Waited).
+// Restart is one restart of a sidecar: the seconds from the load's start to
+// its exec, the milliseconds from the exec until it was ready, until it first
+// served a request sent after the exec (-1 for none), and until it served 99%
+// of at least 5 requests sent in one second (-1 for never). Then the outcomes
+// of its requests sent within restartErrorWindow: rejected, failed (or late),
+// unreached (or cut) and lost; and the requests that its application did not
+// send between the exec and the readiness (Unsent).
 type Restart struct {
 	Sidecar       int     `json:"sidecar"`
 	At            float64 `json:"at_s"`
@@ -28,12 +26,12 @@
 }
 
 const (
-	restartErrorWindow = 5 * time.Second // after the exec, whose errors a restart is charged with
+	restartErrorWindow = 5 * time.Second // after the exec, whose errors count as the restart's
 	settleWindow       = time.Second
 	settleStep         = 50 * time.Millisecond
 )
 
-// analyzeRestart reckons a restart from the records of its sidecar. It holds l.mu.
+// analyzeRestart completes a restart from the records of its sidecar. The caller holds t.mu.
 func (t *RequestTable) analyzeRestart(r Restart) Restart {
 	began := time.Duration(r.At * float64(time.Second))
 	r.FirstServedMs, r.StableMs = -1, -1
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -15,7 +15,7 @@
 // Result is what an experiment measured; it is written as JSON. Latencies are
 // in milliseconds, times in seconds of the lab's clock from the load's start.
 type Result struct {
-	Format   int             `json:"format"` // resultFormat; 0 in results older than it
+	Format   int             `json:"format"` // resultFormat; 0 in older results
 	Name     string          `json:"name"`
 	Seed     uint64          `json:"seed"`
 	Sidecars int             `json:"sidecars"`
@@ -26,7 +26,7 @@
 	// ran at two servers or twice at one; Copies, other requests run more than once.
 	RanTwice   int            `json:"ran_twice"`
 	Copies     int            `json:"copies"`
-	AfterDrain int            `json:"after_drain"` // requests that reached a server over 1.5 s into its drain
+	AfterDrain int            `json:"after_drain"` // requests that reached a server longer than removalGrace after its drain began
 	UnknownIDs int            `json:"strange"`     // ids that no client sent
 	Latency    Percentiles    `json:"latency_ms"`  // of served and late requests
 	Series     []Second       `json:"series"`
@@ -41,27 +41,27 @@
 		Unknown  int `json:"strange"` // from no sidecar of the lab
 	} `json:"datagrams"`
 
-	AfterBan int `json:"after_ban"` // requests that reached a server over 1.5 s after its sidecar's yes to a ban
-	// Excused counts what looks like a breach or a late answer but fell into a spell in which the
-	// lab itself ran late, or in which its sidecar could not hear discovery.
+	AfterBan int `json:"after_ban"` // requests that reached a server longer than removalGrace after its sidecar confirmed a ban
+	// Excused counts breaches and late responses that the lab's own lateness explains, or that happened
+	// while the sidecar was cut off from discovery.
 	Excused            map[string]int  `json:"excused"`
 	Lateness           Lateness        `json:"lateness"`
-	Broken             []history.Break `json:"broken"`   // promises that the history breaks
-	UnexpectedFailures []string        `json:"troubles"` // sidecars that ended by themselves or did not start: breaches
-	Calls              map[string]int  `json:"calls"`    // operators' calls, by op and outcome
+	Broken             []history.Break `json:"broken"`   // checks that the history violates
+	UnexpectedFailures []string        `json:"troubles"` // sidecars that exited or did not start, without a fault: breaches
+	Calls              map[string]int  `json:"calls"`    // admin calls, by op and outcome
 
-	Views []ViewConvergence `json:"views,omitempty"` // how the sidecars' views of the fleet settled, with fleet.view and operators
+	Views []ViewConvergence `json:"views,omitempty"` // convergence of the membership views, with fleet.view and operators
 
-	Control *Control `json:"control,omitempty"` // what control cost, by kind, with operators
+	Control *Control `json:"control,omitempty"` // control traffic by kind, with operators
 
 	Restarts []Restart `json:"restarts"` // of sidecars started again after a kill or a term
 
-	ReceivedLoad []ReceivedLoad `json:"borne"` // what stand-ins bore, a sample a second
+	ReceivedLoad []ReceivedLoad `json:"borne"` // of the fake servers, one sample a second
 
 	SidecarCPUSeconds float64 `json:"sidecar_cpu_s"`   // over all sidecars
 	SidecarMeanMB     float64 `json:"sidecar_mean_mb"` // peak resident memory of one, mean
 	SidecarPeakMB     float64 `json:"sidecar_peak_mb"` // peak resident memory of one, largest
-	LabCPUSeconds     float64 `json:"lab_cpu_s"`       // the lab itself: stand-ins, faults, load
+	LabCPUSeconds     float64 `json:"lab_cpu_s"`       // the lab itself: fake servers, faults, load
 	LabPeakMB         float64 `json:"lab_peak_mb"`
 }
 
@@ -77,13 +77,13 @@
 type Second struct {
 	At      int         `json:"at_s"`
 	Served  int         `json:"served"`
-	Errors  int         `json:"errors"` // refused, failed, late, cut, lost, forged
+	Errors  int         `json:"errors"` // rejected, failed, late, cut, lost, forged
 	Latency Percentiles `json:"latency_ms"`
 }
 
-// Breaches counts what breaks the rules: lost, forged, run twice, sent to a
-// server long drained or banned, ids no client sent, datagrams too long,
-// promises that the history breaks, sidecars that failed by themselves.
+// Breaches counts the violations of all rules: requests that were lost, forged,
+// run twice, sent to a server long drained or banned, or that no client sent,
+// datagrams that are too long, violated checks, and unexpected failures.
 func (r *Result) Breaches() int {
 	sum := 0
 	for _, n := range r.rules() {
@@ -92,7 +92,7 @@
 	return sum
 }
 
-// rules counts the breaches of each rule, by its name.
+// rules counts the breaches by the name of the rule.
 func (r *Result) rules() map[string]int {
 	rules := map[string]int{"lost": r.Outcomes[Lost], "forged": r.Outcomes[Forged], "unfinished": r.Outcomes[Unfinished], "ran_twice": r.RanTwice,
 		"after_drain": r.AfterDrain, "after_ban": r.AfterBan, "strange": r.UnknownIDs, "oversize": r.Datagrams.Oversize, "trouble": len(r.UnexpectedFailures)}
@@ -102,7 +102,7 @@
 	return rules
 }
 
-// resultFormat is the version of a result's JSON. 1: links, machines, operators' calls, histories, lateness.
+// resultFormat is the version of a result's JSON. 1 added links, machines, admin calls, histories and lateness.
 const resultFormat = 1
 
 // ms is a duration in milliseconds.
@@ -124,7 +124,7 @@
 	return &r, nil
 }
 
-// readJSON reads a file into v, of which format is a part; errors name the file.
+// readJSON reads a file into v, of which format is a field; errors name the file.
 func readJSON(path string, v any, format *int) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -150,7 +150,7 @@
 	return errors.Join(history.Write(file, events), file.Close())
 }
 
-// newTestbed brings up all that an experiment needs but its sidecars, which the caller starts.
+// newTestbed starts what an experiment needs, except its sidecars, which the caller starts.
 func newTestbed(exp *Experiment, program, folder string, log *slog.Logger) (w *testbed, err error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, err
@@ -226,7 +226,7 @@
 	return Instance{Name: s.Name, Address: s.Address(), Zone: s.Zone, MachineType: "m", Health: health, Weight: 1, StartedAtMillis: s.StartedAt().UnixMilli()}
 }
 
-// testbed is what the schedule acts on.
+// testbed is the fleet, the fake servers, the network and the machines of an experiment.
 type testbed struct {
 	exp       *Experiment
 	network   *Network
@@ -240,7 +240,7 @@
 	log       *slog.Logger
 
 	mu               sync.Mutex
-	endRules         map[int]func() // by fault, what ends it
-	wipedAt          map[int]int64  // by fault, when it took machines' disks (microseconds)
+	endRules         map[int]func() // by fault, ends it
+	wipedAt          map[int]int64  // by fault, when it erased machines' disks (microseconds)
 	discoveryOutages discoveryOutages
 }
--- a/internal/lab/schedule.go
+++ b/internal/lab/schedule.go
@@ -13,8 +13,8 @@
 	At    time.Duration `json:"at_ns"`
 	Fault Fault         `json:"fault"`
 	Heal  bool          `json:"heal"`
-	ID    int           `json:"id"` // of the fault: its begin and its end have the same
-	Quiet bool          `json:"-"`  // a flap's later cuts: not marked
+	ID    int           `json:"id"` // of the fault; the same for its begin and its end
+	Quiet bool          `json:"-"`  // a later cut of a flap: no mark
 }
 
 // Label is a short name for plots and logs, as "kill s2" or "heal partition v0,v1".
@@ -49,8 +49,8 @@
 	return label
 }
 
-// Schedule is the run's faults in time order: those given, and those drawn
-// from the seed by Chaos. The same experiment always gives the same schedule.
+// Schedule returns the run's faults in time order: those of the experiment, and
+// those of Chaos. It is the same for the same experiment and seed.
 func (e *Experiment) Schedule() []Event {
 	faults := slices.Clone(e.Faults)
 	random := rand.New(rand.NewPCG(e.Seed, 0xfa17))
@@ -89,18 +89,18 @@
 	return events
 }
 
-// Arrivals gives the times of the requests of one sidecar, from the seed:
-// exponential gaps at the load's rate (higher in bursts), bounded by the
-// duration and by max/sidecars requests.
+// Arrivals returns the send times of one sidecar's requests: a Poisson process
+// with the load's rate (higher in bursts), limited by the duration and by
+// max_requests divided by the sidecars.
 func (e *Experiment) Arrivals(sidecar int) []time.Duration {
-	most := e.Load.MaxRequests
-	if most == 0 {
-		most = 1_000_000
+	limit := e.Load.MaxRequests
+	if limit == 0 {
+		limit = 1_000_000
 	}
-	most /= e.Fleet.Sidecars
+	limit /= e.Fleet.Sidecars
 	random := rand.New(rand.NewPCG(e.Seed, uint64(sidecar)+1))
 	var times []time.Duration
-	for t := time.Duration(0); len(times) < most && e.Load.Rate > 0; {
+	for t := time.Duration(0); len(times) < limit && e.Load.Rate > 0; {
 		rate := e.Load.Rate
 		if e.Load.Shape == "bursts" && t%e.Load.BurstEvery.Duration < e.Load.BurstFor.Duration {
 			rate *= e.Load.BurstFactor
--- a/internal/lab/search.go
+++ b/internal/lab/search.go
@@ -15,15 +15,15 @@
 	"github.com/BurntSushi/toml"
 )
 
-// SearchOptions bound a search.
+// SearchOptions are the limits of a search.
 type SearchOptions struct {
-	Seeds       int           // schedules to draw, from seed First on
-	FirstSeed   uint64        //
-	MaxDuration time.Duration // no run begins later than this; 0 for no such bound
+	Seeds       int // schedules to draw, with seeds from FirstSeed on
+	FirstSeed   uint64
+	MaxDuration time.Duration // no run begins later than this; 0 for no limit
 	Parallel    int           // runs at a time
 	Attempts    int           // runs of a smaller schedule, one of which must break the same rule
 	Kinds       []string      // of faults to draw; empty for every kind that the experiment allows
-	MaxFindings int           // findings after which no more seeds are played; 0 for no such bound
+	MaxFindings int           // findings after which no more seeds are run; 0 for no limit
 }
 
 // Runner runs one experiment, its logs into folder.
@@ -37,18 +37,18 @@
 	ShrunkFaults int      `json:"small_faults"`
 	ShrinkRuns   int      `json:"shrink_runs"`
 	Folder       string   `json:"folder"` // with found.toml, small.toml and the runs' logs
-	Breaks       []string `json:"breaks"` // what the smallest one's run showed
+	Breaks       []string `json:"breaks"` // of the run of the smallest schedule
 }
 
-// SearchReport is what a search came to; it is written as JSON.
+// SearchReport is the result of a search; it is written as JSON.
 type SearchReport struct {
 	Base     string         `json:"base"`
-	Runs     int            `json:"runs"`      // seeds played
+	Runs     int            `json:"runs"`      // seeds that were run
 	Wanted   int            `json:"wanted"`    // seeds asked for
 	LateRuns int            `json:"late_runs"` // in which the lab itself was short of CPU
 	Faults   map[string]int `json:"faults"`    // drawn, by kind
 	Findings []Finding      `json:"findings"`
-	Failed   []string       `json:"failed"` // runs that could not be carried out
+	Failed   []string       `json:"failed"` // runs that ended in an error
 	Seconds  float64        `json:"seconds"`
 }
 
@@ -226,7 +226,7 @@
 	return nil
 }
 
-// breaks lists what a result breaks, for people.
+// breaks describes the breaches of a result.
 func (r *Result) breaks() []string {
 	var lines []string
 	for _, b := range r.Broken {
@@ -251,9 +251,9 @@
 	return os.WriteFile(path, text.Bytes(), 0o644)
 }
 
-// Summary is a few lines for people.
+// Summary describes the result in a few lines.
 func (r *SearchReport) Summary() string {
-	text := fmt.Sprintf("%s: %d of %d seeds played in %.0f s, %d broke a rule, %d could not be run; the lab ran late in %d\nfaults drawn %v\n",
+	text := fmt.Sprintf("%s: %d of %d seeds run in %.0f s, %d broke a rule, %d could not be run; the lab ran late in %d\nfaults drawn %v\n",
 		r.Base, r.Runs, r.Wanted, r.Seconds, len(r.Findings), len(r.Failed), r.LateRuns, r.Faults)
 	for _, f := range r.Findings {
 		text += fmt.Sprintf("seed %d: %v, %d faults shrunk to %d: %s\n  %s\n", f.Seed, f.Kinds, f.Faults, f.ShrunkFaults, filepath.Join(f.Folder, "small.toml"),
--- a/internal/lab/selectors.go
+++ b/internal/lab/selectors.go
@@ -11,7 +11,7 @@
 // maxGroupDepth is how deep groups may name other groups.
 const maxGroupDepth = 4
 
-// selectorResolver resolves what an experiment's faults call endpoints by.
+// selectorResolver resolves the selectors by which an experiment's faults name endpoints.
 type selectorResolver struct{ exp *Experiment }
 
 func (n selectorResolver) sidecars() int { return n.exp.Fleet.Sidecars }
@@ -47,7 +47,7 @@
 	return set, nil
 }
 
-// resolveOne resolves a selector that is no group, to none where it names nothing.
+// resolveOne resolves a selector that is not a group, to none if it is invalid.
 func (n selectorResolver) resolveOne(selector string) []endpoint {
 	kind, name, _ := strings.Cut(selector, ":")
 	switch {
@@ -78,7 +78,7 @@
 	return slices.Collect(maps.Keys(set)), nil
 }
 
-// resolveRange resolves "s3" or "s0-s9", to none where it is neither.
+// resolveRange resolves "s3" or "s0-s9", to none if it is neither.
 func (n selectorResolver) resolveRange(selector string) []endpoint {
 	first, last, isRange := strings.Cut(selector, "-")
 	if !isRange {
@@ -124,14 +124,14 @@
 	return unknownEndpoint, fmt.Errorf("%q is no endpoint", text)
 }
 
-// linksBetween matches links from one set to the other, and back where the direction is "both" or not given; "out" is from to to alone, "in" the way back alone.
+// linksBetween matches the links from one set to the other ("out"), back ("in"), or in both directions ("both" or "").
 func linksBetween(from, to map[endpoint]bool, direction string) func(a, b endpoint) bool {
 	return func(a, b endpoint) bool {
 		return a != b && (direction != "in" && from[a] && to[b] || direction != "out" && from[b] && to[a])
 	}
 }
 
-// linksAcrossGroups matches links between endpoints that are named in groups but share none.
+// linksAcrossGroups matches links between endpoints that are in groups but have none in common.
 func linksAcrossGroups(groups []map[endpoint]bool) func(a, b endpoint) bool {
 	return func(a, b endpoint) bool {
 		inA, inB := false, false
@@ -145,7 +145,7 @@
 	}
 }
 
-// linkRule builds the rule of a fault on links, nil for a fault of another kind.
+// linkRule returns the rule of a fault on links, nil for a fault of another kind.
 func (n selectorResolver) linkRule(f Fault) (*Rule, error) {
 	own := func(base endpoint, list []int) map[endpoint]bool {
 		set := map[endpoint]bool{}
--- a/internal/lab/server_model.go
+++ b/internal/lab/server_model.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// ServerModel is how a stand-in pin server works, without sockets: it runs up to
-// Capacity requests at once with Queue more waiting, turns the rest away, fails
-// at the error rate, and is slower while cold. The lab's pin servers and the
-// hollow ones are the same in this.
+// ServerModel is the behavior of a fake server, without sockets: it runs up to
+// Capacity requests at once with Queue more waiting, rejects the rest, fails
+// at the error rate, and is slower while warming up. FakeServer and the scale
+// package's simulated servers share it. It is safe for concurrent use.
 type ServerModel struct {
 	spec    Server
 	slots   chan struct{} // capacity
@@ -23,7 +23,7 @@
 	inflight  int
 }
 
-// Verdict is what became of a request at a server.
+// Verdict is the result of a request at a server.
 type Verdict int
 
 // The verdicts.
@@ -31,16 +31,16 @@
 	VerdictServed       Verdict = iota
 	VerdictFailed               // answered 500
 	VerdictRejected             // never run
-	VerdictDisconnected         // its caller left
+	VerdictDisconnected         // its caller disconnected
 )
 
-// NewServerModel makes a server that starts now, and cold.
+// NewServerModel makes a server that starts now, and so warms up.
 func NewServerModel(spec Server, seed uint64) *ServerModel {
 	return &ServerModel{spec: spec, slots: make(chan struct{}, spec.Capacity), waiting: make(chan struct{}, spec.Capacity+spec.Queue),
 		random: rand.New(rand.NewPCG(seed, 0x5e)), startedAt: time.Now()}
 }
 
-// Restart makes it cold, as a new process is.
+// Restart begins a new warm-up, as a new process does.
 func (s *ServerModel) Restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,8 +61,8 @@
 	return fmt.Sprintf("failed_ps=0,pending=%d", s.inflight)
 }
 
-// Run takes a request through: ran is called as it begins to run. The report
-// is that of the answer.
+// Run runs one request, and calls ran when it begins. It returns the load
+// report of the response.
 func (s *ServerModel) Run(ctx context.Context, ran func()) (v Verdict, report string) {
 	select {
 	case s.waiting <- struct{}{}:
--- a/internal/lab/shrink.go
+++ b/internal/lab/shrink.go
@@ -9,7 +9,7 @@
 	"sync"
 )
 
-// shrinker makes a schedule smaller while it still breaks one of the same rules.
+// shrinker makes a schedule smaller while it still breaks one of the rules that the original broke.
 type shrinker struct {
 	ctx                context.Context
 	run                Runner
@@ -21,13 +21,13 @@
 	breaks             []string
 }
 
-// firstFailing runs candidates side by side and gives the first that breaks one of the same rules, -1 for none.
+// firstFailing runs candidates concurrently and returns the index of one that breaks one of the rules, -1 for none.
 func (s *shrinker) firstFailing(candidates []*Experiment) int {
-	type try struct{ candidate, n int }
-	var queue []try
-	for n := range s.attempts { // each once, before any a second time
+	type attempt struct{ candidate, n int }
+	var queue []attempt
+	for n := range s.attempts { // each candidate once, before any a second time
 		for c := range candidates {
-			queue = append(queue, try{c, n})
+			queue = append(queue, attempt{c, n})
 		}
 	}
 	for len(queue) > 0 && s.mayContinue() {
@@ -101,7 +101,7 @@
 	return exp
 }
 
-// halves are a fault with half of its targets.
+// halves returns the fault with each half of its targets.
 func (f Fault) halves() (smaller []Fault) {
 	for _, field := range []func(*Fault) *[]int{
 		func(f *Fault) *[]int { return &f.Sidecars }, func(f *Fault) *[]int { return &f.Servers }, func(f *Fault) *[]int { return &f.Machines }} {
--- a/internal/lab/sidecar_config.go
+++ b/internal/lab/sidecar_config.go
@@ -18,15 +18,15 @@
 	return s.exp.SidecarConfig(i, s.exp.Fleet.Sidecars, listen, s.discovery.listener.AddressFor(s.subnet.address(i)), peers+s.stateDirSetting(i))
 }
 
-// PeersConfig is the part of a sidecar's configuration that tells it of the others: where it listens, what reaches
-// all, and what they are known by, as address:port.
+// PeersConfig is the part of a sidecar's configuration on its peers: the address on which it receives datagrams, the one
+// that reaches all of them, and the known ones, as address:port. A comma follows.
 func PeersConfig(listen, all string, known []string) string {
 	list, _ := json.Marshal(known)
 	return fmt.Sprintf(`"peer_listen":%q,"peers_all":%q,"peers":%s,`, listen, all, list)
 }
 
-// SidecarConfig is the configuration of sidecar i of so many that share its servers, which listens and finds discovery
-// at these addresses; more is further keys, each with a comma after it.
+// SidecarConfig is the configuration of sidecar i of total ones, with its listen address and that of discovery. more is
+// additional JSON keys, each followed by a comma.
 func (e *Experiment) SidecarConfig(i, total int, listen, discovery, more string) []byte {
 	zones, _ := json.Marshal(e.Fleet.Zones)
 	deadline := e.Load.Deadline.Microseconds()
@@ -46,7 +46,7 @@
 		cmp.Or(e.Fleet.ProbePrice, 1), total, i, i%len(e.Fleet.Zones))
 }
 
-// stateDirSetting is the configuration's key for the folder of kept state, where the experiment keeps it.
+// stateDirSetting is the configuration's key for the folder of persisted state, empty if the experiment has none.
 func (s *Sidecars) stateDirSetting(i int) string {
 	if !s.exp.Fleet.State {
 		return ""
--- a/internal/lab/sidecar_faults.go
+++ b/internal/lab/sidecar_faults.go
@@ -6,14 +6,22 @@
 	"time"
 )
 
-// Kill holds sidecar i down and ends its processes by SIGKILL, if any.
+const (
+	sendAfterTerm = 300 * time.Millisecond // an application goes on sending after SIGTERM
+	minDrainTime  = 3 * time.Second        // a sidecar may take after SIGTERM, or a deadline if that is longer
+	shutdownSlack = 400 * time.Millisecond // beyond minDrainTime until SIGKILL
+	upgradeSlack  = 700 * time.Millisecond // the same for the old process of an upgrade, in addition
+	stopTimeout   = 5 * time.Second        // from SIGTERM to SIGKILL at a run's end
+)
+
+// Kill begins a fault that keeps sidecar i down, kills its processes and waits for their end.
 func (s *Sidecars) Kill(i int) {
 	for _, process := range s.holdDown(i, true) {
 		<-process.exited
 	}
 }
 
-// holdDown counts a hold down; by force it kills at once. It returns the processes then alive.
+// holdDown begins a fault that keeps sidecar i down, and with force kills its processes. It returns those that run.
 func (s *Sidecars) holdDown(i int, force bool) []*sidecarProcess {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -25,7 +33,7 @@
 	return slices.Clone(state.processes)
 }
 
-// killProcesses ends all processes of a sidecar by SIGKILL, their requests cut. It holds s.mu.
+// killProcesses kills all processes of a sidecar, and so interrupts their requests. The caller holds s.mu.
 func (s *Sidecars) killProcesses(state *sidecarState) {
 	state.isAccepting = false
 	state.beginOutage(s.requests.Elapsed())
@@ -36,7 +44,7 @@
 	}
 }
 
-// Release takes one hold off; with the last the sidecar starts again.
+// Release ends a fault that keeps sidecar i down; with the last one it starts again.
 func (s *Sidecars) Release(i int) {
 	s.mu.Lock()
 	s.states[i].downFaults--
@@ -44,7 +52,7 @@
 	s.StartOrRecordFailure(i)
 }
 
-// Pause stops sidecar i's processes by SIGSTOP.
+// Pause begins a fault that stops sidecar i's processes by SIGSTOP.
 func (s *Sidecars) Pause(i int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,13 +64,13 @@
 	}
 }
 
-// Resume takes one pause off; with the last its processes run on, or it starts where it should run by now.
+// Resume ends a fault of Pause; with the last one the processes continue, or the sidecar starts if it should run.
 func (s *Sidecars) Resume(i int) {
 	s.mu.Lock()
 	state := s.states[i]
 	state.pauseFaults--
-	run := state.pauseFaults == 0
-	if run {
+	mayRun := state.pauseFaults == 0
+	if mayRun {
 		for _, process := range state.processes {
 			process.cmd.Process.Signal(syscall.SIGCONT)
 		}
@@ -71,19 +79,19 @@
 		}
 	}
 	s.mu.Unlock()
-	if run {
+	if mayRun {
 		s.StartOrRecordFailure(i)
 	}
 }
 
-// Terminate holds sidecar i down by a planned stop: SIGTERM; the application sends for 0.3 s more;
-// SIGKILL follows when the process has not ended within the deadline and 3.7 s.
+// Terminate keeps sidecar i down by a graceful shutdown: SIGTERM, while the application goes on sending for
+// sendAfterTerm, then SIGKILL if a process has not ended within shutdownGrace.
 func (s *Sidecars) Terminate(i int) {
 	processes := s.holdDown(i, false)
 	for _, process := range processes {
 		s.signalTermination(i, process)
 	}
-	time.Sleep(300 * time.Millisecond)
+	time.Sleep(sendAfterTerm)
 	s.mu.Lock()
 	s.states[i].isAccepting = false
 	s.mu.Unlock()
@@ -92,10 +100,12 @@
 	}
 }
 
+// shutdownGrace is how long a process may take to end after SIGTERM.
 func (s *Sidecars) shutdownGrace() time.Duration {
-	return max(3*time.Second, s.exp.Load.Deadline.Duration) + 400*time.Millisecond
+	return max(minDrainTime, s.exp.Load.Deadline.Duration) + shutdownSlack
 }
 
+// signalTermination sends SIGTERM to a process, whose end is then expected.
 func (s *Sidecars) signalTermination(i int, process *sidecarProcess) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,9 +114,9 @@
 	process.cmd.Process.Signal(syscall.SIGTERM)
 }
 
-// Upgrade starts a second process of sidecar i beside the first and, at its
-// yes, ends the first by SIGTERM, as docs/operators.md has it. It does nothing
-// where the sidecar is down, paused or amid another upgrade.
+// Upgrade starts a second process of sidecar i beside the first and, once it
+// is ready, ends the first by SIGTERM, as docs/operators.md describes. It does
+// nothing while the sidecar is down, paused or in another upgrade.
 func (s *Sidecars) Upgrade(i int) {
 	state := s.states[i]
 	if !state.startMu.TryLock() {
@@ -114,14 +124,14 @@
 	}
 	defer state.startMu.Unlock()
 	s.mu.Lock()
-	able := len(state.processes) == 1 && state.downFaults == 0 && state.pauseFaults == 0 && !s.isStopping
+	canUpgrade := len(state.processes) == 1 && state.downFaults == 0 && state.pauseFaults == 0 && !s.isStopping
 	var old *sidecarProcess
-	if able {
+	if canUpgrade {
 		old = state.processes[0]
 	}
 	s.mu.Unlock()
-	if !able {
-		s.log.Info("no upgrade: the sidecar is down or paused", "sidecar", i)
+	if !canUpgrade {
+		s.log.Info("sidecar not upgraded, since it is down, paused or ending", "sidecar", i)
 		return
 	}
 	err := s.launch(i, s.ListenAddress(i))
@@ -133,17 +143,17 @@
 		s.recordFailure(i, "upgrade: the new process did not come up: %v", err)
 	case err == nil && !old.hasExited():
 		s.signalTermination(i, old)
-		s.awaitExit(i, old, s.shutdownGrace()+700*time.Millisecond)
+		s.awaitExit(i, old, s.shutdownGrace()+upgradeSlack)
 	}
 }
 
-// awaitExit waits for the end of a process sent SIGTERM, and ends it by
-// SIGKILL (its requests then cut) when it has not ended within grace.
+// awaitExit waits for the end of a process that got SIGTERM, and kills it
+// (which interrupts its requests) if it has not ended within grace.
 func (s *Sidecars) awaitExit(i int, process *sidecarProcess, grace time.Duration) {
 	select {
 	case <-process.exited:
 	case <-time.After(grace):
-		s.log.Warn("a sidecar did not end on SIGTERM", "sidecar", i)
+		s.log.Warn("sidecar did not end on SIGTERM and is killed", "sidecar", i)
 		s.mu.Lock()
 		state := s.states[i]
 		state.beginOutage(s.requests.Elapsed())
@@ -152,7 +162,7 @@
 		s.mu.Unlock()
 		<-process.exited
 		s.mu.Lock()
-		if len(state.processes) > 0 && state.pauseFaults == 0 { // the other process of an upgrade serves on
+		if len(state.processes) > 0 && state.pauseFaults == 0 { // the other process of an upgrade goes on serving
 			state.endOutage(s.requests.Elapsed())
 		}
 		s.mu.Unlock()
--- a/internal/lab/sidecar_process.go
+++ b/internal/lab/sidecar_process.go
@@ -7,15 +7,15 @@
 )
 
 type sidecarState struct {
-	startMu       sync.Mutex // one start or upgrade at a time; taken before Sidecars.mu
+	startMu       sync.Mutex // one start or upgrade at a time; locked before Sidecars.mu
 	listenAddress string
-	processes     []*sidecarProcess // its processes: one, or two amid an upgrade
+	processes     []*sidecarProcess // one, or two during an upgrade
 	isAccepting   bool
 	downFaults    int           // faults that keep it from running
 	pauseFaults   int           // faults that stop it by SIGSTOP
-	wasStarted    bool          // once before
+	wasStarted    bool          // at least once
 	outages       []window      // killed or paused, on the lab's clock
-	endedCPU      time.Duration // of the lives that ended
+	endedCPU      time.Duration // of the processes that ended
 	peakMemoryKB  int64
 }
 
@@ -23,9 +23,9 @@
 type sidecarProcess struct {
 	cmd           *exec.Cmd
 	exited        chan struct{}
-	adminAddress  string // its operators' address, host:port; empty without
-	isReady       bool   // it gave its yes
-	isEndExpected bool   // the lab ends it
+	adminAddress  string // host:port; empty without operators
+	isReady       bool   // it has responded to a readiness check
+	isEndExpected bool   // the lab has killed or terminated it
 	cpu           time.Duration
 }
 
@@ -40,19 +40,19 @@
 
 type window struct{ from, to time.Duration }
 
-// endOutage closes the window that is open, if any, at this time.
+// endOutage ends the current outage, if any.
 func (p *sidecarState) endOutage(at time.Duration) {
 	if n := len(p.outages); n > 0 && p.outages[n-1].to == openEnd {
 		p.outages[n-1].to = at
 	}
 }
 
-// beginOutage opens a window at this time, where none is open.
+// beginOutage begins an outage, unless there is one.
 func (p *sidecarState) beginOutage(at time.Duration) {
 	if n := len(p.outages); n == 0 || p.outages[n-1].to != openEnd {
 		p.outages = append(p.outages, window{from: at, to: openEnd})
 	}
 }
 
-// openEnd marks a window that has not ended.
+// openEnd is the end of a window that has not ended.
 const openEnd = time.Duration(1<<63 - 1)
--- a/internal/lab/sidecar_start.go
+++ b/internal/lab/sidecar_start.go
@@ -15,22 +15,27 @@
 	"time"
 )
 
-// Start starts sidecar i and waits for its yes, unless a fault holds it down
-// or paused (it then starts when the last hold is gone) or it runs already. A
-// port that is taken meanwhile is tried anew, three times at most.
+const (
+	maxStartAttempts = 3
+	startTimeout     = 20 * time.Second // until a process is ready
+)
+
+// Start starts sidecar i and waits until it is ready, unless a fault keeps it
+// down or paused (it then starts when the last one ends) or it runs already.
+// If its port is in use, another one is tried, up to maxStartAttempts.
 func (s *Sidecars) Start(i int) error {
 	state := s.states[i]
 	state.startMu.Lock()
 	defer state.startMu.Unlock()
 	var err error
-	for try := range 3 {
+	for attempt := range maxStartAttempts {
 		if !s.shouldStart(i) {
 			return nil
 		}
-		if err = s.start(i, try > 0); err == nil {
+		if err = s.start(i, attempt > 0); err == nil {
 			return nil
 		}
-		s.log.Warn("a sidecar did not start", "sidecar", i, "try", try, "error", err)
+		s.log.Warn("sidecar did not start", "sidecar", i, "attempt", attempt, "error", err)
 	}
 	if !s.shouldStart(i) {
 		return nil
@@ -38,7 +43,7 @@
 	return fmt.Errorf("sidecar %d: %w", i, err)
 }
 
-// shouldStart tells whether sidecar i should run and does not.
+// shouldStart reports whether sidecar i is not running and no fault keeps it down.
 func (s *Sidecars) shouldStart(i int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,6 +51,7 @@
 	return !s.isStopping && state.downFaults == 0 && state.pauseFaults == 0 && len(state.processes) == 0
 }
 
+// start starts sidecar i once, with its ports or with new ones. The caller holds the sidecar's startMu.
 func (s *Sidecars) start(i int, newPort bool) error {
 	state := s.states[i]
 	s.mu.Lock()
@@ -62,17 +68,17 @@
 			return err
 		}
 	}
-	began := s.requests.Elapsed()
+	startedAt := s.requests.Elapsed()
 	if err := s.launch(i, listen); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if state.wasStarted { // a start again, after a crash or a planned end
-		s.restarts = append(s.restarts, Restart{Sidecar: i, At: began.Seconds(), ReadyMs: ms(s.requests.Elapsed() - began)})
+	if state.wasStarted { // a restart, after a crash or a shutdown
+		s.restarts = append(s.restarts, Restart{Sidecar: i, At: startedAt.Seconds(), ReadyMs: ms(s.requests.Elapsed() - startedAt)})
 	}
 	state.listenAddress, state.wasStarted = listen, true
-	if state.downFaults == 0 { // else it was killed as it came up
+	if state.downFaults == 0 { // else it was killed during the start
 		state.isAccepting = true
 		if state.pauseFaults == 0 {
 			state.endOutage(s.requests.Elapsed())
@@ -81,7 +87,7 @@
 	return nil
 }
 
-// freeAddress is an address of sidecar i's own that nothing listens on.
+// freeAddress returns an address with a free port on sidecar i's own IP address.
 func (s *Sidecars) freeAddress(i int) (string, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(s.subnet.address(i), "0"))
 	if err != nil {
@@ -95,7 +101,7 @@
 func (s *Sidecars) launch(i int, listenAddress string) error {
 	process := &sidecarProcess{exited: make(chan struct{})}
 	readyURL := "http://" + listenAddress + "/health/ready"
-	if s.exp.Ops.On { // the admin address says ready while the sidecar is drained, too
+	if s.exp.Ops.On { // the admin address is ready while the sidecar is drained, too
 		var err error
 		if process.adminAddress, err = s.freeAddress(i); err != nil {
 			return err
@@ -142,7 +148,7 @@
 	state := s.states[i]
 	state.processes = append(state.processes, process)
 	s.limitFileSize(i, process)
-	if state.downFaults > 0 || s.isStopping { // a fault began during the start
+	if state.downFaults > 0 || s.isStopping { // a fault startedAt during the start
 		process.isEndExpected = true
 		process.cmd.Process.Kill()
 	} else if state.pauseFaults > 0 {
@@ -183,9 +189,7 @@
 	}
 }
 
-const startTimeout = 20 * time.Second
-
-// watchProcess sees a process to its end and records one that nobody asked for.
+// watchProcess waits for the end of a process, and records one that the lab did not cause.
 func (s *Sidecars) watchProcess(i int, process *sidecarProcess, logFile *os.File) {
 	err := process.cmd.Wait()
 	logFile.Close()
@@ -205,14 +209,14 @@
 	}
 }
 
-// StartOrRecordFailure starts sidecar i where it should run, and records a start that fails.
+// StartOrRecordFailure starts sidecar i as Start does, and records a failure.
 func (s *Sidecars) StartOrRecordFailure(i int) {
 	if err := s.Start(i); err != nil {
 		s.recordFailure(i, "did not start: %v", err)
 	}
 }
 
-// startAll starts the fleet, all sidecars side by side.
+// startAll starts all sidecars concurrently.
 func (s *Sidecars) startAll() error {
 	var starting sync.WaitGroup
 	errs := make([]error, len(s.states))
--- a/internal/lab/sidecars.go
+++ b/internal/lab/sidecars.go
@@ -14,8 +14,8 @@
 
 // Sidecars runs the real sidecar processes of an experiment as children of
 // the lab. Each dies with the lab (the kernel's parent-death signal), and
-// Stop ends those that will not end on SIGTERM with SIGKILL. Faults hold a
-// sidecar down or paused; it runs when the last of its holds is gone.
+// Stop kills those that do not end on SIGTERM. Faults keep a sidecar down or
+// paused; it runs again when the last of them has ended.
 type Sidecars struct {
 	program   string
 	folder    string // configurations and logs
@@ -31,7 +31,7 @@
 	isStopping         bool
 	states             []*sidecarState
 	restarts           []Restart
-	unexpectedFailures []string // what no fault explains: ends by themselves, starts and upgrades that failed
+	unexpectedFailures []string // not caused by a fault: exits, failed starts and upgrades
 }
 
 func newSidecars(program, folder string, exp *Experiment, sub subnet, disco *FakeDiscovery, peers *DatagramRelay, disks []*disk, ledger *RequestTable, log *slog.Logger) *Sidecars {
@@ -42,14 +42,14 @@
 	return s
 }
 
-// ListenAddress is where sidecar i takes its application's requests.
+// ListenAddress is where sidecar i accepts its application's requests.
 func (s *Sidecars) ListenAddress(i int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.states[i].listenAddress
 }
 
-// AdminAddress is where operators reach sidecar i: its newest process that gave its yes; empty while there is none.
+// AdminAddress is the admin address of sidecar i's newest ready process; empty if there is none.
 func (s *Sidecars) AdminAddress(i int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,14 +61,14 @@
 	return ""
 }
 
-// IsAccepting tells whether the application beside sidecar i sends now.
+// IsAccepting reports whether the application of sidecar i sends requests now.
 func (s *Sidecars) IsAccepting(i int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.states[i].isAccepting
 }
 
-// WasDown tells whether sidecar i was killed or paused in [from, to].
+// WasDown reports whether sidecar i was killed or paused at any time in [from, to].
 func (s *Sidecars) WasDown(i int, from, to time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,23 +80,23 @@
 	return false
 }
 
-// recordFailure records what no fault explains.
+// recordFailure records and logs a failure that no fault caused.
 func (s *Sidecars) recordFailure(i int, format string, args ...any) {
 	text := fmt.Sprintf("s%d: ", i) + fmt.Sprintf(format, args...)
-	s.log.Error("trouble", "what", text)
+	s.log.Error("unexpected failure", "error", text)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unexpectedFailures = append(s.unexpectedFailures, text)
 }
 
-// UnexpectedFailures lists what no fault explains: sidecars that ended by themselves, starts and upgrades that failed.
+// UnexpectedFailures lists the failures that no fault caused: exits, failed starts and upgrades.
 func (s *Sidecars) UnexpectedFailures() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.unexpectedFailures)
 }
 
-// Restarts lists the starts again so far, with their times to the yes.
+// Restarts lists the restarts so far, with their times until ready.
 func (s *Sidecars) Restarts() []Restart {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,15 +105,15 @@
 
 func (s *Sidecars) disk(i int) *disk { return s.disks[s.exp.machineOf(i)] }
 
-// limitFileSize gives a process the file size limit of its machine's disk. It holds s.mu.
+// limitFileSize sets the file size limit of a process to that of its machine's disk. The caller holds s.mu.
 func (s *Sidecars) limitFileSize(i int, process *sidecarProcess) {
-	most := s.disk(i).fileSizeLimit()
-	if err := unix.Prlimit(process.cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: most, Max: unix.RLIM_INFINITY}, nil); err != nil && !errors.Is(err, unix.ESRCH) {
-		s.log.Warn("the file size limit could not be set", "sidecar", i, "error", err)
+	limit := s.disk(i).fileSizeLimit()
+	if err := unix.Prlimit(process.cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: limit, Max: unix.RLIM_INFINITY}, nil); err != nil && !errors.Is(err, unix.ESRCH) {
+		s.log.Warn("file size limit not set", "sidecar", i, "error", err)
 	}
 }
 
-// SetFull makes the disk of a machine full, or ends one such fault.
+// SetFull begins or ends a fault that makes the disk of a machine full.
 func (s *Sidecars) SetFull(machine int, on bool) {
 	s.disks[machine].setFull(on)
 	s.mu.Lock()
@@ -127,7 +127,7 @@
 	}
 }
 
-// Stop ends every sidecar: SIGCONT and SIGTERM, then SIGKILL after 5 s. None starts after it.
+// Stop ends every sidecar: SIGCONT and SIGTERM, then SIGKILL after stopTimeout. None starts afterwards.
 func (s *Sidecars) Stop() {
 	s.mu.Lock()
 	s.isStopping = true
@@ -149,7 +149,7 @@
 		go func() {
 			defer wg.Done()
 			s.signalTermination(t.i, t.process)
-			s.awaitExit(t.i, t.process, 5*time.Second)
+			s.awaitExit(t.i, t.process, stopTimeout)
 		}()
 	}
 	wg.Wait()
--- a/internal/lab/subnet.go
+++ b/internal/lab/subnet.go
@@ -6,16 +6,16 @@
 	"sync/atomic"
 )
 
-// subnet is one lab's part of the loopback range: sidecar i reaches the
-// stand-ins by an address of its own there, which tells them who calls.
+// subnet is one lab's part of the loopback range: sidecar i reaches the fake
+// servers by an address of its own there, by which they identify the caller.
 type subnet byte
 
-// address is sidecar i's, 127.subnet.x.y.
+// address is the address of sidecar i, 127.subnet.x.y.
 func (s subnet) address(i int) string {
 	return net.IPv4(127, byte(s), byte((i+1)>>8), byte(i+1)).String()
 }
 
-// sidecar is who dialed this address; stranger for one not of the subnet.
+// sidecar returns the sidecar of an address, unknownEndpoint for one outside the subnet.
 func (s subnet) sidecar(ip net.IP) endpoint {
 	if ip = ip.To4(); ip == nil || ip[1] != byte(s) || s == 0 {
 		return unknownEndpoint
@@ -25,5 +25,5 @@
 
 var subnets atomic.Int32
 
-// newSubnet picks another part of the loopback range for each lab of this process, and likely others for other processes.
+// newSubnet returns another subnet for each lab of this process, and probably others than in other processes.
 func newSubnet() subnet { return subnet(16 + (os.Getpid()*7+int(subnets.Add(1)))%200) }
--- a/internal/lab/summary.go
+++ b/internal/lab/summary.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Summary is a few lines for people.
+// Summary describes the result in a few lines.
 func (r *Result) Summary() string {
 	return fmt.Sprintf("%s: %d sidecars, %d servers, %d requests\noutcomes %v\nran twice %d, copies %d, after drain %d, unknown ids %d; datagrams relayed %d, dropped %d, too long %d, of unknown senders %d; breaches %d\n"+
 		"latency ms p50 %.1f p99 %.1f p99.9 %.1f max %.1f\nsidecars: %.1f CPU s, %.1f MB mean peak, %.1f MB largest; lab: %.1f CPU s, %.1f MB\n",
@@ -14,7 +14,7 @@
 		r.formatSummary() + r.restartSummary()
 }
 
-// formatSummary is what results of format 1 have beyond those before, where there is any.
+// formatSummary describes the fields that were added by format 1.
 func (r *Result) formatSummary() string {
 	if r.Format == 0 {
 		return "a result older than format 1: without calls, history and the lab's lateness\n"
@@ -40,12 +40,12 @@
 	return text
 }
 
-// viewSummary is a line for each of the first faults on how the views settled, and one for the worst of the rest.
+// viewSummary describes the convergence of the views after each of the first faults, and the slowest of the others.
 func (r *Result) viewSummary() (text string) {
-	const most = 10
+	const maxLines = 10
 	worst := -1
 	for i, v := range r.Views {
-		if i >= most {
+		if i >= maxLines {
 			if worst < 0 || v.MaxMs > r.Views[worst].MaxMs {
 				worst = i
 			}
@@ -54,12 +54,12 @@
 		text += v.String()
 	}
 	if worst >= 0 {
-		text += fmt.Sprintf("%d more, the slowest: %v", len(r.Views)-most, r.Views[worst])
+		text += fmt.Sprintf("%d more, the slowest: %v", len(r.Views)-maxLines, r.Views[worst])
 	}
 	return text
 }
 
-// restartSummary is a line on the restarts, if any: the median and the worst of each time, the errors summed.
+// restartSummary is a line on the restarts, if any: the median and the maximum of each time, the sums of errors.
 func (r *Result) restartSummary() string {
 	if len(r.Restarts) == 0 {
 		return ""
--- a/internal/lab/view_convergence.go
+++ b/internal/lab/view_convergence.go
@@ -10,24 +10,24 @@
 	"bramblestand/internal/lab/history"
 )
 
-// viewPath is asked of every sidecar of an experiment with fleet.view.
+// viewPath is the admin call that is polled at every sidecar of an experiment with fleet.view.
 const viewPath = "/fleet?brief=1"
 
-// ViewConvergence is how the sidecars' views of the fleet settled after one fault, up
-// to the next. Times are from the fault, by the sidecars' own record of when
-// their view last moved, over those that answered in that time; 0 where none moved.
+// ViewConvergence is the convergence of the sidecars' membership views after one
+// fault, up to the next. Times are from the fault to a view's last change, as the
+// sidecar itself reports it, over the sidecars that responded; 0 for no change.
 type ViewConvergence struct {
 	After    string  `json:"after"`   // the fault's label, or "start"
 	AtMs     float64 `json:"at_ms"`   // on the lab's clock; of "start", when the first process was
-	P50Ms    float64 `json:"p50_ms"`  // by when half of the views had moved for the last time,
+	P50Ms    float64 `json:"p50_ms"`  // when half of the views had changed for the last time,
 	MaxMs    float64 `json:"max_ms"`  // and all
-	Changes  int     `json:"moves"`   // of all views together, seen from outside
+	Changes  int     `json:"moves"`   // of all views together, as observed
 	Digests  int     `json:"digests"` // different ones at the end
 	Largest  int     `json:"largest"` // members in the largest view at the end
-	Isolated int     `json:"cut_off"` // sidecars cut off at the end
+	Isolated int     `json:"cut_off"` // sidecars isolated at the end
 }
 
-// String is a line for people.
+// String describes it in one line.
 func (v ViewConvergence) String() string {
 	return fmt.Sprintf("views after %.60s: half moved last at %.0f ms, all %.0f ms; %d moves; %d digests, %d members, %d cut off\n",
 		v.After, v.P50Ms, v.MaxMs, v.Changes, v.Digests, v.Largest, v.Isolated)
