--- a/internal/lab/scale/chain.go
+++ b/internal/lab/scale/chain.go
@@ -19,6 +19,7 @@
 	"bramblestand/internal/config"
 	"bramblestand/internal/lab"
 	"bramblestand/internal/sidecar"
+	"bramblestand/internal/upstream"
 )
 
 // Chain is a chain of services: callers at the edge call level 1, each server of a level calls the next one through the
@@ -140,7 +141,7 @@
 	chain  *chain
 	level  int             // that it calls
 	hollow *sidecar.Hollow // nil for plain
-	conns  []sidecar.SimulatedConnection
+	conns  []upstream.SimulatedConnection
 }
 
 func (c *chain) phase() int {
@@ -194,7 +195,7 @@
 }
 
 // Dial opens a connection to a server of the level.
-func (n *chainNetwork) Dial(ctx context.Context, address string) (sidecar.SimulatedConnection, error) {
+func (n *chainNetwork) Dial(ctx context.Context, address string) (upstream.SimulatedConnection, error) {
 	_, port, _ := strings.Cut(address, ":")
 	number, err := strconv.Atoi(port)
 	if number -= firstPort; err != nil || number < 0 || number >= len(n.chain.servers[n.level]) {
--- a/internal/lab/scale/network.go
+++ b/internal/lab/scale/network.go
@@ -14,7 +14,7 @@
 
 	"bramblestand/internal/datagram"
 	"bramblestand/internal/lab"
-	"bramblestand/internal/sidecar"
+	"bramblestand/internal/upstream"
 )
 
 // kind is what a tally counts.
@@ -109,7 +109,7 @@
 )
 
 // Dial opens a connection to a server.
-func (c *client) Dial(ctx context.Context, address string) (sidecar.SimulatedConnection, error) {
+func (c *client) Dial(ctx context.Context, address string) (upstream.SimulatedConnection, error) {
 	s := c.at(address)
 	if s == nil {
 		return nil, errRefused
--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -16,6 +16,7 @@
 	"bramblestand/internal/controltraffic"
 	"bramblestand/internal/fleet"
 	"bramblestand/internal/handover"
+	"bramblestand/internal/upstream"
 )
 
 const adminTimeout = 2 * time.Second // for a whole call, and for its answer
@@ -47,7 +48,7 @@
 		Handler:        a.counted(calls),
 		ReadTimeout:    adminTimeout,
 		WriteTimeout:   adminTimeout,
-		MaxHeaderBytes: MaxHeaderBytes,
+		MaxHeaderBytes: upstream.MaxHeaderBytes,
 		ErrorLog:       slog.NewLogLogger(a.log.Handler(), slog.LevelWarn),
 		ConnState:      a.connections.connState,
 		ConnContext:    a.connections.connContext,
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -14,6 +14,7 @@
 	"bramblestand/internal/admin"
 	"bramblestand/internal/config"
 	"bramblestand/internal/discovery"
+	"bramblestand/internal/endpointtest"
 	"bramblestand/internal/handover"
 )
 
@@ -45,7 +46,7 @@
 }
 
 func TestRejectedAdminCallsChangeNothing(t *testing.T) {
-	w := startSidecar(t, nil, readyEndpoint("s-1", newEndpoint(t, always(served)).address))
+	w := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
 	call := w.openAdmin()
 	for _, c := range []struct {
 		method, path, body string
@@ -75,7 +76,7 @@
 
 // Callers that send no complete call are disconnected, and never keep others out.
 func TestStalledAdminCallersAreDisconnected(t *testing.T) {
-	w := startSidecar(t, nil, readyEndpoint("s-1", newEndpoint(t, always(served)).address))
+	w := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
 	call := w.openAdmin()
 	var stalled []net.Conn
 	for i := range 2 * config.MaxAdminConnections {
@@ -133,7 +134,7 @@
 }
 
 func TestDrainAndUndrain(t *testing.T) {
-	w := startSidecar(t, nil, readyEndpoint("s-1", newEndpoint(t, always(served)).address))
+	w := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
 	w.server.acceptDuration = time.Minute // idle connections stay open in this test until they are used
 	call := w.openAdmin()
 	readiness := func() int {
@@ -177,7 +178,7 @@
 
 // A drain closes idle connections, but not one on which a request is arriving.
 func TestDrainClosesIdleConnections(t *testing.T) {
-	w := startSidecar(t, nil, readyEndpoint("s-1", newEndpoint(t, always(served)).address))
+	w := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
 	w.server.acceptDuration = 0
 	call := w.openAdmin()
 	idle, sending := w.connect(), w.connect()
@@ -200,8 +201,8 @@
 
 // A banned endpoint gets no requests, whatever the list reports, until the ban ends.
 func TestBannedEndpointGetsNoRequests(t *testing.T) {
-	one, two := newEndpoint(t, always(served)), newEndpoint(t, always(served))
-	hosts := []discovery.Endpoint{readyEndpoint("s-1", one.address), readyEndpoint("s-2", two.address)}
+	one, two := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)), endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
+	hosts := []discovery.Endpoint{readyEndpoint("s-1", one.Address), readyEndpoint("s-2", two.Address)}
 	w := startSidecar(t, nil, hosts...)
 	call := w.openAdmin()
 	for range 2 {
@@ -216,13 +217,13 @@
 		w.registry.list.Endpoints = hosts
 	})
 	w.await("the list that reports its restart", func() bool { return w.listCount() > lists })
-	before, _ := one.seen()
+	before, _ := one.Counts()
 	for range 20 {
 		if got := w.send(w.request("read", "", 3*time.Second)); got.statusCode != 200 {
 			t.Fatalf("with one of two endpoints banned: %+v", got)
 		}
 	}
-	if n, _ := one.seen(); n != before {
+	if n, _ := one.Counts(); n != before {
 		t.Errorf("%d requests came to the banned endpoint", n-before)
 	}
 	if code := call("POST", "/pin-servers/enable", "s-1"); code != 200 {
@@ -230,7 +231,7 @@
 	}
 	w.await("the endpoint to be used again", func() bool {
 		w.send(w.request("read", "", 3*time.Second))
-		n, _ := one.seen()
+		n, _ := one.Counts()
 		return n > before
 	})
 }
@@ -244,7 +245,7 @@
 
 // A call whose change cannot be stored is answered 503, and changes nothing.
 func TestCallThatIsNotPersistedFails(t *testing.T) {
-	w := startSidecar(t, nil, readyEndpoint("s-1", newEndpoint(t, always(served)).address))
+	w := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
 	call := w.openAdmin()
 	w.server.handover.Close()
 	for path, body := range map[string]string{"/drain": "", "/pin-servers/disable": "s-1"} {
--- a/internal/sidecar/attempts.go
+++ b/internal/sidecar/attempts.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/upstream"
 )
 
 // StartAttempt starts an attempt.
@@ -28,7 +29,7 @@
 		}
 	}
 	guard()
-	p := &Forwarding{StreamContext: life,
+	p := &upstream.Forwarding{StreamContext: life,
 		MayStart: func() bool {
 			if r.checkDisconnect != nil {
 				r.checkDisconnect() // whoever reads the connection may be far behind, where many come at once
@@ -44,7 +45,7 @@
 			})
 			return l.clock.wallTime(deadline)
 		},
-		StartResponse: func(h *http.Response, kept []byte, s *ResponseStream) {
+		StartResponse: func(h *http.Response, kept []byte, s *upstream.ResponseStream) {
 			ended = l.clock.now()
 			latency := ended - began
 			guard() // what is passed on as it comes has nobody else to come for
@@ -56,7 +57,7 @@
 	go func() {
 		defer cancel()
 		defer func() { unguard() }()
-		res := Result{Status: balancer.NotSent}
+		res := upstream.Result{Status: balancer.NotSent}
 		if t != nil {
 			ctx, stop := life, context.CancelFunc(func() {})
 			if r.outgoing.Upload == nil { // else its time begins with its last byte
@@ -79,7 +80,7 @@
 func (l *eventLoop) SendLoadProbe(endpoint uint32) {
 	t := l.targets[endpoint]
 	go func() {
-		res := Result{Status: balancer.NotSent}
+		res := upstream.Result{Status: balancer.NotSent}
 		if t != nil {
 			res = l.upstream.LoadProbe(l.ctx, t)
 		}
--- a/internal/sidecar/client_conn.go
+++ b/internal/sidecar/client_conn.go
@@ -12,6 +12,9 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"bramblestand/internal/bodybuffer"
+	"bramblestand/internal/socket"
 )
 
 // maxDrainTime is how long a closed connection may go on sending before it is reset. A misbehaving client has to be
@@ -220,7 +223,7 @@
 
 // closeIdle closes the connection unless part of a request has arrived, read or not.
 func (c *clientConn) closeIdle() {
-	c.closeIf(func() bool { return !c.hasRequestInProgressLocked() && isQuiet(c.Conn) })
+	c.closeIf(func() bool { return !c.hasRequestInProgressLocked() && socket.IsQuiet(c.Conn) })
 }
 
 // closeIf closes the connection if the condition holds, which is called under c.mu: nothing is read between the two.
@@ -286,8 +289,8 @@
 func (c *clientConn) discardOnce() int {
 	n := 0
 	waitErr := c.rawConn.Read(func(fd uintptr) bool {
-		buffer := copyBuffers.Get().(*[copyBufferSize]byte) // not held while there is nothing to read
-		defer copyBuffers.Put(buffer)
+		buffer := bodybuffer.Get() // not held while there is nothing to read
+		defer bodybuffer.Put(buffer)
 		var err error
 		n, err = readNonblocking(fd, buffer[:])
 		return err != syscall.EAGAIN
--- a/internal/sidecar/client_conn_test.go
+++ b/internal/sidecar/client_conn_test.go
@@ -9,6 +9,11 @@
 	"strings"
 	"testing"
 	"time"
+
+	"bramblestand/internal/bodybuffer"
+	"bramblestand/internal/endpointtest"
+	"bramblestand/internal/socket"
+	"bramblestand/internal/upstream"
 )
 
 // only returns the sidecar's end of the only connection there is.
@@ -37,20 +42,20 @@
 // A response that ends its connection reaches a client that has sent more than was read: the bytes are read and discarded, or
 // the system would reset the connection, and the response would be lost.
 func TestResponseReachesAClientThatSentMore(t *testing.T) {
-	e := newEndpoint(t, always(served))
+	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
 	head := "POST /pay HTTP/1.1\r\nHost: x\r\nX-Service-Class: pay\r\nX-Time-Left-Ms: 9000\r\nIdempotency-Key: 1\r\n"
 	for name, c := range map[string]struct{ sent, code string }{
 		"readiness":               {"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n", "200"},
 		"a bad request":           {head + "Content-Length: 0\r\n\r\n", "400"},
 		"a malformed head":        {"GET\r\n\r\n", "400"},
 		"an unknown coding":       {head + "Transfer-Encoding: x\r\n\r\n", "501"},
-		"a head too large":        {"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 2*MaxHeaderBytes) + "\r\n\r\n", "431"},
+		"a head too large":        {"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 2*upstream.MaxHeaderBytes) + "\r\n\r\n", "431"},
 		"chunks, which end it":    {head + "X-Correlation-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "200"},
 		"a rejection amid a body": {head + "X-Correlation-Id: 1\r\nContent-Length: 99999999\r\n\r\n", "413"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
+			w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 			w.await("no connection", func() bool { return w.server.clients.count() == 0 })
 			k := w.connect()
 			io.WriteString(k.conn, c.sent+strings.Repeat("z", 64<<10))
@@ -67,18 +72,18 @@
 // A request that arrives between the check of an idle connection and its close is never read: its client sees the end, and
 // sends it again elsewhere.
 func TestRequestAfterTheIdleCheckIsNeverRead(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
+	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
+	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	w.await("no connection", func() bool { return w.server.clients.count() == 0 })
 	k := w.connect()
 	k.roundTrip()
 	conn := w.atRest()
 	conn.closeIf(func() bool {
-		if conn.hasRequestInProgressLocked() || !isQuiet(conn.Conn) {
+		if conn.hasRequestInProgressLocked() || !socket.IsQuiet(conn.Conn) {
 			t.Error("the connection is not idle")
 		}
 		w.request("read", "", time.Minute).Write(k.conn)
-		w.await("the request in the socket's buffer", func() bool { return !isQuiet(conn.Conn) })
+		w.await("the request in the socket's buffer", func() bool { return !socket.IsQuiet(conn.Conn) })
 		return true
 	})
 	if got, err := io.ReadAll(k.in); err != nil || len(got) > 0 {
@@ -95,15 +100,15 @@
 			t.Errorf("%d requests were taken, want 1", w.loop.lastRequestID)
 		}
 	})
-	if n, _ := e.seen(); n != 1 {
+	if n, _ := e.Counts(); n != 1 {
 		t.Errorf("%d requests reached the endpoint, want 1", n)
 	}
 }
 
 // Bytes of a request that were read before the check of an idle connection keep it open, however few.
 func TestIdleCloseSparesARequestInProgress(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
+	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
+	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	w.await("no connection", func() bool { return w.server.clients.count() == 0 })
 	k := w.connect()
 	for n := range 4 {
@@ -127,8 +132,8 @@
 
 // What arrives after a connection is closed is never read, also while the process ends.
 func TestNothingIsReadAfterTheClose(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
+	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
+	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	w.await("no connection", func() bool { return w.server.clients.count() == 0 })
 	w.server.acceptDuration = 0
 	k := w.connect()
@@ -143,7 +148,7 @@
 	}
 	k.conn.Close()
 	w.expectCleanEnd()
-	if n, _ := e.seen(); n != 1 {
+	if n, _ := e.Counts(); n != 1 {
 		t.Errorf("%d requests reached the endpoint, want 1", n)
 	}
 }
@@ -251,8 +256,8 @@
 // Misbehaving clients are disconnected within 3 s: those that send without end, and those that send two bytes of a request and
 // stop. Others are served meanwhile.
 func TestMisbehavingClientsAreDisconnected(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
+	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
+	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	var ended [3]chan error
 	for i, sends := range []string{"no request\r\n\r\n", "POST /pay HTTP/1.1\r\nHost: x\r\nContent-Length: 60000000\r\n\r\n", ""} {
 		k, done := w.connect(), make(chan error, 1)
@@ -276,7 +281,7 @@
 					return
 				}
 				// What is discarded in maxDrainTime, and twice as much for the system's buffers.
-				if maxDiscarded := int(maxDrainTime/discardInterval) * copyBufferSize; sent > 3*maxDiscarded {
+				if maxDiscarded := int(maxDrainTime/discardInterval) * bodybuffer.Size; sent > 3*maxDiscarded {
 					done <- fmt.Errorf("%d bytes were read of it", sent)
 					return
 				}
@@ -304,8 +309,8 @@
 
 // With few descriptors, a flood of misbehaving connections of every kind leaves room for other clients.
 func TestConnectionFloodLeavesRoomForClients(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
+	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
+	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	stop := make(chan struct{})
 	defer close(stop)
 	for i := range 8 {
--- a/internal/sidecar/control_traffic_test.go
+++ b/internal/sidecar/control_traffic_test.go
@@ -16,6 +16,7 @@
 
 	"bramblestand/internal/controltraffic"
 	"bramblestand/internal/discovery"
+	"bramblestand/internal/endpointtest"
 )
 
 // exchanged is one kind of traffic as counted at one end of its connections. Sent and received are as the sidecar
@@ -296,7 +297,7 @@
 
 // GET /control has every kind and their sum, and calls of discovery at a changed address are counted like the first.
 func TestControlStatusCoversEveryKindAndAChangedDiscovery(t *testing.T) {
-	w := &testSidecar{t: t, registry: newFakeRegistry(t, readyEndpoint("s-1", newEndpoint(t, always(served)).address))}
+	w := &testSidecar{t: t, registry: newFakeRegistry(t, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))}
 	cfg := newTestConfig(t, w.registry.address, nil)
 	cfg.AdminAddress = "127.0.0.1:0"
 	w.launch(cfg)
@@ -318,7 +319,7 @@
 		t.Errorf("operators' calls %+v", calls)
 	}
 	opened := status.Kinds[controltraffic.KindDiscovery].Opened
-	second := newFakeRegistry(t, readyEndpoint("s-1", newEndpoint(t, always(served)).address))
+	second := newFakeRegistry(t, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
 	w.onLoop(func() { w.loop.switchDiscovery(second.address) })
 	w.await("calls of the new discovery", func() bool {
 		return second.callCount() > 0 && w.controlStatus().Kinds[controltraffic.KindDiscovery].Opened > opened
--- a/internal/sidecar/departure_burst_test.go
+++ b/internal/sidecar/departure_burst_test.go
@@ -15,6 +15,7 @@
 	"golang.org/x/sys/unix"
 
 	"bramblestand/internal/discovery"
+	"bramblestand/internal/endpointtest"
 )
 
 // departedMost is how long after a client's close an attempt may still begin.
@@ -103,7 +104,7 @@
 				var mu sync.Mutex
 				came := map[string]int{} // attempts by request
 				turnAway := make(chan struct{})
-				e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
+				e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
 					for {
 						r, err := http.ReadRequest(in)
 						if err != nil {
@@ -116,15 +117,15 @@
 						mu.Unlock()
 						if first {
 							<-turnAway
-							io.WriteString(conn, full)
+							io.WriteString(conn, endpointtest.RejectedResponse)
 						} else {
-							io.WriteString(conn, served)
+							io.WriteString(conn, endpointtest.OKResponse)
 						}
 					}
 				})
 				var hosts []discovery.Endpoint // so many that none is too busy for a request
 				for i := range leaving + staying {
-					hosts = append(hosts, readyEndpoint(fmt.Sprint("s-", i), e.address))
+					hosts = append(hosts, readyEndpoint(fmt.Sprint("s-", i), e.Address))
 				}
 				w := &testSidecar{t: t, registry: newFakeRegistry(t, hosts...)}
 				noticed := newDepartures()
--- a/internal/sidecar/departure_test.go
+++ b/internal/sidecar/departure_test.go
@@ -19,6 +19,8 @@
 
 	"bramblestand/balancer"
 	"bramblestand/internal/discovery"
+	"bramblestand/internal/endpointtest"
+	"bramblestand/internal/upstream"
 )
 
 // departures is a log handler that keeps when the sidecar noticed that a client had left.
@@ -155,7 +157,7 @@
 				t.Run(name, func(t *testing.T) {
 					t.Parallel()
 					var sent atomic.Int64 // of this test's requests, those of which a beginning came
-					e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
+					e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
 						for {
 							r, err := http.ReadRequest(in)
 							if err != nil {
@@ -167,12 +169,12 @@
 							if _, err := io.Copy(io.Discard, r.Body); err != nil {
 								return
 							}
-							io.WriteString(conn, served)
+							io.WriteString(conn, endpointtest.OKResponse)
 						}
 					})
 					var hosts []discovery.Endpoint // so many that none is too busy for a request
 					for i := range clients {
-						hosts = append(hosts, readyEndpoint(fmt.Sprint("s-", i), e.address))
+						hosts = append(hosts, readyEndpoint(fmt.Sprint("s-", i), e.Address))
 					}
 					w := &testSidecar{t: t, registry: newFakeRegistry(t, hosts...)}
 					noticed := newDepartures()
@@ -220,9 +222,9 @@
 						r.Header.Set("X-Correlation-Id", fmt.Sprint(name, i))
 						switch with {
 						case "a body on its way":
-							r.ContentLength, r.Body = long, io.NopCloser(&pattern{end: MaxBufferedBody + 4<<10})
+							r.ContentLength, r.Body = long, io.NopCloser(&pattern{end: upstream.MaxBufferedBody + 4<<10})
 						case "chunks on their way":
-							r.ContentLength, r.Body = -1, io.NopCloser(&pattern{end: MaxBufferedBody + 4<<10})
+							r.ContentLength, r.Body = -1, io.NopCloser(&pattern{end: upstream.MaxBufferedBody + 4<<10})
 						}
 						var text bytes.Buffer
 						r.Write(&text) // which tells that a body is too short, once it is written as far as it goes
--- a/internal/sidecar/departure_unread_test.go
+++ b/internal/sidecar/departure_unread_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"bramblestand/internal/discovery"
+	"bramblestand/internal/endpointtest"
 )
 
 // Clients leave while their attempts are dialled, and nobody has read their connections' ends when the dials come up, as
@@ -25,7 +26,7 @@
 			t.Parallel()
 			name := fmt.Sprint("unread-", reset, "-")
 			var sent atomic.Int64
-			e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
+			e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
 				for {
 					r, err := http.ReadRequest(in)
 					if err != nil {
@@ -34,12 +35,12 @@
 					if strings.HasPrefix(r.Header.Get("X-Correlation-Id"), name) {
 						sent.Add(1)
 					}
-					io.WriteString(conn, served)
+					io.WriteString(conn, endpointtest.OKResponse)
 				}
 			})
 			var hosts []discovery.Endpoint
 			for i := range clients {
-				hosts = append(hosts, readyEndpoint(fmt.Sprint("s-", i), e.address))
+				hosts = append(hosts, readyEndpoint(fmt.Sprint("s-", i), e.Address))
 			}
 			w := &testSidecar{t: t, registry: newFakeRegistry(t, hosts...)}
 			cfg := newTestConfig(t, w.registry.address, func(map[string]any) {}, hosts...)
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -6,6 +6,7 @@
 
 	"bramblestand/balancer"
 	"bramblestand/internal/discovery"
+	"bramblestand/internal/upstream"
 )
 
 // listedEndpoint is what discovery last said of an endpoint.
@@ -80,7 +81,7 @@
 		delete(l.targets, id)
 	}
 	if wanted {
-		l.targets[id] = &Target{Address: to.Address, StartedAtMillis: to.StartedAtMillis}
+		l.targets[id] = &upstream.Target{Address: to.Address, StartedAtMillis: to.StartedAtMillis}
 	}
 }
 
--- a/internal/sidecar/event_loop.go
+++ b/internal/sidecar/event_loop.go
@@ -15,6 +15,7 @@
 	"bramblestand/internal/fleet"
 	"bramblestand/internal/handover"
 	"bramblestand/internal/state"
+	"bramblestand/internal/upstream"
 )
 
 const (
@@ -50,7 +51,7 @@
 	cfg                *config.Config
 	log                *slog.Logger
 	clock              clock
-	upstream           *Client
+	upstream           *upstream.Client
 	discoveryClient    *discovery.Client
 	events             chan func(now balancer.Micros)
 	urgent             chan func(now balancer.Micros) // operators' calls, ahead of events
@@ -71,7 +72,7 @@
 	lastRequestID   uint64
 	endpointIDs     map[string]uint32 // by host name
 	endpointNames   map[uint32]string // the other way round
-	targets         map[uint32]*Target
+	targets         map[uint32]*upstream.Target
 	listedEndpoints map[uint32]listedEndpoint // all that was ever listed, as it was last
 	banned          map[uint32]bool           // out of use by hand
 	listVersion     *uint64                   // version of the last list, if there was any
@@ -83,11 +84,11 @@
 func newEventLoop(ctx context.Context, cfg *config.Config, log *slog.Logger) (*eventLoop, error) {
 	l := &eventLoop{
 		cfg: cfg, log: log, clock: clock{time.Now()}, ctx: ctx,
-		upstream: NewClient(cfg, cfg.MaxConnections()), listReceived: make(chan struct{}),
+		upstream: newUpstreamClient(cfg), listReceived: make(chan struct{}),
 		events:          make(chan func(balancer.Micros), maxQueuedEvents),
 		urgent:          make(chan func(balancer.Micros), config.MaxAdminConnections),
 		listedEndpoints: map[uint32]listedEndpoint{}, banned: map[uint32]bool{},
-		requests: map[uint64]*pendingRequest{}, endpointIDs: map[string]uint32{}, endpointNames: map[uint32]string{}, targets: map[uint32]*Target{},
+		requests: map[uint64]*pendingRequest{}, endpointIDs: map[string]uint32{}, endpointNames: map[uint32]string{}, targets: map[uint32]*upstream.Target{},
 		stopWatch: func() {},
 	}
 	var calls discovery.Options
@@ -102,6 +103,15 @@
 	return l, err
 }
 
+func newUpstreamClient(cfg *config.Config) *upstream.Client {
+	return upstream.NewClient(upstream.Options{
+		DialTimeout:      time.Duration(cfg.Settings.Limits.DialTimeout) * time.Microsecond,
+		KeepaliveTimeout: cfg.KeepaliveTimeout,
+		LoadReportFields: cfg.LoadReportFields,
+		MaxConnections:   cfg.MaxConnections(),
+	})
+}
+
 // run handles events until the loop's context ends.
 func (l *eventLoop) run() {
 	now := l.clock.now()
--- a/internal/sidecar/event_loop_test.go
+++ b/internal/sidecar/event_loop_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/endpointtest"
 )
 
 // timerRejecter holds every request back and refuses it on a timer, as the balancer
@@ -53,7 +54,7 @@
 
 // Admin calls do not wait behind the loop's other events.
 func TestAdminCallsGoAheadOfEvents(t *testing.T) {
-	w := startSidecar(t, nil, readyEndpoint("s-1", newEndpoint(t, always(served)).address))
+	w := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
 	release, blocked := make(chan struct{}), make(chan struct{})
 	w.loop.post(func(balancer.Micros) { close(blocked); <-release })
 	<-blocked
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -7,11 +7,12 @@
 	"time"
 
 	"bramblestand/internal/config"
+	"bramblestand/internal/endpointtest"
 )
 
 // A process beside another admits as many clients as there can be: soon all of them connect to it.
 func TestNewProcessAdmitsAllClients(t *testing.T) {
-	w := startSidecar(t, nil, readyEndpoint("s-1", newEndpoint(t, always(served)).address))
+	w := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
 	w.server.clients.mu.Lock()
 	w.server.clients.minIdle = 0 // idle connections may be closed at once to make room
 	w.server.clients.mu.Unlock()
--- a/internal/sidecar/pace.go
+++ b/internal/sidecar/pace.go
@@ -1,27 +1,22 @@
 package sidecar
 
 import (
-	"sync"
 	"time"
 )
 
-// Limits of bodies.
-const (
-	maxRequestBody = 32 << 20 // bytes
-	copyBufferSize = 32 << 10 // bytes of a body that are in memory while it is forwarded, each way
-)
+// maxRequestBody is the longest body of a request in bytes.
+const maxRequestBody = 32 << 20
 
 // Limits of waiting for the other side of a body.
 const (
-	minPace          = 64 << 10                // bytes a second that a client has to send or receive
-	paceGrace        = 2500 * time.Millisecond // beside that: a client may pause for 2 s, and a misbehaving one is disconnected within 3 s
-	maxClientStall   = 5 * time.Second         // a single wait for a client, however fast it was before
-	maxEndpointStall = 10 * time.Second        // a single wait for an endpoint during a body
-	discardInterval  = 10 * time.Millisecond   // between reads of discarded input, which is worth no processor time
+	minPace         = 64 << 10                // bytes a second that a client has to send or receive
+	paceGrace       = 2500 * time.Millisecond // beside that: a client may pause for 2 s, and a misbehaving one is disconnected within 3 s
+	maxClientStall  = 5 * time.Second         // a single wait for a client, however fast it was before
+	discardInterval = 10 * time.Millisecond   // between reads of discarded input, which is worth no processor time
 )
 
-// copyBuffers are for forwarding bodies. io.Copy is not used between sockets: it would splice them in the kernel.
-var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
+// longAgo is a deadline that ends a read or write at once.
+var longAgo = time.Unix(1, 0)
 
 // pace limits how long one side of a body may be waited for, by what it has done so far and not by a total. Time spent on the
 // other side does not count. The zero value is the pace of a body that has not started.
--- a/internal/sidecar/request_body.go
+++ b/internal/sidecar/request_body.go
@@ -8,16 +8,10 @@
 	"os"
 	"sync"
 	"time"
-)
-
-// ClientError is a failure of the client's side of a body. It counts against no endpoint.
-type ClientError struct {
-	StatusCode int // of the response, where one can still be written; else 0
-	error
-}
 
-// Unwrap returns the cause.
-func (e *ClientError) Unwrap() error { return e.error }
+	"bramblestand/internal/bodybuffer"
+	"bramblestand/internal/upstream"
+)
 
 // requestBody reads the body of a client's request as it arrives. One goroutine reads; any may call abort, wasAborted and
 // hasUnread.
@@ -26,15 +20,15 @@
 	controller    *http.ResponseController
 	contentLength int64 // -1 if unknown
 	pace          pace
-	isConsumed    bool         // bytes were read that are not buffered: the request cannot be sent again
-	err           *ClientError // what ended reading, or nil
+	isConsumed    bool                  // bytes were read that are not buffered: the request cannot be sent again
+	err           *upstream.ClientError // what ended reading, or nil
 
 	mu         sync.Mutex // guards the fields below, and that abort's read deadline is not overwritten
 	isComplete bool       // read to its end
 	isAborted  bool       // what has not arrived yet is not waited for
 }
 
-// Read reads what has arrived. It fails with a *clientError, the same from then on, if the client is too slow or breaks off, if
+// Read reads what has arrived. It fails with a *upstream.ClientError, the same from then on, if the client is too slow or breaks off, if
 // the body is too long, and after abort.
 func (b *requestBody) Read(p []byte) (int, error) {
 	if b.err != nil {
@@ -47,7 +41,7 @@
 	n, err := b.reader.Read(p)
 	b.pace.add(n, start)
 	if b.pace.bytes > maxRequestBody {
-		b.err = &ClientError{http.StatusRequestEntityTooLarge, fmt.Errorf("the body is over %d bytes", maxRequestBody)}
+		b.err = &upstream.ClientError{StatusCode: http.StatusRequestEntityTooLarge, Err: fmt.Errorf("the body is over %d bytes", maxRequestBody)}
 		return 0, b.err
 	}
 	if err == io.EOF {
@@ -82,7 +76,7 @@
 	return io.EOF
 }
 
-// fail ends reading and returns its *clientError.
+// fail ends reading and returns its *upstream.ClientError.
 func (b *requestBody) fail(err error) error {
 	status := http.StatusBadRequest
 	if b.wasAborted() {
@@ -90,7 +84,7 @@
 	} else if errors.Is(err, os.ErrDeadlineExceeded) {
 		status = http.StatusRequestTimeout
 	}
-	b.err = &ClientError{status, fmt.Errorf("the body could not be read: %w", err)}
+	b.err = &upstream.ClientError{StatusCode: status, Err: fmt.Errorf("the body could not be read: %w", err)}
 	return b.err
 }
 
@@ -138,17 +132,26 @@
 func (b *requestBody) memoryNeeded() int64 {
 	switch {
 	case b.contentLength < 0:
-		return MaxBufferedBody + 2*copyBufferSize
-	case b.contentLength > MaxBufferedBody:
-		return 2 * copyBufferSize
+		return upstream.MaxBufferedBody + 2*bodybuffer.Size
+	case b.contentLength > upstream.MaxBufferedBody:
+		return 2 * bodybuffer.Size
 	default:
-		return b.contentLength + copyBufferSize
+		return b.contentLength + bodybuffer.Size
 	}
 }
 
 // unbufferedBody reads the part of a body that is not buffered. Once it was read from, the request cannot be sent again.
 type unbufferedBody struct{ *requestBody }
 
+// ContentLength returns the length of the whole body in bytes, -1 if unknown.
+func (r unbufferedBody) ContentLength() int64 { return r.contentLength }
+
+// IsConsumed reports whether something was read.
+func (r unbufferedBody) IsConsumed() bool { return r.isConsumed }
+
+// ClientError returns what ended reading, or nil.
+func (r unbufferedBody) ClientError() *upstream.ClientError { return r.err }
+
 // Read reads as requestBody.Read, and notes what is consumed.
 func (r unbufferedBody) Read(p []byte) (int, error) {
 	n, err := r.requestBody.Read(p)
--- a/internal/sidecar/request_body_test.go
+++ b/internal/sidecar/request_body_test.go
@@ -14,30 +14,33 @@
 	"time"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/bodybuffer"
+	"bramblestand/internal/endpointtest"
+	"bramblestand/internal/upstream"
 )
 
 // Request bodies of every framing arrive byte for byte, and the attempt starts with their last byte.
 func TestLongRequestBodiesArriveByteForByte(t *testing.T) {
 	sums := make(chan string, 1)
-	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
+	e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
 		for {
 			r, err := http.ReadRequest(in)
 			if err != nil {
 				return
 			}
 			sums <- sum(t, &slowly{Reader: r.Body})
-			io.WriteString(conn, served)
+			io.WriteString(conn, endpointtest.OKResponse)
 		}
 	})
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
+	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	for name, c := range map[string]struct {
 		length int64
 		alter  func(r *http.Request)
 	}{
 		"with a length":   {long, func(r *http.Request) { r.ContentLength = long }},
 		"in chunks":       {long, func(r *http.Request) { r.ContentLength = -1 }},
-		"just kept whole": {MaxBufferedBody, func(r *http.Request) { r.ContentLength = -1 }},
-		"a byte beyond":   {MaxBufferedBody + 1, func(r *http.Request) { r.ContentLength = -1 }},
+		"just kept whole": {upstream.MaxBufferedBody, func(r *http.Request) { r.ContentLength = -1 }},
+		"a byte beyond":   {upstream.MaxBufferedBody + 1, func(r *http.Request) { r.ContentLength = -1 }},
 		"with a trailer": {long, func(r *http.Request) {
 			r.ContentLength, r.Trailer = -1, http.Header{"X-Sum": {"1"}}
 		}},
@@ -68,8 +71,8 @@
 func TestClientDisconnectDuringABodyIsNoFailure(t *testing.T) {
 	t.Parallel()
 	whole := make(chan bool, 2)
-	e := newEndpoint(t, readsWhole(whole))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
+	e := endpointtest.NewServer(t, endpointtest.ReadOne(whole))
+	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	for name, stops := range map[string]bool{"breaks off": false, "stops": true} {
 		conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
 		if err != nil {
@@ -78,7 +81,7 @@
 		defer conn.Close()
 		fmt.Fprintf(conn, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\nX-Time-Left-Ms: 900\r\n"+
 			"Idempotency-Key: 1\r\nContent-Length: %d\r\n\r\n", long)
-		io.CopyN(conn, &pattern{end: long}, 2*MaxBufferedBody)
+		io.CopyN(conn, &pattern{end: long}, 2*upstream.MaxBufferedBody)
 		if stops {
 			conn.SetReadDeadline(time.Now().Add(testTimeout))
 			if got, _ := io.ReadAll(conn); !bytes.HasPrefix(got, []byte("HTTP/1.1 408")) {
@@ -106,18 +109,18 @@
 // Until part of a long body is consumed the request can be sent elsewhere; afterwards it is rejected, as it never ran.
 func TestLongBodyIsSentOnce(t *testing.T) {
 	sums := make(chan string, 1)
-	good := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
+	good := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
 		for {
 			r, err := http.ReadRequest(in)
 			if err != nil {
 				return
 			}
 			sums <- sum(t, r.Body)
-			io.WriteString(conn, served)
+			io.WriteString(conn, endpointtest.OKResponse)
 		}
 	})
-	dead := closedAddress(t)
-	w := startSidecar(t, nil, readyEndpoint("s-1", dead), readyEndpoint("s-2", good.address))
+	dead := endpointtest.ClosedAddress(t)
+	w := startSidecar(t, nil, readyEndpoint("s-1", dead), readyEndpoint("s-2", good.Address))
 	want := sum(t, &pattern{end: long})
 	for range 6 {
 		r := w.request("pay", "", time.Minute)
@@ -130,13 +133,13 @@
 		}
 	}
 	var tries atomic.Int32
-	cuts := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
+	cuts := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
 		if r, err := http.ReadRequest(in); err == nil {
 			tries.Add(1)
-			io.CopyN(io.Discard, r.Body, 4*MaxBufferedBody)
+			io.CopyN(io.Discard, r.Body, 4*upstream.MaxBufferedBody)
 		}
 	})
-	w = startSidecar(t, nil, readyEndpoint("s-1", cuts.address))
+	w = startSidecar(t, nil, readyEndpoint("s-1", cuts.Address))
 	r := w.request("pay", "", time.Minute)
 	r.Body, r.ContentLength = io.NopCloser(&pattern{end: long}), long
 	if got := w.send(r); got.err == nil && got.statusCode != http.StatusServiceUnavailable { // or the client finds its connection ended
@@ -151,8 +154,8 @@
 // A body that is too long is rejected by its Content-Length alone; one in chunks once it is found to be.
 func TestTooLongBodyIsRejected(t *testing.T) {
 	whole := make(chan bool, 1)
-	e := newEndpoint(t, readsWhole(whole))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
+	e := endpointtest.NewServer(t, endpointtest.ReadOne(whole))
+	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	for name, framing := range map[string]string{
 		"with a length": fmt.Sprintf("Content-Length: %d\r\n\r\n", maxRequestBody+1),
 		"in chunks":     fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", maxRequestBody+1),
@@ -175,7 +178,7 @@
 
 // A long request that is rejected at once: the client receives the response although it first writes all of its body.
 func TestRejectionDuringABody(t *testing.T) {
-	w := startSidecar(t, nil, readyEndpoint("s-1", closedAddress(t)))
+	w := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.ClosedAddress(t)))
 	for name, framing := range map[string]string{
 		"with a length": fmt.Sprintf("Content-Length: %d\r\n\r\n", long),
 		"in chunks":     "Transfer-Encoding: chunked\r\n\r\n",
@@ -187,9 +190,9 @@
 		if name == "in chunks" {
 			body = httputil.NewChunkedWriter(k.conn)
 		}
-		io.CopyN(body, &pattern{end: long}, 2*MaxBufferedBody)
+		io.CopyN(body, &pattern{end: long}, 2*upstream.MaxBufferedBody)
 		w.await("the request to be ended", func() bool { var n int; w.onLoop(func() { n = len(w.loop.requests) }); return n == 0 })
-		if _, err := io.Copy(body, &pattern{at: 2 * MaxBufferedBody, end: long}); err != nil {
+		if _, err := io.Copy(body, &pattern{at: 2 * upstream.MaxBufferedBody, end: long}); err != nil {
 			t.Errorf("%s: writing the body: %v", name, err)
 		}
 		if name == "in chunks" {
@@ -203,14 +206,14 @@
 
 // SIGTERM during a request's body, short or long: the client is told to retry elsewhere, and no endpoint has all of it.
 func TestTerminationDuringABody(t *testing.T) {
-	for name, length := range map[string]int{"kept": MaxBufferedBody, "passed on": long} {
-		e := newEndpoint(t, always(served))
-		w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
+	for name, length := range map[string]int{"kept": upstream.MaxBufferedBody, "passed on": long} {
+		e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
+		w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 		w.server.acceptDuration = 0
 		k := w.connect()
 		fmt.Fprintf(k.conn, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\n"+
 			"X-Time-Left-Ms: 9000\r\nIdempotency-Key: 1\r\nContent-Length: %d\r\n\r\n", length)
-		io.CopyN(k.conn, &pattern{end: long}, MaxBufferedBody/2)
+		io.CopyN(k.conn, &pattern{end: long}, upstream.MaxBufferedBody/2)
 		w.await("the body to be awaited", func() bool {
 			w.server.requests.bodies.mu.Lock()
 			defer w.server.requests.bodies.mu.Unlock()
@@ -221,7 +224,7 @@
 		if err != nil || got.StatusCode != http.StatusServiceUnavailable || !got.Close || got.Header.Get("Retry-After") == "" {
 			t.Errorf("%s: %v, %v; want 503, Retry-After and the end", name, got, err)
 		}
-		if n, _ := e.seen(); n != 0 {
+		if n, _ := e.Counts(); n != 0 {
 			t.Errorf("%s: the endpoint got the request", name)
 		}
 		k.conn.Close()
@@ -236,20 +239,20 @@
 // Without memory for it a request is rejected before any of it is sent; it is accepted again once there is memory.
 func TestBodyBeyondMemoryIsRejected(t *testing.T) {
 	goOn := make(chan struct{})
-	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-		for e.next(in) != nil {
+	e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
+		for e.ReadRequest(in) != nil {
 			<-goOn
-			io.WriteString(conn, served)
+			io.WriteString(conn, endpointtest.OKResponse)
 		}
 	})
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
-	w.server.requests.bodies.setMaxBytes(2*copyBufferSize + MaxBufferedBody)
+	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	w.server.requests.bodies.setMaxBytes(2*bodybuffer.Size + upstream.MaxBufferedBody)
 	first := make(chan clientResponse)
-	go func() { first <- w.send(w.request("pay", strings.Repeat("x", MaxBufferedBody), time.Minute)) }()
-	w.await("the first to be in flight", func() bool { n, _ := e.seen(); return n == 1 })
-	for _, length := range []int64{MaxBufferedBody, -1, long} {
+	go func() { first <- w.send(w.request("pay", strings.Repeat("x", upstream.MaxBufferedBody), time.Minute)) }()
+	w.await("the first to be in flight", func() bool { n, _ := e.Counts(); return n == 1 })
+	for _, length := range []int64{upstream.MaxBufferedBody, -1, long} {
 		r := w.request("pay", "", time.Minute)
-		r.Body, r.ContentLength = io.NopCloser(&pattern{end: MaxBufferedBody}), length
+		r.Body, r.ContentLength = io.NopCloser(&pattern{end: upstream.MaxBufferedBody}), length
 		if length == long {
 			r.Body = io.NopCloser(&pattern{end: long})
 		}
@@ -262,9 +265,9 @@
 		t.Errorf("the first: %+v", got)
 	}
 	w.await("free memory", func() bool {
-		return w.send(w.request("pay", strings.Repeat("x", MaxBufferedBody), time.Minute)).statusCode == http.StatusOK
+		return w.send(w.request("pay", strings.Repeat("x", upstream.MaxBufferedBody), time.Minute)).statusCode == http.StatusOK
 	})
-	if n, _ := e.seen(); n != 2 {
+	if n, _ := e.Counts(); n != 2 {
 		t.Errorf("%d requests reached the endpoint, want 2", n)
 	}
 }
--- a/internal/sidecar/request_handler.go
+++ b/internal/sidecar/request_handler.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/upstream"
 )
 
 const (
@@ -43,7 +44,7 @@
 		ReadHeaderTimeout: paceGrace,
 		WriteTimeout:      maxRequestTimeout + writeTimeout,
 		// Without IdleTimeout: clientConns closes idle connections.
-		MaxHeaderBytes: MaxHeaderBytes,
+		MaxHeaderBytes: upstream.MaxHeaderBytes,
 		ErrorLog:       slog.NewLogLogger(h.log.Handler(), slog.LevelWarn),
 		ConnState:      h.clients.connState,
 		ConnContext:    h.clients.connContext,
@@ -100,7 +101,7 @@
 		return
 	}
 	defer e.bodies.remove(body)
-	request, message, err := e.read(body)
+	request, outgoing, err := e.read(body)
 	switch {
 	case err != nil && body.wasAborted():
 		e.rejectUnread(shutdownRetryAfter)
@@ -109,41 +110,41 @@
 	case !e.clients.markValidRequest(e.conn):
 		panic(http.ErrAbortHandler) // the connection was evicted
 	default:
-		e.awaitResponse(request, message)
+		e.awaitResponse(request, outgoing, body)
 	}
 }
 
 // read reads the request with as much of its body as is buffered.
-func (e *clientExchange) read(body *requestBody) (balancer.Request, *Request, *invalidRequest) {
+func (e *clientExchange) read(body *requestBody) (balancer.Request, *upstream.Request, *invalidRequest) {
 	request, err := e.parser.parse(e.in)
 	if err != nil {
 		return request, nil, err
 	}
-	message := &Request{Method: e.in.Method, URL: e.in.URL, Host: e.in.Host, Header: e.in.Header}
+	outgoing := &upstream.Request{Method: e.in.Method, URL: e.in.URL, Host: e.in.Host, Header: e.in.Header}
 	isComplete := false
-	if body.contentLength <= MaxBufferedBody {
+	if body.contentLength <= upstream.MaxBufferedBody {
 		var readErr error
-		if message.Body, isComplete, readErr = body.buffer(MaxBufferedBody); readErr != nil {
+		if outgoing.Body, isComplete, readErr = body.buffer(upstream.MaxBufferedBody); readErr != nil {
 			return request, nil, &invalidRequest{body.err.StatusCode, readErr.Error()}
 		}
 	}
 	if !isComplete {
-		message.Upload, request.IsUploading = body, true
+		outgoing.Upload, request.IsUploading = unbufferedBody{body}, true
 	}
 	request.Deadline += e.loop.clock.now() // the client's time runs from the request's last byte
-	return request, message, nil
+	return request, outgoing, nil
 }
 
 // awaitResponse hands the request to the event loop and writes the response that comes, unless the client disconnects first.
-func (e *clientExchange) awaitResponse(in balancer.Request, message *Request) {
-	isUploading := message.Upload != nil
+func (e *clientExchange) awaitResponse(in balancer.Request, outgoing *upstream.Request, body *requestBody) {
+	isUploading := outgoing.Upload != nil
 	if isUploading {
 		// Else net/http would read the rest of the body before it writes an early response.
 		if err := e.controller.EnableFullDuplex(); err != nil {
 			panic(http.ErrAbortHandler) // the connection is closed
 		}
 	}
-	r := &pendingRequest{response: make(chan finalResponse, 1), outgoing: message, timeLeft: in.Deadline - e.loop.clock.now(),
+	r := &pendingRequest{response: make(chan finalResponse, 1), outgoing: outgoing, timeLeft: in.Deadline - e.loop.clock.now(),
 		clientCtx: e.conn.disconnected, checkDisconnect: e.conn.checkDisconnected}
 	stop := e.conn.watchDisconnect(isUploading)
 	defer stop()
@@ -153,7 +154,7 @@
 	}
 	select {
 	case response := <-r.response:
-		e.writeResponse(response, message.Upload)
+		e.writeResponse(response, body)
 	case <-e.conn.disconnected.Done():
 		e.logNotServed(statusDisconnected)
 		e.loop.post(func(now balancer.Micros) { e.loop.clientDisconnected(now, r) })
@@ -162,14 +163,13 @@
 	}
 }
 
-// writeResponse writes the final response. The upload is nil if the request's body was buffered.
-func (e *clientExchange) writeResponse(response finalResponse, upload *requestBody) {
+// writeResponse writes the final response.
+func (e *clientExchange) writeResponse(response finalResponse, body *requestBody) {
 	if response.statusCode != http.StatusOK {
 		e.logNotServed(response.statusCode)
 	}
 	// What is not read of a body stands before the connection's next request.
-	hasUnread := upload != nil && upload.hasUnread()
-	if e.isDraining() || hasUnread {
+	if e.isDraining() || body.hasUnread() {
 		e.closeConnection()
 	}
 	if response.stream != nil {
@@ -178,14 +178,14 @@
 	}
 	e.controller.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails on a closed connection, as does the write
 	e.writeBuffered(response)
-	if upload != nil && upload.hasUnread() {
+	if body.hasUnread() {
 		e.flushAndClose()
 	}
 }
 
 // writeStream forwards a response while it arrives. If that fails, the client can tell that the response is incomplete.
 func (e *clientExchange) writeStream(response finalResponse) {
-	CopyEndToEndHeaders(e.writer.Header(), response.header)
+	upstream.CopyEndToEndHeaders(e.writer.Header(), response.header)
 	if response.stream.ContentLength >= 0 {
 		e.writer.Header().Set("Content-Length", strconv.FormatInt(response.stream.ContentLength, 10))
 	}
@@ -200,7 +200,7 @@
 // writeBuffered writes a response that is complete.
 func (e *clientExchange) writeBuffered(response finalResponse) {
 	header := e.writer.Header()
-	CopyEndToEndHeaders(header, response.header)
+	upstream.CopyEndToEndHeaders(header, response.header)
 	if response.retryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(float64(response.retryAfter)/1e6, 'f', 3, 64)) // seconds
 	}
@@ -253,7 +253,7 @@
 }
 
 // logRequest logs an event of the request, with its id, its connection and how its body is framed.
-func (e *clientExchange) logRequest(message string, args ...any) {
+func (e *clientExchange) logRequest(outgoing string, args ...any) {
 	e.log.With("request_id", e.in.Header.Get(requestIDHeader), "client", e.in.RemoteAddr, "protocol", e.in.Proto,
-		"content_length", e.in.ContentLength, "transfer_coding", e.in.TransferEncoding).Info(message, args...)
+		"content_length", e.in.ContentLength, "transfer_coding", e.in.TransferEncoding).Info(outgoing, args...)
 }
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -7,13 +7,14 @@
 	"time"
 
 	"bramblestand/balancer"
+	"bramblestand/internal/upstream"
 )
 
 // pendingRequest is the ledger's entry for a request that the balancer may still
 // speak of: no final answer is out, or attempts are.
 type pendingRequest struct {
 	id              uint64
-	outgoing        *Request
+	outgoing        *upstream.Request
 	deadline        balancer.Micros
 	timeLeft        balancer.Micros    // from the last byte of a body that still comes to the deadline
 	response        chan finalResponse // takes the one final answer
@@ -30,7 +31,7 @@
 	retryAfter balancer.Micros
 	header     http.Header
 	body       []byte
-	stream     *ResponseStream // the rest of the body, or nil
+	stream     *upstream.ResponseStream // the rest of the body, or nil
 }
 
 // admitRequest passes a new request to the balancer.
@@ -56,7 +57,7 @@
 	select {
 	case a := <-r.response: // it crossed the client's going, and nobody takes it
 		if a.stream != nil {
-			a.stream.End(&ClientError{error: errClientDisconnected})
+			a.stream.End(&upstream.ClientError{Err: errClientDisconnected})
 		}
 	default:
 	}
@@ -75,7 +76,7 @@
 // responseStarted gives the beginning of an answer that is passed on as it comes, as the final one.
 func (l *eventLoop) responseStarted(now balancer.Micros, r *pendingRequest, attempt int, latency balancer.Micros, a finalResponse) {
 	if r.isDone {
-		a.stream.End(&ClientError{error: errClientDisconnected})
+		a.stream.End(&upstream.ClientError{Err: errClientDisconnected})
 		return
 	}
 	l.balancer.ResponseStarted(now, r.id, attempt, latency)
@@ -84,7 +85,7 @@
 
 // attemptFinished tells how an attempt ended: exactly once for each, also after the
 // request's end, when the balancer still learns from it.
-func (l *eventLoop) attemptFinished(now balancer.Micros, r *pendingRequest, o balancer.Outcome, res Result) {
+func (l *eventLoop) attemptFinished(now balancer.Micros, r *pendingRequest, o balancer.Outcome, res upstream.Result) {
 	r.outstanding--
 	if r.isClientGone() {
 		l.clientDisconnected(now, r) // before the balancer would try again for it
--- a/internal/sidecar/response_stream_test.go
+++ b/internal/sidecar/response_stream_test.go
@@ -15,6 +15,8 @@
 
 	"bramblestand/balancer"
 	"bramblestand/internal/discovery"
+	"bramblestand/internal/endpointtest"
+	"bramblestand/internal/upstream"
 )
 
 // liveHeap returns the bytes that the last collection found in use. Garbage that waits for the next one is not counted: how
@@ -32,13 +34,13 @@
 	const many, each, allowed = 12, 4 * long, 32 << 20
 	var hosts []discovery.Endpoint
 	for i := range many {
-		e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-			for e.next(in) != nil {
+		e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
+			for e.ReadRequest(in) != nil {
 				fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", each)
 				io.CopyBuffer(struct{ io.Writer }{conn}, &pattern{end: each}, make([]byte, 16<<10))
 			}
 		})
-		hosts = append(hosts, readyEndpoint(fmt.Sprint("s-", i), e.address))
+		hosts = append(hosts, readyEndpoint(fmt.Sprint("s-", i), e.Address))
 	}
 	w := startSidecar(t, nil, hosts...)
 	want := sum(t, &pattern{end: each})
@@ -77,14 +79,14 @@
 
 // The first bytes of a response that does not end at once are forwarded, and the end of every framing is forwarded as such.
 func TestResponsesOfUnknownLengthAreForwardedAtOnce(t *testing.T) {
-	const size = 3 * MaxBufferedBody
+	const size = 3 * upstream.MaxBufferedBody
 	for name, head := range map[string]string{
 		"in chunks":     "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nTrailer: X-Sum\r\nTransfer-Encoding: chunked\r\n\r\n",
 		"until a close": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
 	} {
 		goOn := make(chan struct{})
-		e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-			if e.next(in) == nil {
+		e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
+			if e.ReadRequest(in) == nil {
 				return
 			}
 			io.WriteString(conn, head)
@@ -104,7 +106,7 @@
 			body.Write(data[1000:])
 			io.WriteString(conn, end)
 		})
-		w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
+		w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 		response, err := http.DefaultClient.Do(w.request("read", "", time.Minute))
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
@@ -131,22 +133,22 @@
 		"with a length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", long),
 		"in chunks":     fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", long),
 	} {
-		e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-			e.next(in)
+		e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
+			e.ReadRequest(in)
 			io.WriteString(conn, head)
-			io.CopyN(conn, &pattern{end: long}, 2*MaxBufferedBody)
+			io.CopyN(conn, &pattern{end: long}, 2*upstream.MaxBufferedBody)
 		})
-		w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
+		w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 		response, err := http.DefaultClient.Do(w.request("read", "", time.Minute))
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if n, err := io.Copy(io.Discard, response.Body); err == nil || n > 2*MaxBufferedBody {
+		if n, err := io.Copy(io.Discard, response.Body); err == nil || n > 2*upstream.MaxBufferedBody {
 			t.Errorf("%s: the client read %d bytes and %v, want an incomplete response", name, n, err)
 		}
 		response.Body.Close()
 		w.await("its outcome", func() bool { return len(w.recorder.statuses()) == 1 })
-		if n, _ := e.seen(); n != 1 || w.recorder.statuses()[0] != balancer.Reset {
+		if n, _ := e.Counts(); n != 1 || w.recorder.statuses()[0] != balancer.Reset {
 			t.Errorf("%s: %d requests, outcomes %v; want one, reset", name, n, w.recorder.statuses())
 		}
 	}
@@ -155,18 +157,18 @@
 // A client that disconnects during a response ends the attempt, which is no failure of the endpoint.
 func TestClientDisconnectDuringAResponseIsNoFailure(t *testing.T) {
 	ended := make(chan struct{})
-	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-		e.next(in)
+	e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
+		e.ReadRequest(in)
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", int64(1)<<40)
 		io.Copy(struct{ io.Writer }{conn}, &pattern{end: 1 << 40})
 		close(ended)
 	})
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
+	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	response, err := http.DefaultClient.Do(w.request("read", "", time.Minute))
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.CopyN(io.Discard, response.Body, 4*MaxBufferedBody)
+	io.CopyN(io.Discard, response.Body, 4*upstream.MaxBufferedBody)
 	response.Body.Close()
 	<-ended
 	w.await("its outcome", func() bool { return len(w.recorder.statuses()) == 1 })
@@ -179,11 +181,11 @@
 // SIGTERM during a long response: it is forwarded to its end, however long after the classes' deadlines.
 func TestTerminationDuringALongResponse(t *testing.T) {
 	goOn := make(chan struct{})
-	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-		for e.next(in) != nil {
+	e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
+		for e.ReadRequest(in) != nil {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", long)
 			body := &pattern{end: long}
-			io.CopyN(conn, body, MaxBufferedBody)
+			io.CopyN(conn, body, upstream.MaxBufferedBody)
 			<-goOn
 			io.Copy(conn, body)
 		}
@@ -193,7 +195,7 @@
 		for _, c := range settings["classes"].([]any) {
 			c.(map[string]any)["give-up"], c.(map[string]any)["target"] = giveUp.Microseconds(), giveUp.Microseconds()
 		}
-	}, readyEndpoint("s-1", e.address))
+	}, readyEndpoint("s-1", e.Address))
 	w.server.acceptDuration = 0
 	response, err := http.DefaultClient.Do(w.request("read", "", time.Minute))
 	if err != nil {
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -15,11 +15,13 @@
 
 	"bramblestand/balancer"
 	"bramblestand/internal/discovery"
+	"bramblestand/internal/endpointtest"
+	"bramblestand/internal/upstream"
 )
 
 func TestServesAndReusesConnections(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
+	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
+	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	for _, class := range []string{"read", "pay", "close", "order"} {
 		body := "body of " + class
 		if class == "read" {
@@ -29,7 +31,7 @@
 			t.Errorf("%s: got %+v", class, got)
 		}
 	}
-	if requests, conns := e.seen(); requests != 4 || conns != 1 {
+	if requests, conns := e.Counts(); requests != 4 || conns != 1 {
 		t.Errorf("%d requests on %d connections, want 4 on 1", requests, conns)
 	}
 }
@@ -37,12 +39,12 @@
 // How far a request is sent again follows from its class and from what is known
 // of the attempt before. All are seen by the client as one final answer.
 func TestResendLimits(t *testing.T) {
-	reset := func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-		for e.next(in) != nil {
-			if n, _ := e.seen(); n == 1 {
+	reset := func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
+		for e.ReadRequest(in) != nil {
+			if n, _ := e.Counts(); n == 1 {
 				return
 			}
-			io.WriteString(conn, served)
+			io.WriteString(conn, endpointtest.OKResponse)
 		}
 	}
 	other := func(h discovery.Endpoint) discovery.Endpoint {
@@ -51,32 +53,32 @@
 	}
 	for _, c := range []struct {
 		name, class string
-		first       func(*endpoint, net.Conn, *bufio.Reader)
+		first       func(*endpointtest.Server, net.Conn, *bufio.Reader)
 		move        func(discovery.Endpoint) discovery.Endpoint // of the second endpoint
 		code        int
 		attempts    int
 	}{
 		{"safe after a reset", "read", reset, nil, 200, 2},
-		{"safe after an error", "read", then(failing, served), nil, 200, 2},
+		{"safe after an error", "read", endpointtest.FirstThen(endpointtest.ErrorResponse, endpointtest.OKResponse), nil, 200, 2},
 		{"keyed after a reset", "pay", reset, nil, 200, 2},
 		{"keyed in its cell", "close", reset, nil, 200, 2},
 		{"keyed, alone in its cell", "close", reset, other, 200, 2},
-		{"keyed out of its cell, never ran", "close", then(full, served), other, 200, 2},
+		{"keyed out of its cell, never ran", "close", endpointtest.FirstThen(endpointtest.RejectedResponse, endpointtest.OKResponse), other, 200, 2},
 		{"unsafe after a reset", "order", reset, nil, 502, 1},
-		{"unsafe after an error", "order", then(failing, served), nil, 502, 1},
-		{"unsafe, never ran", "order", then(full, served), nil, 200, 2},
+		{"unsafe after an error", "order", endpointtest.FirstThen(endpointtest.ErrorResponse, endpointtest.OKResponse), nil, 502, 1},
+		{"unsafe, never ran", "order", endpointtest.FirstThen(endpointtest.RejectedResponse, endpointtest.OKResponse), nil, 200, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			// Both names lead to one endpoint: whichever is chosen first, the first attempt ends as scripted.
-			e := newEndpoint(t, c.first)
-			second := readyEndpoint("s-2", e.address)
+			e := endpointtest.NewServer(t, c.first)
+			second := readyEndpoint("s-2", e.Address)
 			if c.move != nil {
 				second = c.move(second)
 			}
-			w := startSidecar(t, nil, readyEndpoint("s-1", e.address), second)
+			w := startSidecar(t, nil, readyEndpoint("s-1", e.Address), second)
 			got := w.send(w.request(c.class, "x", 3*time.Second))
-			if n, _ := e.seen(); got.statusCode != c.code || n != c.attempts || got.err != nil {
+			if n, _ := e.Counts(); got.statusCode != c.code || n != c.attempts || got.err != nil {
 				t.Errorf("answer %d (%v) after %d attempts, want %d after %d", got.statusCode, got.err, n, c.code, c.attempts)
 			}
 			if got.statusCode == http.StatusOK && got.body != "done" {
@@ -96,8 +98,8 @@
 // Each attempt has one outcome, told in order, and the last says that the
 // request is settled.
 func TestOutcomesAreToldOnceAndInOrder(t *testing.T) {
-	e := newEndpoint(t, then(full, served))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.address), readyEndpoint("s-2", e.address))
+	e := endpointtest.NewServer(t, endpointtest.FirstThen(endpointtest.RejectedResponse, endpointtest.OKResponse))
+	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address), readyEndpoint("s-2", e.Address))
 	w.send(w.request("order", "x", 3*time.Second))
 	w.await("two outcomes", func() bool { return len(w.recorder.statuses()) >= 2 })
 	w.recorder.mu.Lock()
@@ -116,8 +118,8 @@
 // A request that an endpoint finds fault with fails at once, is sent nowhere
 // else, and is not held against the endpoint.
 func TestFaultyRequestIsNotTheEndpointsFailure(t *testing.T) {
-	e := newEndpoint(t, always("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.address), readyEndpoint("s-2", e.address))
+	e := endpointtest.NewServer(t, endpointtest.Always("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"))
+	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address), readyEndpoint("s-2", e.Address))
 	if got := w.send(w.request("pay", "x", time.Minute)); got.statusCode != http.StatusBadRequest {
 		t.Errorf("answer %+v, want the endpoint's 400", got)
 	}
@@ -135,8 +137,8 @@
 func TestDeadlineAnswer(t *testing.T) {
 	for class, code := range map[string]int{"read": 503, "pay": 503, "close": 502, "order": 502} {
 		t.Run(class, func(t *testing.T) {
-			e := newEndpoint(t, silent)
-			w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
+			e := endpointtest.NewServer(t, endpointtest.Silent)
+			w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 			const left = 400 * time.Millisecond
 			sent := w.loop.clock.now()
 			got := w.send(w.request(class, "x", left))
@@ -158,7 +160,7 @@
 				}
 			})
 			var given int64
-			given, _ = strconv.ParseInt(e.request(0).Header.Get("X-Time-Left-Ms"), 10, 64)
+			given, _ = strconv.ParseInt(e.Request(0).Header.Get("X-Time-Left-Ms"), 10, 64)
 			if most := left - maxResponseMargin; given <= 0 || given > most.Milliseconds() {
 				t.Errorf("the endpoint was given %d ms of %v, want at most %v", given, left, most)
 			}
@@ -186,8 +188,8 @@
 // What the balancer gives up is answered at once, and the client is told when to
 // come back.
 func TestRefusedAtOnceWithRetryAfter(t *testing.T) {
-	e := newEndpoint(t, always(full))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
+	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.RejectedResponse))
+	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	began := time.Now()
 	got := w.send(w.request("read", "", time.Minute))
 	after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
@@ -203,15 +205,15 @@
 // its connection, and its outcome is still told, settled.
 func TestClientGone(t *testing.T) {
 	closed := make(chan struct{})
-	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-		e.next(in)
+	e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
+		e.ReadRequest(in)
 		in.ReadByte() // until the sidecar closes the connection
 		close(closed)
 	})
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
+	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	ctx, cancel := context.WithCancel(context.Background())
 	go w.send(w.request("pay", "x", time.Minute).WithContext(ctx))
-	w.await("the attempt", func() bool { n, _ := e.seen(); return n == 1 })
+	w.await("the attempt", func() bool { n, _ := e.Counts(); return n == 1 })
 	cancel()
 	select {
 	case <-closed:
@@ -232,15 +234,15 @@
 // A client that has only stopped sending has gone away, too, and must not read
 // a whole answer that no endpoint made.
 func TestHalfClosedClientGetsNoAnswer(t *testing.T) {
-	e := newEndpoint(t, silent)
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
+	e := endpointtest.NewServer(t, endpointtest.Silent)
+	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	w.request("pay", "x", time.Minute).Write(conn)
-	w.await("the attempt", func() bool { n, _ := e.seen(); return n == 1 })
+	w.await("the attempt", func() bool { n, _ := e.Counts(); return n == 1 })
 	conn.(*net.TCPConn).CloseWrite()
 	conn.SetReadDeadline(time.Now().Add(testTimeout))
 	if got, err := io.ReadAll(conn); len(got) > 0 {
@@ -252,16 +254,16 @@
 // and reaches nobody.
 func TestLateOutcome(t *testing.T) {
 	answer := make(chan struct{})
-	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-		e.next(in)
+	e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
+		e.ReadRequest(in)
 		<-answer
-		io.WriteString(conn, served)
+		io.WriteString(conn, endpointtest.OKResponse)
 	})
 	// Without leave to cancel, the attempt goes on after its request's end.
-	w := startSidecar(t, func(s map[string]any) { s["limits"].(map[string]any)["cancel"] = false }, readyEndpoint("s-1", e.address))
+	w := startSidecar(t, func(s map[string]any) { s["limits"].(map[string]any)["cancel"] = false }, readyEndpoint("s-1", e.Address))
 	ctx, cancel := context.WithCancel(context.Background())
 	go w.send(w.request("pay", "x", time.Minute).WithContext(ctx))
-	w.await("the attempt", func() bool { n, _ := e.seen(); return n == 1 })
+	w.await("the attempt", func() bool { n, _ := e.Counts(); return n == 1 })
 	cancel()
 	w.await("the client's going", func() bool {
 		w.recorder.mu.Lock()
@@ -279,10 +281,10 @@
 
 // Malformed requests are answered with what is wrong, and reach no endpoint.
 func TestMalformedRequests(t *testing.T) {
-	e := newEndpoint(t, always(served))
+	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
 	w := startSidecar(t, func(s map[string]any) {
 		s["tenants"] = []any{map[string]any{"name": "acme", "share": 1, "allowance-per-s": 10}}
-	}, readyEndpoint("s-1", e.address))
+	}, readyEndpoint("s-1", e.Address))
 	for _, c := range []struct {
 		name  string
 		alter func(*http.Request)
@@ -308,10 +310,10 @@
 			t.Errorf("%s: got %+v, want %d with %q", c.name, got, c.code, c.says)
 		}
 	}
-	if n, _ := e.seen(); n != 0 {
+	if n, _ := e.Counts(); n != 0 {
 		t.Errorf("%d malformed requests reached the endpoint", n)
 	}
-	r := w.request("pay", strings.Repeat("x", MaxBufferedBody), 3*time.Second)
+	r := w.request("pay", strings.Repeat("x", upstream.MaxBufferedBody), 3*time.Second)
 	r.Header.Set("X-Account", "acme")
 	r.Header.Set("X-Weight-Hint", "90000")
 	r.Header.Set("X-Session-Key", "7f3a9c21e0b4d655")
@@ -325,15 +327,15 @@
 func TestImproperPeersAreEnded(t *testing.T) {
 	t.Parallel()
 	answer := make(chan struct{})
-	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-		e.next(in)
+	e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
+		e.ReadRequest(in)
 		<-answer
-		io.WriteString(conn, served)
+		io.WriteString(conn, endpointtest.OKResponse)
 	})
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
+	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	held := make(chan clientResponse, 1)
 	go func() { held <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.await("the request in hand", func() bool { n, _ := e.seen(); return n == 1 })
+	w.await("the request in hand", func() bool { n, _ := e.Counts(); return n == 1 })
 
 	head := "POST /pay HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\nX-Time-Left-Ms: 900\r\n"
 	for name, sends := range map[string]string{
@@ -360,7 +362,7 @@
 	if got := <-held; got.statusCode != http.StatusOK {
 		t.Errorf("the request in hand meanwhile: %+v", got)
 	}
-	if n, _ := e.seen(); n != 1 {
+	if n, _ := e.Counts(); n != 1 {
 		t.Errorf("%d requests reached the endpoint, want the proper one alone", n)
 	}
 }
@@ -368,8 +370,8 @@
 // What stands inside the body of a request is no request, whichever way the
 // body's end is told.
 func TestBodyIsNoRequest(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
+	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
+	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	head := "POST /pay HTTP/1.1\r\nHost: x\r\nX-Service-Class: pay\r\nX-Time-Left-Ms: 9000\r\nIdempotency-Key: 1\r\n"
 	inner := head + "X-Correlation-Id: inner\r\nContent-Length: 0\r\n\r\n"
 	outer := head + "X-Correlation-Id: outer\r\n"
@@ -399,9 +401,9 @@
 			t.Errorf("%s: read %q, want one answer %s and the end", name, got, c.code)
 		}
 	}
-	requests, _ := e.seen()
+	requests, _ := e.Counts()
 	for i := range requests {
-		if id := e.request(i).Header.Get("X-Correlation-Id"); id != "outer" {
+		if id := e.Request(i).Header.Get("X-Correlation-Id"); id != "outer" {
 			t.Errorf("the endpoint got the request %q", id)
 		}
 	}
@@ -427,8 +429,8 @@
 
 // Peers that say nothing take no room from the application, however many come.
 func TestSilentPeersMakeRoom(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
+	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
+	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	address := strings.TrimPrefix(w.url, "http://")
 	kept, err := net.Dial("tcp", address) // the application's, at rest
 	if err != nil {
@@ -471,8 +473,8 @@
 // Beyond its share of descriptors the sidecar refuses and closes the connection,
 // where no other can be spared.
 func TestConnectionsOfClientsAreBounded(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
+	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
+	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	w.server.clients.mu.Lock()
 	w.server.clients.minIdle = time.Hour
 	w.server.clients.mu.Unlock()
@@ -506,11 +508,11 @@
 // An endpoint told draining while a send to it waits for its connection gets
 // nothing, and the request goes elsewhere.
 func TestDrainDuringDialGoesElsewhere(t *testing.T) {
-	first, second := newEndpoint(t, always(served)), newEndpoint(t, always(served))
-	w := startSidecar(t, nil, readyEndpoint("s-1", first.address))
+	first, second := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)), endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
+	w := startSidecar(t, nil, readyEndpoint("s-1", first.Address))
 	dialling, go_ := make(chan struct{}), make(chan struct{})
 	w.loop.upstream.Dialer.Control = func(_, address string, _ syscall.RawConn) error {
-		if address == first.address {
+		if address == first.Address {
 			close(dialling)
 			<-go_
 		}
@@ -519,10 +521,10 @@
 	answer := make(chan clientResponse)
 	go func() { answer <- w.send(w.request("order", "x", time.Minute)) }()
 	<-dialling
-	draining := readyEndpoint("s-1", first.address)
+	draining := readyEndpoint("s-1", first.Address)
 	draining.Health = "Terminating"
 	w.registry.change(func() {
-		w.registry.list = discovery.List{Version: 1, IsFull: true, Endpoints: []discovery.Endpoint{draining, readyEndpoint("s-2", second.address)}}
+		w.registry.list = discovery.List{Version: 1, IsFull: true, Endpoints: []discovery.Endpoint{draining, readyEndpoint("s-2", second.Address)}}
 	})
 	w.await("the news", func() bool {
 		moved := false
@@ -535,7 +537,7 @@
 	if got := <-answer; got.statusCode != http.StatusOK {
 		t.Errorf("answer %+v", got)
 	}
-	if n, _ := first.seen(); n != 0 {
+	if n, _ := first.Counts(); n != 0 {
 		t.Errorf("the draining endpoint got %d requests", n)
 	}
 	if all := w.recorder.statuses(); !slices.Equal(all, []balancer.Status{balancer.NotSent, balancer.OK}) {
@@ -547,15 +549,15 @@
 // ones still come for a while, and the sidecar ends without error.
 func TestTermination(t *testing.T) {
 	answer := make(chan struct{})
-	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-		for r := e.next(in); r != nil; r = e.next(in) {
+	e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
+		for r := e.ReadRequest(in); r != nil; r = e.ReadRequest(in) {
 			if strings.HasPrefix(r.RequestURI, "/pay") {
 				<-answer
 			}
-			io.WriteString(conn, served)
+			io.WriteString(conn, endpointtest.OKResponse)
 		}
 	})
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.address))
+	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	w.server.acceptDuration = 3 * time.Second // a busy machine may be slow to connect
 	idle, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
 	if err != nil {
@@ -572,7 +574,7 @@
 
 	held := make(chan clientResponse)
 	go func() { held <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.await("the request in hand", func() bool { n, _ := e.seen(); return n == 2 })
+	w.await("the request in hand", func() bool { n, _ := e.Counts(); return n == 2 })
 	w.stop()
 	// New connections are still served, one request each.
 	conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
@@ -605,7 +607,7 @@
 
 // A request that comes whole only after the end has begun is turned away, not cut off: SIGKILL may find it unanswered.
 func TestTerminationAmidAHead(t *testing.T) {
-	w := startSidecar(t, nil, readyEndpoint("s-1", newEndpoint(t, always(served)).address))
+	w := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
 	w.server.acceptDuration = 0
 	k := w.connect()
 	k.roundTrip()
--- a/internal/sidecar/test_sidecar_test.go
+++ b/internal/sidecar/test_sidecar_test.go
@@ -16,10 +16,11 @@
 	"bramblestand/internal/config"
 	"bramblestand/internal/config/configtest"
 	"bramblestand/internal/discovery"
+	"bramblestand/internal/endpointtest"
 )
 
 // testTimeout is how long a test waits for what must come.
-const testTimeout = 20 * time.Second
+const testTimeout = endpointtest.Timeout
 
 // testSidecar is a running sidecar with its surroundings.
 type testSidecar struct {
@@ -146,11 +147,7 @@
 
 func await(t *testing.T, what string, is func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); !is(); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("waited in vain for: %s", what)
-		}
-	}
+	endpointtest.WaitFor(t, what, is)
 }
 
 // onLoop runs f in the loop and waits for it.
