--- a/cmd/faultlab/main.go
+++ b/cmd/faultlab/main.go
@@ -1,19 +1,19 @@
-// Command faultlab runs experiments on many real sidecars with stand-in pin
-// servers, stand-in discovery and faults between them.
+// Command faultlab runs experiments on many real sidecars with fake servers, a
+// fake discovery service and faults between them.
 //
 //	faultlab run [-out DIR] [-sidecar PATH] [-repeat N] EXPERIMENT.toml   writes DIR/result.json, DIR/plot.png, DIR/logs/
 //	faultlab search [-seeds N] [-for D] EXPERIMENT.toml                     draws faults, keeps and shrinks what breaks a rule
 //	faultlab report [-plot FILE] RESULT.json                                prints a result, and plots it again
 //	faultlab compare A.json B.json                                          two results, or repeats, side by side
 //	faultlab chain [-levels N] [-fails S,S]                                 attempts over services in a row, DIR/chain.json
-//	faultlab latency [-rates R,R] [-plays N]                                what a sidecar adds to a call, DIR/latency.json
-//	faultlab control [-servers N,N] [-rates R,R]                            what control costs, DIR/control.json
+//	faultlab latency [-rates R,R] [-plays N]                                the latency that a sidecar adds to a call, DIR/latency.json
+//	faultlab control [-servers N,N] [-rates R,R]                            the control traffic, DIR/control.json
 //	faultlab scale [-out DIR] [-rungs N,N]                                  fleets of hollow sidecars up to 1,920, see docs/design-scale.md
 //	faultlab scale -agree [-out DIR]                                        hollow sidecars held against real processes
 //
 // run and search exit 1 on a bad experiment or a failed start, and 3 when a
 // rule was broken (lost, forged, run twice, sent after a drain or a ban, a
-// promise that the history breaks).
+// check that the history violates).
 package main
 
 import (
@@ -107,10 +107,10 @@
 	flags := flag.NewFlagSet("run", flag.ContinueOnError)
 	out := flags.String("out", "lab-out", "folder for the result, the plot and the logs")
 	program := flags.String("sidecar", "", "the sidecar's program; overrides the experiment's")
-	keep := flags.String("state", "", `"on" or "off": whether sidecars keep state; overrides the experiment's fleet.state`)
-	view := flags.String("view", "", `"on" or "off": whether sidecars keep a view of the fleet; overrides the experiment's fleet.view`)
+	state := flags.String("state", "", `"on" or "off": whether sidecars persist state; overrides the experiment's fleet.state`)
+	view := flags.String("view", "", `"on" or "off": whether sidecars maintain a membership view; overrides the experiment's fleet.view`)
 	parallel := flags.Int("parallel", 1, "runs at a time, of those of -repeat")
-	repeat := flags.Int("repeat", 1, "runs, with seeds in a row; figures as distributions in DIR/repeat.json")
+	repeat := flags.Int("repeat", 1, "runs, with consecutive seeds; figures as distributions in DIR/repeat.json")
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
@@ -121,7 +121,7 @@
 	for _, o := range []struct {
 		name, value string
 		into        *bool
-	}{{"state", *keep, &exp.Fleet.State}, {"view", *view, &exp.Fleet.View}} {
+	}{{"state", *state, &exp.Fleet.State}, {"view", *view, &exp.Fleet.View}} {
 		switch o.value {
 		case "":
 		case "on", "off":
@@ -138,7 +138,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	results, err := runs(ctx, exp, *out, *repeat, *parallel)
+	results, err := runAll(ctx, exp, *out, *repeat, *parallel)
 	if err != nil {
 		return err
 	}
@@ -161,16 +161,16 @@
 	return nil
 }
 
-// runs plays an experiment with so many seeds in a row, so many at a time. None begins after ctx's end or an
-// error; it gives those that were whole.
-func runs(ctx context.Context, exp *lab.Experiment, out string, repeat, parallel int) ([]*lab.Result, error) {
+// runAll runs an experiment with repeat consecutive seeds, parallel at a time. None begins after ctx's end or an
+// error. It returns the results of those that ended.
+func runAll(ctx context.Context, exp *lab.Experiment, out string, repeat, parallel int) ([]*lab.Result, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	all, errs := make([]*lab.Result, repeat), make([]error, repeat)
-	places := make(chan struct{}, parallel)
-	var playing sync.WaitGroup
+	slots := make(chan struct{}, parallel)
+	var running sync.WaitGroup
 	for n := range repeat {
-		places <- struct{}{}
+		slots <- struct{}{}
 		if ctx.Err() != nil {
 			break
 		}
@@ -179,11 +179,11 @@
 			one.Seed += uint64(n)
 			folder = filepath.Join(out, fmt.Sprintf("run-%d", n))
 		}
-		playing.Add(1)
+		running.Add(1)
 		go func() {
-			defer playing.Done()
-			defer func() { <-places }()
-			result, err := once(ctx, &one, folder)
+			defer running.Done()
+			defer func() { <-slots }()
+			result, err := runOnce(ctx, &one, folder)
 			switch {
 			case ctx.Err() != nil && repeat > 1: // cut short
 				return
@@ -197,14 +197,14 @@
 			}
 		}()
 	}
-	playing.Wait()
+	running.Wait()
 	return slices.DeleteFunc(all, func(r *lab.Result) bool { return r == nil }), errors.Join(errs...)
 }
 
-// once runs an experiment and writes all that it gives into folder.
-func once(ctx context.Context, exp *lab.Experiment, folder string) (*lab.Result, error) {
+// runOnce runs an experiment and writes its result, plot and merged log into folder.
+func runOnce(ctx context.Context, exp *lab.Experiment, folder string) (*lab.Result, error) {
 	logs := filepath.Join(folder, "logs")
-	result, err := play(ctx, exp, logs)
+	result, err := runExperiment(ctx, exp, logs)
 	if err != nil {
 		return nil, err
 	}
@@ -217,8 +217,8 @@
 	return result, result.Plot(filepath.Join(folder, "plot.png"))
 }
 
-// play runs an experiment, its own log beside the sidecars'.
-func play(ctx context.Context, exp *lab.Experiment, logs string) (*lab.Result, error) {
+// runExperiment runs an experiment, with the lab's own log beside the sidecars'.
+func runExperiment(ctx context.Context, exp *lab.Experiment, logs string) (*lab.Result, error) {
 	if err := os.MkdirAll(logs, 0o755); err != nil {
 		return nil, err
 	}
@@ -237,13 +237,13 @@
 	var o lab.SearchOptions
 	flags.IntVar(&o.Seeds, "seeds", 20, "schedules to draw")
 	flags.Uint64Var(&o.FirstSeed, "first", 1, "the first seed")
-	flags.DurationVar(&o.MaxDuration, "for", 0, "no run begins later than this; 0 for no such bound")
+	flags.DurationVar(&o.MaxDuration, "for", 0, "no run begins later than this; 0 for no limit")
 	flags.IntVar(&o.Parallel, "parallel", 3, "runs at a time")
 	flags.Func("kinds", "kinds of faults to draw, by commas; default all that the experiment allows", func(text string) error {
 		o.Kinds = strings.Split(text, ",")
 		return nil
 	})
-	flags.IntVar(&o.MaxFindings, "stop", 0, "findings after which no more seeds are played; 0 for no such bound")
+	flags.IntVar(&o.MaxFindings, "stop", 0, "findings after which no more seeds are run; 0 for no limit")
 	flags.IntVar(&o.Attempts, "tries", 2, "runs of a smaller schedule, one of which must break the same rule")
 	if err := flags.Parse(args); err != nil {
 		return err
@@ -260,7 +260,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	report, err := lab.Search(ctx, exp, o, play, *out, func(line string) { fmt.Fprintln(os.Stderr, line) })
+	report, err := lab.Search(ctx, exp, o, runExperiment, *out, func(line string) { fmt.Fprintln(os.Stderr, line) })
 	if err != nil {
 		return err
 	}
--- a/internal/lab/compare_test.go
+++ b/internal/lab/compare_test.go
@@ -11,8 +11,8 @@
 	"bramblestand/internal/lab/history"
 )
 
-// Two repeats side by side: a figure whose ranges meet is marked as within the spread, another is not; one run has none.
-func TestCompareMarksTheSpread(t *testing.T) {
+// Of two sets of runs, a figure whose ranges overlap is marked as within the spread, others are not; one run has no spread.
+func TestCompareReportsOverlappingRanges(t *testing.T) {
 	runs := func(p99 ...float64) *Repeated {
 		var results []*Result
 		for i, v := range p99 {
@@ -45,7 +45,7 @@
 	}
 }
 
-// A result older than this program is read with what it has; one newer is refused by name.
+// A result of an older format is read; one of a newer format is an error that names the file.
 func TestOlderResultsAreRead(t *testing.T) {
 	if r, err := ReadRepeated("../../docs/lab/fleet50-result.json"); err != nil || r.Runs != 1 || r.Figures["served"].P50 == 0 {
 		t.Errorf("a result without a format: %+v, %v", r, err)
@@ -60,8 +60,8 @@
 	}
 }
 
-// What falls into a spell in which the lab's own timers ran late is excused; the same without such a spell is not.
-func TestTheLabsOwnLatenessIsNotTheSidecars(t *testing.T) {
+// Late responses during a stall of the lab itself are excused; without a stall they are not.
+func TestLatenessOfTheLabIsExcused(t *testing.T) {
 	exp := parse(t, "duration = \"5s\"\n[fleet]\nsidecars = 1\nservers = 1\n[load]\nrate = 1\ndeadline = \"1s\"\n")
 	for _, stalled := range []bool{true, false} {
 		l := NewRequestTable()
@@ -69,11 +69,11 @@
 		late := newLateness(l)
 		second := time.Second
 		if stalled {
-			late.record(late.timers, l.Elapsed()-9*second) // from 1 s on nothing of the lab's ran
+			late.record(late.timers, l.Elapsed()-9*second) // a stall from 1 s on
 		}
 		l.records["late"] = &record{sent: 2 * second, duration: 1200 * time.Millisecond, outcome: Late}
 		l.records["waited"] = &record{sent: 2 * second, duration: 2 * second, outcome: Lost, clientTimedOut: true}
-		l.records["lost"] = &record{sent: 2 * second, duration: 10 * time.Millisecond, outcome: Lost} // its connection broke: nobody's lateness
+		l.records["lost"] = &record{sent: 2 * second, duration: 10 * time.Millisecond, outcome: Lost} // its connection broke: not late
 		l.afterDrain = []drainBreach{{"v0:x", 0, second, 3 * second}}
 		r := analyze(exp, l, late, discoveryOutages{}, nil, nil, []history.Event{})
 		want := map[bool][5]int{true: {0, 1, 2, 0, 3}, false: {1, 2, 0, 1, 0}}[stalled]
@@ -93,6 +93,6 @@
 	l.afterDrain = drained
 	r := analyze(exp, l, newLateness(l), discoveryOutages{{3, 0}: {2 * time.Second, openEnd}}, nil, nil, nil)
 	if r.AfterDrain != 0 {
-		t.Error("a sidecar cut from discovery is blamed for what it could not hear")
+		t.Error("a sidecar that was cut off from discovery is charged with a late arrival")
 	}
 }
--- a/internal/lab/control_test.go
+++ b/internal/lab/control_test.go
@@ -14,8 +14,8 @@
 	return controltraffic.Status{Seconds: seconds, Kinds: map[string]controltraffic.Traffic{"probe": k}, WireBytes: k.TotalWireBytes()}
 }
 
-// Rates are of the time between two looks; a sidecar that restarted between them is left out.
-func TestControlSpans(t *testing.T) {
+// Rates are of the time between two samples; a sidecar that restarted between them is left out.
+func TestRatesBetweenControlSamples(t *testing.T) {
 	at := func(d time.Duration) map[int]time.Duration { return map[int]time.Duration{0: d, 1: d, 2: d, 3: d} }
 	from := controlSample{at: at(14 * time.Second), status: map[int]controltraffic.Status{0: status(15, 100), 1: status(15, 100), 2: status(15, 100)},
 		cpu: map[int]time.Duration{0: time.Second}, loopback: [2]uint64{1000, 10}}
@@ -32,13 +32,13 @@
 		t.Errorf("start %+v", s)
 	}
 	if s := spanBetween(from, controlSample{}); s.Sidecars != 0 || s.WireBytes != 0 {
-		t.Errorf("nobody told: %+v", s)
+		t.Errorf("without samples: %+v", s)
 	}
 }
 
-// A run with operators tells what control cost: by the sidecars' counts, the start's burst of probes and one call or two
-// of discovery each.
-func TestRunTellsControl(t *testing.T) {
+// A run with operators reports the control traffic as the sidecars count it: at the start a burst of probes, and one or
+// two calls of discovery each.
+func TestRunReportsControlTraffic(t *testing.T) {
 	t.Parallel()
 	exp, err := Parse("control.toml", []byte("name = \"control\"\nduration = \"3s\"\n[fleet]\nsidecars = 2\nservers = 30\n[load]\nrate = 5\n[ops]\non = true\nobserve = []\n"))
 	if err != nil {
--- a/internal/lab/descriptors_test.go
+++ b/internal/lab/descriptors_test.go
@@ -21,12 +21,12 @@
 	return exp
 }
 
-// What needs more descriptors than there are is refused with both numbers; the experiments of lab/ pass under 20,000.
-func TestTooFewDescriptors(t *testing.T) {
+// An experiment that needs more descriptors than the limit is an error with both numbers; those of lab/ pass under 20,000.
+func TestDescriptorLimitIsChecked(t *testing.T) {
 	big := sized(t, 50, 960, 47)
 	err := big.checkDescriptors(1, 20_000)
 	if err == nil || !strings.Contains(err.Error(), fmt.Sprint(big.Descriptors())) || !strings.Contains(err.Error(), "20000") || !strings.Contains(err.Error(), "fleet") {
-		t.Errorf("50 x 960 at 47/s under 20000: %v, want a refusal with %d and 20000", err, big.Descriptors())
+		t.Errorf("50 x 960 at 47/s under 20000: %v, want an error with %d and 20000", err, big.Descriptors())
 	}
 	if small := sized(t, 5, 200, 20); small.checkDescriptors(1, 20_000) != nil || small.checkDescriptors(40, 20_000) == nil {
 		t.Error("5 x 200 must pass under 20000 alone, and not 40 at a time")
@@ -44,9 +44,9 @@
 	}
 }
 
-// A run refuses at its start under this process's own limit, before anything is up. It is not parallel: for its
-// time the whole process has few descriptors.
-func TestRunRefusesTooFewDescriptors(t *testing.T) {
+// A run checks this process's own limit before it starts anything. The test is not parallel, since the whole process has
+// few descriptors meanwhile.
+func TestRunFailsWithTooFewDescriptors(t *testing.T) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
@@ -63,6 +63,6 @@
 	}
 	result, err := Run(context.Background(), exp, filepath.Join(programs, "sidecar"), t.TempDir(), slog.New(slog.DiscardHandler))
 	if err == nil || result != nil || !strings.Contains(err.Error(), fmt.Sprintf("can need %d", exp.Descriptors())) || !strings.Contains(err.Error(), "its limit is 200") {
-		t.Errorf("%v, want a refusal with %d and 200", err, exp.Descriptors())
+		t.Errorf("%v, want an error with %d and 200", err, exp.Descriptors())
 	}
 }
--- a/internal/lab/disk.go
+++ b/internal/lab/disk.go
@@ -150,10 +150,10 @@
 	}
 	stop := make(chan struct{})
 	d.slow[fault] = sync.OnceFunc(func() { close(stop) })
-	go d.holdLocks(delay, stop)
+	go d.lockPeriodically(delay, stop)
 }
 
-func (d *disk) holdLocks(delay time.Duration, stop <-chan struct{}) {
+func (d *disk) lockPeriodically(delay time.Duration, stop <-chan struct{}) {
 	const gap = 60 * time.Millisecond // longer than the 50 ms between two attempts of bbolt to lock
 	for {
 		var locked []*os.File
--- a/internal/lab/faults_test.go
+++ b/internal/lab/faults_test.go
@@ -18,19 +18,19 @@
 	"bramblestand/internal/lab/history"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// rig is a world without load, whose faults a test plays one by one and observes from outside.
+// rig is a testbed without load, whose faults a test begins and ends one by one.
 type rig struct {
 	*testing.T
 	*testbed
-	begun  map[int]chan struct{}
-	acting sync.WaitGroup
-	socks  []*net.UDPConn // in place of sidecars, where a test speaks for them
-	heard  []chan string  // what comes to each
+	faultsBegun map[int]chan struct{}
+	acting      sync.WaitGroup
+	sockets     []*net.UDPConn // in place of sidecars, in tests that send datagrams for them
+	received    []chan string  // what each received
 }
 
-// newRig makes 4 sidecars on 2 machines, 2 servers; with started real processes run, otherwise the test speaks for them by datagrams.
+// newRig makes 4 sidecars on 2 machines, 2 servers; with started real processes run, otherwise the test sends datagrams for them.
 func newRig(t *testing.T, started bool, more string, fleet ...string) *rig {
 	t.Helper()
 	exp, err := Parse("rig.toml", []byte("duration = \"60s\"\n"+more+
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{T: t, testbed: w, begun: map[int]chan struct{}{}}
+	r := &rig{T: t, testbed: w, faultsBegun: map[int]chan struct{}{}}
 	t.Cleanup(func() { r.acting.Wait(); w.close() })
 	if started {
 		if err := w.sidecars.startAll(); err != nil {
@@ -57,7 +57,7 @@
 		}
 		t.Cleanup(func() { sock.Close() })
 		heard := make(chan string, 1000)
-		r.socks, r.heard = append(r.socks, sock.(*net.UDPConn)), append(r.heard, heard)
+		r.sockets, r.received = append(r.sockets, sock.(*net.UDPConn)), append(r.received, heard)
 		go func() {
 			buffer := make([]byte, 512)
 			for {
@@ -72,63 +72,63 @@
 	return r
 }
 
-// fault begins a fault and returns what ends it; both are done when they return.
+// fault begins a fault and returns the function that ends it; both return when it is applied.
 func (r *rig) fault(f Fault) (heal func()) {
 	r.Helper()
 	f.For = Duration{time.Second}
 	if err := r.exp.validateFault(f); err != nil {
 		r.Fatal(err)
 	}
-	id := len(r.begun) + len(r.endRules) + 1
-	for r.begun[id] != nil || r.endRules[id] != nil {
+	id := len(r.faultsBegun) + len(r.endRules) + 1
+	for r.faultsBegun[id] != nil || r.endRules[id] != nil {
 		id++
 	}
-	play := func(heal bool) {
-		r.startEvent(Event{Fault: f, ID: id, Heal: heal}, r.begun, &r.acting)
+	apply := func(heal bool) {
+		r.startEvent(Event{Fault: f, ID: id, Heal: heal}, r.faultsBegun, &r.acting)
 		r.acting.Wait()
 	}
-	play(false)
-	return func() { play(true) }
+	apply(false)
+	return func() { apply(true) }
 }
 
-// say sends a datagram of sidecar i's to all the others.
-func (r *rig) say(i int, text string) {
+// send sends a datagram of sidecar i to all others.
+func (r *rig) send(i int, text string) {
 	r.Helper()
 	to, err := net.ResolveUDPAddr("udp4", r.relay.Hub())
 	if err != nil {
 		r.Fatal(err)
 	}
-	if _, err := r.socks[i].WriteTo([]byte(text), to); err != nil {
+	if _, err := r.sockets[i].WriteTo([]byte(text), to); err != nil {
 		r.Fatal(err)
 	}
 }
 
 func (r *rig) await(what string, is func() bool) {
 	r.Helper()
-	for end := time.Now().Add(patience); !is(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !is(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			r.Fatalf("waited in vain for %s", what)
+			r.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// passes tells which datagrams pass, as "01" from 0 to 1: each sidecar says
-// one; the relay drops at once, so that what has been relayed or dropped of all is counted, not waited for.
-func (r *rig) passes() string {
+// deliveredPairs has each sidecar send one datagram and returns which arrive, as "01" from 0 to 1. The relay drops at
+// once, so that the number of relayed and dropped ones is known without a timeout.
+func (r *rig) deliveredPairs() string {
 	r.Helper()
 	relayed, dropped, _, _ := r.relay.Counts()
-	for i := range r.socks {
-		r.say(i, fmt.Sprint(i))
+	for i := range r.sockets {
+		r.send(i, fmt.Sprint(i))
 	}
 	now := 0
 	r.await("all datagrams to be relayed or dropped", func() bool {
 		var lost int
 		now, lost, _, _ = r.relay.Counts()
-		return now+lost == relayed+dropped+len(r.socks)*(len(r.socks)-1)
+		return now+lost == relayed+dropped+len(r.sockets)*(len(r.sockets)-1)
 	})
 	var pairs []string
 	r.await("what was relayed to arrive", func() bool {
-		for j, heard := range r.heard {
+		for j, heard := range r.received {
 			for len(heard) > 0 {
 				pairs = append(pairs, <-heard+fmt.Sprint(j))
 			}
@@ -141,61 +141,61 @@
 
 const everyPair = "01 02 03 10 12 13 20 21 23 30 31 32"
 
-// A datagram of a cut link never arrives, the reverse does; overlapping cuts end in any order.
+// Datagrams of a cut link never arrive, those of the other direction do; overlapping cuts end in any order.
 func TestLinkFaultsCutDatagrams(t *testing.T) {
 	r := newRig(t, false, "[groups]\nleft = [\"s0\", \"s2\"]\n")
 	for name, c := range map[string]struct {
 		fault Fault
 		pass  string
 	}{
-		"one way":      {Fault{Kind: "cut", From: []string{"s0"}, To: []string{"s1"}, Direction: "out"}, "02 03 10 12 13 20 21 23 30 31 32"},
-		"both ways":    {Fault{Kind: "cut", From: []string{"machine:1"}, To: []string{"s0"}}, "02 12 13 20 21 23 31 32"},
-		"isolated in":  {Fault{Kind: "isolate", Sidecars: []int{3}, Direction: "in"}, "01 02 10 12 20 21 30 31 32"},
-		"split, 2 all": {Fault{Kind: "split", Groups: [][]string{{"group:left"}, {"s1", "s2", "s3"}}}, "02 12 13 20 21 23 31 32"},
-		"all lost":     {Fault{Kind: "link", From: []string{"s3"}, Loss: 1, Direction: "out"}, "01 02 03 10 12 13 20 21 23"},
-		"flapping":     {Fault{Kind: "flap", From: []string{"s0-s1"}, To: []string{"s3"}, Period: Duration{time.Second}}, "01 02 10 12 20 21 23 32"},
-		"peers":        {Fault{Kind: "peers", Share: 1}, ""},
+		"one direction":   {Fault{Kind: "cut", From: []string{"s0"}, To: []string{"s1"}, Direction: "out"}, "02 03 10 12 13 20 21 23 30 31 32"},
+		"both directions": {Fault{Kind: "cut", From: []string{"machine:1"}, To: []string{"s0"}}, "02 12 13 20 21 23 31 32"},
+		"isolated in":     {Fault{Kind: "isolate", Sidecars: []int{3}, Direction: "in"}, "01 02 10 12 20 21 30 31 32"},
+		"split, 2 all":    {Fault{Kind: "split", Groups: [][]string{{"group:left"}, {"s1", "s2", "s3"}}}, "02 12 13 20 21 23 31 32"},
+		"all lost":        {Fault{Kind: "link", From: []string{"s3"}, Loss: 1, Direction: "out"}, "01 02 03 10 12 13 20 21 23"},
+		"flapping":        {Fault{Kind: "flap", From: []string{"s0-s1"}, To: []string{"s3"}, Period: Duration{time.Second}}, "01 02 10 12 20 21 23 32"},
+		"peers":           {Fault{Kind: "peers", Share: 1}, ""},
 	} {
 		heal := r.fault(c.fault)
-		if got := r.passes(); got != c.pass {
-			t.Errorf("%s: %s pass, want %s", name, got, c.pass)
+		if got := r.deliveredPairs(); got != c.pass {
+			t.Errorf("%s: %s delivered, want %s", name, got, c.pass)
 		}
 		heal()
-		if got := r.passes(); got != everyPair {
-			t.Errorf("%s healed: %s pass", name, got)
+		if got := r.deliveredPairs(); got != everyPair {
+			t.Errorf("%s healed: %s delivered", name, got)
 		}
 	}
 	first := r.fault(Fault{Kind: "cut", From: []string{"s0"}, To: []string{"all"}})
 	second := r.fault(Fault{Kind: "isolate", Sidecars: []int{0, 1}})
 	first()
-	if got := r.passes(); got != "23 32" {
-		t.Errorf("the first of two cuts ended: %s pass", got)
+	if got := r.deliveredPairs(); got != "23 32" {
+		t.Errorf("the first of two cuts ended: %s delivered", got)
 	}
 	second()
-	if got := r.passes(); got != everyPair {
+	if got := r.deliveredPairs(); got != everyPair {
 		t.Errorf("both ended: %s pass", got)
 	}
 }
 
-// A link doubles, holds back and thins out datagrams, in its direction alone.
+// A link duplicates, delays and limits datagrams in its direction alone.
 func TestLinkFaultsShapeDatagrams(t *testing.T) {
 	r := newRig(t, false, "")
 	const n = 60                     // doubled, they still fit a socket's buffer on a machine too busy to read it
-	send := func(f Fault) []string { // what s1 heard of n datagrams of s0's
+	send := func(f Fault) []string { // what s1 received of n datagrams of s0
 		before, lost, _, _ := r.relay.Counts()
 		heal := r.fault(f)
 		for k := range n {
-			r.say(0, fmt.Sprint(k))
+			r.send(0, fmt.Sprint(k))
 		}
 		r.await("the relay", func() bool { a, b, _, _ := r.relay.Counts(); return a+b-before-lost >= 3*n })
 		heal()
 		now, _, _, _ := r.relay.Counts()
 		var got []string
 		r.await("all that was relayed to arrive", func() bool {
-			for len(r.heard[1]) > 0 {
-				got = append(got, <-r.heard[1])
+			for len(r.received[1]) > 0 {
+				got = append(got, <-r.received[1])
 			}
-			return len(got) == now-before-2*n // s2 and s3 hear each once
+			return len(got) == now-before-2*n // s2 and s3 receive each once
 		})
 		return got
 	}
@@ -222,8 +222,8 @@
 	}
 }
 
-// A flap is played as cuts, one a period, each ending before the next.
-func TestFlapIsCutEachPeriod(t *testing.T) {
+// A flap is a cut in each period, which ends before the next one.
+func TestFlapCutsTheLinkInEachPeriod(t *testing.T) {
 	exp, err := Parse("flap.toml", []byte("duration = \"9s\"\n[fleet]\nsidecars = 2\nservers = 1\npeers = true\n[[fault]]\nat = \"1s\"\nfor = \"2s\"\nkind = \"flap\"\nperiod = \"500ms\"\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -237,7 +237,7 @@
 	}
 }
 
-// get asks a server or the agent as sidecar i does, and gives the body, "" for silence.
+// get calls a server or discovery as sidecar i does, and returns the body, "" for none.
 func (r *rig) get(i int, f *FaultListener, path string, patience time.Duration) string {
 	client := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Get("http://" + f.AddressFor(r.sidecars.subnet.address(i)) + path)
@@ -249,16 +249,16 @@
 	return string(body)
 }
 
-// The link from one sidecar to one server is silent while the others pass; what was held passes afterwards. So is one to discovery.
-func TestLinkFaultsReachServersAndDiscovery(t *testing.T) {
+// The link from one sidecar to one server is cut while the others are not; blocked bytes are delivered afterwards. So is one to discovery.
+func TestLinkFaultsAffectServersAndDiscovery(t *testing.T) {
 	r := newRig(t, false, "")
 	server, agent := r.servers[1].Listener, r.discovery.listener
 	heal := r.fault(Fault{Kind: "cut", From: []string{"s2"}, To: []string{"v1", "discovery"}, Direction: "in"})
 	held := make(chan string, 2)
 	for path, f := range map[string]*FaultListener{"/stats": server, "/registry/instances": agent} {
-		go func() { held <- r.get(2, f, path, patience) }()
+		go func() { held <- r.get(2, f, path, testTimeout) }()
 	}
-	if r.get(1, server, "/stats", patience) == "" || r.get(2, r.servers[0].Listener, "/stats", patience) == "" || r.get(0, agent, "/registry/instances", patience) == "" {
+	if r.get(1, server, "/stats", testTimeout) == "" || r.get(2, r.servers[0].Listener, "/stats", testTimeout) == "" || r.get(0, agent, "/registry/instances", testTimeout) == "" {
 		t.Error("a link that is not cut is silent")
 	}
 	select {
@@ -269,16 +269,16 @@
 	heal()
 	for range 2 {
 		if text := <-held; text == "" {
-			t.Error("what the cut held did not pass after it")
+			t.Error("what the cut blocked was not delivered after it")
 		}
 	}
 	heal = r.fault(Fault{Kind: "delay", Servers: []int{0}, Delay: Duration{50 * time.Millisecond}})
-	if began := time.Now(); r.get(0, r.servers[0].Listener, "/stats", patience) == "" || time.Since(began) < 100*time.Millisecond {
-		t.Errorf("delayed 50 ms each way, a call took %v", time.Since(began))
+	if began := time.Now(); r.get(0, r.servers[0].Listener, "/stats", testTimeout) == "" || time.Since(began) < 100*time.Millisecond {
+		t.Errorf("delayed by 50 ms in each direction, a call took %v", time.Since(began))
 	}
 	heal()
 	healths := func() string {
-		text := r.get(0, agent, "/registry/instances", patience)
+		text := r.get(0, agent, "/registry/instances", testTimeout)
 		return fmt.Sprint(strings.Count(text, "Ready"), strings.Count(text, "Terminating"))
 	}
 	both := r.fault(Fault{Kind: "drain", Servers: []int{0, 1}})
@@ -293,26 +293,26 @@
 	lag := r.fault(Fault{Kind: "discovery", Mode: "lag", Delay: Duration{time.Hour}})
 	heal()
 	if got := healths(); got != "1 1" {
-		t.Errorf("a change under lag was told at once: %s", got)
+		t.Errorf("a change under lag was published at once: %s", got)
 	}
 	lag()
 	heal = r.fault(Fault{Kind: "discovery", Mode: "down"})
 	if text := r.get(0, agent, "/registry/instances", 100*time.Millisecond); text != "" {
-		t.Errorf("discovery down said %q", text)
+		t.Errorf("discovery responded %q while down", text)
 	}
 	heal()
 	heal = r.fault(Fault{Kind: "reset", Servers: []int{0}})
-	if text := r.get(0, r.servers[0].Listener, "/stats", patience); text != "" {
+	if text := r.get(0, r.servers[0].Listener, "/stats", testTimeout); text != "" {
 		t.Errorf("under resets came %q", text)
 	}
 	heal()
-	if r.get(0, r.servers[0].Listener, "/stats", patience) == "" {
+	if r.get(0, r.servers[0].Listener, "/stats", testTimeout) == "" {
 		t.Error("silent after the resets")
 	}
 }
 
-// ops asks sidecar i's operators' address; -1 where it is down.
-func (r *rig) ops(method string, i int, path, body string) (int, string) {
+// adminCall calls sidecar i's admin address; -1 if it is down.
+func (r *rig) adminCall(method string, i int, path, body string) (int, string) {
 	return newOperators(r.exp, r.sidecars, r.requests, &history.Log{}).adminCall(method, i, path, body)
 }
 
@@ -333,9 +333,9 @@
 func TestMachineFaults(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, true, "")
-	banned := func(i int) string { _, text := r.ops(http.MethodGet, i, "/pin-servers", ""); return text }
+	banned := func(i int) string { _, text := r.adminCall(http.MethodGet, i, "/pin-servers", ""); return text }
 	for i := range 2 { // s0 on machine 0, s1 on machine 1
-		if status, text := r.ops(http.MethodPost, i, "/pin-servers/disable", "v001"); status != http.StatusOK {
+		if status, text := r.adminCall(http.MethodPost, i, "/pin-servers/disable", "v001"); status != http.StatusOK {
 			t.Fatalf("ban: %d %s", status, text)
 		}
 	}
@@ -382,8 +382,8 @@
 	if len(r.pids(1)) != 1 {
 		t.Error("a sidecar that joins does not run")
 	}
-	if troubles := r.sidecars.UnexpectedFailures(); len(troubles) > 0 {
-		t.Error(troubles)
+	if failures := r.sidecars.UnexpectedFailures(); len(failures) > 0 {
+		t.Error(failures)
 	}
 	if syscall.Kill(r.pids(3)[0], syscall.SIGKILL) != nil {
 		t.Fatal("kill")
@@ -393,13 +393,13 @@
 	})
 }
 
-// A full and a read-only disk refuse what a call must write, and a slow one makes saves wait; the sidecar lives on and
-// takes calls again afterwards.
+// With a full or read-only disk calls that must write fail, and a slow one delays saves; the sidecar goes on running and
+// accepts calls again afterwards.
 func TestDiskFaults(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, true, "")
 	ban := func(id string) int {
-		status, _ := r.ops(http.MethodPost, 0, "/pin-servers/disable", id)
+		status, _ := r.adminCall(http.MethodPost, 0, "/pin-servers/disable", id)
 		return status
 	}
 	for _, mode := range []string{"full", "readonly"} {
@@ -407,7 +407,7 @@
 		if status := ban("v000"); status != http.StatusServiceUnavailable {
 			t.Errorf("%s: a ban is answered %d", mode, status)
 		}
-		if status, _ := r.ops(http.MethodPost, 1, "/pin-servers/disable", "v000"); status != http.StatusOK {
+		if status, _ := r.adminCall(http.MethodPost, 1, "/pin-servers/disable", "v000"); status != http.StatusOK {
 			t.Errorf("%s: on the other machine a ban is answered %d", mode, status)
 		}
 		heal()
@@ -418,13 +418,13 @@
 	file := filepath.Join(r.disks[0].state(), "s0.db")
 	saved := func() time.Time { info, err := os.Stat(file); r.fatal(err); return info.ModTime() }
 	heal := r.fault(Fault{Kind: "disk", Mode: "slow", Delay: Duration{time.Hour}, Machines: []int{0}})
-	r.await("a save to give up waiting", func() bool {
+	r.await("a save to time out", func() bool {
 		log, _ := os.ReadFile(filepath.Join(r.sidecars.folder, "s00.log"))
 		return strings.Contains(string(log[max(0, len(log)-20_000):]), "state snapshot not saved")
 	})
 	last := saved()
 	if status := ban("v000"); status != http.StatusServiceUnavailable {
-		t.Errorf("slow: a ban that cannot be kept in time is answered %d", status)
+		t.Errorf("slow: a ban that cannot be persisted in time is answered %d", status)
 	}
 	heal()
 	r.await("the next save", func() bool { return saved().After(last) })
--- a/internal/lab/history/check.go
+++ b/internal/lab/history/check.go
@@ -12,29 +12,29 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// step is what an event does to, or shows of, one value: a register's text or
-// a set's elements (sorted, joined by commas).
+// step is one operation on a register's text or a set's elements (sorted,
+// joined by commas), as an event changes or observes it.
 type step struct {
 	kind  string // write, add, remove, read
 	value string
 }
 
-// anything is a state of which nothing is known: what the first step leaves
-// or shows is taken as it is. It lets a part of a history stand for itself.
-const anything = "\x00"
+// unknownState is the state before a part of a history: the first step defines
+// or observes any value.
+const unknownState = "\x00"
 
-// model is a register and a set in one: writes and reads act on the whole, adds and removes on an element.
+// model is both a register and a set: writes and reads are of the full value, adds and removes of an element.
 var model = porcupine.Model{
-	Init: func() any { return anything },
+	Init: func() any { return unknownState },
 	Step: func(state, input, _ any) (bool, any) {
 		s, now := input.(step), state.(string)
 		switch s.kind {
 		case "write":
 			return true, s.value
 		case "read":
-			return now == anything || now == s.value, s.value
+			return now == unknownState || now == s.value, s.value
 		}
-		if now == anything { // elements unknown stay so
+		if now == unknownState { // unknown elements stay unknown
 			return true, now
 		}
 		elements := strings.FieldsFunc(now, func(r rune) bool { return r == ',' })
@@ -49,108 +49,108 @@
 	},
 }
 
-// patience bounds the search for an order of one history; past it nothing is said of it.
-const patience = 5 * time.Second
+// checkTimeout limits the search for an order of one history, which counts as legal after it.
+const checkTimeout = 5 * time.Second
 
-// linear is a history for porcupine, each operation with its event.
-type linear struct {
-	ops    []porcupine.Operation
-	events []Event
+// operations is a history for porcupine, with the event of each operation.
+type operations struct {
+	operations []porcupine.Operation
+	events     []Event
 }
 
-func (l *linear) add(e Event, s step) {
-	op := porcupine.Operation{ClientId: len(l.ops), Input: s, Call: e.Call, Return: e.Return}
+func (l *operations) add(e Event, s step) {
+	op := porcupine.Operation{ClientId: len(l.operations), Input: s, Call: e.Call, Return: e.Return}
 	if e.Kind == Call && e.Outcome != OK {
 		op.Return = math.MaxInt64 // it may take effect at any later time
 	}
-	l.ops, l.events = append(l.ops, op), append(l.events, e)
+	l.operations, l.events = append(l.operations, op), append(l.events, e)
 }
 
-// illegal tells whether no order of the operations explains the reads.
-func (l *linear) illegal() bool {
-	return porcupine.CheckOperationsTimeout(model, l.ops, patience) == porcupine.Illegal
+// isIllegal reports whether no order of the operations explains the reads.
+func (l *operations) isIllegal() bool {
+	return porcupine.CheckOperationsTimeout(model, l.operations, checkTimeout) == porcupine.Illegal
 }
 
-func (l *linear) keep(keep func(i int) bool) *linear {
-	kept := &linear{}
-	for i := range l.ops {
-		if keep(i) {
-			kept.ops, kept.events = append(kept.ops, l.ops[i]), append(kept.events, l.events[i])
+func (l *operations) filter(include func(i int) bool) *operations {
+	filtered := &operations{}
+	for i := range l.operations {
+		if include(i) {
+			filtered.operations, filtered.events = append(filtered.operations, l.operations[i]), append(filtered.events, l.events[i])
 		}
 	}
-	return kept
+	return filtered
 }
 
-// shortest cuts an illegal history down: to its shortest prefix that is
-// illegal, without what came before it and settled, without reads that it
-// does not need. Every step of it is sound: a legal history stays legal.
-func (l *linear) shortest() *linear {
-	whole := l
-	ends := make([]int64, 0, len(l.ops))
+// shortest reduces an illegal history to its shortest illegal prefix, without
+// the operations that ended before all others began, and without unneeded
+// reads. Every step keeps a legal history legal.
+func (l *operations) shortest() *operations {
+	full := l
+	ends := make([]int64, 0, len(l.operations))
 	for _, e := range l.events {
 		ends = append(ends, e.Return)
 	}
 	slices.Sort(ends)
-	until := func(n int) *linear { // what was called by the nth answer; what is out then may yet take effect
-		cut := whole.keep(func(i int) bool { return whole.events[i].Call <= ends[n] })
-		out := &linear{}
-		for i, op := range cut.ops {
+	until := func(n int) *operations { // what was called before the nth response; operations in flight may still take effect
+		cut := full.filter(func(i int) bool { return full.events[i].Call <= ends[n] })
+		out := &operations{}
+		for i, op := range cut.operations {
 			if cut.events[i].Return > ends[n] {
 				if op.Input.(step).kind == "read" {
 					continue
 				}
 				op.Return = math.MaxInt64
 			}
-			out.ops, out.events = append(out.ops, op), append(out.events, cut.events[i])
+			out.operations, out.events = append(out.operations, op), append(out.events, cut.events[i])
 		}
 		return out
 	}
 	low, high := 0, len(ends)-1
 	for low < high { // a longer prefix of an illegal one is illegal
-		if mid := (low + high) / 2; until(mid).illegal() {
+		if mid := (low + high) / 2; until(mid).isIllegal() {
 			high = mid
 		} else {
 			low = mid + 1
 		}
 	}
 	best := until(low)
-	if !best.illegal() {
-		return whole
+	if !best.isIllegal() {
+		return full
 	}
-	// From the latest point before which all had ended, but for calls that may take effect at any time.
-	slices.SortStableFunc(best.ops, func(a, b porcupine.Operation) int { return cmp.Compare(a.Call, b.Call) })
+	// From the latest point before which all had ended, except calls that may take effect at any time.
+	slices.SortStableFunc(best.operations, func(a, b porcupine.Operation) int { return cmp.Compare(a.Call, b.Call) })
 	slices.SortStableFunc(best.events, func(a, b Event) int { return cmp.Compare(a.Call, b.Call) })
-	for i := len(best.ops) - 1; i > 0; i-- {
-		from := best.ops[i].Call
-		if slices.ContainsFunc(best.ops, func(o porcupine.Operation) bool {
+	for i := len(best.operations) - 1; i > 0; i-- {
+		from := best.operations[i].Call
+		if slices.ContainsFunc(best.operations, func(o porcupine.Operation) bool {
 			return o.Call < from && o.Return >= from && o.Return < math.MaxInt64
 		}) {
 			continue
 		}
-		part := best.keep(func(j int) bool { return best.ops[j].Return >= from })
-		if len(part.ops) < len(best.ops) && part.illegal() {
+		part := best.filter(func(j int) bool { return best.operations[j].Return >= from })
+		if len(part.operations) < len(best.operations) && part.isIllegal() {
 			best = part
 			break
 		}
 	}
-	for i := len(best.ops) - 1; i >= 0; i-- {
-		if best.ops[i].Input.(step).kind != "read" {
+	for i := len(best.operations) - 1; i >= 0; i-- {
+		if best.operations[i].Input.(step).kind != "read" {
 			continue
 		}
-		if part := best.keep(func(j int) bool { return j != i }); part.illegal() {
+		if part := best.filter(func(j int) bool { return j != i }); part.isIllegal() {
 			best = part
 		}
 	}
 	return best
 }
 
-// Register checks that one value, at first initial, is linearizable: act
-// gives what an event does to it ("write" and the value, "read" and what was
-// seen; a set also "add" and "remove" with an element), or "" for an event
-// that does not concern it. Calls answered No do nothing; those Unknown may
-// take effect at any time from their call on.
-func Register(name, initial string, events []Event, act func(Event) (kind, value string)) *Break {
-	l := &linear{}
+// Register checks that one value, which begins with initial, is linearizable.
+// act returns the operation of an event on it ("write" or "read" with the
+// value; for a set also "add" and "remove" with an element), or "" for an
+// unrelated event. Calls with outcome No have no effect; those with Unknown may
+// take effect at any time after their call.
+func Register(name, initial string, events []Event, act func(Event) (kind, value string)) *Violation {
+	l := &operations{}
 	l.add(Event{Kind: Wipe, Key: "initial", Value: initial, Call: math.MinInt64, Return: math.MinInt64}, step{"write", initial})
 	for _, e := range events {
 		if e.Kind == Call && e.Outcome == No {
@@ -160,17 +160,17 @@
 			l.add(e, step{kind, value})
 		}
 	}
-	if !l.illegal() {
+	if !l.isIllegal() {
 		return nil
 	}
 	part := l.shortest()
-	return &Break{Check: "linearizable", What: name + ": no order of the calls explains what was observed", Part: part.events}
+	return &Violation{Check: "linearizable", What: name + ": no order of the calls explains what was observed", Events: part.events}
 }
 
-// OneHolder checks that no two sidecars hold one thing at a time. A sidecar
-// that tells the same token for a thing in two observations in a row held it
-// from the first one's answer to the second one's call.
-func OneHolder(field string, events []Event) *Break {
+// OneHolder checks that no two sidecars hold one lease at a time. A sidecar that
+// reports the same token of a lease in two consecutive observations held it
+// from the first one's response to the second one's request.
+func OneHolder(field string, events []Event) *Violation {
 	type claim struct {
 		from, to    int64
 		first, last Event
@@ -185,7 +185,7 @@
 		if e.Kind != Observe || e.Key != field {
 			continue
 		}
-		for k, before := range open { // one it no longer tells has ended
+		for k, before := range open { // one that is no longer reported has ended
 			if k.sidecar != e.Sidecar {
 				continue
 			}
@@ -206,8 +206,8 @@
 					break
 				}
 				if a.first.Sidecar != b.first.Sidecar && b.from < b.to {
-					return &Break{Check: "one holder", What: fmt.Sprintf("%s and %s both hold %s", a.first.Sidecar, b.first.Sidecar, thing),
-						Part: []Event{a.first, b.first, b.last, a.last}}
+					return &Violation{Check: "one holder", What: fmt.Sprintf("%s and %s both hold %s", a.first.Sidecar, b.first.Sidecar, thing),
+						Events: []Event{a.first, b.first, b.last, a.last}}
 				}
 			}
 		}
@@ -215,10 +215,10 @@
 	return nil
 }
 
-// TokensGrow checks that no token of a thing is told after a larger one was: by any sidecar, in real time.
-func TokensGrow(field string, events []Event) *Break {
-	largest := map[string]Event{} // by thing, among the observations that had ended
-	var out []Event               // observations by their answers, not yet ended
+// TokensIncrease checks that no token of a lease is reported after a larger one, by any sidecar, in real time.
+func TokensIncrease(field string, events []Event) *Violation {
+	largest := map[string]Event{} // by lease, among the observations that had ended
+	var out []Event               // observations by their responses, not yet ended
 	for _, e := range events {
 		if e.Kind != Observe || e.Key != field {
 			continue
@@ -236,8 +236,8 @@
 		})
 		for thing, token := range e.Tokens {
 			if before := largest[thing]; before.Tokens[thing] > token {
-				return &Break{Check: "tokens grow", What: fmt.Sprintf("%s: token %d of %s after %d of %s", thing, token, e.Sidecar, before.Tokens[thing], before.Sidecar),
-					Part: []Event{before, e}}
+				return &Violation{Check: "tokens grow", What: fmt.Sprintf("%s: token %d of %s after %d of %s", thing, token, e.Sidecar, before.Tokens[thing], before.Sidecar),
+					Events: []Event{before, e}}
 			}
 		}
 		out = append(out, e)
@@ -245,31 +245,31 @@
 	return nil
 }
 
-// Settled checks that from within after the last fault on all observers tell
-// one value of field, the same to the end, and that each of them tells one.
-func Settled(field string, observers []string, within time.Duration, events []Event) *Break {
+// Converged checks that later than within after the last fault all observers
+// report one value of field, the same until the end, and that each reports one.
+func Converged(field string, observers []string, within time.Duration, events []Event) *Violation {
 	var from int64
 	for _, e := range events {
 		if e.Kind == Fault {
 			from = max(from, e.Call+within.Microseconds())
 		}
 	}
-	told := map[string]bool{}
+	reported := map[string]bool{}
 	var first *Event
 	for i, e := range events {
 		if e.Kind != Observe || e.Key != field || e.Call < from {
 			continue
 		}
-		told[e.Sidecar] = true
+		reported[e.Sidecar] = true
 		if first == nil {
 			first = &events[i]
 		} else if e.text() != first.text() {
-			return &Break{Check: "settled", What: fmt.Sprintf("%s: two values later than %v after the last fault", field, within), Part: []Event{*first, e}}
+			return &Violation{Check: "settled", What: fmt.Sprintf("%s: two values later than %v after the last fault", field, within), Events: []Event{*first, e}}
 		}
 	}
 	for _, o := range observers {
-		if !told[o] {
-			return &Break{Check: "settled", What: fmt.Sprintf("%s: nothing told by %s later than %v after the last fault", field, o, within)}
+		if !reported[o] {
+			return &Violation{Check: "settled", What: fmt.Sprintf("%s: nothing reported by %s later than %v after the last fault", field, o, within)}
 		}
 	}
 	return nil
@@ -279,37 +279,37 @@
 	return fmt.Sprint(e.Value, e.Set, e.Tokens)
 }
 
-// Kept checks that what a call of op add promised, answered OK, is in the set
-// field of every observation called later than within after the answer, by
-// any sidecar, unless a call of op remove for it was sent before that observation ended.
-func Kept(field, add, remove string, within time.Duration, events []Event) *Break {
-	for i, promise := range events {
-		if promise.Kind != Call || promise.Op != add || promise.Outcome != OK {
+// Durable checks that an element that a confirmed call of op add added is in the
+// set field of every observation later than within after the response, by any
+// sidecar, unless a call of op remove for it was sent before that observation ended.
+func Durable(field, add, remove string, within time.Duration, events []Event) *Violation {
+	for i, call := range events {
+		if call.Kind != Call || call.Op != add || call.Outcome != OK {
 			continue
 		}
 		ends := int64(math.MaxInt64)
 		for _, e := range events {
-			if e.Kind == Call && e.Op == remove && e.Key == promise.Key && e.Outcome != No && e.Return >= promise.Call {
+			if e.Kind == Call && e.Op == remove && e.Key == call.Key && e.Outcome != No && e.Return >= call.Call {
 				ends = min(ends, e.Call)
 			}
 		}
 		for _, e := range events[i:] {
-			if e.Kind == Observe && e.Key == field && e.Call > promise.Return+within.Microseconds() && e.Return < ends && !slices.Contains(e.Set, promise.Key) {
-				return &Break{Check: "kept", What: fmt.Sprintf("%s of %s was answered yes and is missing", add, promise.Key), Part: []Event{promise, e}}
+			if e.Kind == Observe && e.Key == field && e.Call > call.Return+within.Microseconds() && e.Return < ends && !slices.Contains(e.Set, call.Key) {
+				return &Violation{Check: "kept", What: fmt.Sprintf("%s of %s was confirmed and is missing", add, call.Key), Events: []Event{call, e}}
 			}
 		}
 	}
 	return nil
 }
 
-// UpGap is the longest silence of a sidecar that still counts as up.
-const UpGap = 1500 * time.Millisecond
+// MaxSilence is the longest time between two responses of a sidecar that counts as up.
+const MaxSilence = 1500 * time.Millisecond
 
-// Dropped checks that no sidecar that has answered for within, without a gap,
-// is missing from what more than half of those that answer told last of field.
-func Dropped(field string, within time.Duration, events []Event) *Break {
+// Dropped checks that no sidecar that has responded for within, without a gap,
+// is missing from the field of more than half of the responding sidecars.
+func Dropped(field string, within time.Duration, events []Event) *Violation {
 	type state struct {
-		up   int64 // since when it answers
+		up   int64 // since when it responds
 		last Event
 	}
 	all := map[string]*state{}
@@ -318,26 +318,26 @@
 			continue
 		}
 		s := all[e.Sidecar]
-		if s == nil || e.Call-s.last.Return > UpGap.Microseconds() {
+		if s == nil || e.Call-s.last.Return > MaxSilence.Microseconds() {
 			s = &state{up: e.Call}
 			all[e.Sidecar] = s
 		}
 		s.last = e
-		answering := slices.DeleteFunc(slices.Sorted(maps.Keys(all)), func(name string) bool {
-			return e.Call-all[name].last.Return > UpGap.Microseconds()
+		responding := slices.DeleteFunc(slices.Sorted(maps.Keys(all)), func(name string) bool {
+			return e.Call-all[name].last.Return > MaxSilence.Microseconds()
 		})
-		for _, name := range answering {
+		for _, name := range responding {
 			if slices.Contains(e.Set, name) || e.Call-all[name].up < within.Microseconds() {
 				continue
 			}
 			var part []Event
-			for _, other := range answering {
+			for _, other := range responding {
 				if !slices.Contains(all[other].last.Set, name) {
 					part = append(part, all[other].last)
 				}
 			}
-			if 2*len(part) > len(answering) {
-				return &Break{Check: "dropped", What: name + " answers and is missing from the " + field + " of a majority", Part: part[:min(len(part), 3)]}
+			if 2*len(part) > len(responding) {
+				return &Violation{Check: "dropped", What: name + " responds and is missing from the " + field + " of a majority", Events: part[:min(len(part), 3)]}
 			}
 		}
 	}
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -1,7 +1,7 @@
-// Package history is the lab's record of what was asked of sidecars and what
-// they told, with times of call and answer on the lab's clock, and checkers:
-// small functions that find what breaks a promise and give the shortest part
-// of the history that shows it.
+// Package history records the admin calls of an experiment and the observed
+// states of its sidecars, with the times of request and response on the lab's
+// clock. Its checkers are functions that find a violation of a guarantee and
+// return the shortest part of the history that shows it.
 package history
 
 import (
@@ -15,17 +15,17 @@
 
 // The kinds of event.
 const (
-	Call    = "call"    // an operators' call
-	Observe = "observe" // what a sidecar told when asked
+	Call    = "call"    // an admin call
+	Observe = "observe" // the response to a poll of a sidecar
 	Fault   = "fault"   // a fault began or ended
-	Wipe    = "wipe"    // a sidecar's disk and memory were lost between Call and Return, by the experiment's design
+	Wipe    = "wipe"    // a sidecar's disk and memory were erased between Call and Return by a fault
 )
 
-// What became of a call.
+// The outcomes of a call.
 const (
-	OK      = "ok"      // answered yes: it is done and promised
-	No      = "no"      // answered that it was not and will not be done
-	Unknown = "unknown" // no answer, or one that promises nothing: it may be done, now or later
+	OK      = "ok"      // confirmed: it has taken effect and is durable
+	No      = "no"      // rejected: it has not taken effect and will not
+	Unknown = "unknown" // no response, or an inconclusive one: it may take effect, now or later
 )
 
 // Event is one line of the history, a JSON object (JSONL, in order of Call).
@@ -35,12 +35,12 @@
 	Op      string            `json:"op,omitempty"`      // of a call, as "ban"; a fault's label
 	Key     string            `json:"key,omitempty"`     // what a call is about; the field of an observation
 	Call    int64             `json:"call_us"`           // when it was sent, microseconds from the load's start
-	Return  int64             `json:"return_us"`         // when the answer was whole
+	Return  int64             `json:"return_us"`         // when the response was complete
 	Outcome string            `json:"outcome,omitempty"` // of a call
 	Value   string            `json:"value,omitempty"`   // observed: a scalar field
 	Set     []string          `json:"set,omitempty"`     // observed: a list's elements, sorted
-	Tokens  map[string]uint64 `json:"tokens,omitempty"`  // observed: an object of numbers, as duties held and their tokens
-	Text    string            `json:"text,omitempty"`    // of the answer
+	Tokens  map[string]uint64 `json:"tokens,omitempty"`  // observed: an object of numbers, as leases and their fencing tokens
+	Text    string            `json:"text,omitempty"`    // of the response
 }
 
 // Log collects events; it is safe for concurrent use.
@@ -56,7 +56,7 @@
 	l.events = append(l.events, e)
 }
 
-// Events gives all events so far, in order of Call.
+// Events returns all events so far, in order of Call.
 func (l *Log) Events() []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,17 +92,17 @@
 	return events, lines.Err()
 }
 
-// Break is one promise broken.
-type Break struct {
-	Check string  `json:"check"`
-	What  string  `json:"what"`
-	Part  []Event `json:"part"` // the shortest part of the history that shows it
+// Violation is a part of a history that violates a check.
+type Violation struct {
+	Check  string  `json:"check"`
+	What   string  `json:"what"`
+	Events []Event `json:"part"` // the shortest part of the history that shows it
 }
 
-// String gives the break and its part, a line an event.
-func (b Break) String() string {
-	text := b.Check + ": " + b.What
-	for _, e := range b.Part {
+// String formats the violation, with one line per event.
+func (v Violation) String() string {
+	text := v.Check + ": " + v.What
+	for _, e := range v.Events {
 		line, _ := json.Marshal(e)
 		text += "\n  " + string(line)
 	}
--- a/internal/lab/history/history_test.go
+++ b/internal/lab/history/history_test.go
@@ -8,15 +8,17 @@
 	"time"
 )
 
-// call and saw build a history: a call answered ok, an observation of a set.
+// call builds an admin call of s0.
 func call(op, key, outcome string, from, to int64) Event {
 	return Event{Kind: Call, Sidecar: "s0", Op: op, Key: key, Outcome: outcome, Call: from, Return: to}
 }
 
+// saw builds an observation of the set of banned servers.
 func saw(sidecar string, from, to int64, set ...string) Event {
 	return Event{Kind: Observe, Sidecar: sidecar, Key: "banned", Call: from, Return: to, Set: set}
 }
 
+// holds builds an observation of a lease and its token; 0 for none.
 func holds(sidecar string, token uint64, from, to int64) Event {
 	e := Event{Kind: Observe, Sidecar: sidecar, Key: "duties", Call: from, Return: to}
 	if token > 0 {
@@ -25,8 +27,8 @@
 	return e
 }
 
-// whole is the set of banned servers as one value.
-func whole(e Event) (string, string) {
+// banSet is the operation of an event on the set of banned servers.
+func banSet(e Event) (string, string) {
 	switch {
 	case e.Kind == Observe:
 		return "read", strings.Join(e.Set, ",")
@@ -38,35 +40,35 @@
 	return "", ""
 }
 
-// Each checker passes a history that keeps its promise, and names the part of one that breaks it.
-func TestCheckers(t *testing.T) {
-	register := func(events []Event) *Break { return Register("bans", "", events, whole) }
-	holder := func(events []Event) *Break { return OneHolder("duties", events) }
-	grow := func(events []Event) *Break { return TokensGrow("duties", events) }
-	settled := func(events []Event) *Break {
-		return Settled("banned", []string{"s0", "s1"}, 10*time.Microsecond, events)
+// Each checker accepts a history without a violation, and returns the part of one that shows a violation.
+func TestCheckersFindViolations(t *testing.T) {
+	register := func(events []Event) *Violation { return Register("bans", "", events, banSet) }
+	holder := func(events []Event) *Violation { return OneHolder("duties", events) }
+	grow := func(events []Event) *Violation { return TokensIncrease("duties", events) }
+	converged := func(events []Event) *Violation {
+		return Converged("banned", []string{"s0", "s1"}, 10*time.Microsecond, events)
 	}
-	kept := func(events []Event) *Break { return Kept("banned", "ban", "enable", 5*time.Microsecond, events) }
+	durable := func(events []Event) *Violation { return Durable("banned", "ban", "enable", 5*time.Microsecond, events) }
 	fault := Event{Kind: Fault, Op: "heal cut", Call: 100, Return: 100}
 	for name, c := range map[string]struct {
-		check  func([]Event) *Break
+		check  func([]Event) *Violation
 		events []Event
-		part   int // events of the break; 0 for a promise kept
+		part   int // events of the violation; 0 for none
 	}{
-		"a read amid a ban may see either": {register, []Event{call("ban", "v1", OK, 10, 20), saw("s0", 12, 14), saw("s0", 13, 19, "v1"), saw("s0", 30, 31, "v1")}, 0},
-		"a ban forgotten": {register, []Event{call("ban", "v0", OK, 1, 2), saw("s0", 3, 4, "v0"), call("enable", "v0", OK, 5, 6), saw("s0", 7, 8),
+		"a read during a ban may see either": {register, []Event{call("ban", "v1", OK, 10, 20), saw("s0", 12, 14), saw("s0", 13, 19, "v1"), saw("s0", 30, 31, "v1")}, 0},
+		"a ban is lost": {register, []Event{call("ban", "v0", OK, 1, 2), saw("s0", 3, 4, "v0"), call("enable", "v0", OK, 5, 6), saw("s0", 7, 8),
 			call("ban", "v1", OK, 10, 20), saw("s0", 22, 23, "v1"), saw("s0", 30, 31)}, 2},
-		"a ban of unknown outcome may come late":      {register, []Event{call("ban", "v1", Unknown, 10, 20), saw("s0", 30, 31), saw("s0", 40, 41, "v1")}, 0},
-		"a ban of unknown outcome does not come back": {register, []Event{call("ban", "v1", Unknown, 10, 20), saw("s0", 40, 41, "v1"), saw("s0", 50, 51)}, 3},
-		"one answered no was not done":                {register, []Event{call("ban", "v1", No, 10, 20), saw("s0", 30, 31, "v1")}, 2},
-		"a duty passes on":                            {holder, []Event{holds("s0", 1, 10, 11), holds("s0", 1, 20, 21), holds("s1", 2, 22, 23), holds("s0", 0, 24, 25), holds("s1", 2, 30, 31)}, 0},
-		"two hold one duty":                           {holder, []Event{holds("s0", 1, 10, 11), holds("s1", 2, 12, 13), holds("s1", 2, 22, 23), holds("s0", 1, 24, 25)}, 4},
-		"tokens of observations that overlap":         {grow, []Event{holds("s1", 2, 10, 20), holds("s0", 1, 19, 21)}, 0},
-		"a token after a larger one":                  {grow, []Event{holds("s1", 2, 10, 20), holds("s0", 1, 21, 22)}, 2},
-		"settled in time":                             {settled, []Event{saw("s0", 1, 2), fault, saw("s0", 105, 106), saw("s0", 111, 112, "v1"), saw("s1", 120, 121, "v1")}, 0},
-		"two views":                                   {settled, []Event{fault, saw("s0", 111, 112, "v1"), saw("s1", 120, 121)}, 2},
-		"kept until undone":                           {kept, []Event{call("ban", "v1", OK, 1, 2), saw("s1", 4, 5), saw("s1", 9, 10, "v1"), call("enable", "v1", Unknown, 20, 21), saw("s1", 30, 31)}, 0},
-		"missing":                                     {kept, []Event{call("ban", "v1", OK, 1, 2), saw("s1", 9, 10)}, 2},
+		"a ban of unknown outcome may take effect late": {register, []Event{call("ban", "v1", Unknown, 10, 20), saw("s0", 30, 31), saw("s0", 40, 41, "v1")}, 0},
+		"a ban of unknown outcome does not return":      {register, []Event{call("ban", "v1", Unknown, 10, 20), saw("s0", 40, 41, "v1"), saw("s0", 50, 51)}, 3},
+		"a rejected ban has no effect":                  {register, []Event{call("ban", "v1", No, 10, 20), saw("s0", 30, 31, "v1")}, 2},
+		"a lease is transferred":                        {holder, []Event{holds("s0", 1, 10, 11), holds("s0", 1, 20, 21), holds("s1", 2, 22, 23), holds("s0", 0, 24, 25), holds("s1", 2, 30, 31)}, 0},
+		"two sidecars hold one lease":                   {holder, []Event{holds("s0", 1, 10, 11), holds("s1", 2, 12, 13), holds("s1", 2, 22, 23), holds("s0", 1, 24, 25)}, 4},
+		"tokens of observations that overlap":           {grow, []Event{holds("s1", 2, 10, 20), holds("s0", 1, 19, 21)}, 0},
+		"a token after a larger one":                    {grow, []Event{holds("s1", 2, 10, 20), holds("s0", 1, 21, 22)}, 2},
+		"converged in time":                             {converged, []Event{saw("s0", 1, 2), fault, saw("s0", 105, 106), saw("s0", 111, 112, "v1"), saw("s1", 120, 121, "v1")}, 0},
+		"two values":                                    {converged, []Event{fault, saw("s0", 111, 112, "v1"), saw("s1", 120, 121)}, 2},
+		"present until removed":                         {durable, []Event{call("ban", "v1", OK, 1, 2), saw("s1", 4, 5), saw("s1", 9, 10, "v1"), call("enable", "v1", Unknown, 20, 21), saw("s1", 30, 31)}, 0},
+		"missing":                                       {durable, []Event{call("ban", "v1", OK, 1, 2), saw("s1", 9, 10)}, 2},
 	} {
 		found := c.check(c.events)
 		switch {
@@ -74,12 +76,12 @@
 			t.Errorf("%s: %v", name, found)
 		case c.part > 0 && found == nil:
 			t.Errorf("%s: not found", name)
-		case c.part > 0 && len(found.Part) != c.part:
-			t.Errorf("%s: %d events show it, want %d: %v", name, len(found.Part), c.part, found)
+		case c.part > 0 && len(found.Events) != c.part:
+			t.Errorf("%s: %d events show it, want %d: %v", name, len(found.Events), c.part, found)
 		}
 	}
-	if found := settled([]Event{fault, saw("s0", 111, 112)}); found == nil || !strings.Contains(found.What, "s1") {
-		t.Errorf("an observer that tells nothing: %v", found)
+	if found := converged([]Event{fault, saw("s0", 111, 112)}); found == nil || !strings.Contains(found.What, "s1") {
+		t.Errorf("an observer that reports nothing: %v", found)
 	}
 }
 
@@ -96,6 +98,6 @@
 		t.Errorf("read %v, %v", again, err)
 	}
 	if _, err := Read(strings.NewReader("{}\nno\n")); err == nil || !strings.Contains(err.Error(), "line 2") {
-		t.Errorf("a bad line: %v", err)
+		t.Errorf("an invalid line: %v", err)
 	}
 }
--- a/internal/lab/latency_test.go
+++ b/internal/lab/latency_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Both ways serve all of their calls, as many of each, and what is added is the one less the other.
-func TestLatencyServesBothWays(t *testing.T) {
+// Both paths serve all of their calls, as many of each, and the added latency is the difference.
+func TestLatencyCallsBothPathsEqually(t *testing.T) {
 	t.Parallel()
 	o := LatencyOptions{Servers: 3, Rate: 60, Runs: 1, Warmup: 500 * time.Millisecond, Duration: 1500 * time.Millisecond, Seed: 4}
 	l, err := MeasureLatency(context.Background(), filepath.Join(programs, "sidecar"), t.TempDir(), o, func(line string) { t.Log(line) })
@@ -21,7 +21,7 @@
 		t.Errorf("straight %d of %d, through %d of %d: want all, and as many", p.Direct.Served, p.Direct.Sent, p.Proxied.Served, p.Proxied.Sent)
 	}
 	if n := p.Proxied.Sent; n < 50 || n > 150 {
-		t.Errorf("%d calls a way in 1.5 s at 60 a second", n)
+		t.Errorf("%d calls per path in 1.5 s at 60 a second", n)
 	}
 	for _, q := range quantiles {
 		straight, through, added := l.Direct[q.name], l.Proxied[q.name], l.Added[q.name]
--- a/internal/lab/plot_test.go
+++ b/internal/lab/plot_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A run without load, and one whose answers all took the same time, are drawn like any other.
-func TestPlotWithoutSpread(t *testing.T) {
+// A run without load, and one whose responses all have the same latency, can be plotted.
+func TestPlotOfResultsWithoutRange(t *testing.T) {
 	same := Percentiles{P50: 3, P99: 3, P999: 3, Max: 3}
 	for name, r := range map[string]*Result{
 		"no load":            {Name: "idle"},
--- a/internal/lab/promises.go
+++ b/internal/lab/promises.go
@@ -9,9 +9,9 @@
 )
 
 // checkHistory runs the experiment's checks on the history. running is the sidecars that run at the end.
-func checkHistory(exp *Experiment, events []history.Event, running []string) []history.Break {
-	var broken []history.Break
-	add := func(b *history.Break) {
+func checkHistory(exp *Experiment, events []history.Event, running []string) []history.Violation {
+	var broken []history.Violation
+	add := func(b *history.Violation) {
 		if b != nil {
 			broken = append(broken, *b)
 		}
@@ -41,13 +41,13 @@
 		case "holder":
 			add(history.OneHolder(c.Field, events))
 		case "tokens":
-			add(history.TokensGrow(c.Field, events))
+			add(history.TokensIncrease(c.Field, events))
 		case "settled":
-			add(history.Settled(c.Field, running, c.Within.Duration, events))
+			add(history.Converged(c.Field, running, c.Within.Duration, events))
 		case "dropped":
 			add(history.Dropped(c.Field, c.Within.Duration, events))
 		case "kept":
-			add(history.Kept(c.Field, c.Op, c.Undo, c.Within.Duration, events))
+			add(history.Durable(c.Field, c.Op, c.Undo, c.Within.Duration, events))
 		}
 	}
 	return broken
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -44,11 +44,11 @@
 	AfterBan int `json:"after_ban"` // requests that reached a server longer than removalGrace after its sidecar confirmed a ban
 	// Excused counts breaches and late responses that the lab's own lateness explains, or that happened
 	// while the sidecar was cut off from discovery.
-	Excused            map[string]int  `json:"excused"`
-	Lateness           Lateness        `json:"lateness"`
-	Broken             []history.Break `json:"broken"`   // checks that the history violates
-	UnexpectedFailures []string        `json:"troubles"` // sidecars that exited or did not start, without a fault: breaches
-	Calls              map[string]int  `json:"calls"`    // admin calls, by op and outcome
+	Excused            map[string]int      `json:"excused"`
+	Lateness           Lateness            `json:"lateness"`
+	Violations         []history.Violation `json:"broken"`   // checks that the history violates
+	UnexpectedFailures []string            `json:"troubles"` // sidecars that exited or did not start, without a fault: breaches
+	Calls              map[string]int      `json:"calls"`    // admin calls, by op and outcome
 
 	Views []ViewConvergence `json:"views,omitempty"` // convergence of the membership views, with fleet.view and operators
 
@@ -96,7 +96,7 @@
 func (r *Result) rules() map[string]int {
 	rules := map[string]int{"lost": r.Outcomes[Lost], "forged": r.Outcomes[Forged], "unfinished": r.Outcomes[Unfinished], "ran_twice": r.RanTwice,
 		"after_drain": r.AfterDrain, "after_ban": r.AfterBan, "strange": r.UnknownIDs, "oversize": r.Datagrams.Oversize, "trouble": len(r.UnexpectedFailures)}
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		rules[b.Check]++
 	}
 	return rules
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -126,7 +126,7 @@
 		result.Views = viewConvergences(events, r.marks, r.startedAt, r.requests.start)
 	}
 	result.Control = r.control
-	result.Broken = checkHistory(r.exp, events, running)
+	result.Violations = checkHistory(r.exp, events, running)
 	result.UnexpectedFailures = r.sidecars.UnexpectedFailures()
 	return result
 }
--- a/internal/lab/run_test.go
+++ b/internal/lab/run_test.go
@@ -79,7 +79,7 @@
 		t.Errorf("served %d of %d", served, result.Requests)
 	}
 	if len(result.Faults) != 8 {
-		t.Errorf("faults played: %v, want 4 and their ends", result.Faults)
+		t.Errorf("faults %v, want 4 and their ends", result.Faults)
 	}
 	if d := result.Datagrams; d.Relayed == 0 || d.Dropped == 0 || d.Unknown > 0 {
 		t.Errorf("datagrams %+v, want some relayed and some dropped, none from strangers", d)
@@ -90,7 +90,7 @@
 	merged, _ := os.ReadFile(filepath.Join(folder, "merged.jsonl"))
 	for _, sidecar := range []string{`"file":"s00.log"`, `"file":"s04.log"`} {
 		if !strings.Contains(string(merged), sidecar) {
-			t.Errorf("the merged log has no line of %s", sidecar)
+			t.Errorf("the merged log has no lines of %s", sidecar)
 		}
 	}
 }
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestBadExperimentsNameTheField(t *testing.T) {
+func TestInvalidExperimentsNameTheField(t *testing.T) {
 	good := "duration = \"5s\"\n[fleet]\nsidecars = 2\nservers = 2\n[load]\nrate = 5\n"
 	for text, field := range map[string]string{
 		good + "colour = 1\n": "colour",
@@ -162,7 +162,7 @@
 }
 
 // The same seed gives the same schedule and the same arrivals; another gives others.
-func TestSeedGivesTheSchedule(t *testing.T) {
+func TestScheduleFollowsFromTheSeed(t *testing.T) {
 	text := "seed = 5\nduration = \"30s\"\n[fleet]\nsidecars = 4\nservers = 9\n[load]\nrate = 20\nshape = \"bursts\"\n" +
 		"burst_every = \"5s\"\nburst_for = \"1s\"\nburst_factor = 3\n[[chaos]]\nkind = \"kill\"\ncount = 3\nfor = \"1s\"\n" +
 		"[[chaos]]\nkind = \"partition\"\ncount = 2\n"
@@ -180,8 +180,8 @@
 	}
 }
 
-// A partition one way is silent; on its end, connections that lived through it are reset.
-func TestPartitionIsSilentThenResets(t *testing.T) {
+// A partition in one direction blocks; at its end, connections that existed during it are reset.
+func TestPartitionBlocksThenResetsConnections(t *testing.T) {
 	network := NewNetwork(1)
 	p, err := network.Listen(7, 0) // an echo server's, under faults
 	if err != nil {
@@ -214,7 +214,7 @@
 	if err := roundTrip(); err != nil {
 		t.Fatalf("before the partition: %v", err)
 	}
-	heal := network.Begin(&Rule{Cut: true, Resets: true, Match: func(from, _ endpoint) bool { return from == 7 }}) // answers are held
+	heal := network.Begin(&Rule{Cut: true, Resets: true, Match: func(from, _ endpoint) bool { return from == 7 }}) // responses are blocked
 	if err := roundTrip(); err == nil || !os.IsTimeout(err) {
 		t.Errorf("in the partition: %v, want silence", err)
 	}
@@ -225,7 +225,7 @@
 	}
 }
 
-// discovery is a stand-in agent for one test.
+// discovery is a fake discovery service for one test.
 func discovery(t *testing.T, network *Network) *FakeDiscovery {
 	t.Helper()
 	listener, err := network.Listen(9, 0)
@@ -237,8 +237,8 @@
 	return d
 }
 
-// A watch waits for a change and answers with it alone; a down agent is silent.
-func TestDiscoveryWatchAndSilence(t *testing.T) {
+// A watch returns the next change alone; while down there is no response.
+func TestFakeDiscoveryWatchAndDown(t *testing.T) {
 	d := discovery(t, NewNetwork(1))
 	d.Set(Instance{Name: "v1", Address: "127.0.0.1:9", Health: "Ready"}, nil)
 	get := func(query string, timeout time.Duration) string {
@@ -251,8 +251,8 @@
 		body, _ := io.ReadAll(r.Body)
 		return string(body)
 	}
-	if whole := get("", time.Second); !strings.Contains(whole, `"whole":true`) || !strings.Contains(whole, "v1") {
-		t.Errorf("the whole list: %s", whole)
+	if list := get("", time.Second); !strings.Contains(list, `"whole":true`) || !strings.Contains(list, "v1") {
+		t.Errorf("the full list: %s", list)
 	}
 	time.AfterFunc(100*time.Millisecond, func() { d.Set(Instance{Name: "v2", Address: "127.0.0.1:9", Health: "Ready"}, nil) })
 	if change := get("?after=2&wait_ms=5000", 3*time.Second); !strings.Contains(change, "v2") || strings.Contains(change, "v1") {
@@ -264,9 +264,9 @@
 	}
 }
 
-// A port taken meanwhile is tried anew; a sidecar that will not end on
-// SIGTERM (here a paused one) ends by SIGKILL.
-func TestTakenPortAndStubbornChild(t *testing.T) {
+// If the port is in use another one is chosen; a sidecar that does not end on
+// SIGTERM (here a paused one) is killed.
+func TestPortInUseAndProcessThatIgnoresSIGTERM(t *testing.T) {
 	exp, err := Parse("e.toml", []byte("duration = \"5s\"\n[fleet]\nsidecars = 1\nservers = 1\n[load]\nrate = 5\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -296,7 +296,7 @@
 		t.Fatal(err)
 	}
 	if s.ListenAddress(0) == taken.Addr().String() {
-		t.Error("the sidecar kept a port that was taken")
+		t.Error("the sidecar has a port that was in use")
 	}
 	s.Pause(0)
 	s.Terminate(0)
@@ -308,9 +308,9 @@
 	}
 }
 
-// Sidecars that keep state and are killed -9 while discovery is down serve again from the kept list at once; one
-// whose state file is junk says so, sets it aside and starts cold.
-func TestKeptStateServesThroughABlindRestart(t *testing.T) {
+// Sidecars that persist state and are killed while discovery is down serve from the persisted list after a restart; one
+// whose state file is invalid logs that, renames it and starts empty.
+func TestPersistedListServesWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
 	exp, err := Parse("blind.toml", []byte(`name = "blind"
 seed = 5
@@ -358,13 +358,13 @@
 	for _, r := range result.Restarts {
 		// Without state neither would be ready before discovery came back.
 		if r.FirstServedMs < 0 || r.At*1000+r.ReadyMs > back || r.At*1000+r.FirstServedMs > back {
-			t.Errorf("restart %+v: not served from the kept list while discovery was down, until %.0f ms", r, back)
+			t.Errorf("restart %+v: not served from the persisted list while discovery was down, until %.0f ms", r, back)
 		}
 	}
 	if aside, _ := filepath.Glob(filepath.Join(folder, "m2", "state", "s2.db.bad-*")); len(aside) != 1 {
-		t.Errorf("the junk state file was not set aside: %v", aside)
+		t.Errorf("the invalid state file was not renamed: %v", aside)
 	}
 	if log, _ := os.ReadFile(filepath.Join(folder, "s02.log")); !strings.Contains(string(log), "s2.db: invalid") {
-		t.Errorf("s2 did not name its bad state file")
+		t.Errorf("s2 did not name its invalid state file")
 	}
 }
--- a/internal/lab/search.go
+++ b/internal/lab/search.go
@@ -37,7 +37,7 @@
 	ShrunkFaults int      `json:"small_faults"`
 	ShrinkRuns   int      `json:"shrink_runs"`
 	Folder       string   `json:"folder"` // with found.toml, small.toml and the runs' logs
-	Breaks       []string `json:"breaks"` // of the run of the smallest schedule
+	Breaches     []string `json:"breaks"` // of the run of the smallest schedule
 }
 
 // SearchReport is the result of a search; it is written as JSON.
@@ -168,7 +168,7 @@
 	}
 	if err == nil && !isCutShort && result.Breaches() > 0 {
 		s.report.Findings = append(s.report.Findings, Finding{Seed: seed, Kinds: result.kinds(), Faults: len(exp.Faults), ShrunkFaults: len(exp.Faults),
-			Folder: folder, Breaks: result.breaks()})
+			Folder: folder, Breaches: result.describeBreaches()})
 		s.progress(fmt.Sprintf("seed %d breaks %v with %d faults", seed, result.kinds(), len(exp.Faults)))
 	} else if err == nil {
 		os.RemoveAll(folder)
@@ -211,13 +211,13 @@
 		kinds:    f.Kinds,
 		attempts: max(1, s.options.Attempts),
 		parallel: max(1, s.options.Parallel),
-		breaks:   f.Breaks,
+		breaches: f.Breaches,
 		mayContinue: func() bool {
 			return ctx.Err() == nil && (s.options.MaxDuration == 0 || time.Since(s.startedAt) < s.options.MaxDuration)
 		},
 	}
 	small := shrinker.shrink(found)
-	f.ShrunkFaults, f.ShrinkRuns, f.Breaks = len(small.Faults), shrinker.runs, shrinker.breaks
+	f.ShrunkFaults, f.ShrinkRuns, f.Breaches = len(small.Faults), shrinker.runs, shrinker.breaches
 	path := filepath.Join(f.Folder, "small.toml")
 	if err := writeExperiment(path, small); err != nil {
 		return err
@@ -226,10 +226,10 @@
 	return nil
 }
 
-// breaks describes the breaches of a result.
-func (r *Result) breaks() []string {
+// describeBreaches describes the breaches of a result.
+func (r *Result) describeBreaches() []string {
 	var lines []string
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		lines = append(lines, b.String())
 	}
 	lines = append(lines, r.UnexpectedFailures...)
@@ -257,7 +257,7 @@
 		r.Base, r.Runs, r.Wanted, r.Seconds, len(r.Findings), len(r.Failed), r.LateRuns, r.Faults)
 	for _, f := range r.Findings {
 		text += fmt.Sprintf("seed %d: %v, %d faults shrunk to %d: %s\n  %s\n", f.Seed, f.Kinds, f.Faults, f.ShrunkFaults, filepath.Join(f.Folder, "small.toml"),
-			strings.Join(f.Breaks, "\n  "))
+			strings.Join(f.Breaches, "\n  "))
 	}
 	for _, f := range r.Failed {
 		text += "not run: " + f + "\n"
--- a/internal/lab/search_test.go
+++ b/internal/lab/search_test.go
@@ -34,15 +34,15 @@
 	return exp
 }
 
-// Programs wrong on purpose: a search finds each within 20 seeds and shrinks what it found to 3 faults at most.
-func TestSearchFindsWrongPrograms(t *testing.T) {
+// Of faulty programs, a search finds each within 20 seeds and shrinks the schedule to 3 faults at most.
+func TestSearchFindsFaultyPrograms(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		program, more, check string
 		kinds                []string
 	}{
-		"forgets a ban at a restart": {"forgetsbans", "rate = 20\ncalls = [\"ban\"]\nservers = 2\n", "linearizable", nil},
-		"two of them hold one duty": {"twoholders", "observe = [\"/duties\"]\n[[check]]\nkind = \"holder\"\nfield = \"duties\"\n", "one holder",
+		"loses a ban at a restart": {"forgetsbans", "rate = 20\ncalls = [\"ban\"]\nservers = 2\n", "linearizable", nil},
+		"two sidecars hold one lease": {"twoholders", "observe = [\"/duties\"]\n[[check]]\nkind = \"holder\"\nfield = \"duties\"\n", "one holder",
 			[]string{"kill", "pause", "term", "join", "isolate", "peers", "link", "cut", "flap", "split", "machine-kill", "machine-pause"}}, // all but upgrade, which it cannot
 
 	} {
@@ -59,7 +59,7 @@
 			}
 			t.Log(report.Summary())
 			if len(report.Findings) == 0 || report.Findings[0].ShrunkFaults > 3 || report.Findings[0].Kinds[0] != c.check {
-				t.Fatalf("found %+v, want a break of %q by 3 faults at most", report.Findings, c.check)
+				t.Fatalf("found %+v, want a violation of %q by 3 faults at most", report.Findings, c.check)
 			}
 			small, err := os.ReadFile(filepath.Join(report.Findings[0].Folder, "small.toml"))
 			if err != nil {
--- a/internal/lab/shrink.go
+++ b/internal/lab/shrink.go
@@ -18,7 +18,7 @@
 	attempts, parallel int
 	mayContinue        func() bool
 	runs               int
-	breaks             []string
+	breaches           []string
 }
 
 // firstFailing runs candidates concurrently and returns the index of one that breaks one of the rules, -1 for none.
@@ -43,7 +43,7 @@
 				defer wg.Done()
 				result, err := s.run(s.ctx, candidates[t.candidate], folder)
 				if err == nil && slices.ContainsFunc(result.kinds(), func(k string) bool { return slices.Contains(s.kinds, k) }) {
-					broke[k] = result.breaks()
+					broke[k] = result.describeBreaches()
 					return
 				}
 				os.RemoveAll(folder)
@@ -52,7 +52,7 @@
 		wg.Wait()
 		for k, t := range batch {
 			if broke[k] != nil {
-				s.breaks = broke[k]
+				s.breaches = broke[k]
 				return t.candidate
 			}
 		}
--- a/internal/lab/summary.go
+++ b/internal/lab/summary.go
@@ -34,7 +34,7 @@
 	for _, t := range r.UnexpectedFailures {
 		text += "trouble: " + t + "\n"
 	}
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		text += "broken: " + b.String() + "\n"
 	}
 	return text
--- a/internal/lab/view_convergence.go
+++ b/internal/lab/view_convergence.go
@@ -124,7 +124,7 @@
 	var changedAfter []float64
 	for _, list := range bySidecar {
 		last := v.lastAnswer(list, endMs)
-		if last == nil || float64(last.at)/1000 < endMs-history.UpGap.Seconds()*1000 { // it is down at the end
+		if last == nil || float64(last.at)/1000 < endMs-history.MaxSilence.Seconds()*1000 { // it is down at the end
 			continue
 		}
 		digests[last.digest] = true
--- a/internal/lab/view_convergence_test.go
+++ b/internal/lab/view_convergence_test.go
@@ -14,14 +14,14 @@
 
 // view is what sidecar i tells of the fleet; nothing where it does not answer.
 func (r *rig) view(i int) (s fleet.Status) {
-	if status, text := r.ops(http.MethodGet, i, "/fleet", ""); status == http.StatusOK {
+	if status, text := r.adminCall(http.MethodGet, i, "/fleet", ""); status == http.StatusOK {
 		r.fatal(json.Unmarshal([]byte(text), &s))
 	}
 	return s
 }
 
-// see waits until the sidecars all settled on just these names, cut off or not.
-func (r *rig) see(what string, cutOff bool, names string, sidecars ...int) {
+// awaitViews waits until the sidecars all settled on just these names, cut off or not.
+func (r *rig) awaitViews(what string, cutOff bool, names string, sidecars ...int) {
 	r.Helper()
 	last := ""
 	defer func() {
@@ -42,33 +42,33 @@
 
 // Real processes keep one view through a crash, a partition, deafness, an upgrade, a machine's loss with its disk and
 // a pause: each fault is seen by those it should be seen by, and after each all are one fleet again.
-func TestViewsOfProcesses(t *testing.T) {
+func TestMembershipViewsOfProcesses(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, true, "", "view = true\n")
 	const all = "s0 s1 s2 s3"
 	everyone := []int{0, 1, 2, 3}
-	r.see("the start", false, all, everyone...)
+	r.awaitViews("the start", false, all, everyone...)
 	if s := r.view(2); s.Digest != r.view(3).Digest || len(s.Members) != 4 || s.Members[1].Zone != "a" || s.Members[1].State != "alive" ||
 		s.Traffic["packets"].Sent == 0 || s.Members[1].LastContactMillis < 0 {
 		t.Errorf("the status %+v", s)
 	}
 
 	heal := r.fault(Fault{Kind: "kill", Sidecars: []int{3}})
-	r.see("a crash to be known", false, "s0 s1 s2", 0, 1, 2)
+	r.awaitViews("a crash to be known", false, "s0 s1 s2", 0, 1, 2)
 	heal()
-	r.see("its return", false, all, everyone...)
+	r.awaitViews("its return", false, all, everyone...)
 
 	heal = r.fault(Fault{Kind: "split", Groups: [][]string{{"s0", "s1"}, {"s2", "s3"}}})
-	r.see("one side of a partition", false, "s0 s1", 0, 1)
-	r.see("its other side", false, "s2 s3", 2, 3)
+	r.awaitViews("one side of a partition", false, "s0 s1", 0, 1)
+	r.awaitViews("its other side", false, "s2 s3", 2, 3)
 	heal()
-	r.see("the partition's end", false, all, everyone...)
+	r.awaitViews("the partition's end", false, all, everyone...)
 
 	heal = r.fault(Fault{Kind: "isolate", Sidecars: []int{0}, Direction: "in"})
-	r.see("the deaf one to say so", true, all, 0)
-	r.see("the others to go on without it", false, "s1 s2 s3", 1, 2, 3)
+	r.awaitViews("the deaf one to say so", true, all, 0)
+	r.awaitViews("the others to go on without it", false, "s1 s2 s3", 1, 2, 3)
 	heal()
-	r.see("it to hear again", false, all, everyone...)
+	r.awaitViews("it to hear again", false, all, everyone...)
 
 	start := r.view(0).Members[1].StartTime
 	r.fault(Fault{Kind: "upgrade", Sidecars: []int{1}})
@@ -76,31 +76,31 @@
 		m := r.view(0).Members
 		return len(m) == 4 && m[1].StartTime.After(start) && m[1].State == "alive"
 	})
-	r.see("an upgrade's end", false, all, everyone...)
+	r.awaitViews("an upgrade's end", false, all, everyone...)
 
 	epoch := r.view(0).Epoch
 	heal = r.fault(Fault{Kind: "machine-replace", Machines: []int{1}}) // s1 and s3
-	r.see("a machine's loss", false, "s0 s2", 0, 2)
+	r.awaitViews("a machine's loss", false, "s0 s2", 0, 2)
 	heal()
-	r.see("a machine back with an empty disk", false, all, everyone...)
+	r.awaitViews("a machine back with an empty disk", false, all, everyone...)
 	heal = r.fault(Fault{Kind: "machine-kill", Machines: []int{0}})
 	heal()
 	if now := r.view(0).Epoch; now < epoch {
 		t.Errorf("s0 is back with its disk at epoch %d, was at %d", now, epoch)
 	}
-	r.see("a machine back with its disk", false, all, everyone...)
+	r.awaitViews("a machine back with its disk", false, all, everyone...)
 
 	heal = r.fault(Fault{Kind: "pause", Sidecars: []int{2}})
-	r.see("a pause to be taken for a crash", false, "s0 s1 s3", 0, 1, 3)
+	r.awaitViews("a pause to be taken for a crash", false, "s0 s1 s3", 0, 1, 3)
 	heal()
-	r.see("the paused one's return", false, all, everyone...)
+	r.awaitViews("the paused one's return", false, all, everyone...)
 	if relayed, _, oversize, strange := r.relay.Counts(); relayed == 0 || oversize > 0 || strange > 0 {
 		t.Errorf("%d datagrams relayed, %d over 256 bytes, %d of strangers", relayed, oversize, strange)
 	}
 }
 
 // What sidecars told is reckoned by fault: when views moved for the last time, into how many; a majority's dropping of a living one is found.
-func TestSettlings(t *testing.T) {
+func TestViewConvergences(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0).UTC()
 	var events []history.Event
 	tell := func(sidecar string, atMS, sinceMS int64, epoch string, settled ...string) {
@@ -135,7 +135,7 @@
 		tell("s0", at, 5600, "2", "s0", "s1")
 		tell("s1", at, 5800, "2", "s0", "s1")
 	}
-	if b := history.Dropped("settled", 2*time.Second, events); b == nil || len(b.Part) != 2 {
+	if b := history.Dropped("settled", 2*time.Second, events); b == nil || len(b.Events) != 2 {
 		t.Errorf("a living one missing from two of three: %v", b)
 	}
 }
