--- a/cmd/faultlab/chain.go
+++ b/cmd/faultlab/chain.go
@@ -11,7 +11,6 @@
 	"path/filepath"
 	"strconv"
 	"strings"
-	"sync"
 	"syscall"
 	"time"
 
@@ -19,95 +18,112 @@
 	"bramblestand/internal/lab/scale"
 )
 
-// chainFile is what chain writes.
+// chainFile is the file that chain writes.
 type chainFile struct {
 	Chains []*scale.ChainResult `json:"chains"`
-	// Naive is reckoned: attempts at the last level for each call of the edge where each level makes so many tries and
-	// nothing else bounds them.
-	Naive []naive `json:"naive"`
+	// Naive is estimated: attempts at the last level for each call of the edge if each level makes a fixed number of
+	// attempts, without a retry budget.
+	Naive []naiveChain `json:"naive"`
 }
 
-type naive struct {
-	Tries    int     `json:"tries"`
-	Fail     float64 `json:"fail"`
-	Attempts float64 `json:"attempts_per_call"`
+// naiveChain is the estimate of one number of attempts and failure rate.
+type naiveChain struct {
+	Attempts          int     `json:"tries"` // of each level
+	FailureRate       float64 `json:"fail"`
+	LastLevelAttempts float64 `json:"attempts_per_call"`
 }
 
-// chain plays chains of services with hollow sidecars, each in a process of its own for its virtual clock.
-func chain(args []string) error {
+// chainFlags are the flags of chain.
+type chainFlags struct {
+	out       string
+	spec      scale.Chain
+	fails     string
+	plain     string
+	plainRate float64
+	parallel  int
+	one, into string // of a child process, see runChainChild
+}
+
+// parseChain parses the flags of chain.
+func parseChain(args []string) (o chainFlags, err error) {
 	flags := flag.NewFlagSet("chain", flag.ContinueOnError)
-	out := flags.String("out", "lab-out", "folder for chain.json")
-	spec := scale.NewChain()
-	flags.IntVar(&spec.Levels, "levels", spec.Levels, "services in a row, 1 to 12")
-	flags.IntVar(&spec.Size, "size", spec.Size, "servers of each, and callers at the edge, 1 to 50")
-	flags.Float64Var(&spec.Rate, "rate", spec.Rate, "calls a second of each caller")
-	flags.DurationVar(&spec.Deadline.Duration, "deadline", spec.Deadline.Duration, "of a caller's call")
-	flags.DurationVar(&spec.For.Duration, "for", spec.For.Duration, "with failures, the first 10s told apart")
-	flags.Uint64Var(&spec.Seed, "seed", spec.Seed, "of all that is drawn")
-	fails := flags.String("fails", "0,0.1,0.5,1", "shares that the last level fails, by commas")
-	plain := flags.String("plain", "2,3", "tries of callers without sidecars, to compare with, by commas; empty for none")
-	plainRate := flags.Float64("plain-rate", 5, "calls a second of each of those callers")
-	parallel := flags.Int("parallel", 4, "chains at a time, 1 to 64")
-	one := flags.String("one", "", "a chain as JSON, to play alone: how the command calls itself")
-	into := flags.String("into", "", "where -one writes what came of it")
+	o.spec = scale.NewChain()
+	flags.StringVar(&o.out, "out", "lab-out", "folder for chain.json")
+	flags.IntVar(&o.spec.Levels, "levels", o.spec.Levels, "services in a row, 1 to 12")
+	flags.IntVar(&o.spec.Size, "size", o.spec.Size, "servers of each, and callers at the edge, 1 to 50")
+	flags.Float64Var(&o.spec.Rate, "rate", o.spec.Rate, "calls per second of each caller")
+	flags.DurationVar(&o.spec.Deadline.Duration, "deadline", o.spec.Deadline.Duration, "of a caller's call")
+	flags.DurationVar(&o.spec.For.Duration, "for", o.spec.For.Duration, "with failures, the first 10s reported separately")
+	flags.Uint64Var(&o.spec.Seed, "seed", o.spec.Seed, "of all random numbers")
+	flags.StringVar(&o.fails, "fails", "0,0.1,0.5,1", "failure rates of the last level, separated by commas")
+	flags.StringVar(&o.plain, "plain", "2,3", "attempts of callers without sidecars, for comparison, separated by commas; empty for none")
+	flags.Float64Var(&o.plainRate, "plain-rate", 5, "calls per second of each of those callers")
+	flags.IntVar(&o.parallel, "parallel", 4, "chains at a time, 1 to 64")
+	flags.StringVar(&o.one, "one", "", "one chain as JSON: how the command runs itself")
+	flags.StringVar(&o.into, "into", "", "file for the result of -one")
 	if err := flags.Parse(args); err != nil {
-		return err
+		return o, err
 	}
 	if flags.NArg() > 0 {
-		return fmt.Errorf("chain takes flags alone\n%s", usage)
+		return o, fmt.Errorf("chain takes flags alone\n%s", usage)
 	}
-	if *one != "" {
-		return chainOne(*one, *into)
+	if o.parallel < 1 || o.parallel > 64 {
+		return o, fmt.Errorf("-parallel: %d is not within 1 to 64", o.parallel)
 	}
-	shares, err := numbers("-fails", *fails)
+	return o, nil
+}
+
+// specs returns the chains to run: with sidecars, and with callers that make so many attempts without.
+func (o *chainFlags) specs() (specs []scale.Chain, naive []naiveChain, err error) {
+	failureRates, err := numbers("-fails", o.fails)
 	if err != nil {
-		return err
+		return nil, nil, err
 	}
-	if *parallel < 1 || *parallel > 64 {
-		return fmt.Errorf("-parallel: %d is not within 1 to 64", *parallel)
-	}
-	tries := []int{0}
-	for _, text := range strings.Split(*plain, ",") {
+	attempts := []int{0} // 0 with sidecars
+	for _, text := range strings.Split(o.plain, ",") {
 		if text == "" {
 			continue
 		}
 		n, err := strconv.Atoi(text)
 		if err != nil || n < 1 || n > 5 {
-			return fmt.Errorf("-plain: %q is not within 1 to 5", text)
+			return nil, nil, fmt.Errorf("-plain: %q is not within 1 to 5", text)
 		}
-		tries = append(tries, n)
-	}
-	var specs []scale.Chain
-	var file chainFile
-	for _, n := range tries {
-		for _, share := range shares {
-			s := spec
-			if s.Fail, s.Plain = share, n; n > 0 {
-				s.Rate = *plainRate
-				file.Naive = append(file.Naive, naive{n, share, scale.Naive(s.Levels, n, share)})
+		attempts = append(attempts, n)
+	}
+	for _, n := range attempts {
+		for _, failureRate := range failureRates {
+			s := o.spec
+			if s.Fail, s.Plain = failureRate, n; n > 0 {
+				s.Rate = o.plainRate
+				naive = append(naive, naiveChain{n, failureRate, scale.Naive(s.Levels, n, failureRate)})
 			}
 			if err := s.Validate(); err != nil {
-				return fmt.Errorf("-%w", err) // it names the flag
+				return nil, nil, fmt.Errorf("-%w", err) // it names the flag
 			}
 			specs = append(specs, s)
 		}
 	}
+	return specs, naive, nil
+}
+
+// chain runs chains of services with hollow sidecars, each in a process of its own, since it has a virtual clock.
+func chain(args []string) error {
+	o, err := parseChain(args)
+	if err != nil {
+		return err
+	}
+	if o.one != "" {
+		return runChainChild(o.one, o.into)
+	}
+	specs, naive, err := o.specs()
+	if err != nil {
+		return err
+	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	file.Chains = make([]*scale.ChainResult, len(specs))
+	file := chainFile{Chains: make([]*scale.ChainResult, len(specs)), Naive: naive}
 	errs := make([]error, len(specs))
-	places := make(chan struct{}, *parallel)
-	var playing sync.WaitGroup
-	for i, s := range specs {
-		playing.Add(1)
-		places <- struct{}{}
-		go func() {
-			defer playing.Done()
-			defer func() { <-places }()
-			file.Chains[i], errs[i] = chainChild(ctx, s)
-		}()
-	}
-	playing.Wait()
+	lab.ForEach(len(specs), o.parallel, func(i int) { file.Chains[i], errs[i] = startChainChild(ctx, specs[i]) })
 	broken := 0
 	for i, err := range errs {
 		if err != nil {
@@ -117,9 +133,9 @@
 	}
 	fmt.Print(scale.ChainTable(file.Chains))
 	for _, n := range file.Naive {
-		fmt.Printf("reckoned, %d tries, %v fail: %.1f attempts at the last level for each call\n", n.Tries, n.Fail, n.Attempts)
+		fmt.Printf("estimated, %d attempts, %v fail: %.1f attempts at the last level for each call\n", n.Attempts, n.FailureRate, n.LastLevelAttempts)
 	}
-	if err := lab.WriteJSON(filepath.Join(*out, "chain.json"), file); err != nil {
+	if err := lab.WriteJSON(filepath.Join(o.out, "chain.json"), file); err != nil {
 		return err
 	}
 	if broken > 0 {
@@ -128,8 +144,8 @@
 	return nil
 }
 
-// chainChild plays a chain in a process of its own.
-func chainChild(ctx context.Context, spec scale.Chain) (*scale.ChainResult, error) {
+// startChainChild runs a chain in a child process.
+func startChainChild(ctx context.Context, spec scale.Chain) (*scale.ChainResult, error) {
 	text, err := json.Marshal(spec)
 	if err != nil {
 		return nil, err
@@ -147,8 +163,8 @@
 	child := exec.CommandContext(ctx, program, "chain", "-one", string(text), "-into", into)
 	child.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	child.WaitDelay = time.Second
-	if told, err := child.CombinedOutput(); err != nil {
-		return nil, fmt.Errorf("%w: %s", err, told)
+	if output, err := child.CombinedOutput(); err != nil {
+		return nil, fmt.Errorf("%w: %s", err, output)
 	}
 	data, err := os.ReadFile(into)
 	if err != nil {
@@ -161,8 +177,8 @@
 	return &r, nil
 }
 
-// chainOne plays a chain on a virtual clock, and ends the process.
-func chainOne(text, into string) error {
+// runChainChild runs a chain on a virtual clock, and ends the process.
+func runChainChild(text, into string) error {
 	var spec scale.Chain
 	if err := json.Unmarshal([]byte(text), &spec); err != nil {
 		return fmt.Errorf("-one: %w", err)
--- a/cmd/faultlab/control.go
+++ b/cmd/faultlab/control.go
@@ -16,17 +16,17 @@
 	"bramblestand/internal/lab"
 )
 
-// control measures what control costs by servers listed and calls a second.
+// control measures the control traffic by number of servers and rate of requests.
 func control(args []string) error {
 	flags := flag.NewFlagSet("control", flag.ContinueOnError)
 	out := flags.String("out", "lab-out", "folder for control.json and the logs")
 	program := flags.String("sidecar", "bin/sidecar", "the sidecar's program")
 	sidecars := flags.Int("sidecars", 1, "of each run, 1 to 300")
-	servers := flags.String("servers", "6,60,240,960", "listed, by commas, each 1 to 1000")
-	rates := flags.String("rates", "0,0.1,1,47", "calls a second of a sidecar, by commas")
-	prices := flags.String("prices", "1,0.0014", "of a probe, by commas: prices.probe of the settings, as fleet.probe_price")
+	servers := flags.String("servers", "6,60,240,960", "in the list, separated by commas, each 1 to 1000")
+	rates := flags.String("rates", "0,0.1,1,47", "calls per second of a sidecar, separated by commas")
+	prices := flags.String("prices", "1,0.0014", "of a probe, separated by commas: prices.probe of the settings, as fleet.probe_price")
 	duration := flags.Duration("duration", 60*time.Second, "of a run, at least 20s: steady is from 15 s on")
-	parallel := flags.Int("parallel", 1, "runs at a time; at 1 reckoned bytes are compared with the kernel's, where there are no calls")
+	parallel := flags.Int("parallel", 1, "runs at a time; with 1, estimated bytes are compared with the kernel's in rows without calls")
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 		return err
 	}
 	if slices.Contains(each, 0) {
-		return fmt.Errorf("-prices: 0 would stand for the lab's own, which is 1")
+		return fmt.Errorf("-prices: 0 means the lab's default, which is 1")
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// numbers reads rates by commas; the error names the flag.
+// numbers parses numbers separated by commas; the error names the flag.
 func numbers(name, text string) (all []float64, err error) {
 	for _, part := range strings.Split(text, ",") {
 		v, err := strconv.ParseFloat(part, 64)
--- a/cmd/faultlab/latency.go
+++ b/cmd/faultlab/latency.go
@@ -13,19 +13,19 @@
 	"bramblestand/internal/lab"
 )
 
-// latency measures what one sidecar adds to a call.
+// latency measures the latency that one sidecar adds to a call.
 func latency(args []string) error {
 	flags := flag.NewFlagSet("latency", flag.ContinueOnError)
 	out := flags.String("out", "lab-out", "folder for latency.json and the logs")
 	program := flags.String("sidecar", "bin/sidecar", "the sidecar's program")
-	rates := flags.String("rates", "47,200", "calls a second of each way, by commas")
+	rates := flags.String("rates", "47,200", "calls per second and path, separated by commas")
 	var o lab.LatencyOptions
-	flags.IntVar(&o.Servers, "servers", 6, "pin servers, 1 to 1000")
-	flags.IntVar(&o.Runs, "plays", 10, "plays of each rate, 1 to 100")
-	flags.DurationVar(&o.Warmup, "warm", 2*time.Second, "of each play, not counted")
-	flags.DurationVar(&o.Duration, "duration", 15*time.Second, "of each play, counted, 100ms to 10m")
+	flags.IntVar(&o.Servers, "servers", 6, "servers, 1 to 1000")
+	flags.IntVar(&o.Runs, "plays", 10, "runs of each rate, 1 to 100")
+	flags.DurationVar(&o.Warmup, "warm", 2*time.Second, "of each run, not counted")
+	flags.DurationVar(&o.Duration, "duration", 15*time.Second, "of each run, counted, 100ms to 10m")
 	flags.Float64Var(&o.ProbePrice, "price", 1, "of a probe: prices.probe of the settings")
-	flags.Uint64Var(&o.Seed, "seed", 1, "of the first play")
+	flags.Uint64Var(&o.Seed, "seed", 1, "of the first run")
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
--- a/cmd/faultlab/main.go
+++ b/cmd/faultlab/main.go
@@ -27,7 +27,6 @@
 	"path/filepath"
 	"slices"
 	"strings"
-	"sync"
 	"syscall"
 
 	"bramblestand/internal/lab"
@@ -83,8 +82,10 @@
 	}
 }
 
+// breachError is the number of breaches of the rules, which main maps to an exit code of its own.
 type breachError int
 
+// Error says how many rules were broken.
 func (b breachError) Error() string { return fmt.Sprintf("%d breaches of the rules", int(b)) }
 
 // load reads an experiment; program, where not empty, overrides its sidecar.
@@ -103,6 +104,7 @@
 	return exp, err
 }
 
+// run runs an experiment, once or with several seeds.
 func run(args []string) error {
 	flags := flag.NewFlagSet("run", flag.ContinueOnError)
 	out := flags.String("out", "lab-out", "folder for the result, the plot and the logs")
@@ -166,39 +168,30 @@
 func runAll(ctx context.Context, exp *lab.Experiment, out string, repeat, parallel int) ([]*lab.Result, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	all, errs := make([]*lab.Result, repeat), make([]error, repeat)
-	slots := make(chan struct{}, parallel)
-	var running sync.WaitGroup
-	for n := range repeat {
-		slots <- struct{}{}
+	results, errs := make([]*lab.Result, repeat), make([]error, repeat)
+	lab.ForEach(repeat, parallel, func(n int) {
 		if ctx.Err() != nil {
-			break
+			return
 		}
 		one, folder := *exp, out
 		if repeat > 1 {
 			one.Seed += uint64(n)
 			folder = filepath.Join(out, fmt.Sprintf("run-%d", n))
 		}
-		running.Add(1)
-		go func() {
-			defer running.Done()
-			defer func() { <-slots }()
-			result, err := runOnce(ctx, &one, folder)
-			switch {
-			case ctx.Err() != nil && repeat > 1: // cut short
-				return
-			case err != nil:
-				errs[n] = err
-				stop()
-				return
-			}
-			if all[n] = result; repeat > 1 {
-				fmt.Fprintf(os.Stderr, "run %d of %d, seed %d: %d breaches\n", n+1, repeat, one.Seed, result.Breaches())
-			}
-		}()
-	}
-	running.Wait()
-	return slices.DeleteFunc(all, func(r *lab.Result) bool { return r == nil }), errors.Join(errs...)
+		result, err := runOnce(ctx, &one, folder)
+		switch {
+		case ctx.Err() != nil && repeat > 1: // cut short
+			return
+		case err != nil:
+			errs[n] = err
+			stop()
+			return
+		}
+		if results[n] = result; repeat > 1 {
+			fmt.Fprintf(os.Stderr, "run %d of %d, seed %d: %d breaches\n", n+1, repeat, one.Seed, result.Breaches())
+		}
+	})
+	return slices.DeleteFunc(results, func(r *lab.Result) bool { return r == nil }), errors.Join(errs...)
 }
 
 // runOnce runs an experiment and writes its result, plot and merged log into folder.
@@ -230,6 +223,7 @@
 	return lab.Run(ctx, exp, exp.Sidecar, logs, slog.New(slog.NewJSONHandler(labLog, nil)).With("lab", exp.Name))
 }
 
+// search looks for schedules of faults that break a rule.
 func search(args []string) error {
 	flags := flag.NewFlagSet("search", flag.ContinueOnError)
 	out := flags.String("out", "lab-out", "folder for search.json and, by seed, what broke a rule")
@@ -239,7 +233,7 @@
 	flags.Uint64Var(&o.FirstSeed, "first", 1, "the first seed")
 	flags.DurationVar(&o.MaxDuration, "for", 0, "no run begins later than this; 0 for no limit")
 	flags.IntVar(&o.Parallel, "parallel", 3, "runs at a time")
-	flags.Func("kinds", "kinds of faults to draw, by commas; default all that the experiment allows", func(text string) error {
+	flags.Func("kinds", "kinds of faults to draw, separated by commas; default all that the experiment allows", func(text string) error {
 		o.Kinds = strings.Split(text, ",")
 		return nil
 	})
@@ -271,6 +265,7 @@
 	return nil
 }
 
+// compare prints two results side by side.
 func compare(args []string) error {
 	if len(args) != 2 {
 		return fmt.Errorf("compare takes two result files\n%s", usage)
@@ -287,9 +282,10 @@
 	return nil
 }
 
+// report prints a result, and plots it again.
 func report(args []string) error {
 	flags := flag.NewFlagSet("report", flag.ContinueOnError)
-	plotPath := flags.String("plot", "", "where to draw the plot again (PNG)")
+	plotPath := flags.String("plot", "", "file for the plot (PNG)")
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
--- a/internal/lab/control.go
+++ b/internal/lab/control.go
@@ -84,29 +84,21 @@
 	return c
 }
 
+// controlSample samples all sidecars, maxControlCalls at a time.
 func (o *operators) controlSample() controlSample {
 	s := controlSample{status: map[int]controltraffic.Status{}, at: map[int]time.Duration{}, cpu: map[int]time.Duration{}}
-	var mu sync.Mutex
-	var calls sync.WaitGroup
-	slots := make(chan struct{}, maxControlCalls)
-	for i := range o.exp.Fleet.Sidecars {
-		calls.Add(1)
-		slots <- struct{}{}
-		go func() {
-			defer calls.Done()
-			defer func() { <-slots }()
-			code, text := o.adminCall(http.MethodGet, i, "/control", "")
-			var status controltraffic.Status
-			if code != http.StatusOK || json.Unmarshal([]byte(text), &status) != nil {
-				return // it is down or not ready yet
-			}
-			cpu := o.sidecars.cpuTime(i)
-			mu.Lock()
-			defer mu.Unlock()
-			s.status[i], s.at[i], s.cpu[i] = status, o.requests.Elapsed(), cpu
-		}()
-	}
-	calls.Wait()
+	var mu sync.Mutex // guards s
+	ForEach(o.exp.Fleet.Sidecars, maxControlCalls, func(i int) {
+		code, text := o.adminCall(http.MethodGet, i, "/control", "")
+		var status controltraffic.Status
+		if code != http.StatusOK || json.Unmarshal([]byte(text), &status) != nil {
+			return // it is down or not ready yet
+		}
+		cpu := o.sidecars.cpuTime(i)
+		mu.Lock()
+		defer mu.Unlock()
+		s.status[i], s.at[i], s.cpu[i] = status, o.requests.Elapsed(), cpu
+	})
 	s.loopback = loopbackSent()
 	return s
 }
--- a/internal/lab/control_table.go
+++ b/internal/lab/control_table.go
@@ -8,7 +8,6 @@
 	"path/filepath"
 	"runtime"
 	"strings"
-	"sync"
 	"text/tabwriter"
 	"time"
 
@@ -44,56 +43,51 @@
 // probeSettings describes the other settings of the lab that determine the probe rate.
 const probeSettings = "limits.probes true, discovery subscribe, target of the classes 0.6 s, no peers: min(4, 0.005 / probe_price) probes a call and 1 a second at the least"
 
+// controlPoint is what the rows of a ControlTable vary.
+type controlPoint struct {
+	servers     int
+	rate, price float64
+}
+
 // MeasureControl runs an experiment without faults for all combinations of servers, rates and prices, parallel of them at
 // a time, and calls progress with each row. If one runs at a time, rows without requests compare the estimated bytes with
 // the kernel's count, which is of all users of the loopback interface.
 func MeasureControl(ctx context.Context, program, folder string, sidecars int, servers []int, rates, prices []float64, duration time.Duration,
 	parallel int, progress func(string)) (*ControlTable, error) {
 	t := &ControlTable{Format: resultFormat, Cores: runtime.NumCPU(), Parallel: parallel, Sidecars: sidecars, Duration: Duration{duration}, Settings: probeSettings}
-	type point struct {
-		servers     int
-		rate, price float64
-	}
-	var points []point
+	var points []controlPoint
 	for _, price := range prices {
 		for _, n := range servers {
-			for _, r := range rates {
-				points = append(points, point{n, r, price})
+			for _, rate := range rates {
+				points = append(points, controlPoint{n, rate, price})
 			}
 		}
 	}
-	rows, errs := make([]ControlRow, len(points)), make([]error, len(points))
-	slots := make(chan struct{}, parallel)
-	var running sync.WaitGroup
+	experiments := make([]*Experiment, len(points))
 	for k, p := range points {
-		text := fmt.Sprintf("name = \"control\"\nseed = %d\nduration = %q\n[fleet]\nsidecars = %d\nservers = %d\nprobe_price = %v\n[load]\nrate = %v\n[ops]\non = true\nobserve = []\n",
-			k+1, duration, sidecars, p.servers, p.price, p.rate)
-		exp, err := Parse("control", []byte(text))
-		if err == nil {
-			err = exp.CheckDescriptors(min(parallel, len(points)))
+		var err error
+		if experiments[k], err = p.experiment(uint64(k+1), sidecars, duration); err != nil {
+			return nil, err
 		}
-		if err != nil {
+		if err := experiments[k].CheckDescriptors(min(parallel, len(points))); err != nil {
 			return nil, err
 		}
-		slots <- struct{}{}
-		running.Add(1)
-		go func() {
-			defer running.Done()
-			defer func() { <-slots }()
-			result, err := Run(ctx, exp, program, filepath.Join(folder, fmt.Sprintf("%d-%v-%v", p.servers, p.rate, p.price)), slog.New(slog.DiscardHandler))
-			switch {
-			case err != nil:
-				errs[k] = err
-				return
-			case result.Control == nil || result.Control.Steady == nil || result.Control.Steady.Sidecars < sidecars:
-				errs[k] = fmt.Errorf("%d servers, %v calls/s: cut short, or a sidecar did not respond", p.servers, p.rate)
-				return
-			}
-			rows[k] = controlRow(p.servers, p.rate, p.price, result, parallel == 1 && p.rate == 0)
-			progress(rows[k].String())
-		}()
 	}
-	running.Wait()
+	rows, errs := make([]ControlRow, len(points)), make([]error, len(points))
+	ForEach(len(points), parallel, func(k int) {
+		p := points[k]
+		result, err := Run(ctx, experiments[k], program, filepath.Join(folder, fmt.Sprintf("%d-%v-%v", p.servers, p.rate, p.price)), slog.New(slog.DiscardHandler))
+		switch {
+		case err != nil:
+			errs[k] = err
+			return
+		case result.Control == nil || result.Control.Steady == nil || result.Control.Steady.Sidecars < sidecars:
+			errs[k] = fmt.Errorf("%d servers, %v calls/s: cut short, or a sidecar did not respond", p.servers, p.rate)
+			return
+		}
+		rows[k] = controlRow(p, result, parallel == 1 && p.rate == 0)
+		progress(rows[k].String())
+	})
 	for _, err := range errs {
 		if err != nil {
 			return nil, err
@@ -103,11 +97,19 @@
 	return t, nil
 }
 
-func controlRow(servers int, rate, price float64, r *Result, alone bool) ControlRow {
-	row := ControlRow{Servers: servers, Rate: rate, Price: price, StartBytes: math.Round(r.Control.Start.WireBytes * r.Control.Start.Seconds),
+// experiment returns the experiment of a row.
+func (p controlPoint) experiment(seed uint64, sidecars int, duration time.Duration) (*Experiment, error) {
+	text := fmt.Sprintf("name = \"control\"\nseed = %d\nduration = %q\n[fleet]\nsidecars = %d\nservers = %d\nprobe_price = %v\n"+
+		"[load]\nrate = %v\n[ops]\non = true\nobserve = []\n", seed, duration, sidecars, p.servers, p.price, p.rate)
+	return Parse("control", []byte(text))
+}
+
+// controlRow returns the row of a run. isAlone is whether nothing else used the loopback interface.
+func controlRow(p controlPoint, r *Result, isAlone bool) ControlRow {
+	row := ControlRow{Servers: p.servers, Rate: p.rate, Price: p.price, StartBytes: math.Round(r.Control.Start.WireBytes * r.Control.Start.Seconds),
 		PeakMB: r.SidecarPeakMB, Outcomes: r.Outcomes, Breaches: r.Breaches(), Late: r.Lateness.Late, TimerP99: r.Lateness.Timers.P99, Control: *r.Control}
 	for i, s := range []*ControlSpan{&row.Start, row.Steady} {
-		if alone && s.LoopbackBytes > 0 {
+		if isAlone && s.LoopbackBytes > 0 {
 			row.Ratio[i] = s.WireBytes * float64(r.Sidecars) / s.LoopbackBytes
 		} else {
 			s.LoopbackBytes, s.LoopbackPackets = 0, 0
--- a/internal/lab/disk.go
+++ b/internal/lab/disk.go
@@ -5,44 +5,13 @@
 	"fmt"
 	"io/fs"
 	"os"
-	"os/exec"
 	"path/filepath"
-	"runtime"
 	"sync"
 	"time"
 
 	"golang.org/x/sys/unix"
 )
 
-// capDACOverride lets root write where permissions forbid it.
-const capDACOverride = 1
-
-// childStarter starts every child of the lab from one thread that lives as long as
-// the lab: a child's parent-death signal comes when that thread ends. The
-// thread gives up CAP_DAC_OVERRIDE for its children, so that a read-only disk
-// binds them under root too, and blocks SIGXFSZ, so that a write to a full
-// disk fails as an error instead of ending the process.
-var childStarter = sync.OnceValue(func() chan<- func() {
-	calls := make(chan func())
-	go func() {
-		runtime.LockOSThread() // never unlocked: the thread's settings must not reach other work
-		unix.Prctl(unix.PR_CAPBSET_DROP, capDACOverride, 0, 0, 0)
-		var set unix.Sigset_t
-		set.Val[(unix.SIGXFSZ-1)/64] |= 1 << ((unix.SIGXFSZ - 1) % 64)
-		unix.PthreadSigmask(unix.SIG_BLOCK, &set, nil)
-		for call := range calls {
-			call()
-		}
-	}()
-	return calls
-})
-
-func startChild(cmd *exec.Cmd) error {
-	done := make(chan error)
-	childStarter() <- func() { done <- cmd.Start() }
-	return <-done
-}
-
 // disk is the disk of one machine: a folder with the persisted state of its
 // sidecars and their TMPDIR. Faults of one kind are counted, and end with the last.
 type disk struct {
@@ -70,7 +39,8 @@
 }
 
 func (d *disk) state() string { return filepath.Join(d.folder, "state") }
-func (d *disk) tmp() string   { return filepath.Join(d.folder, "tmp") }
+
+func (d *disk) tmp() string { return filepath.Join(d.folder, "tmp") }
 
 // reboot clears TMPDIR, as a loss of power does; replace empties the disk, as a new machine's is.
 func (d *disk) reboot() error { return d.clear(d.tmp()) }
@@ -153,45 +123,57 @@
 	go d.lockPeriodically(delay, stop)
 }
 
+// lockPeriodically locks the state files for delay at a time, until stop is closed.
 func (d *disk) lockPeriodically(delay time.Duration, stop <-chan struct{}) {
 	const gap = 60 * time.Millisecond // longer than the 50 ms between two attempts of bbolt to lock
 	for {
-		var locked []*os.File
-		paths, _ := filepath.Glob(filepath.Join(d.state(), "*.db"))
-		for _, path := range paths {
-			f, err := os.Open(path)
-			if err != nil {
-				continue
-			}
-			for attempt := 0; ; attempt++ { // a save that holds the lock is short
-				if err = unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err == nil || attempt == 500 {
-					break
-				}
-				time.Sleep(time.Millisecond)
-			}
-			if err != nil {
-				f.Close()
-				continue
-			}
-			locked = append(locked, f)
-		}
-		ended := false
-		select {
-		case <-time.After(delay):
-		case <-stop:
-			ended = true
-		}
+		locked := d.lockStateFiles()
+		isStopped := waitOrStop(delay, stop)
 		for _, f := range locked {
 			f.Close() // releases the lock
 		}
-		if ended {
+		if isStopped || waitOrStop(gap, stop) {
 			return
 		}
-		select {
-		case <-time.After(gap):
-		case <-stop:
-			return
+	}
+}
+
+// lockStateFiles locks the state files of all sidecars, without those that stay locked.
+func (d *disk) lockStateFiles() (locked []*os.File) {
+	paths, _ := filepath.Glob(filepath.Join(d.state(), "*.db"))
+	for _, path := range paths {
+		f, err := os.Open(path)
+		if err != nil {
+			continue
+		}
+		if !lockFile(f) {
+			f.Close()
+			continue
 		}
+		locked = append(locked, f)
+	}
+	return locked
+}
+
+// lockFile locks a file, and reports whether it could. A save that holds the lock is short.
+func lockFile(f *os.File) bool {
+	const maxLockAttempts = 500 // one a millisecond
+	for range maxLockAttempts {
+		if unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB) == nil {
+			return true
+		}
+		time.Sleep(time.Millisecond)
+	}
+	return false
+}
+
+// waitOrStop waits for a time, and reports whether stop was closed before.
+func waitOrStop(d time.Duration, stop <-chan struct{}) bool {
+	select {
+	case <-time.After(d):
+		return false
+	case <-stop:
+		return true
 	}
 }
 
--- a/internal/lab/fake_discovery.go
+++ b/internal/lab/fake_discovery.go
@@ -24,12 +24,16 @@
 	StartedAtMillis int64   `json:"born_ms"`
 }
 
+// listResponse is the response to a call for the list or a watch, in the protocol's JSON.
 type listResponse struct {
 	Version   int64      `json:"seq"`
 	IsFull    bool       `json:"whole"`
 	Instances []Instance `json:"hosts"`
 }
 
+// maxWatchMillis is the longest time that a watch may wait.
+const maxWatchMillis = 60_000
+
 // FakeDiscovery is a fake discovery service: the full list at
 // GET /registry/instances, and watches by ?after=SEQ&wait_ms=MS. Each caller
 // gets the servers' addresses on the loopback address that it called. Faults
@@ -74,7 +78,7 @@
 
 // Set changes an instance in the list, now or, under lag, a little later;
 // announced, unless nil, is called once callers can get the change (not while down).
-func (d *FakeDiscovery) Set(h Instance, told func()) {
+func (d *FakeDiscovery) Set(instance Instance, announced func()) {
 	d.mu.Lock()
 	var wait time.Duration
 	for _, lag := range d.lags {
@@ -82,25 +86,26 @@
 	}
 	d.mu.Unlock()
 	if wait <= 0 {
-		d.apply(h, told)
+		d.apply(instance, announced)
 		return
 	}
-	time.AfterFunc(wait, func() { d.apply(h, told) })
+	time.AfterFunc(wait, func() { d.apply(instance, announced) })
 }
 
-func (d *FakeDiscovery) apply(h Instance, told func()) {
+// apply makes a change, and announces it now or when the service responds again.
+func (d *FakeDiscovery) apply(instance Instance, announced func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if told != nil && d.downFaults > 0 {
-		d.unannounced = append(d.unannounced, told)
-	} else if told != nil {
-		defer told()
+	if announced != nil && d.downFaults > 0 {
+		d.unannounced = append(d.unannounced, announced)
+	} else if announced != nil {
+		defer announced()
 	}
 	d.version++
-	if _, ok := d.instances[h.Name]; !ok {
-		d.order = append(d.order, h.Name)
+	if _, ok := d.instances[instance.Name]; !ok {
+		d.order = append(d.order, instance.Name)
 	}
-	d.instances[h.Name], d.changedAt[h.Name] = h, d.version
+	d.instances[instance.Name], d.changedAt[instance.Name] = instance, d.version
 	d.changes.notifyAll()
 }
 
@@ -114,8 +119,8 @@
 		d.downFaults--
 	}
 	if d.downFaults == 0 {
-		for _, told := range d.unannounced {
-			defer told()
+		for _, announced := range d.unannounced {
+			defer announced()
 		}
 		d.unannounced = nil
 	}
@@ -142,43 +147,54 @@
 	d.received.calls.Add(1)
 	after, _ := strconv.ParseInt(r.FormValue("after"), 10, 64)
 	waitMs, _ := strconv.ParseInt(r.FormValue("wait_ms"), 10, 64)
-	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(min(waitMs, 60000))*time.Millisecond)
+	if !d.awaitChange(r.Context(), after, time.Duration(min(waitMs, maxWatchMillis))*time.Millisecond) {
+		return
+	}
+	calledIP := "127.0.0.1"
+	if called, ok := r.Context().Value(http.LocalAddrContextKey).(*net.TCPAddr); ok {
+		calledIP = called.IP.String()
+	}
+	w.Header().Set("Content-Type", "application/json")
+	json.NewEncoder(w).Encode(d.list(after, calledIP))
+}
+
+// awaitChange waits for a version later than after, at most for the given time, and while the service is down. It
+// reports false where the caller is to get no response.
+func (d *FakeDiscovery) awaitChange(caller context.Context, after int64, timeout time.Duration) bool {
+	ctx, cancel := context.WithTimeout(caller, timeout)
 	defer cancel()
 	for {
 		d.mu.Lock()
-		down, seq, wake := d.downFaults > 0, d.version, d.changes.changed()
+		isDown, version, changed := d.downFaults > 0, d.version, d.changes.changed()
 		d.mu.Unlock()
-		if !down && (seq > after || ctx.Err() != nil) {
-			break
+		if !isDown && (version > after || ctx.Err() != nil) {
+			return true
 		}
 		select {
-		case <-wake:
+		case <-changed:
 		case <-ctx.Done():
-			if down {
-				<-r.Context().Done() // no response while down, until the caller disconnects
-				return
+			if isDown {
+				<-caller.Done() // no response while down, until the caller disconnects
+				return false
 			}
 		}
 	}
+}
+
+// list returns the full list (after is 0) or the changes after a version, with addresses on an IP address.
+func (d *FakeDiscovery) list(after int64, ip string) listResponse {
 	d.mu.Lock()
-	answer := listResponse{Version: d.version, IsFull: after == 0} // without after, or with after=0
-	mine := net.IPv4(127, 0, 0, 1).String()                        // the caller's own address of every server
-	if called, ok := r.Context().Value(http.LocalAddrContextKey).(*net.TCPAddr); ok {
-		mine = called.IP.String()
-	}
+	defer d.mu.Unlock()
+	response := listResponse{Version: d.version, IsFull: after == 0, Instances: []Instance{}}
 	for _, name := range d.order {
-		if answer.IsFull && d.instances[name].Health != "Gone" || !answer.IsFull && d.changedAt[name] > after {
-			h := d.instances[name]
-			if _, port, err := net.SplitHostPort(h.Address); err == nil {
-				h.Address = net.JoinHostPort(mine, port)
-			}
-			answer.Instances = append(answer.Instances, h)
+		instance := d.instances[name]
+		if response.IsFull && instance.Health == "Gone" || !response.IsFull && d.changedAt[name] <= after {
+			continue
 		}
+		if _, port, err := net.SplitHostPort(instance.Address); err == nil {
+			instance.Address = net.JoinHostPort(ip, port)
+		}
+		response.Instances = append(response.Instances, instance)
 	}
-	d.mu.Unlock()
-	if answer.Instances == nil {
-		answer.Instances = []Instance{}
-	}
-	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(answer)
+	return response
 }
--- a/internal/lab/inject.go
+++ b/internal/lab/inject.go
@@ -11,18 +11,19 @@
 // discoveryOutages are the windows in which a link fault cut sidecars off from discovery, by sidecar and fault.
 type discoveryOutages map[[2]int]window
 
-func (b discoveryOutages) record(sidecar, fault int, ends bool, at time.Duration) {
+// record notes that a fault begins or ends to cut a sidecar off.
+func (o discoveryOutages) record(sidecar, fault int, ends bool, at time.Duration) {
 	k := [2]int{sidecar, fault}
-	if w, ok := b[k]; ok && ends {
-		b[k] = window{w.from, at}
+	if w, ok := o[k]; ok && ends {
+		o[k] = window{w.from, at}
 	} else if !ends {
-		b[k] = window{at, openEnd}
+		o[k] = window{at, openEnd}
 	}
 }
 
 // overlaps reports whether a sidecar was cut off from discovery at any time in [from, to].
-func (b discoveryOutages) overlaps(sidecar int, from, to time.Duration) bool {
-	for k, w := range b {
+func (o discoveryOutages) overlaps(sidecar int, from, to time.Duration) bool {
+	for k, w := range o {
 		if k[0] == sidecar && w.from <= to && from <= w.to {
 			return true
 		}
@@ -36,182 +37,225 @@
 	Label string  `json:"label"`
 }
 
-func (w *testbed) runSchedule(ctx context.Context, events []Event) []Mark {
+// runSchedule begins and ends the faults at their times, until ctx ends, and returns when all changes are applied.
+func (bed *testbed) runSchedule(ctx context.Context, events []Event) []Mark {
 	var marks []Mark
-	begun := map[int]chan struct{}{} // by fault, closed when its begin was applied
-	var acting sync.WaitGroup
-	defer acting.Wait()
+	faultsBegun := map[int]chan struct{}{} // by fault, closed when its begin was applied
+	var changes sync.WaitGroup
+	defer changes.Wait()
 	for _, ev := range events {
-		if !w.requests.waitUntil(ctx, ev.At) {
+		if !bed.requests.waitUntil(ctx, ev.At) {
 			return marks
 		}
 		if !ev.Quiet {
-			marks = append(marks, Mark{AtMs: ms(w.requests.Elapsed()), Label: ev.Label()})
-			w.log.Info("fault", "event", ev.Label(), "lab_ms", w.requests.Elapsed().Milliseconds())
+			marks = append(marks, Mark{AtMs: ms(bed.requests.Elapsed()), Label: ev.Label()})
+			bed.log.Info("fault", "event", ev.Label(), "lab_ms", bed.requests.Elapsed().Milliseconds())
 		}
-		at := w.requests.nowMicros()
-		w.history.Add(history.Event{Kind: history.Fault, Op: ev.Label(), Call: at, Return: at})
-		w.startEvent(ev, begun, &acting)
+		at := bed.requests.nowMicros()
+		bed.history.Add(history.Event{Kind: history.Fault, Op: ev.Label(), Call: at, Return: at})
+		bed.startEvent(ev, faultsBegun, &changes)
 	}
 	return marks
 }
 
 // startEvent begins or ends a fault. Links change at once and in order. Sidecars, machines and servers change
 // concurrently with other events, since a kill or start may take long, but a fault's end waits for its begin.
-func (w *testbed) startEvent(ev Event, begun map[int]chan struct{}, acting *sync.WaitGroup) {
-	if rule, _ := (selectorResolver{w.exp}).linkRule(ev.Fault); rule != nil {
-		w.applyLinkEvent(ev, rule)
+func (bed *testbed) startEvent(ev Event, faultsBegun map[int]chan struct{}, changes *sync.WaitGroup) {
+	if rule, _ := (selectorResolver{bed.exp}).linkRule(ev.Fault); rule != nil {
+		bed.applyLinkEvent(ev, rule)
 		return
 	}
-	before, done := begun[ev.ID], make(chan struct{})
+	before, done := faultsBegun[ev.ID], make(chan struct{})
 	if !ev.Heal {
-		begun[ev.ID] = done
+		faultsBegun[ev.ID] = done
 	}
-	acting.Add(1)
+	changes.Add(1)
 	go func() {
-		defer acting.Done()
+		defer changes.Done()
 		defer close(done)
 		if ev.Heal {
 			<-before
 		}
-		w.applyEvent(ev)
+		bed.applyEvent(ev)
 	}()
 }
 
 // applyLinkEvent activates or deactivates the rule of a fault.
-func (w *testbed) applyLinkEvent(ev Event, rule *Rule) {
+func (bed *testbed) applyLinkEvent(ev Event, rule *Rule) {
 	if ev.Heal {
-		if end := w.endRules[ev.ID]; end != nil {
+		if end := bed.endRules[ev.ID]; end != nil {
 			end()
 		}
 	} else {
-		w.endRules[ev.ID] = w.network.Begin(rule)
+		bed.endRules[ev.ID] = bed.network.Begin(rule)
 	}
-	discovery := (selectorResolver{w.exp}).discovery()
+	discovery := (selectorResolver{bed.exp}).discovery()
 	if !rule.Cut {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for i := range w.exp.Fleet.Sidecars {
+	bed.mu.Lock()
+	defer bed.mu.Unlock()
+	for i := range bed.exp.Fleet.Sidecars {
 		if e := endpoint(i); rule.Match(e, discovery) || rule.Match(discovery, e) {
-			w.discoveryOutages.record(i, ev.ID, ev.Heal, w.requests.Elapsed())
+			bed.discoveryOutages.record(i, ev.ID, ev.Heal, bed.requests.Elapsed())
 		}
 	}
 }
 
-func (w *testbed) applyEvent(ev Event) {
-	f := ev.Fault
-	var side sync.WaitGroup // several sidecars at a time, since each change waits for an exit or for readiness
-	defer side.Wait()
-	each := func(i int, do func(int)) {
-		side.Add(1)
-		go func() { defer side.Done(); do(i) }()
-	}
-	for _, i := range f.Sidecars {
-		switch {
-		case f.Kind == "join" && !ev.Heal:
-			each(i, w.sidecars.Release)
-		case f.Kind == "join": // the end of a temporary join
-			each(i, w.sidecars.Terminate)
-		case f.Kind == "upgrade" && !ev.Heal:
-			each(i, w.sidecars.Upgrade)
-		case f.Kind == "kill" && !ev.Heal:
-			each(i, w.sidecars.Kill)
-		case f.Kind == "term" && !ev.Heal:
-			each(i, w.sidecars.Terminate)
-		case f.Kind == "kill" || f.Kind == "term":
-			each(i, w.sidecars.Release)
-		case f.Kind == "pause" && !ev.Heal:
-			w.sidecars.Pause(i)
-		case f.Kind == "pause":
-			each(i, w.sidecars.Resume)
-		}
+// applyEvent begins or ends a fault that is not of links, and returns when that is done.
+func (bed *testbed) applyEvent(ev Event) {
+	var changes sync.WaitGroup // several sidecars at a time, since each change waits for an exit or for readiness
+	defer changes.Wait()
+	start := func(i int, change func(int)) {
+		changes.Add(1)
+		go func() {
+			defer changes.Done()
+			change(i)
+		}()
 	}
-	for _, i := range f.Servers {
-		s := w.servers[i]
-		switch {
-		case f.Kind == "reset":
-			s.Listener.Reset(!ev.Heal)
-		case f.Kind == "drain" && s.countDrain(!ev.Heal):
-			if ev.Heal {
-				s.SetDrained(time.Time{})
-				w.discovery.Set(instanceOf(s, "Ready"), nil)
-			} else { // removalGrace begins when discovery can report it
-				w.discovery.Set(instanceOf(s, "Terminating"), func() { s.SetDrained(time.Now()) })
-			}
+	for _, i := range ev.Fault.Sidecars {
+		if ev.Heal {
+			bed.endSidecarFault(ev.Fault.Kind, i, start)
+		} else {
+			bed.beginSidecarFault(ev.Fault.Kind, i, start)
 		}
 	}
-	if f.Kind == "discovery" {
-		if f.Mode == "down" {
-			w.discovery.SetDown(!ev.Heal)
+	for _, i := range ev.Fault.Servers {
+		bed.applyServerEvent(ev, bed.servers[i])
+	}
+	if ev.Fault.Kind == "discovery" {
+		if ev.Fault.Mode == "down" {
+			bed.discovery.SetDown(!ev.Heal)
 		} else {
-			w.discovery.SetLag(f.Delay.Duration, !ev.Heal)
+			bed.discovery.SetLag(ev.Fault.Delay.Duration, !ev.Heal)
 		}
 	}
-	for _, m := range f.Machines {
-		w.applyMachineEvent(ev, m, each)
+	for _, m := range ev.Fault.Machines {
+		bed.applyMachineEvent(ev, m, start)
 	}
 }
 
-// applyMachineEvent begins or ends a fault of one machine: of all its sidecars together, and its disk.
-func (w *testbed) applyMachineEvent(ev Event, m int, each func(int, func(int))) {
-	f := ev.Fault
-	var mine []int
-	for i := range w.exp.Fleet.Sidecars {
-		if w.exp.machineOf(i) == m {
-			mine = append(mine, i)
-		}
+// beginSidecarFault begins a fault of sidecar i; start runs what takes time.
+func (bed *testbed) beginSidecarFault(kind string, i int, start func(int, func(int))) {
+	switch kind {
+	case "join":
+		start(i, bed.sidecars.Release)
+	case "upgrade":
+		start(i, bed.sidecars.Upgrade)
+	case "kill":
+		start(i, bed.sidecars.Kill)
+	case "term":
+		start(i, bed.sidecars.Terminate)
+	case "pause":
+		bed.sidecars.Pause(i)
 	}
-	d := w.disks[m]
-	recordError := func(err error) {
-		if err != nil {
-			w.sidecars.recordFailure(mine[0], "machine %d: disk of the lab: %v", m, err)
-		}
+}
+
+// endSidecarFault ends a fault of sidecar i; start runs what takes time.
+func (bed *testbed) endSidecarFault(kind string, i int, start func(int, func(int))) {
+	switch kind {
+	case "join": // the end of a temporary join
+		start(i, bed.sidecars.Terminate)
+	case "kill", "term":
+		start(i, bed.sidecars.Release)
+	case "pause":
+		start(i, bed.sidecars.Resume)
 	}
-	loses := f.Kind == "machine-replace" || f.Kind == "machine-kill" && !w.exp.Fleet.State // all settings that its sidecars had confirmed
+}
+
+// applyServerEvent begins or ends a fault of one server.
+func (bed *testbed) applyServerEvent(ev Event, s *FakeServer) {
 	switch {
-	case f.Kind == "disk" && f.Mode == "full":
-		w.sidecars.SetFull(m, !ev.Heal)
-	case f.Kind == "disk" && f.Mode == "readonly":
-		recordError(d.setReadonly(!ev.Heal))
-	case f.Kind == "disk":
-		d.setSlow(ev.ID, f.Delay.Duration, !ev.Heal)
-	case f.Kind == "machine-pause" && !ev.Heal:
-		for _, i := range mine {
-			w.sidecars.Pause(i)
-		}
-	case f.Kind == "machine-pause":
-		for _, i := range mine {
-			each(i, w.sidecars.Resume)
-		}
-	case !ev.Heal: // machine-kill, machine-replace
-		if loses {
-			w.mu.Lock()
-			w.wipedAt[ev.ID] = w.requests.nowMicros()
-			w.mu.Unlock()
+	case ev.Fault.Kind == "reset":
+		s.Listener.Reset(!ev.Heal)
+	case ev.Fault.Kind == "drain" && s.countDrain(!ev.Heal):
+		if ev.Heal {
+			s.SetDrained(time.Time{})
+			bed.discovery.Set(instanceOf(s, "Ready"), nil)
+		} else { // removalGrace begins when discovery can report it
+			bed.discovery.Set(instanceOf(s, "Terminating"), func() { s.SetDrained(time.Now()) })
 		}
-		var processes []*sidecarProcess
-		for _, i := range mine { // all at once
-			processes = append(processes, w.sidecars.holdDown(i, true)...)
+	}
+}
+
+// applyMachineEvent begins or ends a fault of one machine: of all its sidecars together, and its disk.
+func (bed *testbed) applyMachineEvent(ev Event, m int, start func(int, func(int))) {
+	var sidecars []int
+	for i := range bed.exp.Fleet.Sidecars {
+		if bed.exp.machineOf(i) == m {
+			sidecars = append(sidecars, i)
 		}
-		for _, process := range processes {
-			<-process.exited
+	}
+	var err error
+	switch kind := ev.Fault.Kind; {
+	case kind == "disk":
+		err = bed.applyDiskEvent(ev, m)
+	case kind == "machine-pause" && !ev.Heal:
+		for _, i := range sidecars {
+			bed.sidecars.Pause(i)
 		}
-		if f.Kind == "machine-replace" {
-			recordError(d.replace())
-		} else {
-			recordError(d.reboot())
+	case kind == "machine-pause":
+		for _, i := range sidecars {
+			start(i, bed.sidecars.Resume)
 		}
+	case !ev.Heal: // machine-kill, machine-replace
+		err = bed.killMachine(ev, m, sidecars)
+	default:
+		bed.restartMachine(ev, sidecars, start)
+	}
+	if err != nil {
+		bed.sidecars.recordFailure(sidecars[0], "machine %d: disk of the lab: %v", m, err)
+	}
+}
+
+// applyDiskEvent begins or ends a fault of one machine's disk.
+func (bed *testbed) applyDiskEvent(ev Event, m int) error {
+	switch ev.Fault.Mode {
+	case "full":
+		bed.sidecars.SetFull(m, !ev.Heal)
+		return nil
+	case "readonly":
+		return bed.disks[m].setReadonly(!ev.Heal)
 	default:
-		for _, i := range mine {
-			if loses {
-				w.mu.Lock()
-				from := w.wipedAt[ev.ID]
-				w.mu.Unlock()
-				w.history.Add(history.Event{Kind: history.Wipe, Sidecar: sidecarName(i), Op: ev.Label(), Call: from, Return: w.requests.nowMicros()})
-			}
-			each(i, w.sidecars.Release)
+		bed.disks[m].setSlow(ev.ID, ev.Fault.Delay.Duration, !ev.Heal)
+		return nil
+	}
+}
+
+// losesSettings reports whether a machine's sidecars lose all settings that they confirmed.
+func (bed *testbed) losesSettings(f Fault) bool {
+	return f.Kind == "machine-replace" || f.Kind == "machine-kill" && !bed.exp.Fleet.State
+}
+
+// killMachine kills all sidecars of a machine at once, and erases its TMPDIR or its whole disk.
+func (bed *testbed) killMachine(ev Event, m int, sidecars []int) error {
+	if bed.losesSettings(ev.Fault) {
+		bed.mu.Lock()
+		bed.wipedAt[ev.ID] = bed.requests.nowMicros()
+		bed.mu.Unlock()
+	}
+	var processes []*sidecarProcess
+	for _, i := range sidecars {
+		processes = append(processes, bed.sidecars.holdDown(i, true)...)
+	}
+	for _, process := range processes {
+		<-process.exited
+	}
+	if ev.Fault.Kind == "machine-replace" {
+		return bed.disks[m].replace()
+	}
+	return bed.disks[m].reboot()
+}
+
+// restartMachine starts the sidecars of a machine that was killed.
+func (bed *testbed) restartMachine(ev Event, sidecars []int, start func(int, func(int))) {
+	for _, i := range sidecars {
+		if bed.losesSettings(ev.Fault) {
+			bed.mu.Lock()
+			wipedAt := bed.wipedAt[ev.ID]
+			bed.mu.Unlock()
+			bed.history.Add(history.Event{Kind: history.Wipe, Sidecar: sidecarName(i), Op: ev.Label(), Call: wipedAt, Return: bed.requests.nowMicros()})
 		}
+		start(i, bed.sidecars.Release)
 	}
 }
--- a/internal/lab/latency.go
+++ b/internal/lab/latency.go
@@ -128,20 +128,15 @@
 // stream: no call waits for a response. The servers respond at once. Each run has a sidecar and servers of its own;
 // progress is called with each run.
 func MeasureLatency(ctx context.Context, program, folder string, o LatencyOptions, progress func(string)) (*Latency, error) {
-	for _, c := range []struct {
-		bad         bool
-		field, what string
-	}{
+	if err := firstInvalid([]fieldCheck{
 		{o.Servers < 1 || o.Servers > 1000, "servers", "is not within 1 to 1000"},
 		{!(o.Rate > 0 && o.Rate <= 2000), "rate", "is not within 0 to 2000, or is 0"},
 		{o.Runs < 1 || o.Runs > 100, "plays", "is not within 1 to 100"},
 		{o.Warmup < 0 || o.Warmup > time.Minute, "warm", "is not within 0 to 1m"},
 		{o.Duration < 100*time.Millisecond || o.Duration > 10*time.Minute, "duration", "is not within 100ms to 10m"},
 		{!(o.ProbePrice >= 0 && o.ProbePrice <= 1000), "price", "is not within 0 to 1000"},
-	} {
-		if c.bad {
-			return nil, fmt.Errorf("%s %s", c.field, c.what)
-		}
+	}); err != nil {
+		return nil, err
 	}
 	l := &Latency{Format: resultFormat, Servers: o.Servers, Rate: o.Rate, ProbePrice: o.ProbePrice, Warmup: Duration{o.Warmup}, Duration: Duration{o.Duration}}
 	if l.ProbePrice == 0 {
--- a/internal/lab/received_load.go
+++ b/internal/lab/received_load.go
@@ -35,19 +35,19 @@
 // receivedLoadInterval is the time between samples.
 const receivedLoadInterval = time.Second
 
-func (w *testbed) receivedLoad() ReceivedLoad {
+func (bed *testbed) receivedLoad() ReceivedLoad {
 	b := ReceivedLoad{at: time.Now()}
-	for _, s := range w.servers {
+	for _, s := range bed.servers {
 		b.Probes += s.received.probes.Load()
 		b.Calls += s.received.calls.Load()
 		b.Conns += s.Listener.traffic.conns.Load()
 		b.Bytes += s.Listener.traffic.in.Load() + s.Listener.traffic.out.Load()
 	}
-	b.DiscoveryCalls = w.discovery.received.calls.Load()
-	b.DiscoveryConns = w.discovery.listener.traffic.conns.Load()
-	b.DiscoveryBytes = w.discovery.listener.traffic.in.Load() + w.discovery.listener.traffic.out.Load()
-	if w.relay != nil {
-		relayed, _, _, _ := w.relay.Counts()
+	b.DiscoveryCalls = bed.discovery.received.calls.Load()
+	b.DiscoveryConns = bed.discovery.listener.traffic.conns.Load()
+	b.DiscoveryBytes = bed.discovery.listener.traffic.in.Load() + bed.discovery.listener.traffic.out.Load()
+	if bed.relay != nil {
+		relayed, _, _, _ := bed.relay.Counts()
 		b.Datagrams = int64(relayed)
 	}
 	sent := loopbackSent()
@@ -56,15 +56,15 @@
 }
 
 // sampleReceivedLoad samples until ctx ends, and returns all samples.
-func (w *testbed) sampleReceivedLoad(ctx context.Context) (all []ReceivedLoad) {
+func (bed *testbed) sampleReceivedLoad(ctx context.Context) (all []ReceivedLoad) {
 	tick := time.NewTicker(receivedLoadInterval)
 	defer tick.Stop()
 	for {
-		all = append(all, w.receivedLoad())
+		all = append(all, bed.receivedLoad())
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			return append(all, w.receivedLoad())
+			return append(all, bed.receivedLoad())
 		}
 	}
 }
--- a/internal/lab/restarts.go
+++ b/internal/lab/restarts.go
@@ -27,57 +27,73 @@
 
 const (
 	restartErrorWindow = 5 * time.Second // after the exec, whose errors count as the restart's
-	settleWindow       = time.Second
-	settleStep         = 50 * time.Millisecond
+
+	// Requests are served normally from the begin of the first window on in which enough of enough requests were served.
+	stableWindow      = time.Second
+	stableStep        = 50 * time.Millisecond // between the begins of windows
+	minStableRequests = 5
+	minStableServed   = 0.99 // fraction
+	maxStableTime     = 4 * restartErrorWindow
 )
 
 // analyzeRestart completes a restart from the records of its sidecar. The caller holds t.mu.
 func (t *RequestTable) analyzeRestart(r Restart) Restart {
-	began := time.Duration(r.At * float64(time.Second))
-	r.FirstServedMs, r.StableMs = -1, -1
-	var mine []*record
+	startedAt := time.Duration(r.At * float64(time.Second))
+	var sent []*record // by its application since the exec, in time order
 	for _, rec := range t.records {
-		if rec.sidecar == r.Sidecar && rec.sent >= began {
-			mine = append(mine, rec)
+		if rec.sidecar == r.Sidecar && rec.sent >= startedAt {
+			sent = append(sent, rec)
 		}
 	}
-	slices.SortFunc(mine, func(a, b *record) int { return int(a.sent - b.sent) })
-	ready := began + time.Duration(r.ReadyMs*float64(time.Millisecond))
+	slices.SortFunc(sent, func(a, b *record) int { return int(a.sent - b.sent) })
+	readyAt := startedAt + time.Duration(r.ReadyMs*float64(time.Millisecond))
 	for _, at := range t.unsent[r.Sidecar] {
-		if at >= began && at < ready {
+		if at >= startedAt && at < readyAt {
 			r.Unsent++
 		}
 	}
-	for _, rec := range mine {
-		if rec.outcome == Served && (r.FirstServedMs < 0 || ms(rec.sent+rec.duration-began) < r.FirstServedMs) {
-			r.FirstServedMs = ms(rec.sent + rec.duration - began)
+	r.FirstServedMs = -1
+	for _, rec := range sent {
+		if served := ms(rec.sent + rec.duration - startedAt); rec.outcome == Served && (r.FirstServedMs < 0 || served < r.FirstServedMs) {
+			r.FirstServedMs = served
 		}
-		if rec.sent < began+restartErrorWindow {
-			switch rec.outcome {
-			case Rejected:
-				r.Rejected++
-			case Failed, Late:
-				r.Failed++
-			case Unreached, Cut:
-				r.Unreached++
-			case Lost:
-				r.Lost++
-			}
+		if rec.sent < startedAt+restartErrorWindow {
+			r.countError(rec.outcome)
 		}
 	}
-	for from := began; from < began+4*restartErrorWindow && r.StableMs < 0; from += settleStep {
+	r.StableMs = stableAfter(sent, startedAt)
+	return r
+}
+
+// countError counts the outcome of a request that was sent soon after the restart.
+func (r *Restart) countError(outcome Outcome) {
+	switch outcome {
+	case Rejected:
+		r.Rejected++
+	case Failed, Late:
+		r.Failed++
+	case Unreached, Cut:
+		r.Unreached++
+	case Lost:
+		r.Lost++
+	}
+}
+
+// stableAfter returns the milliseconds from startedAt until requests were served normally, -1 for never.
+func stableAfter(requests []*record, startedAt time.Duration) float64 {
+	for from := startedAt; from < startedAt+maxStableTime; from += stableStep {
 		sent, served := 0, 0
-		for _, rec := range mine {
-			if rec.sent >= from && rec.sent < from+settleWindow {
+		for _, rec := range requests {
+			if rec.sent >= from && rec.sent < from+stableWindow {
 				sent++
 				if rec.outcome == Served {
 					served++
 				}
 			}
 		}
-		if sent >= 5 && float64(served) >= 0.99*float64(sent) {
-			r.StableMs = ms(from - began)
+		if sent >= minStableRequests && float64(served) >= minStableServed*float64(sent) {
+			return ms(from - startedAt)
 		}
 	}
-	return r
+	return -1
 }
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -69,13 +69,13 @@
 }
 
 // holdJoiners keeps the sidecars that join in the run from being started with the others.
-func (w *testbed) holdJoiners(schedule []Event) {
+func (bed *testbed) holdJoiners(schedule []Event) {
 	for _, ev := range schedule {
 		if ev.Fault.Kind != "join" || ev.Heal {
 			continue
 		}
 		for _, i := range ev.Fault.Sidecars {
-			w.sidecars.holdDown(i, false)
+			bed.sidecars.holdDown(i, false)
 		}
 	}
 }
@@ -151,7 +151,7 @@
 }
 
 // newTestbed starts what an experiment needs, except its sidecars, which the caller starts.
-func newTestbed(exp *Experiment, program, folder string, log *slog.Logger) (w *testbed, err error) {
+func newTestbed(exp *Experiment, program, folder string, log *slog.Logger) (bed *testbed, err error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, err
 	}
@@ -164,31 +164,31 @@
 	if _, err := os.Stat(program); err != nil {
 		return nil, fmt.Errorf("sidecar: %w", err)
 	}
-	w = &testbed{exp: exp, network: NewNetwork(exp.Seed), requests: NewRequestTable(), history: &history.Log{}, log: log,
+	bed = &testbed{exp: exp, network: NewNetwork(exp.Seed), requests: NewRequestTable(), history: &history.Log{}, log: log,
 		endRules: map[int]func(){}, wipedAt: map[int]int64{}, discoveryOutages: discoveryOutages{}}
 	defer func() {
 		if err != nil {
-			w.close()
+			bed.close()
 		}
 	}()
-	w.requests.recordsArrivals = exp.Ops.On
+	bed.requests.recordsArrivals = exp.Ops.On
 	sub, call := newSubnet(), selectorResolver{exp}
-	listener, err := w.network.Listen(call.discovery(), sub)
+	listener, err := bed.network.Listen(call.discovery(), sub)
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	w.discovery = NewFakeDiscovery(exp.Seed, listener)
+	bed.discovery = NewFakeDiscovery(exp.Seed, listener)
 	for i := range exp.Fleet.Servers {
-		listener, err := w.network.Listen(call.server(i), sub)
+		listener, err := bed.network.Listen(call.server(i), sub)
 		if err != nil {
 			return nil, fmt.Errorf("pin server %d: %w", i, err)
 		}
-		s := NewFakeServer(serverName(i), exp.Fleet.Zones[i%len(exp.Fleet.Zones)], exp.Server, w.requests, exp.Seed+uint64(i), listener)
-		w.servers = append(w.servers, s)
-		w.discovery.Set(instanceOf(s, "Ready"), nil)
+		s := NewFakeServer(serverName(i), exp.Fleet.Zones[i%len(exp.Fleet.Zones)], exp.Server, bed.requests, exp.Seed+uint64(i), listener)
+		bed.servers = append(bed.servers, s)
+		bed.discovery.Set(instanceOf(s, "Ready"), nil)
 	}
 	if exp.Fleet.datagrams() {
-		if w.relay, err = NewDatagramRelay(exp.Fleet.Sidecars, w.network, sub); err != nil {
+		if bed.relay, err = NewDatagramRelay(exp.Fleet.Sidecars, bed.network, sub); err != nil {
 			return nil, err
 		}
 	}
@@ -197,28 +197,28 @@
 		if err != nil {
 			return nil, err
 		}
-		w.disks = append(w.disks, d)
+		bed.disks = append(bed.disks, d)
 	}
-	w.sidecars = newSidecars(program, folder, exp, sub, w.discovery, w.relay, w.disks, w.requests, log)
-	return w, nil
+	bed.sidecars = newSidecars(program, folder, exp, sub, bed.discovery, bed.relay, bed.disks, bed.requests, log)
+	return bed, nil
 }
 
 // close ends everything, the sidecars first.
-func (w *testbed) close() {
-	if w.sidecars != nil {
-		w.sidecars.Stop()
+func (bed *testbed) close() {
+	if bed.sidecars != nil {
+		bed.sidecars.Stop()
 	}
-	for _, d := range w.disks {
+	for _, d := range bed.disks {
 		d.close()
 	}
-	if w.relay != nil {
-		w.relay.Close()
+	if bed.relay != nil {
+		bed.relay.Close()
 	}
-	for _, s := range w.servers {
+	for _, s := range bed.servers {
 		s.Close()
 	}
-	if w.discovery != nil {
-		w.discovery.Close()
+	if bed.discovery != nil {
+		bed.discovery.Close()
 	}
 }
 
--- a/internal/lab/sidecar_start.go
+++ b/internal/lab/sidecar_start.go
@@ -10,7 +10,6 @@
 	"os/exec"
 	"path/filepath"
 	"slices"
-	"sync"
 	"syscall"
 	"time"
 )
@@ -218,12 +217,7 @@
 
 // startAll starts all sidecars concurrently.
 func (s *Sidecars) startAll() error {
-	var starting sync.WaitGroup
 	errs := make([]error, len(s.states))
-	for i := range s.states {
-		starting.Add(1)
-		go func() { defer starting.Done(); errs[i] = s.Start(i) }()
-	}
-	starting.Wait()
+	ForEach(len(s.states), len(s.states), func(i int) { errs[i] = s.Start(i) })
 	return errors.Join(errs...)
 }
--- a/internal/lab/validate.go
+++ b/internal/lab/validate.go
@@ -7,6 +7,23 @@
 	"time"
 )
 
+// fieldCheck is the result of checking one field.
+type fieldCheck struct {
+	isInvalid bool
+	field     string
+	reason    string // after the field's name
+}
+
+// firstInvalid returns an error with the name of the first invalid field, nil for none.
+func firstInvalid(checks []fieldCheck) error {
+	for _, c := range checks {
+		if c.isInvalid {
+			return fmt.Errorf("%s %s", c.field, c.reason)
+		}
+	}
+	return nil
+}
+
 // validate reports the first field that is out of range, by its TOML key.
 func (e *Experiment) validate() error {
 	if err := e.validateRanges(); err != nil {
@@ -45,11 +62,7 @@
 
 // validateRanges checks the fields outside lists.
 func (e *Experiment) validateRanges() error {
-	for _, c := range []struct {
-		isInvalid bool
-		field     string
-		reason    string
-	}{
+	return firstInvalid([]fieldCheck{
 		{e.Duration.Duration <= 0 || e.Duration.Duration > time.Hour, "duration", "is not within (0, 1h]"},
 		{e.Fleet.Sidecars < 1 || e.Fleet.Sidecars > 300, "fleet.sidecars", "is not within 1 to 300"},
 		{e.Fleet.Servers < 1 || e.Fleet.Servers > 1000, "fleet.servers", "is not within 1 to 1000"},
@@ -71,12 +84,7 @@
 		{e.Load.MaxRequests < 0, "load.max_requests", "is negative"},
 		{e.Load.Deadline.Duration < 50*time.Millisecond, "load.deadline", "is under 50ms"},
 		{e.Load.OrderShare < 0 || e.Load.OrderShare > 1, "load.order_share", "is not within 0 to 1"},
-	} {
-		if c.isInvalid {
-			return fmt.Errorf("%s %s", c.field, c.reason)
-		}
-	}
-	return nil
+	})
 }
 
 // validateCall checks a call of an operator; errors begin with the field.
