--- a/cmd/sidecar/state_test.go
+++ b/cmd/sidecar/state_test.go
@@ -37,7 +37,7 @@
 	}
 	second.Process.Signal(os.Interrupt)
 	second.Wait()
-	if !strings.Contains(log.String(), `msg=banned sidecar=n0 host=s-1`) || !strings.Contains(log.String(), "state snapshot restored") {
+	if !strings.Contains(log.String(), `msg="endpoint banned" sidecar=n0 endpoint_name=s-1`) || !strings.Contains(log.String(), "state snapshot restored") {
 		t.Errorf("the ban was not restored:\n%s", log.String())
 	}
 }
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -163,7 +163,7 @@
 		}
 		s := sidecar.HollowOptions{Network: c, Discovery: &caller{client: c, agent: agent, handler: answers}, Log: slog.New(slog.DiscardHandler)}
 		if f.known != nil {
-			s.Transport = func(o datagram.Options) *datagram.Transport {
+			s.NewTransport = func(o datagram.Options) *datagram.Transport {
 				l := datagram.New(func(data []byte, to netip.AddrPort) error { return f.net.send(m.station, data, to) }, o)
 				m.station.link.Store(l)
 				return l
--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -95,7 +95,7 @@
 // SetBanned bans an endpoint that was ever listed to this process, or lifts its ban.
 func (c adminController) SetBanned(endpoint string, banned bool) error {
 	var isKnown bool
-	err := c.server.loop.postUrgent(func(balancer.Micros) { _, isKnown = c.server.loop.endpointIDs[endpoint] })
+	err := c.server.loop.postUrgent(func(balancer.Micros) { _, isKnown = c.server.loop.endpointIDs.lookup(endpoint) })
 	if err != nil {
 		return err
 	}
--- a/internal/sidecar/attempts.go
+++ b/internal/sidecar/attempts.go
@@ -9,7 +9,8 @@
 	"bramblestand/internal/upstream"
 )
 
-// StartAttempt starts an attempt.
+// StartAttempt starts an attempt in a goroutine of its own. The attempt ends by timeout, if that is positive, and by the request's
+// deadline.
 func (l *eventLoop) StartAttempt(id uint64, endpoint uint32, timeout balancer.Micros) {
 	r, t := l.requests[id], l.targets[endpoint]
 	now, until := l.clock.now(), r.deadline
@@ -76,7 +77,7 @@
 	}()
 }
 
-// SendLoadProbe asks an endpoint for its load.
+// SendLoadProbe asks an endpoint for its load report in a goroutine of its own.
 func (l *eventLoop) SendLoadProbe(endpoint uint32) {
 	t := l.targets[endpoint]
 	go func() {
--- a/internal/sidecar/discovery_outage_test.go
+++ b/internal/sidecar/discovery_outage_test.go
@@ -246,7 +246,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	first := &outageService{downFrom: start.Add(time.Hour), upFrom: start.Add(time.Hour)}
 	l := run.newLoop(ctx, t, first)
-	recorder := &updateRecorder{loadBalancer: l.balancer, endpoint: l.endpointID("s-2"), learnedAt: make(chan time.Time, 1), abort: stop}
+	recorder := &updateRecorder{loadBalancer: l.balancer, endpoint: l.endpointIDs.assign("s-2"), learnedAt: make(chan time.Time, 1), abort: stop}
 	l.balancer = recorder
 	ended := make(chan struct{})
 	go func() { l.run(); close(ended) }()
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -1,7 +1,6 @@
 package sidecar
 
 import (
-	"hash/fnv"
 	"time"
 
 	"bramblestand/balancer"
@@ -9,108 +8,132 @@
 	"bramblestand/internal/upstream"
 )
 
-// listedEndpoint is what discovery last said of an endpoint.
+// listedEndpoint is what the last list that named an endpoint said of it. One that a full list no longer names is Removed.
 type listedEndpoint struct {
 	discovery.Endpoint
 	state balancer.EndpointState
 }
 
-// applyEndpointUpdate passes on a list and brings the targets in line with it.
+// applyEndpointUpdate passes a list, or the failure to get one, to the balancer, and brings the targets in line with it first, so
+// that the balancer's attempts go to where the endpoints are now. The loop's goroutine calls it.
 func (l *eventLoop) applyEndpointUpdate(now balancer.Micros, kind balancer.UpdateKind, list discovery.List) {
 	if kind == balancer.UpdateFailed {
 		l.balancer.UpdateEndpoints(now, kind, nil)
 		return
 	}
 	l.listVersion = &list.Version
-	entries := make([]balancer.Endpoint, 0, len(list.Endpoints))
-	named := map[uint32]bool{}
-	for _, h := range list.Endpoints {
-		id := l.endpointID(h.Name)
-		named[id] = true
-		e := balancer.Endpoint{ID: id, Zone: l.cfg.ZoneIndex(h.Zone), MachineType: l.cfg.MachineTypeIndex(h.MachineType),
-			Pod: h.Pod, State: discovery.StateOf(h), Weight: h.Weight}
-		if h.StartedAtMillis > 0 {
-			e.StartTime = h.StartedAtMillis * 1000
-		}
-		entries = append(entries, e)
-		l.updateTarget(id, listedEndpoint{h, e.State})
-	}
+	entries := l.applyListedEndpoints(list.Endpoints)
 	if kind != balancer.UpdateDelta {
-		for id, old := range l.listedEndpoints {
-			if !named[id] && old.state != balancer.Removed {
-				l.updateTarget(id, listedEndpoint{state: balancer.Removed})
-			}
-		}
+		l.removeEndpointsExcept(entries)
 	}
 	l.hasEndpoints.Store(len(l.targets) > 0)
 	if kind != balancer.UpdateCached {
-		l.listedAt = time.Now().UTC()
-	}
-	if kind != balancer.UpdateCached && !l.hasReceivedList {
-		l.hasReceivedList = true
-		close(l.listReceived)
+		l.noteListReceived()
 	}
 	l.balancer.UpdateEndpoints(now, kind, entries)
 }
 
-// endpointID gives a host's id: the same at every sidecar, so that they can speak of it to each other.
-func (l *eventLoop) endpointID(name string) uint32 {
-	id, ok := l.endpointIDs[name]
-	if !ok {
-		hash := fnv.New32a()
-		hash.Write([]byte(name))
-		// Where two names share a number, peers' messages on the later one go astray, and it alone is wronged.
-		for id = hash.Sum32(); l.endpointNames[id] != ""; id++ {
+// applyListedEndpoints updates the targets of the listed endpoints and returns the balancer's entries for them.
+func (l *eventLoop) applyListedEndpoints(listed []discovery.Endpoint) []balancer.Endpoint {
+	entries := make([]balancer.Endpoint, 0, len(listed))
+	for _, endpoint := range listed {
+		entry := l.balancerEndpoint(endpoint)
+		entries = append(entries, entry)
+		l.updateTarget(entry.ID, listedEndpoint{endpoint, entry.State})
+	}
+	return entries
+}
+
+// balancerEndpoint returns the balancer's entry for a listed endpoint. Its start time is 0 if the list gives none.
+func (l *eventLoop) balancerEndpoint(listed discovery.Endpoint) balancer.Endpoint {
+	return balancer.Endpoint{
+		ID:          l.endpointIDs.assign(listed.Name),
+		Zone:        l.cfg.ZoneIndex(listed.Zone),
+		MachineType: l.cfg.MachineTypeIndex(listed.MachineType),
+		Pod:         listed.Pod,
+		State:       discovery.StateOf(listed),
+		Weight:      listed.Weight,
+		StartTime:   max(0, listed.StartedAtMillis) * microsPerMilli,
+	}
+}
+
+// microsPerMilli converts the list's times to the balancer's.
+const microsPerMilli = 1000
+
+// removeEndpointsExcept removes the endpoints that a full list does not name.
+func (l *eventLoop) removeEndpointsExcept(entries []balancer.Endpoint) {
+	isListed := make(map[uint32]bool, len(entries))
+	for _, entry := range entries {
+		isListed[entry.ID] = true
+	}
+	for id, earlier := range l.listedEndpoints {
+		if !isListed[id] && earlier.state != balancer.Removed {
+			l.updateTarget(id, listedEndpoint{state: balancer.Removed})
 		}
-		l.endpointIDs[name], l.endpointNames[id] = id, name
 	}
-	return id
 }
 
-// updateTarget points an endpoint's id at where it is reached now. A target that drains, is gone, has restarted or is banned
-// is closed, so that a send on its way does not start.
+// noteListReceived notes that discovery has given a list.
+func (l *eventLoop) noteListReceived() {
+	l.listedAt = time.Now().UTC()
+	if !l.hasReceivedList {
+		l.hasReceivedList = true
+		close(l.listReceived)
+	}
+}
+
+// updateTarget directs an endpoint's ID to where it is reached now. The target of an endpoint that is draining, removed, banned or
+// restarted is retired, so that no attempt on its way there starts.
 func (l *eventLoop) updateTarget(id uint32, to listedEndpoint) {
 	l.listedEndpoints[id] = to
-	wanted := to.state == balancer.Ready && !l.banned[id]
+	isUsable := to.state == balancer.Ready && !l.banned[id]
 	t := l.targets[id]
-	if t != nil && wanted && t.Address == to.Address && t.StartedAtMillis == to.StartedAtMillis {
+	if t != nil && isUsable && t.Address == to.Address && t.StartedAtMillis == to.StartedAtMillis {
 		return
 	}
 	if t != nil {
 		l.upstream.Retire(t)
 		delete(l.targets, id)
 	}
-	if wanted {
+	if isUsable {
 		l.targets[id] = &upstream.Target{Address: to.Address, StartedAtMillis: to.StartedAtMillis}
 	}
 }
 
-// setBans brings the endpoints out of use by hand in line with the names of hosts that are.
+// setBans bans the endpoints of these names, and lifts the bans of all others. The loop's goroutine calls it.
 func (l *eventLoop) setBans(now balancer.Micros, names []string) {
-	wanted := map[uint32]bool{}
+	isWanted := map[uint32]bool{}
 	for _, name := range names {
-		id := l.endpointID(name)
-		wanted[id] = true
+		id := l.endpointIDs.assign(name)
+		isWanted[id] = true
 		if !l.banned[id] {
-			l.banned[id] = true
-			l.refreshTarget(id)
-			l.balancer.Ban(now, id)
-			l.log.Info("banned", "host", name, "endpoint", id)
+			l.ban(now, id)
 		}
 	}
 	for id := range l.banned {
-		if !wanted[id] {
-			delete(l.banned, id)
-			l.refreshTarget(id)
-			l.balancer.Unban(now, id)
-			l.log.Info("ban ended", "host", l.endpointNames[id], "endpoint", id)
+		if !isWanted[id] {
+			l.liftBan(now, id)
 		}
 	}
 }
 
-// refreshTarget follows a change of the bans.
+func (l *eventLoop) ban(now balancer.Micros, id uint32) {
+	l.banned[id] = true
+	l.refreshTarget(id)
+	l.balancer.Ban(now, id)
+	l.log.Info("endpoint banned", "endpoint_name", l.endpointIDs.name(id), "endpoint", id)
+}
+
+func (l *eventLoop) liftBan(now balancer.Micros, id uint32) {
+	delete(l.banned, id)
+	l.refreshTarget(id)
+	l.balancer.Unban(now, id)
+	l.log.Info("endpoint ban lifted", "endpoint_name", l.endpointIDs.name(id), "endpoint", id)
+}
+
+// refreshTarget updates the target of an endpoint whose ban has changed, if it was ever listed.
 func (l *eventLoop) refreshTarget(id uint32) {
-	if to, ok := l.listedEndpoints[id]; ok {
-		l.updateTarget(id, to)
+	if listed, ok := l.listedEndpoints[id]; ok {
+		l.updateTarget(id, listed)
 	}
 }
--- a/internal/sidecar/event_loop.go
+++ b/internal/sidecar/event_loop.go
@@ -19,85 +19,109 @@
 )
 
 const (
-	maxQueuedEvents = 1024 // waiting for the loop
-	pruneInterval   = time.Second
-	urgentTimeout   = 900 * time.Millisecond // an operator's answer is owed in 1 s
+	// maxQueuedEvents is how many events may wait for the loop before whoever posts another one blocks.
+	maxQueuedEvents = 1024
+	// urgentTimeout limits an operator's call, which has to be answered within a second.
+	urgentTimeout = 900 * time.Millisecond
+	// pruneInterval is between two closings of expired idle connections to endpoints.
+	pruneInterval = time.Second
 )
 
-// loadBalancer is what the loop needs of a *balancer.Balancer.
+// event is carried out by the loop's goroutine, at the time now.
+type event func(now balancer.Micros)
+
+// loadBalancer makes the decisions. It is what the loop calls of a *balancer.Balancer; tests and the lab wrap it to observe the
+// calls. The loop's goroutine alone may call it.
 type loadBalancer interface {
 	Start(now balancer.Micros)
 	UpdateEndpoints(now balancer.Micros, kind balancer.UpdateKind, entries []balancer.Endpoint)
 	RequestArrived(now balancer.Micros, in balancer.Request)
-	BodySent(now balancer.Micros, id uint64, deadline balancer.Micros)
-	ResponseStarted(now balancer.Micros, id uint64, attempt int, latency balancer.Micros)
+	BodySent(now balancer.Micros, request uint64, deadline balancer.Micros)
+	ResponseStarted(now balancer.Micros, request uint64, attempt int, latency balancer.Micros)
 	AttemptFinished(now balancer.Micros, o balancer.Outcome)
-	ClientDisconnected(now balancer.Micros, id uint64)
+	ClientDisconnected(now balancer.Micros, request uint64)
 	TimerFired(now balancer.Micros, token uint32)
 	LoadProbeResult(now balancer.Micros, endpoint uint32, status balancer.Status, latency balancer.Micros, load []float32)
 	ReceiveGossip(now balancer.Micros, data []byte)
 	SetProcessCount(processes int)
-	SetFleetSize(living int)
-	Ban(now balancer.Micros, id uint32)
-	Unban(now balancer.Micros, id uint32)
+	SetFleetSize(sidecars int)
+	Ban(now balancer.Micros, endpoint uint32)
+	Unban(now balancer.Micros, endpoint uint32)
 	Snapshot(now balancer.Micros) []balancer.EndpointSnapshot
-	Restore(now balancer.Micros, kept []balancer.EndpointSnapshot)
+	Restore(now balancer.Micros, persisted []balancer.EndpointSnapshot)
 }
 
-// eventLoop owns the balancer: one goroutine passes it every event and carries out
-// its Actions. It never waits for the network; what it starts reports back
-// through events.
+// eventLoop is the one owner of the balancer: a single goroutine, in run, passes it every event and carries out its actions
+// (balancer.Actions, which eventLoop implements). The goroutine never waits for the network: calls of endpoints and of discovery
+// run in goroutines of their own and report by events.
 type eventLoop struct {
-	cfg                *config.Config
-	log                *slog.Logger
-	clock              clock
-	upstream           *upstream.Client
-	discoveryClient    *discovery.Client
-	events             chan func(now balancer.Micros)
-	urgent             chan func(now balancer.Micros) // operators' calls, ahead of events
-	ctx                context.Context                // ends with the loop
-	hasEndpoints       atomic.Bool                    // endpoints are known
-	listReceived       chan struct{}                  // closed once discovery has answered
-	fleet              atomic.Pointer[fleet.Fleet]    // nil where there is none to talk to, or not yet
-	restoredMembership json.RawMessage                // the view that an earlier process persisted
-	snapshots          *state.Writer                  // nil where no state is persisted
-	restoredSnapshot   *state.Snapshot                // what an earlier process persisted, until the start
-	adminSettings      func() *handover.State         // what operators ordered; nil without operators
-	listedAt           time.Time                      // wall clock when discovery last told the list
-	controlTraffic     *controltraffic.Accounting     // counts what control costs; nil without operators
-
-	// Below: the loop's goroutine alone.
-	balancer        loadBalancer
-	requests        map[uint64]*pendingRequest
-	lastRequestID   uint64
-	endpointIDs     map[string]uint32 // by host name
-	endpointNames   map[uint32]string // the other way round
-	targets         map[uint32]*upstream.Target
-	listedEndpoints map[uint32]listedEndpoint // all that was ever listed, as it was last
-	banned          map[uint32]bool           // out of use by hand
-	listVersion     *uint64                   // version of the last list, if there was any
-	isWatching      bool                      // the balancer wants the list watched
-	hasReceivedList bool                      // discovery has answered
-	stopWatch       context.CancelFunc
+	ctx      context.Context // run and all that it starts end with it
+	cfg      *config.Config
+	log      *slog.Logger
+	clock    clock
+	upstream *upstream.Client
+
+	events chan event // in the order of their posting
+	urgent chan event // operators' calls, ahead of events
+
+	// Set before run, and only read from then on.
+	controlTraffic     *controltraffic.Accounting // nil without operators
+	snapshots          *state.Writer              // nil where no state is persisted
+	adminSettings      func() *handover.State     // the operators' settings in force; nil without operators
+	restoredMembership json.RawMessage            // the membership's view that an earlier process persisted
+
+	// For any goroutine.
+	hasEndpoints atomic.Bool                 // the list names an endpoint that requests may be sent to
+	listReceived chan struct{}               // closed with the first list from discovery
+	fleet        atomic.Pointer[fleet.Fleet] // nil without a fleet, and until it is joined
+
+	// For the loop's goroutine alone.
+	balancer         loadBalancer
+	restoredSnapshot *state.Snapshot // what an earlier process persisted; nil once the loop has started
+
+	requests      map[uint64]*pendingRequest // by request ID
+	lastRequestID uint64
+
+	endpointIDs     endpointIDs
+	targets         map[uint32]*upstream.Target // by endpoint ID, of those that requests may be sent to
+	listedEndpoints map[uint32]listedEndpoint   // by endpoint ID, all that were ever listed
+	banned          map[uint32]bool             // by endpoint ID
+
+	discoveryClient *discovery.Client
+	listVersion     *uint64            // nil before the first list
+	listedAt        time.Time          // wall clock at the last list from discovery
+	hasReceivedList bool               // listReceived is closed
+	isWatching      bool               // the balancer wants the list watched
+	stopWatch       context.CancelFunc // of the present watch; never nil
 }
 
+// newEventLoop returns a loop whose goroutine is not started yet: see run.
 func newEventLoop(ctx context.Context, cfg *config.Config, log *slog.Logger) (*eventLoop, error) {
 	l := &eventLoop{
-		cfg: cfg, log: log, clock: clock{time.Now()}, ctx: ctx,
-		upstream: newUpstreamClient(cfg), listReceived: make(chan struct{}),
-		events:          make(chan func(balancer.Micros), maxQueuedEvents),
-		urgent:          make(chan func(balancer.Micros), config.MaxAdminConnections),
-		listedEndpoints: map[uint32]listedEndpoint{}, banned: map[uint32]bool{},
-		requests: map[uint64]*pendingRequest{}, endpointIDs: map[string]uint32{}, endpointNames: map[uint32]string{}, targets: map[uint32]*upstream.Target{},
-		stopWatch: func() {},
+		ctx:      ctx,
+		cfg:      cfg,
+		log:      log,
+		clock:    clock{time.Now()},
+		upstream: newUpstreamClient(cfg),
+
+		events:       make(chan event, maxQueuedEvents),
+		urgent:       make(chan event, config.MaxAdminConnections),
+		listReceived: make(chan struct{}),
+
+		requests:        map[uint64]*pendingRequest{},
+		endpointIDs:     newEndpointIDs(),
+		targets:         map[uint32]*upstream.Target{},
+		listedEndpoints: map[uint32]listedEndpoint{},
+		banned:          map[uint32]bool{},
+		stopWatch:       func() {},
 	}
-	var calls discovery.Options
+	var options discovery.Options
 	if cfg.AdminAddress != "" {
 		l.controlTraffic = &controltraffic.Accounting{Started: time.Now()}
 		l.upstream.LoadProbeTraffic = &l.controlTraffic.LoadProbes
-		calls.Traffic = &l.controlTraffic.Discovery
+		options.Traffic = &l.controlTraffic.Discovery
 	}
-	l.discoveryClient = discovery.NewClient(cfg.DiscoveryAddress, calls)
+	l.discoveryClient = discovery.NewClient(cfg.DiscoveryAddress, options)
 	var err error
 	l.balancer, err = balancer.New(cfg.Settings, cfg.Seed, l)
 	return l, err
@@ -112,82 +136,102 @@
 	})
 }
 
-// run handles events until the loop's context ends.
+// run is the loop's goroutine. It starts the balancer and handles events until the loop's context ends.
 func (l *eventLoop) run() {
-	now := l.clock.now()
-	l.balancer.Start(now)
-	if list := l.restoreSnapshot(now, l.restoredSnapshot); len(list.Endpoints) > 0 {
-		l.applyEndpointUpdate(now, balancer.UpdateCached, list)
-	}
-	l.restoreEndpointStates(now, l.restoredSnapshot)
-	l.restoredSnapshot = nil
-	if !l.cfg.Settings.MustSubscribe {
-		l.WatchEndpoints(true)
-	}
+	l.start(l.clock.now())
 	prune := time.NewTicker(pruneInterval)
 	defer prune.Stop()
-	var saveAt <-chan time.Time // never where no state is persisted
-	if l.snapshots != nil {
-		saveAt = time.After(l.snapshots.NextSave())
-	}
+	save := l.nextSave()
 	for {
-		select {
-		case event := <-l.urgent:
-			event(l.clock.now())
+		if l.handleUrgent() {
 			continue
-		default:
 		}
 		select {
-		case event := <-l.urgent:
-			event(l.clock.now())
-		case event := <-l.events:
-			event(l.clock.now())
+		case handle := <-l.urgent:
+			handle(l.clock.now())
+		case handle := <-l.events:
+			handle(l.clock.now())
 		case <-prune.C:
 			l.upstream.CloseExpired()
-		case <-saveAt:
+		case <-save:
 			l.snapshots.Offer(l.snapshot(l.clock.now()))
-			saveAt = time.After(l.snapshots.NextSave())
+			save = l.nextSave()
 		case <-l.ctx.Done():
 			return
 		}
 	}
 }
 
-// post hands an event to the loop. It must not be called from the loop.
-func (l *eventLoop) post(event func(now balancer.Micros)) {
+// start starts the balancer with what was persisted and configured.
+func (l *eventLoop) start(now balancer.Micros) {
+	l.balancer.Start(now)
+	if list := l.restoreSnapshot(now, l.restoredSnapshot); len(list.Endpoints) > 0 {
+		l.applyEndpointUpdate(now, balancer.UpdateCached, list)
+	}
+	l.restoreEndpointStates(now, l.restoredSnapshot)
+	l.restoredSnapshot = nil
+	if !l.cfg.Settings.MustSubscribe {
+		l.WatchEndpoints(true)
+	}
+}
+
+// handleUrgent handles one urgent event, if any is queued, and reports whether it did.
+func (l *eventLoop) handleUrgent() bool {
+	select {
+	case handle := <-l.urgent:
+		handle(l.clock.now())
+		return true
+	default:
+		return false
+	}
+}
+
+// nextSave returns a channel that receives when the next snapshot is due: never where no state is persisted.
+func (l *eventLoop) nextSave() <-chan time.Time {
+	if l.snapshots == nil {
+		return nil
+	}
+	return time.After(l.snapshots.NextSave())
+}
+
+// post queues an event. It blocks while the queue is full, and does nothing once the loop has ended. The loop's goroutine must not
+// call it.
+func (l *eventLoop) post(e event) {
 	select {
-	case l.events <- event:
+	case l.events <- e:
 	case <-l.ctx.Done():
 	}
 }
 
-// postForClient hands an event to the loop for a client, unless the client leaves first: then it returns false.
-func (l *eventLoop) postForClient(client context.Context, event func(now balancer.Micros)) bool {
+// postForClient queues an event and returns true, or returns false if the client disconnects while the queue is full. The loop's
+// goroutine must not call it.
+func (l *eventLoop) postForClient(client context.Context, e event) bool {
 	select {
-	case l.events <- event:
+	case l.events <- e:
 		return true
 	case <-client.Done():
 		return false
 	}
 }
 
-// postUrgent has the loop carry something out ahead of the events that wait for it, and waits for that. It returns
-// admin.ErrBusy where the loop does not get to it in time, and the context's error where the loop has ended.
-func (l *eventLoop) postUrgent(event func(now balancer.Micros)) error {
-	done := make(chan struct{})
-	patience := time.NewTimer(urgentTimeout)
-	defer patience.Stop()
+// postUrgent has an event handled ahead of those that are queued, and waits for it. It returns admin.ErrBusy if urgentTimeout
+// passes first, when the event may still be handled later, and the context's error if the loop has ended. The loop's goroutine
+// must not call it.
+func (l *eventLoop) postUrgent(e event) error {
+	handled := make(chan struct{})
+	timeout := time.NewTimer(urgentTimeout)
+	defer timeout.Stop()
 	select {
-	case l.urgent <- func(now balancer.Micros) { event(now); close(done) }:
-	case <-patience.C:
+	case l.urgent <- func(now balancer.Micros) { e(now); close(handled) }:
+	case <-timeout.C:
 		return admin.ErrBusy
 	case <-l.ctx.Done():
 		return l.ctx.Err()
 	}
 	select {
-	case <-done:
+	case <-handled:
 		return nil
-	case <-patience.C:
+	case <-timeout.C:
 		return admin.ErrBusy
 	}
 }
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -100,7 +100,7 @@
 	limits := s.loop.cfg.Limits
 	maxConnections := s.loop.cfg.MaxConnections()
 	if hasOtherProcess {
-		s.loop.log.Info("another process of this sidecar runs; limits are shared")
+		s.loop.log.Info("another process of this sidecar runs; limits are split")
 		maxClients := min(maxConnections, limits.Sockets/clientsDescriptorDivisor)
 		maxIdle := (limits.Sockets - 2*maxClients - 2*config.ReservedSockets) / 2
 		s.loop.upstream.SetLimits(maxClients, max(maxIdle, 0))
--- a/internal/sidecar/membership.go
+++ b/internal/sidecar/membership.go
@@ -99,7 +99,7 @@
 	if s.handover != nil { // a process of an earlier release may still have a socket of this address
 		o.OnSocket = func(socket syscall.Conn) {
 			if err := preferSocket(socket); err != nil {
-				l.log.Warn("datagrams not steered to this process", "error", err)
+				l.log.Warn("datagrams not directed to this process", "error", err)
 			}
 		}
 	}
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -26,12 +26,6 @@
 	maxShutdownTime       = time.Minute             // for responses that go on after accepting has ended
 )
 
-// Log lines of the sidecar's state.
-const (
-	statusLogInterval  = time.Second
-	controlLogInterval = 10 // control traffic is logged with every tenth status
-)
-
 // Parts of the platform's limits.
 const (
 	bodiesHeapDivisor        = 2 // bodies may take one part in so many of the heap
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -529,7 +529,7 @@
 	w.await("the news", func() bool {
 		moved := false
 		w.onLoop(func() {
-			moved = w.loop.targets[w.loop.endpointID("s-1")] == nil && w.loop.targets[w.loop.endpointID("s-2")] != nil
+			moved = w.loop.targets[w.loop.endpointIDs.assign("s-1")] == nil && w.loop.targets[w.loop.endpointIDs.assign("s-2")] != nil
 		})
 		return moved
 	})
--- a/internal/sidecar/snapshot.go
+++ b/internal/sidecar/snapshot.go
@@ -72,7 +72,7 @@
 	}
 	endpoints := make([]balancer.EndpointSnapshot, 0, len(persisted.EndpointStates))
 	for _, e := range persisted.EndpointStates {
-		if id, ok := l.endpointIDs[e.Name]; ok {
+		if id, ok := l.endpointIDs.lookup(e.Name); ok {
 			endpoints = append(endpoints, balancer.EndpointSnapshot{ID: id, LatencyBaseline: e.LatencyBaseline,
 				LatencyCurrent: e.LatencyCurrent, ServiceTime: e.ServiceTime, FailureRate: e.FailureRate})
 		}
@@ -113,17 +113,17 @@
 		s.Admin.Banned = l.bannedNames() // without operators the bans of an earlier process stay in force
 	}
 	for _, e := range l.balancer.Snapshot(now) {
-		s.EndpointStates = append(s.EndpointStates, state.EndpointState{Name: l.endpointNames[e.ID], LatencyBaseline: e.LatencyBaseline,
+		s.EndpointStates = append(s.EndpointStates, state.EndpointState{Name: l.endpointIDs.name(e.ID), LatencyBaseline: e.LatencyBaseline,
 			LatencyCurrent: e.LatencyCurrent, ServiceTime: e.ServiceTime, FailureRate: e.FailureRate})
 	}
 	return s
 }
 
-// bannedNames lists the endpoints out of use by hand, sorted; nil for none.
+// bannedNames returns the names of the banned endpoints, sorted; nil for none. The loop's goroutine calls it.
 func (l *eventLoop) bannedNames() []string {
 	var names []string
 	for id := range l.banned {
-		names = append(names, l.endpointNames[id])
+		names = append(names, l.endpointIDs.name(id))
 	}
 	slices.Sort(names)
 	return names
--- a/internal/sidecar/status_log.go
+++ b/internal/sidecar/status_log.go
@@ -9,13 +9,11 @@
 	"bramblestand/internal/datagram"
 )
 
-// datagramCounts returns the datagrams by channel since the start, nil where there is no transport yet.
-func (l *eventLoop) datagramCounts() map[datagram.Channel]datagram.ChannelCounts {
-	if f := l.fleet.Load(); f != nil {
-		return f.Counts()
-	}
-	return nil
-}
+// Log lines of the sidecar's state.
+const (
+	statusLogInterval  = time.Second
+	controlLogInterval = 10 // control traffic is logged with every tenth status
+)
 
 // logStatusPeriodically logs the sidecar's connections, requests and goroutines until ctx ends.
 func (s *server) logStatusPeriodically(ctx context.Context) {
@@ -43,3 +41,12 @@
 		"clients_idle", clients.idle, "upstream_open", open, "upstream_idle", idle,
 		"events", len(s.loop.events), "goroutines", runtime.NumGoroutine())
 }
+
+// datagramCounts returns the datagrams by channel since the start; nil where there is no transport, or not yet. Any
+// goroutine may call it.
+func (l *eventLoop) datagramCounts() map[datagram.Channel]datagram.ChannelCounts {
+	if f := l.fleet.Load(); f != nil {
+		return f.Counts()
+	}
+	return nil
+}
