--- a/internal/sidecar/admin_golden_test.go
+++ b/internal/sidecar/admin_golden_test.go
@@ -148,9 +148,9 @@
 }
 
 // normalizeAnswer puts words in place of times, counts, addresses, the program's version and the folder.
-func (w *testSidecar) normalizeAnswer(text string) string {
-	address := w.loop.cfg.PeerListen.String()
-	text = strings.ReplaceAll(text, w.handoverFolder, "DIR")
+func (s *testSidecar) normalizeAnswer(text string) string {
+	address := s.loop.cfg.PeerListen.String()
+	text = strings.ReplaceAll(text, s.handoverFolder, "DIR")
 	text = strings.ReplaceAll(text, fmt.Sprintf("%-21s", address), "ADDRESS")
 	text = strings.ReplaceAll(text, address, "ADDRESS")
 	text = strings.ReplaceAll(text, fmt.Sprintf("%-8s", fleet.Version), "VERSION")
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -19,27 +19,27 @@
 )
 
 // openAdmin opens the admin address of a running sidecar and returns a function that makes a call and returns its status.
-func (w *testSidecar) openAdmin() func(method, path, body string) int {
-	w.t.Helper()
+func (s *testSidecar) openAdmin() func(method, path, body string) int {
+	s.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		w.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	w.handoverFolder = w.t.TempDir()
-	w.server.handover = handover.Open(w.handoverFolder, "n0", slog.New(slog.DiscardHandler))
+	s.handoverFolder = s.t.TempDir()
+	s.server.handover = handover.Open(s.handoverFolder, "n0", slog.New(slog.DiscardHandler))
 	ctx, stop := context.WithCancel(context.Background())
-	w.t.Cleanup(stop)
-	go newAdminServer(w.server).serve(ctx, listener)
-	w.adminAddress = listener.Addr().String()
+	s.t.Cleanup(stop)
+	go newAdminServer(s.server).serve(ctx, listener)
+	s.adminAddress = listener.Addr().String()
 	return func(method, path, body string) int {
-		w.t.Helper()
-		r, err := http.NewRequest(method, "http://"+w.adminAddress+path, strings.NewReader(body))
+		s.t.Helper()
+		r, err := http.NewRequest(method, "http://"+s.adminAddress+path, strings.NewReader(body))
 		if err != nil {
-			w.t.Fatal(err)
+			s.t.Fatal(err)
 		}
-		got := w.send(r)
+		got := s.send(r)
 		if got.err != nil {
-			w.t.Fatalf("%s %s: %v", method, path, got.err)
+			s.t.Fatalf("%s %s: %v", method, path, got.err)
 		}
 		return got.statusCode
 	}
@@ -110,15 +110,15 @@
 }
 
 // connect opens a client's connection, which the test's end closes.
-func (w *testSidecar) connect() *clientConnection {
-	w.t.Helper()
-	conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
+func (s *testSidecar) connect() *clientConnection {
+	s.t.Helper()
+	conn, err := net.Dial("tcp", strings.TrimPrefix(s.url, "http://"))
 	if err != nil {
-		w.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { conn.Close() })
+	s.t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(testTimeout))
-	return &clientConnection{w, conn, bufio.NewReader(conn)}
+	return &clientConnection{s, conn, bufio.NewReader(conn)}
 }
 
 // roundTrip sends a request and reads the response.
@@ -237,10 +237,10 @@
 }
 
 // listCount counts the endpoint lists that the balancer received.
-func (w *testSidecar) listCount() int {
-	w.recorder.mu.Lock()
-	defer w.recorder.mu.Unlock()
-	return len(w.recorder.updateKinds)
+func (s *testSidecar) listCount() int {
+	s.recorder.mu.Lock()
+	defer s.recorder.mu.Unlock()
+	return len(s.recorder.updateKinds)
 }
 
 // A call whose change cannot be stored is answered 503, and changes nothing.
--- a/internal/sidecar/client_conn_test.go
+++ b/internal/sidecar/client_conn_test.go
@@ -17,25 +17,25 @@
 )
 
 // only returns the sidecar's end of the only connection there is.
-func (w *testSidecar) only() *clientConn {
-	w.t.Helper()
+func (s *testSidecar) only() *clientConn {
+	s.t.Helper()
 	var found *clientConn
-	w.await("one connection", func() bool {
-		w.server.clients.mu.Lock()
-		defer w.server.clients.mu.Unlock()
-		for conn := range w.server.clients.conns {
+	s.await("one connection", func() bool {
+		s.server.clients.mu.Lock()
+		defer s.server.clients.mu.Unlock()
+		for conn := range s.server.clients.conns {
 			found = conn
 		}
-		return len(w.server.clients.conns) == 1
+		return len(s.server.clients.conns) == 1
 	})
 	return found
 }
 
 // atRest waits until the only connection is idle, and returns it.
-func (w *testSidecar) atRest() *clientConn {
-	w.t.Helper()
-	conn := w.only()
-	w.await("the connection to be idle", func() bool { return w.server.clients.counts().idle == 1 })
+func (s *testSidecar) atRest() *clientConn {
+	s.t.Helper()
+	conn := s.only()
+	s.await("the connection to be idle", func() bool { return s.server.clients.counts().idle == 1 })
 	return conn
 }
 
--- a/internal/sidecar/control_traffic_test.go
+++ b/internal/sidecar/control_traffic_test.go
@@ -327,18 +327,18 @@
 }
 
 // controlStatus asks the sidecar for GET /control.
-func (w *testSidecar) controlStatus() controltraffic.Status {
-	w.t.Helper()
-	request, err := http.NewRequest(http.MethodGet, "http://"+w.adminAddress+"/control", nil)
+func (s *testSidecar) controlStatus() controltraffic.Status {
+	s.t.Helper()
+	request, err := http.NewRequest(http.MethodGet, "http://"+s.adminAddress+"/control", nil)
 	if err != nil {
-		w.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	got := w.send(request)
+	got := s.send(request)
 	decoder := json.NewDecoder(strings.NewReader(got.body))
 	decoder.DisallowUnknownFields()
 	var status controltraffic.Status
 	if err := decoder.Decode(&status); err != nil || got.statusCode != http.StatusOK {
-		w.t.Fatalf("%+v: %v", got, err)
+		s.t.Fatalf("%+v: %v", got, err)
 	}
 	return status
 }
--- a/internal/sidecar/event_loop_test.go
+++ b/internal/sidecar/event_loop_test.go
@@ -1,8 +1,6 @@
 package sidecar
 
 import (
-	"context"
-	"log/slog"
 	"net/http"
 	"testing"
 	"time"
@@ -11,49 +9,47 @@
 	"bramblestand/internal/endpointtest"
 )
 
-// timerRejecter holds every request back and refuses it on a timer, as the balancer
-// does with one that waited for probes in vain.
+// timerRejecter rejects every request on a timer, as the balancer does with one whose load probes are not answered.
 type timerRejecter struct {
 	loadBalancer
 	loop *eventLoop
 }
 
-func (p *timerRejecter) RequestArrived(_ balancer.Micros, in balancer.Request) {
-	p.loop.SetTimer(1, uint32(in.ID))
+func (r *timerRejecter) RequestArrived(_ balancer.Micros, in balancer.Request) {
+	r.loop.SetTimer(1, uint32(in.ID))
 }
-func (p *timerRejecter) TimerFired(_ balancer.Micros, token uint32) { p.loop.Reject(uint64(token), 0) }
-func (p *timerRejecter) Start(balancer.Micros)                      {}
 
-// The ledger forgets a request that is refused without an attempt, whichever
-// event the refusal comes of: else its body stays in memory for good.
-func TestLedgerForgetsWhatATimerRefuses(t *testing.T) {
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
-	l, err := newEventLoop(ctx, newTestConfig(t, "127.0.0.1:1", nil), slog.New(slog.DiscardHandler))
-	if err != nil {
-		t.Fatal(err)
-	}
+func (r *timerRejecter) TimerFired(_ balancer.Micros, token uint32) {
+	r.loop.Reject(uint64(token), 0)
+}
+
+func (r *timerRejecter) Start(balancer.Micros) {}
+
+// A request that is rejected without an attempt leaves the request table, whichever event the rejection comes of: else its body
+// would stay in memory for good.
+func TestRequestRejectedByATimerLeavesTheTable(t *testing.T) {
+	l := newIdleLoop(t, newTestConfig(t, "127.0.0.1:1", nil))
 	l.balancer = &timerRejecter{loadBalancer: l.balancer, loop: l}
 	go l.run()
 	r := &pendingRequest{response: make(chan finalResponse, 1)}
 	l.post(func(now balancer.Micros) { l.admitRequest(now, r, balancer.Request{Deadline: now + 1e9}) })
 	select {
-	case a := <-r.response:
-		if a.statusCode != http.StatusServiceUnavailable {
-			t.Errorf("answer %d, want a refusal", a.statusCode)
+	case response := <-r.response:
+		if response.statusCode != http.StatusServiceUnavailable {
+			t.Errorf("status %d, want 503", response.statusCode)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("no answer comes")
+		t.Fatal("no response")
 	}
-	left := make(chan int)
-	l.post(func(balancer.Micros) { left <- len(l.requests) })
-	if n := <-left; n != 0 {
-		t.Errorf("%d requests stay in the ledger", n)
+	remaining := make(chan int)
+	l.post(func(balancer.Micros) { remaining <- len(l.requests) })
+	if n := <-remaining; n != 0 {
+		t.Errorf("%d requests stay in the table", n)
 	}
 }
 
-// Admin calls do not wait behind the loop's other events.
-func TestAdminCallsGoAheadOfEvents(t *testing.T) {
+// Urgent events, operators' calls, do not wait behind the other events.
+func TestUrgentEventsAreHandledAheadOfOthers(t *testing.T) {
 	w := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
 	release, blocked := make(chan struct{}), make(chan struct{})
 	w.loop.post(func(balancer.Micros) { close(blocked); <-release })
@@ -64,15 +60,15 @@
 		w.loop.post(func(balancer.Micros) { order = append(order, "event") })
 	}
 	w.loop.post(func(balancer.Micros) { close(last) })
-	carriedOut := make(chan error, 1)
-	go func() { carriedOut <- w.loop.postUrgent(func(balancer.Micros) { order = append(order, "call") }) }()
-	w.await("the call to wait", func() bool { return len(w.loop.urgent) == 1 })
+	handled := make(chan error, 1)
+	go func() { handled <- w.loop.postUrgent(func(balancer.Micros) { order = append(order, "call") }) }()
+	w.await("the call to be queued", func() bool { return len(w.loop.urgent) == 1 })
 	close(release)
-	if err := <-carriedOut; err != nil {
+	if err := <-handled; err != nil {
 		t.Fatal(err)
 	}
 	<-last
 	if order[0] != "call" {
-		t.Errorf("carried out in the order %v, want the call first", order)
+		t.Errorf("handled in the order %v, want the call first", order)
 	}
 }
--- a/internal/sidecar/event_recorder_test.go
+++ b/internal/sidecar/event_recorder_test.go
@@ -6,69 +6,82 @@
 	"bramblestand/balancer"
 )
 
-// eventRecorder passes everything on to the balancer and keeps what it was told.
+// Names of events in eventRecorder.events.
+const (
+	eventOutcome      = "outcome"
+	eventTimer        = "timer"
+	eventDisconnected = "disconnected"
+)
+
+// minRequestTimer is the least timer token that names a request.
+const minRequestTimer = 1 << 20
+
+// eventRecorder passes all events on to the balancer and records some of them. The loop's goroutine calls the events.
 type eventRecorder struct {
 	loadBalancer
-	mu          sync.Mutex
+
+	mu          sync.Mutex // guards the fields below
 	outcomes    []balancer.Outcome
-	events      []string
+	events      []string // by the names above, in order
 	updateKinds []balancer.UpdateKind
-	probes      []balancer.Status
-	loads       [][]float32
+	probes      []balancer.Status // by load probe
+	loads       [][]float32       // by load probe
 }
 
-func (s *eventRecorder) AttemptFinished(now balancer.Micros, o balancer.Outcome) {
-	s.record(func() {
-		s.outcomes = append(s.outcomes, o)
-		s.events = append(s.events, "outcome")
+func (r *eventRecorder) AttemptFinished(now balancer.Micros, o balancer.Outcome) {
+	r.record(func() {
+		r.outcomes = append(r.outcomes, o)
+		r.events = append(r.events, eventOutcome)
 	})
-	s.loadBalancer.AttemptFinished(now, o)
+	r.loadBalancer.AttemptFinished(now, o)
 }
 
-func (s *eventRecorder) TimerFired(now balancer.Micros, token uint32) {
-	if token >= 1<<20 { // names a request
-		s.record(func() { s.events = append(s.events, "timer") })
+func (r *eventRecorder) TimerFired(now balancer.Micros, token uint32) {
+	if token >= minRequestTimer {
+		r.record(func() { r.events = append(r.events, eventTimer) })
 	}
-	s.loadBalancer.TimerFired(now, token)
+	r.loadBalancer.TimerFired(now, token)
 }
 
-func (s *eventRecorder) ClientDisconnected(now balancer.Micros, id uint64) {
-	s.record(func() { s.events = append(s.events, "gone") })
-	s.loadBalancer.ClientDisconnected(now, id)
+func (r *eventRecorder) ClientDisconnected(now balancer.Micros, id uint64) {
+	r.record(func() { r.events = append(r.events, eventDisconnected) })
+	r.loadBalancer.ClientDisconnected(now, id)
 }
 
-func (s *eventRecorder) UpdateEndpoints(now balancer.Micros, kind balancer.UpdateKind, entries []balancer.Endpoint) {
-	s.loadBalancer.UpdateEndpoints(now, kind, entries)
-	s.record(func() { s.updateKinds = append(s.updateKinds, kind) })
+func (r *eventRecorder) UpdateEndpoints(now balancer.Micros, kind balancer.UpdateKind, entries []balancer.Endpoint) {
+	r.loadBalancer.UpdateEndpoints(now, kind, entries)
+	r.record(func() { r.updateKinds = append(r.updateKinds, kind) })
 }
 
-func (s *eventRecorder) LoadProbeResult(now balancer.Micros, id uint32, status balancer.Status, latency balancer.Micros, load []float32) {
-	s.record(func() { s.probes, s.loads = append(s.probes, status), append(s.loads, load) })
-	s.loadBalancer.LoadProbeResult(now, id, status, latency, load)
+func (r *eventRecorder) LoadProbeResult(now balancer.Micros, id uint32, status balancer.Status, latency balancer.Micros, load []float32) {
+	r.record(func() { r.probes, r.loads = append(r.probes, status), append(r.loads, load) })
+	r.loadBalancer.LoadProbeResult(now, id, status, latency, load)
 }
 
-func (s *eventRecorder) record(f func()) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	f()
+// record runs add with r.mu held.
+func (r *eventRecorder) record(add func()) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	add()
 }
 
-// statuses returns how the attempts ended so far.
-func (s *eventRecorder) statuses() (all []balancer.Status) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, o := range s.outcomes {
-		all = append(all, o.Status)
+// statuses returns the statuses of the attempts' outcomes so far.
+func (r *eventRecorder) statuses() []balancer.Status {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	statuses := make([]balancer.Status, 0, len(r.outcomes))
+	for _, outcome := range r.outcomes {
+		statuses = append(statuses, outcome.Status)
 	}
-	return all
+	return statuses
 }
 
 // updates returns how many updates of a kind the balancer was given.
-func (s *eventRecorder) updates(kind balancer.UpdateKind) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (r *eventRecorder) updates(kind balancer.UpdateKind) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	count := 0
-	for _, k := range s.updateKinds {
+	for _, k := range r.updateKinds {
 		if k == kind {
 			count++
 		}
--- a/internal/sidecar/fake_registry_test.go
+++ b/internal/sidecar/fake_registry_test.go
@@ -12,76 +12,90 @@
 	"bramblestand/internal/discovery"
 )
 
-// fakeRegistry is a discovery service with one list.
+// fakeRegistry is a discovery service with one list. A call for what is newer than its version waits for a change.
 type fakeRegistry struct {
 	address string
 
-	mu        sync.Mutex
+	mu        sync.Mutex // guards the fields below
 	list      discovery.List
-	isDown    bool
-	malformed string // an answer to give in place of the list
-	calls     []string
-	changed   chan struct{} // closed and replaced with every change
+	isDown    bool          // calls are answered 503
+	malformed string        // the response in place of the list, if not empty
+	calls     []string      // their queries
+	changed   chan struct{} // closed and replaced by each change
 }
 
-func newFakeRegistry(t *testing.T, hosts ...discovery.Endpoint) *fakeRegistry {
+// newFakeRegistry starts a registry that ends with the test.
+func newFakeRegistry(t *testing.T, endpoints ...discovery.Endpoint) *fakeRegistry {
 	t.Helper()
-	d := &fakeRegistry{list: discovery.List{IsFull: true, Endpoints: hosts}, changed: make(chan struct{})}
+	f := &fakeRegistry{list: discovery.List{IsFull: true, Endpoints: endpoints}, changed: make(chan struct{})}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.address = listener.Addr().String()
-	server := &http.Server{Handler: d}
+	f.address = listener.Addr().String()
+	server := &http.Server{Handler: f}
 	go server.Serve(listener)
 	t.Cleanup(func() { server.Close() })
-	return d
+	return f
 }
 
-func (d *fakeRegistry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	d.mu.Lock()
-	d.calls = append(d.calls, r.URL.RawQuery)
-	after, wait, news := r.FormValue("after"), r.FormValue("wait_ms"), d.changed
-	waits := after == fmt.Sprint(d.list.Version) && wait != "0" && !d.isDown && d.malformed == ""
-	d.mu.Unlock()
-	if waits {
-		select {
-		case <-news:
-		case <-r.Context().Done():
-			return
-		}
+// ServeHTTP answers a call for the list.
+func (f *fakeRegistry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if !f.awaitChange(r) {
+		return
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	switch {
-	case d.isDown:
+	case f.isDown:
 		w.WriteHeader(http.StatusServiceUnavailable)
-		json.NewEncoder(w).Encode(d.list) // which must not be believed
-	case d.malformed != "":
-		io.WriteString(w, d.malformed)
-	case after == fmt.Sprint(d.list.Version):
-		json.NewEncoder(w).Encode(discovery.List{Version: d.list.Version, Endpoints: []discovery.Endpoint{}})
+		json.NewEncoder(w).Encode(f.list) // which must not be applied
+	case f.malformed != "":
+		io.WriteString(w, f.malformed)
+	case r.FormValue("after") == fmt.Sprint(f.list.Version):
+		json.NewEncoder(w).Encode(discovery.List{Version: f.list.Version, Endpoints: []discovery.Endpoint{}})
 	default:
-		json.NewEncoder(w).Encode(d.list)
+		json.NewEncoder(w).Encode(f.list)
 	}
 }
 
-// change alters the service and wakes the calls that wait.
-func (d *fakeRegistry) change(alter func()) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// awaitChange records a call and waits for a change if the call is for what is newer than the list. It returns false if the caller
+// disconnects first.
+func (f *fakeRegistry) awaitChange(r *http.Request) bool {
+	f.mu.Lock()
+	f.calls = append(f.calls, r.URL.RawQuery)
+	changed := f.changed
+	isCurrent := r.FormValue("after") == fmt.Sprint(f.list.Version)
+	waits := isCurrent && r.FormValue("wait_ms") != "0" && !f.isDown && f.malformed == ""
+	f.mu.Unlock()
+	if !waits {
+		return true
+	}
+	select {
+	case <-changed:
+		return true
+	case <-r.Context().Done():
+		return false
+	}
+}
+
+// change alters the registry, with f.mu held, and ends the wait of its calls.
+func (f *fakeRegistry) change(alter func()) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	alter()
-	close(d.changed)
-	d.changed = make(chan struct{})
+	close(f.changed)
+	f.changed = make(chan struct{})
 }
 
-func (d *fakeRegistry) callCount() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return len(d.calls)
+// callCount returns how many calls have come.
+func (f *fakeRegistry) callCount() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return len(f.calls)
 }
 
-// readyEndpoint is discovery's entry for an endpoint.
+// readyEndpoint returns the list's entry for an endpoint that is ready.
 func readyEndpoint(name, address string) discovery.Endpoint {
 	return discovery.Endpoint{Name: name, Address: address, Zone: "a", MachineType: "m1", Health: "Ready", Weight: 1}
 }
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -152,7 +152,7 @@
 			w.await("the timer", func() bool {
 				w.recorder.mu.Lock()
 				defer w.recorder.mu.Unlock()
-				return slices.Contains(w.recorder.events, "timer")
+				return slices.Contains(w.recorder.events, eventTimer)
 			})
 			w.onLoop(func() {
 				if len(w.loop.requests) != 0 {
@@ -226,7 +226,7 @@
 	if o := w.recorder.outcomes[0]; o.Status != balancer.Cancelled || !o.RequestDone {
 		t.Errorf("outcome %+v, want cancelled and settled", o)
 	}
-	if w.recorder.events[0] != "gone" {
+	if w.recorder.events[0] != eventDisconnected {
 		t.Errorf("events %v, want the client's going first", w.recorder.events)
 	}
 }
@@ -268,7 +268,7 @@
 	w.await("the client's going", func() bool {
 		w.recorder.mu.Lock()
 		defer w.recorder.mu.Unlock()
-		return slices.Contains(w.recorder.events, "gone")
+		return slices.Contains(w.recorder.events, eventDisconnected)
 	})
 	close(answer)
 	w.await("the outcome", func() bool { return len(w.recorder.statuses()) == 1 })
--- a/internal/sidecar/test_sidecar_test.go
+++ b/internal/sidecar/test_sidecar_test.go
@@ -22,24 +22,27 @@
 // testTimeout is how long a test waits for what must come.
 const testTimeout = endpointtest.Timeout
 
-// testSidecar is a running sidecar with its surroundings.
+// testSidecar is a running sidecar with the discovery service that it calls.
 type testSidecar struct {
-	t              *testing.T
-	url            string
-	loop           *eventLoop
-	server         *server
-	recorder       *eventRecorder
-	registry       *fakeRegistry
-	adminAddress   string             // address, once operate has opened it
-	handoverFolder string             // of the handover file, once operate has made it
-	stop           context.CancelFunc // as SIGTERM does
-	ended          chan error
-	log            slog.Handler     // the sidecar's; nil to discard it
-	configureLoop  func(*eventLoop) // called before the loop runs, where not nil
+	t        *testing.T
+	url      string // of the application's address
+	loop     *eventLoop
+	server   *server
+	recorder *eventRecorder
+	registry *fakeRegistry
+	stop     context.CancelFunc // does what SIGTERM does
+	ended    chan error         // receives what the server returns
+
+	adminAddress   string // once operate has opened it
+	handoverFolder string // once operate has made it
+
+	// Set before launch.
+	log           slog.Handler     // nil discards the log
+	configureLoop func(*eventLoop) // called before the loop runs, unless nil
 }
 
-// newTestConfig returns a configuration that knows the given list.
-func newTestConfig(t *testing.T, discoveryAddress string, alter func(settings map[string]any), hosts ...discovery.Endpoint) *config.Config {
+// newTestConfig returns a configuration whose known list has the given endpoints. alter changes the settings, unless it is nil.
+func newTestConfig(t *testing.T, discoveryAddress string, alter func(settings map[string]any), known ...discovery.Endpoint) *config.Config {
 	t.Helper()
 	var settings map[string]any
 	if err := json.Unmarshal([]byte(configtest.Settings), &settings); err != nil {
@@ -51,7 +54,7 @@
 	text, err := json.Marshal(map[string]any{
 		"name": "n0", "listen": "127.0.0.1:0", "discovery": discoveryAddress, "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 256},
-		"known":  discovery.List{IsFull: true, Endpoints: hosts}, "settings": settings})
+		"known":  discovery.List{IsFull: true, Endpoints: known}, "settings": settings})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,126 +65,127 @@
 	return cfg
 }
 
-// startSidecar runs a sidecar that knows these endpoints, and waits until it is ready.
-func startSidecar(t *testing.T, alter func(settings map[string]any), hosts ...discovery.Endpoint) *testSidecar {
+// startSidecar runs a sidecar that knows these endpoints until the test ends, and waits until it is ready.
+func startSidecar(t *testing.T, alter func(settings map[string]any), known ...discovery.Endpoint) *testSidecar {
 	t.Helper()
-	w := &testSidecar{t: t, registry: newFakeRegistry(t, hosts...)}
-	w.launch(newTestConfig(t, w.registry.address, alter, hosts...))
-	w.await("ready", func() bool {
-		response, err := http.Get(w.url + "/health/ready")
+	s := &testSidecar{t: t, registry: newFakeRegistry(t, known...)}
+	s.launch(newTestConfig(t, s.registry.address, alter, known...))
+	s.await("ready", func() bool {
+		response, err := http.Get(s.url + "/health/ready")
 		if err != nil {
 			return false
 		}
 		response.Body.Close()
 		return response.StatusCode == http.StatusOK
 	})
-	return w
+	return s
 }
 
 // launch runs a sidecar until the test ends.
-func (w *testSidecar) launch(cfg *config.Config) {
-	w.t.Helper()
+func (s *testSidecar) launch(cfg *config.Config) {
+	s.t.Helper()
 	listener, err := net.Listen("tcp", cfg.ListenAddress)
 	if err != nil {
-		w.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	w.ended = make(chan error, 1)
-	w.url = "http://" + listener.Addr().String()
+	s.ended = make(chan error, 1)
+	s.url = "http://" + listener.Addr().String()
 	loopCtx, stopLoop := context.WithCancel(context.Background())
-	if w.log == nil {
-		w.log = slog.DiscardHandler
+	if s.log == nil {
+		s.log = slog.DiscardHandler
 	}
-	w.loop, err = newEventLoop(loopCtx, cfg, slog.New(w.log))
+	s.loop, err = newEventLoop(loopCtx, cfg, slog.New(s.log))
 	if err != nil {
-		w.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	if w.configureLoop != nil {
-		w.configureLoop(w.loop)
+	if s.configureLoop != nil {
+		s.configureLoop(s.loop)
 	}
-	w.recorder = &eventRecorder{loadBalancer: w.loop.balancer}
-	w.loop.balancer = w.recorder
-	w.server = newServer(w.loop)
-	w.server.requests.bodies.setMaxBytes(64 << 20)
+	s.recorder = &eventRecorder{loadBalancer: s.loop.balancer}
+	s.loop.balancer = s.recorder
+	s.server = newServer(s.loop)
+	s.server.requests.bodies.setMaxBytes(64 << 20)
 	ctx, stop := context.WithCancel(context.Background())
-	w.stop = stop
+	s.stop = stop
 	loopEnded := make(chan struct{})
 	go func() {
-		w.loop.run()
+		s.loop.run()
 		close(loopEnded)
 	}()
 	go func() {
-		w.ended <- w.server.serve(ctx, listener)
+		s.ended <- s.server.serve(ctx, listener)
 		stopLoop()
 	}()
-	w.t.Cleanup(func() {
+	s.t.Cleanup(func() {
 		stop()
-		w.server.http.Close()
+		s.server.http.Close()
 		// Not by serve's end alone: until then the loop polls discovery, whose port may by then be another test's.
 		stopLoop()
 		select {
 		case <-loopEnded:
 		case <-time.After(testTimeout):
-			w.t.Error("the sidecar's loop does not end")
+			s.t.Error("the event loop has not ended in time")
 		}
 	})
 }
 
-// await waits for something to become true.
-func (w *testSidecar) await(what string, is func() bool) {
-	w.t.Helper()
-	await(w.t, what, is)
+// await waits until the condition holds.
+func (s *testSidecar) await(what string, condition func() bool) {
+	s.t.Helper()
+	await(s.t, what, condition)
 }
 
-// expectCleanEnd waits for the sidecar's end and checks that it ended well.
-func (w *testSidecar) expectCleanEnd() {
-	w.t.Helper()
+// expectCleanEnd checks that the sidecar ends, and without an error.
+func (s *testSidecar) expectCleanEnd() {
+	s.t.Helper()
 	select {
-	case err := <-w.ended:
+	case err := <-s.ended:
 		if err != nil {
-			w.t.Errorf("the sidecar ended with %v", err)
+			s.t.Errorf("the sidecar ended with error: %v", err)
 		}
 	case <-time.After(testTimeout):
-		w.t.Error("the sidecar does not end")
+		s.t.Error("the sidecar has not ended in time")
 	}
 }
 
-func await(t *testing.T, what string, is func() bool) {
+// await fails the test if the condition does not hold in time.
+func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	endpointtest.WaitFor(t, what, is)
+	endpointtest.WaitFor(t, what, condition)
 }
 
-// onLoop runs f in the loop and waits for it.
-func (w *testSidecar) onLoop(f func()) {
-	w.t.Helper()
+// onLoop runs f on the loop's goroutine and waits for it.
+func (s *testSidecar) onLoop(f func()) {
+	s.t.Helper()
 	done := make(chan struct{})
-	w.loop.post(func(balancer.Micros) {
+	s.loop.post(func(balancer.Micros) {
 		f()
 		close(done)
 	})
 	<-done
 }
 
-// request makes a client's request of a class.
-func (w *testSidecar) request(class, body string, timeLeft time.Duration) *http.Request {
-	w.t.Helper()
+// request returns a client's request of a class.
+func (s *testSidecar) request(class, body string, timeLeft time.Duration) *http.Request {
+	s.t.Helper()
 	method := http.MethodPost
 	if class == "read" {
 		method = http.MethodGet
 	}
-	r, err := http.NewRequest(method, w.url+"/"+class+"/x%2Fy?q=1", strings.NewReader(body))
+	r, err := http.NewRequest(method, s.url+"/"+class+"/x%2Fy?q=1", strings.NewReader(body))
 	if err != nil {
-		w.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	r.Header.Set("X-Correlation-Id", "9b1f03aa5c7e2d41")
-	r.Header.Set("X-Service-Class", class)
-	r.Header.Set("X-Time-Left-Ms", fmt.Sprint(timeLeft.Milliseconds()))
+	r.Header.Set(requestIDHeader, "9b1f03aa5c7e2d41")
+	r.Header.Set(classHeader, class)
+	r.Header.Set(timeLeftHeader, fmt.Sprint(timeLeft.Milliseconds()))
 	if class == "pay" || class == "close" {
-		r.Header.Set("Idempotency-Key", "5c0f6e1a2b3d4c59")
+		r.Header.Set(idempotencyKeyHeader, "5c0f6e1a2b3d4c59")
 	}
 	return r
 }
 
-// clientResponse is a final answer as a client sees it.
+// clientResponse is the response as the client sees it, or the error in its place.
 type clientResponse struct {
 	statusCode int
 	header     http.Header
@@ -189,9 +193,10 @@
 	err        error
 }
 
-func (w *testSidecar) send(r *http.Request) clientResponse {
-	transport := &http.Transport{DisableKeepAlives: true}
-	response, err := (&http.Client{Transport: transport, Timeout: testTimeout}).Do(r)
+// send sends a request on a connection of its own.
+func (s *testSidecar) send(request *http.Request) clientResponse {
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout}
+	response, err := client.Do(request)
 	if err != nil {
 		return clientResponse{err: err}
 	}
