--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -33,7 +33,7 @@
 func listenAdmin(cfg *config.Config) (net.Listener, error) {
 	listener, err := net.Listen("tcp", cfg.AdminAddress)
 	if err != nil {
-		return nil, fmt.Errorf("ops: %w", err)
+		return nil, fmt.Errorf("open the operators' address (ops): %w", err)
 	}
 	return listener, nil
 }
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -65,59 +65,88 @@
 	// The loop outlives ctx: requests in flight need it.
 	loopCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	l, err := newEventLoop(loopCtx, cfg, log)
+	s, err := newProcess(loopCtx, cfg, log)
 	if err != nil {
 		return err
 	}
-	if err := l.openGossip(loopCtx); err != nil {
-		return err
-	}
-	s := newServer(l)
-	if l.restoredSnapshot = loadSnapshot(cfg, log); l.restoredSnapshot != nil {
-		l.restoredMembership = l.restoredSnapshot.Membership
-	}
-	if cfg.StateDir != "" {
-		l.snapshots = state.NewWriter(loopCtx, cfg.StateDir, log)
-	}
-	paired := false
-	if cfg.AdminAddress != "" {
-		calls, err := listenAdmin(cfg)
+	hasOtherProcess := false
+	if cfg.AdminAddress == "" {
+		s.splitLimits(false)
+		go s.loop.run()
+	} else {
+		adminListener, err := listenAdmin(cfg)
 		if err != nil {
 			return err
 		}
 		s.openHandover()
 		defer s.handover.Close()
-		paired = s.handover.HasOtherProcess()
-		go l.run()
-		if err := s.applySettings(s.handover.Load(), paired); err != nil {
+		hasOtherProcess = s.handover.HasOtherProcess()
+		if err := s.startWithOperators(loopCtx, adminListener, hasOtherProcess); err != nil {
 			return err
 		}
-		go newAdminServer(s).serve(loopCtx, calls)
-		go s.pollHandover(loopCtx)
-	} else {
-		s.splitLimits(false)
-		go l.run()
 	}
-	go l.followReloads(reloads)
+	go s.loop.followReloads(reloads)
 	if cfg.Fleet.Enabled {
 		go s.runMembership(ctx)
 	}
-	if paired && !s.awaitEndpointList(ctx) { // until then the other process serves
+	if hasOtherProcess && !s.awaitEndpointList(ctx) { // until then the other process serves
 		return nil
 	}
-	listener, err := listen(cfg)
+	listener, err := s.listenForClients(hasOtherProcess)
 	if err != nil {
-		return fmt.Errorf("listen: %w", err)
-	}
-	if paired {
-		if err := preferSocket(listener.(*net.TCPListener)); err != nil {
-			// The old process accepts what is queued all the same; a few connections may be refused as it closes.
-			log.Warn("new connections not directed to this process", "error", err)
-		}
+		return err
 	}
 	return s.serve(ctx, listener)
 }
 
+// newProcess returns a server with its event loop, which is not started, and what an earlier process persisted. loopCtx ends the
+// loop.
+func newProcess(loopCtx context.Context, cfg *config.Config, log *slog.Logger) (*server, error) {
+	l, err := newEventLoop(loopCtx, cfg, log)
+	if err != nil {
+		return nil, err
+	}
+	if err := l.openGossip(loopCtx); err != nil {
+		return nil, err
+	}
+	s := newServer(l)
+	if l.restoredSnapshot = loadSnapshot(cfg, log); l.restoredSnapshot != nil {
+		l.restoredMembership = l.restoredSnapshot.Membership
+	}
+	if cfg.StateDir != "" {
+		l.snapshots = state.NewWriter(loopCtx, cfg.StateDir, log)
+	}
+	return s, nil
+}
+
+// startWithOperators starts the event loop, applies the operators' settings, and then answers the operators' calls.
+func (s *server) startWithOperators(loopCtx context.Context, adminListener net.Listener, hasOtherProcess bool) error {
+	go s.loop.run()
+	if err := s.applySettings(s.handover.Load(), hasOtherProcess); err != nil {
+		return err
+	}
+	go newAdminServer(s).serve(loopCtx, adminListener)
+	go s.pollHandover(loopCtx)
+	return nil
+}
+
+// listenForClients opens the application's address. If another process of this sidecar listens there, new connections come to this
+// one from here on.
+func (s *server) listenForClients(hasOtherProcess bool) (net.Listener, error) {
+	listener, err := listen(s.loop.cfg)
+	if err != nil {
+		return nil, fmt.Errorf("open the clients' address (listen): %w", err)
+	}
+	if !hasOtherProcess {
+		return listener, nil
+	}
+	if err := preferSocket(listener.(*net.TCPListener)); err != nil {
+		// The old process accepts what is queued all the same; a few connections may be refused as it closes.
+		s.loop.log.Warn("new connections not directed to this process", "error", err)
+	}
+	return listener, nil
+}
+
 // awaitEndpointList waits until this process can serve from a list that discovery has confirmed, or, if discovery does not
 // answer, from the cached one. It returns false if ctx ends before.
 func (s *server) awaitEndpointList(ctx context.Context) bool {
