--- a/internal/sidecar/test_sidecar_test.go
+++ b/internal/sidecar/test_sidecar_test.go
@@ -193,6 +193,11 @@
 	err        error
 }
 
+// String returns the response for a test's message, with the text of the error rather than its address.
+func (r clientResponse) String() string {
+	return fmt.Sprintf("{status code %d, header %v, body %q, error %v}", r.statusCode, r.header, r.body, r.err)
+}
+
 // send sends a request on a connection of its own.
 func (s *testSidecar) send(request *http.Request) clientResponse {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout}
