--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -106,7 +106,7 @@
 	default:
 		l.logFailedAttempt(r, outcome, res)
 	}
-	outcome.RequestDone, outcome.BodyConsumed = r.isDone, r.outgoing.BodyConsumed()
+	outcome.RequestDone, outcome.BodyConsumed = r.isDone, r.outgoing.IsBodyConsumed()
 	l.balancer.AttemptFinished(now, outcome)
 	l.releaseRequest(r)
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -5,7 +5,6 @@
 	"errors"
 	"net"
 	"net/http"
-	"sync"
 	"time"
 
 	"bramblestand/balancer"
@@ -20,108 +19,139 @@
 	MaxConnections   int           // SetLimits changes it
 }
 
+// Client sends requests to endpoints. Its methods may be called from any goroutine; the exported fields are set before the
+// first call.
+//
+// It does not use http.Transport, which by itself repeats what it finds safe to repeat on a dead idle connection: each such
+// repetition would be an attempt that the balancer never decided.
+type Client struct {
+	pool
+
+	Dialer           net.Dialer
+	Network          Network                 // in place of sockets; nil outside the lab
+	LoadProbeTraffic *controltraffic.Counter // counts load probes; may be nil
+
+	loadReportFields []string
+}
+
 // NewClient returns a client without connections.
 func NewClient(options Options) *Client {
 	return &Client{
-		Dialer: net.Dialer{Timeout: options.DialTimeout},
-		// An endpoint closes an idle connection when its time is over at the
-		// latest, and what is written to it from then on is lost.
-		maxIdleTime:      options.KeepaliveTimeout * 3 / 4,
+		pool:             newPool(options.MaxConnections, options.KeepaliveTimeout),
+		Dialer:           net.Dialer{Timeout: options.DialTimeout},
 		loadReportFields: options.LoadReportFields,
-		maxOpen:          options.MaxConnections, maxIdle: options.MaxConnections, idle: map[*Target][]*connection{},
 	}
 }
 
-// Client sends requests to endpoints. It does not use http.Transport, which
-// by itself repeats what it finds safe to repeat on a dead idle connection:
-// each such repetition would be an attempt that the balancer never decided.
-type Client struct {
-	Dialer           net.Dialer
-	maxIdleTime      time.Duration           // idle connections are not used for longer
-	loadReportFields []string                // of load reports
-	Network          Network                 // in place of sockets and HTTP, in a hollow sidecar; else nil
-	LoadProbeTraffic *controltraffic.Counter // counts them; nil where nobody is told
+// Result is the end of an attempt or a load probe.
+type Result struct {
+	Status          balancer.Status
+	Header          http.Header   // of a response with status code 200, as is Body
+	Body            []byte        // nil if it was streamed
+	LoadReport      []float32     // in the order of Options.LoadReportFields, NaN for a missing figure; nil if there is none
+	Latency         time.Duration // from the first write to the end; dialing does not count
+	ClientErrorCode int           // status code for the client whose request is at fault; 0 if it is not
+	Err             error         // why there is no complete response, for the log; nil if there is one
+}
 
-	mu      sync.Mutex
-	open    int // connections, those being dialled included
-	maxOpen int
-	maxIdle int                       // of them, at most so many idle
-	idle    map[*Target][]*connection // by endpoint, the latest used last
+// transport opens connections and exchanges requests and responses on them.
+type transport interface {
+	dial(ctx context.Context, target *Target) (*connection, error)
+	// exchange sends a request and reads its response, or forwards a response that is too long to be buffered. It returns the
+	// connection to the pool. The request never ran if the error is a *notSentError.
+	exchange(ctx context.Context, conn *connection, request *Request, forwarding *Forwarding) (*http.Response, []byte, error)
 }
 
-// Attempt sends a request once and tells what came of it. Its outcome claims
-// that the request never ran only where the last byte was not written, or the
-// endpoint says so; in doubt it may have run.
-func (u *Client) Attempt(ctx context.Context, t *Target, m *Request, p *Forwarding) Result {
-	c, err := u.connect(ctx, t)
-	if m.traffic != nil && !errors.Is(err, ErrTargetRetired) && !errors.Is(err, ErrNoFreeConnection) && (c == nil || c.idleSince.IsZero()) {
-		m.traffic.AddDial(err)
+func (c *Client) transport() transport {
+	if c.Network != nil {
+		return simulatedTransport{c}
 	}
+	return socketTransport{c}
+}
+
+// Attempt sends a request once and waits for the end of its response. The forwarding may be nil if the request has no Upload;
+// then a long response is an error.
+//
+// The status claims that the request never ran only if its last byte was not written or if the endpoint says so. In doubt it
+// may have run.
+func (c *Client) Attempt(ctx context.Context, target *Target, request *Request, forwarding *Forwarding) Result {
+	conn, err := c.connect(ctx, target, request.traffic)
 	if err != nil {
 		return Result{Status: notSentStatus(ctx, err), Err: err}
 	}
 	start := time.Now()
-	exchange := u.exchange
-	if u.Network != nil {
-		exchange = u.exchangeSimulated
+	response, body, err := c.transport().exchange(ctx, conn, request, forwarding)
+	result := Result{Latency: time.Since(start), Err: err}
+	if err != nil {
+		result.Status, result.ClientErrorCode = statusOfError(ctx, err)
+		return result
+	}
+	result.LoadReport = c.parseLoadReport(response.Header.Get(loadReportHeader))
+	result.Status, result.ClientErrorCode = statusOfResponse(response)
+	if result.Status == balancer.OK {
+		result.Header, result.Body = response.Header, body
 	}
-	response, body, err := exchange(ctx, c, m, p)
-	r := Result{Status: balancer.Error, Latency: time.Since(start), Err: err}
-	var never *notSentError
-	var client *ClientError
+	return result
+}
+
+// connect returns the connection to the target that was used last, or opens one. It counts the traffic of a dial.
+func (c *Client) connect(ctx context.Context, target *Target, traffic *controltraffic.Counter) (*connection, error) {
+	conn, err := c.takeIdle(target)
+	if conn != nil || err != nil {
+		return conn, err
+	}
+	conn, err = c.transport().dial(ctx, target)
+	traffic.AddDial(err)
+	if err != nil {
+		c.cancelOpen()
+		return nil, err
+	}
+	return conn, nil
+}
+
+// statusOfError returns the status of an exchange without a complete response, and the status code for the client if the error
+// is the client's.
+func statusOfError(ctx context.Context, err error) (status balancer.Status, clientErrorCode int) {
+	var clientErr *ClientError
+	var notSent *notSentError
 	switch {
-	case errors.As(err, &client):
-		// It says nothing of the endpoint, and there is nobody left to try for.
-		r.Status, r.ClientErrorCode = balancer.Cancelled, client.StatusCode
-	case errors.As(err, &never):
-		r.Status = notSentStatus(ctx, never.error)
+	case errors.As(err, &clientErr):
+		// It says nothing of the endpoint, and there is nobody left to retry for.
+		return balancer.Cancelled, clientErr.StatusCode
+	case errors.As(err, &notSent):
+		return notSentStatus(ctx, notSent.error), 0
 	case errors.Is(err, errDeadlineExceeded):
-		r.Status = balancer.Timeout
-	case err != nil && ctx.Err() != nil:
-		r.Status = balancer.Cancelled
-	case err != nil:
-		r.Status = balancer.Reset // a broken, cut or malformed answer: the connection is of no more use
+		return balancer.Timeout, 0
+	case ctx.Err() != nil:
+		return balancer.Cancelled, 0
 	default:
-		r.LoadReport = u.parseLoadReport(response.Header.Get("X-Backend-Load"))
-		switch code := response.StatusCode; {
-		case code == http.StatusOK:
-			r.Status, r.Header, r.Body = balancer.OK, response.Header, body
-		case (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout) &&
-			response.Header.Get("X-Unprocessed") == "1":
-			r.Status = balancer.Rejected
-		case code == http.StatusBadRequest || code == http.StatusNotFound:
-			// It would be the same everywhere, and says nothing of the endpoint's
-			// health: told as an error, one bad client could have all ejected.
-			r.Status, r.ClientErrorCode = balancer.Cancelled, code
-		}
+		return balancer.Reset, 0 // a broken, incomplete or malformed response
 	}
-	return r
 }
 
-// Result is what came of an attempt or a probe.
-type Result struct {
-	Status          balancer.Status
-	Header          http.Header // of a whole answer 200, as is body
-	Body            []byte
-	LoadReport      []float32
-	Latency         time.Duration // from the write to the end, without the time to connect
-	ClientErrorCode int           // the code by which the endpoint found fault with the request itself, or 0
-	Err             error         // why there is no whole answer, for the log
+// statusOfResponse returns the status of an exchange with a complete response, and the status code for the client if the
+// endpoint says that the client's request is at fault.
+func statusOfResponse(response *http.Response) (status balancer.Status, clientErrorCode int) {
+	switch code := response.StatusCode; code {
+	case http.StatusOK:
+		return balancer.OK, 0
+	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
+		if response.Header.Get(unprocessedHeader) == "1" {
+			return balancer.Rejected, 0
+		}
+	case http.StatusBadRequest, http.StatusNotFound:
+		// It would be the same everywhere and says nothing of the endpoint's health: counted as errors, one bad client's
+		// requests could have all endpoints ejected.
+		return balancer.Cancelled, code
+	}
+	return balancer.Error, 0
 }
 
-// notSentStatus is the outcome of a request that was not written: the endpoint's
-// fault, unless the sidecar no longer wanted to send it.
+// notSentStatus returns the status of a request that was not written: the endpoint's fault, unless the sidecar no longer wanted
+// to send it.
 func notSentStatus(ctx context.Context, err error) balancer.Status {
 	if ctx.Err() != nil || errors.Is(err, ErrTargetRetired) || errors.Is(err, ErrNoFreeConnection) || errors.Is(err, ErrRequestOver) {
 		return balancer.NotSent
 	}
 	return balancer.ConnectFailed
 }
-
-// isPastDeadline says that an attempt's time is up, by the clock: the balancer's own timer
-// for that instant may have called the attempt off already, but to be told of a
-// cancellation in place of a time-out would hide the endpoint's silence from it.
-func isPastDeadline(ctx context.Context) bool {
-	until, ok := ctx.Deadline()
-	return ok && !time.Now().Before(until)
-}
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -12,67 +12,40 @@
 	"bramblestand/internal/socket"
 )
 
-// connection is a connection that carries one request at a time.
+// longAgo is a deadline that ends a read or write at once.
+var longAgo = time.Unix(1, 0)
+
+// connection is a connection that carries one exchange at a time. The goroutine of that exchange uses it; while it is idle the
+// pool owns it.
 type connection struct {
 	net.Conn
 	target        *Target
-	reader        *bufio.Reader
-	limitedReader io.LimitedReader // of an answer
-	idleSince     time.Time
-	onReadTimeout func() bool // if set, a read whose deadline passes goes on if this says so
-}
+	reader        *bufio.Reader    // reads limitedReader; nil on a simulated network
+	limitedReader io.LimitedReader // reads the socket; its limit counts a response's bytes
+	idleSince     time.Time        // zero until the first exchange has ended
 
-// setDeadline sets a deadline for what is read and written next, unless the attempt is over.
-func (c *connection) setDeadline(ctx context.Context, at time.Time) {
-	c.SetDeadline(at)
-	if ctx.Err() != nil { // what wakes the connection then may have come before
-		c.SetDeadline(longAgo)
-	}
+	// onReadTimeout, if set, is called once when the read deadline passes during a read. The read goes on if it returns true,
+	// having set another deadline.
+	onReadTimeout func() bool
 }
 
-var longAgo = time.Unix(1, 0)
-
-// stallGuardedWriter writes a body to an endpoint, which has to take some of it now and again.
-type stallGuardedWriter struct {
-	conn *connection
-	ctx  context.Context
+func newConnection(raw net.Conn, target *Target) *connection {
+	conn := &connection{Conn: raw, target: target}
+	conn.limitedReader.R = resumableReader{conn}
+	conn.reader = bufio.NewReader(&conn.limitedReader)
+	return conn
 }
 
-// Write writes all of p.
-func (w stallGuardedWriter) Write(p []byte) (int, error) {
-	w.conn.setDeadline(w.ctx, time.Now().Add(maxEndpointStall))
-	return w.conn.Write(p)
-}
-
-// connect returns the connection to t that was used last, or opens one.
-func (u *Client) connect(ctx context.Context, t *Target) (*connection, error) {
-	c, err := u.takeIdle(t)
-	if c != nil || err != nil {
-		return c, err
-	}
-	var raw net.Conn
-	if u.Network == nil {
-		raw, err = u.Dialer.DialContext(ctx, "tcp", t.Address)
-	} else {
-		raw, err = u.dialSimulated(ctx, t)
-	}
-	if err != nil {
-		u.mu.Lock()
-		u.open--
-		u.mu.Unlock()
-		return nil, err
-	}
-	c = &connection{Conn: raw, target: t}
-	if u.Network != nil {
-		return c, nil // nothing is read from it
+// setDeadline sets the deadline of what is read and written next, unless ctx has ended.
+func (c *connection) setDeadline(ctx context.Context, deadline time.Time) {
+	c.SetDeadline(deadline)
+	if ctx.Err() != nil { // the deadline that the end of ctx sets may have been overwritten
+		c.SetDeadline(longAgo)
 	}
-	c.limitedReader.R = resumableReader{c}
-	c.reader = bufio.NewReader(&c.limitedReader)
-	return c, nil
 }
 
 // isQuiet reports whether the connection is open and nothing waits to be read from it. An endpoint may close an idle
-// one at any time, and a request written after that is lost as a reset that may have run.
+// connection at any time, and a request written after that is lost as a reset that may have run.
 func (c *connection) isQuiet() bool {
 	if simulated, ok := c.Conn.(simulatedConn); ok {
 		return simulated.IsOpen()
@@ -80,18 +53,46 @@
 	return socket.IsQuiet(c.Conn)
 }
 
-// resumableReader reads from a connection. A wait that ends may not be the end of the read.
+// resumableReader reads from a connection's socket. A read whose deadline passes goes on if onReadTimeout says so.
 type resumableReader struct{ *connection }
 
+// Read reads what has arrived, or waits for it.
 func (r resumableReader) Read(p []byte) (int, error) {
 	for {
 		n, err := r.Conn.Read(p)
-		waited := r.onReadTimeout
-		if n > 0 || waited == nil || !errors.Is(err, os.ErrDeadlineExceeded) {
+		onTimeout := r.onReadTimeout
+		if n > 0 || onTimeout == nil || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return n, err
 		}
-		if r.onReadTimeout = nil; !waited() {
+		r.onReadTimeout = nil
+		if !onTimeout() {
 			return n, err
 		}
 	}
 }
+
+// stallLimitedWriter writes a body to an endpoint. A write fails if the endpoint does not take all of it within
+// maxEndpointStall.
+type stallLimitedWriter struct {
+	conn *connection
+	ctx  context.Context
+}
+
+// Write writes all of p.
+func (w stallLimitedWriter) Write(p []byte) (int, error) {
+	w.conn.setDeadline(w.ctx, time.Now().Add(maxEndpointStall))
+	return w.conn.Write(p)
+}
+
+// stallLimitedReader reads a response's body from an endpoint. A read fails if the endpoint sends nothing for maxEndpointStall.
+type stallLimitedReader struct {
+	conn *connection
+	ctx  context.Context
+	body io.Reader
+}
+
+// Read reads what has arrived, or waits for it.
+func (r *stallLimitedReader) Read(p []byte) (int, error) {
+	r.conn.setDeadline(r.ctx, time.Now().Add(maxEndpointStall))
+	return r.body.Read(p)
+}
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -3,124 +3,177 @@
 import (
 	"context"
 	"fmt"
-	"io"
-	"math"
 	"net/http"
 	"time"
 )
 
+// Limits of an exchange.
 const (
-	maxEndpointStall = 10 * time.Second // a single wait for an endpoint during a body
-	MaxBufferedBody  = 64 << 10         // bytes of a request's or an answer's body
-	MaxHeaderBytes   = 32 << 10         // bytes of an answer's head
-	loadProbeTimeout = 400 * time.Millisecond
+	MaxBufferedBody  = 64 << 10         // bytes of a request's or a response's body
+	MaxHeaderBytes   = 32 << 10         // of a response's header
+	maxEndpointStall = 10 * time.Second // a single wait for an endpoint during a body that is forwarded
 )
 
-// checkMayStart says, in the moment before the first byte, why nothing may be sent on a connection any more; nil where it may.
-func (u *Client) checkMayStart(ctx context.Context, c *connection, p *Forwarding) error {
-	// The endpoint may have been told draining while the connection was
-	// dialled: nothing new may go there.
-	if u.IsRetired(c.target) {
+// socketTransport makes exchanges over sockets.
+type socketTransport struct{ client *Client }
+
+func (t socketTransport) dial(ctx context.Context, target *Target) (*connection, error) {
+	raw, err := t.client.Dialer.DialContext(ctx, "tcp", target.Address)
+	if err != nil {
+		return nil, err
+	}
+	return newConnection(raw, target), nil
+}
+
+// exchange implements transport. The returned body is nil if the response was streamed.
+func (t socketTransport) exchange(ctx context.Context, conn *connection, request *Request, forwarding *Forwarding) (response *http.Response, body []byte, err error) {
+	e := &exchange{conn: conn, request: request, forwarding: forwarding, cancel: func() {}}
+	e.watch(ctx)
+	isReusable := false
+	defer func() {
+		err = markDeadline(e.ctx, err)
+		t.client.release(conn, e.stopWatch() && isReusable)
+	}()
+	defer func() { e.cancel() }()
+	if err := t.client.checkMayStart(ctx, conn.target, forwarding); err != nil {
+		return nil, nil, err
+	}
+	if err := e.writeRequest(); err != nil {
+		return nil, nil, err
+	}
+	response, body, err = e.readResponse()
+	if err != nil {
+		return nil, nil, err
+	}
+	// After a change of protocols the connection speaks no HTTP any more.
+	isReusable = !response.Close && conn.reader.Buffered() == 0 && response.StatusCode != http.StatusSwitchingProtocols
+	return response, body, nil
+}
+
+// checkMayStart is called in the moment before the first byte is written. It returns a *notSentError if nothing may be sent to
+// the target any more.
+func (c *Client) checkMayStart(ctx context.Context, target *Target, forwarding *Forwarding) error {
+	// The target may have been retired while the connection was dialed.
+	if c.IsRetired(target) {
 		return &notSentError{ErrTargetRetired}
 	}
-	// So may its time have ended, or its client have left: what wakes a write then comes a little later.
-	if p != nil && !p.MayStart() || ctx.Err() != nil {
+	// The deadline may have passed, or the client have disconnected: what wakes a write then comes a little later.
+	if forwarding != nil && !forwarding.MayStart() || ctx.Err() != nil {
 		return &notSentError{ErrRequestOver}
 	}
 	return nil
 }
 
-// exchange writes one request on a connection and reads the whole answer, or passes it on where it is longer than
-// what is kept. It gives the connection back.
-func (u *Client) exchange(ctx context.Context, c *connection, m *Request, p *Forwarding) (response *http.Response, body []byte, err error) {
-	keep := false
-	var stop func() bool
-	guard := func(ctx context.Context) { // wakes a read or write when ctx ends
-		stop = context.AfterFunc(ctx, func() { c.SetDeadline(longAgo) })
+// markDeadline wraps an error with errDeadlineExceeded if the deadline of ctx has passed by the clock. The balancer's own timer
+// for that instant may already have cancelled the attempt, but a cancellation in place of a timeout would hide the endpoint's
+// silence from the balancer.
+func markDeadline(ctx context.Context, err error) error {
+	deadline, ok := ctx.Deadline()
+	if err == nil || !ok || time.Now().Before(deadline) {
+		return err
 	}
-	guard(ctx)
-	defer func() {
-		if err != nil && isPastDeadline(ctx) {
-			err = fmt.Errorf("%w: %w", errDeadlineExceeded, err)
-		}
-		u.release(c, stop() && keep)
-	}()
+	return fmt.Errorf("%w: %w", errDeadlineExceeded, err)
+}
 
-	if err := u.checkMayStart(ctx, c, p); err != nil {
-		return nil, nil, err
+// exchange is one request and its response on a connection. One goroutine uses it.
+type exchange struct {
+	conn       *connection
+	request    *Request
+	forwarding *Forwarding // nil if there is nothing to forward
+
+	ctx       context.Context    // ends what is read and written now
+	stopWatch func() bool        // ends watch; false if ctx has ended before
+	cancel    context.CancelFunc // releases a context that the exchange made
+	readLimit int64              // of the connection, at the response's start
+}
+
+// watch has ctx end what is read and written from now on.
+func (e *exchange) watch(ctx context.Context) {
+	e.ctx = ctx
+	e.stopWatch = context.AfterFunc(ctx, func() { e.conn.SetDeadline(longAgo) })
+}
+
+// writeRequest writes the request to its last byte.
+func (e *exchange) writeRequest() error {
+	if e.request.Upload == nil {
+		return e.writeBuffered()
 	}
-	if m.Upload == nil {
-		data, err := m.encode(ctx)
-		if err != nil {
-			return nil, nil, &notSentError{err}
-		}
-		n, err := c.Write(data)
-		m.traffic.AddSent(n, n == len(data))
-		if n < len(data) {
-			return nil, nil, &notSentError{err}
-		}
-	} else {
-		if err := m.writeStreamed(c, p); err != nil {
-			return nil, nil, err
-		}
-		// Its time begins with its last byte.
-		until := p.BodySent()
-		if !stop() {
-			return nil, nil, ctx.Err()
-		}
-		var cancel context.CancelFunc
-		ctx, cancel = context.WithDeadline(p.StreamContext, until)
-		defer cancel()
-		c.setDeadline(ctx, time.Time{})
-		guard(ctx)
-	}
-	c.limitedReader.N = MaxHeaderBytes + MaxBufferedBody
-	limit := c.limitedReader.N
+	return e.writeUpload()
+}
+
+// writeBuffered writes a request whose body is buffered.
+func (e *exchange) writeBuffered() error {
+	data, err := e.request.encode(e.ctx)
+	if err != nil {
+		return &notSentError{err}
+	}
+	n, err := e.conn.Write(data)
+	e.request.traffic.AddSent(n, n == len(data))
+	if n < len(data) {
+		return &notSentError{err}
+	}
+	return nil
+}
+
+// writeUpload writes a request whose body is still coming from the client. The request's deadline counts from the last byte.
+func (e *exchange) writeUpload() error {
+	streamCtx := e.forwarding.StreamContext
+	err := e.request.writeUpload(streamCtx, stallLimitedWriter{e.conn, streamCtx})
+	if clientErr := e.request.Upload.ClientError(); clientErr != nil {
+		return clientErr
+	}
+	if err != nil {
+		return &notSentError{err}
+	}
+	deadline := e.forwarding.BodySent()
+	if !e.stopWatch() {
+		return e.ctx.Err()
+	}
+	ctx, cancel := context.WithDeadline(streamCtx, deadline)
+	e.cancel = cancel
+	e.conn.setDeadline(ctx, time.Time{})
+	e.watch(ctx)
+	return nil
+}
+
+// readResponse reads a response and, unless it is streamed, its body.
+func (e *exchange) readResponse() (response *http.Response, body []byte, err error) {
+	e.limitRead(MaxHeaderBytes + MaxBufferedBody)
 	defer func() {
-		m.traffic.AddReceived(int(limit-c.limitedReader.N), err == nil)
+		bytesRead := e.readLimit - e.conn.limitedReader.N
+		e.request.traffic.AddReceived(int(bytesRead), err == nil)
 		if err != nil {
-			err = fmt.Errorf("after %d bytes of an answer: %w", limit-c.limitedReader.N, err)
+			err = fmt.Errorf("after %d bytes of a response: %w", bytesRead, err)
 		}
 	}()
-	for { // interim answers come before the one that counts
-		if response, err = http.ReadResponse(c.reader, &http.Request{Method: m.Method}); err != nil {
-			return nil, nil, err
-		}
-		if response.StatusCode >= http.StatusOK || response.StatusCode == http.StatusSwitchingProtocols {
-			break
-		}
+	if response, err = e.readHeader(); err != nil {
+		return nil, nil, err
 	}
-	if p == nil || response.StatusCode != http.StatusOK {
-		if body, err = io.ReadAll(io.LimitReader(response.Body, MaxBufferedBody+1)); err != nil {
-			return nil, nil, err
-		}
-		if len(body) > MaxBufferedBody {
-			return nil, nil, fmt.Errorf("the answer's body is over %d bytes", MaxBufferedBody)
-		}
+	if e.forwarding != nil && response.StatusCode == http.StatusOK {
+		body, err = e.readOrStream(response)
 	} else {
-		c.limitedReader.N, limit = math.MaxInt64, math.MaxInt64 // what is kept bounds itself, however small its chunks
-		lift := func() bool {                                   // the time was for the first bytes
-			if !stop() {
-				return false
-			}
-			ctx = p.StreamContext
-			guard(ctx)
-			c.setDeadline(ctx, time.Now().Add(maxEndpointStall))
-			return true
-		}
-		var s *ResponseStream
-		if body, s, err = c.readOrStream(ctx, response, p, lift); s != nil {
-			if failed := <-s.clientDone; failed != nil {
-				err = failed // the client's failure, or what the client was told of the endpoint's
-			}
-			body = nil
-		}
+		body, err = readBuffered(response)
+	}
+	if err != nil {
+		return nil, nil, err
+	}
+	return response, body, nil
+}
+
+// limitRead sets how many bytes may be read from here on.
+func (e *exchange) limitRead(limit int64) {
+	e.conn.limitedReader.N, e.readLimit = limit, limit
+}
+
+// readHeader reads the header of the final response, and skips interim responses before it.
+func (e *exchange) readHeader() (*http.Response, error) {
+	for {
+		response, err := http.ReadResponse(e.conn.reader, &http.Request{Method: e.request.Method})
 		if err != nil {
-			return nil, nil, err
+			return nil, err
+		}
+		if response.StatusCode >= http.StatusOK || response.StatusCode == http.StatusSwitchingProtocols {
+			return response, nil
 		}
-		c.setDeadline(ctx, time.Time{})
 	}
-	// After a change of protocols the connection speaks no HTTP any more.
-	keep = !response.Close && c.reader.Buffered() == 0 && response.StatusCode != http.StatusSwitchingProtocols
-	return response, body, nil
 }
--- a/internal/upstream/load_probe.go
+++ b/internal/upstream/load_probe.go
@@ -8,42 +8,52 @@
 	"slices"
 	"strconv"
 	"strings"
+	"time"
 
 	"bramblestand/balancer"
 )
 
-// LoadProbe asks an endpoint for its load report, or for its health where the
-// deployment has no reports.
-func (u *Client) LoadProbe(ctx context.Context, t *Target) Result {
+// Paths of load probes.
+const (
+	loadReportPath = "/stats"
+	livenessPath   = "/health/live" // where the deployment has no load reports
+)
+
+// loadProbeTimeout is the time of a load probe, dialing included.
+const loadProbeTimeout = 400 * time.Millisecond
+
+// LoadProbe asks an endpoint for its load report, or for its liveness if the deployment has no load reports.
+func (c *Client) LoadProbe(ctx context.Context, target *Target) Result {
 	ctx, cancel := context.WithTimeout(ctx, loadProbeTimeout)
 	defer cancel()
-	m := &Request{Method: http.MethodGet, URL: &url.URL{Path: "/health/live"}, Host: t.Address, traffic: u.LoadProbeTraffic}
-	if len(u.loadReportFields) > 0 {
-		m.URL.Path = "/stats"
+	path := livenessPath
+	if len(c.loadReportFields) > 0 {
+		path = loadReportPath
 	}
-	r := u.Attempt(ctx, t, m, nil)
-	if r.Status == balancer.OK {
-		r.LoadReport = u.parseLoadReport(string(r.Body))
+	request := &Request{Method: http.MethodGet, URL: &url.URL{Path: path}, Host: target.Address, traffic: c.LoadProbeTraffic}
+	result := c.Attempt(ctx, target, request, nil)
+	if result.Status == balancer.OK {
+		result.LoadReport = c.parseLoadReport(string(result.Body))
 	}
-	return r
+	return result
 }
 
-// parseLoadReport reads name=value pairs into the order of the settings. A figure
-// that is missing or malformed is not a number, which the balancer skips.
-func (u *Client) parseLoadReport(text string) []float32 {
-	if text == "" || len(u.loadReportFields) == 0 {
+// parseLoadReport reads name=value pairs into the order of Options.LoadReportFields. A figure that is missing or malformed is
+// NaN, which the balancer skips.
+func (c *Client) parseLoadReport(text string) []float32 {
+	if text == "" || len(c.loadReportFields) == 0 {
 		return nil
 	}
-	load := make([]float32, len(u.loadReportFields))
-	for i := range load {
-		load[i] = float32(math.NaN())
+	report := make([]float32, len(c.loadReportFields))
+	for i := range report {
+		report[i] = float32(math.NaN())
 	}
 	for pair := range strings.SplitSeq(strings.TrimSpace(text), ",") {
 		name, value, _ := strings.Cut(pair, "=")
-		v, err := strconv.ParseFloat(value, 32)
-		if i := slices.Index(u.loadReportFields, name); i >= 0 && err == nil {
-			load[i] = float32(v)
+		figure, err := strconv.ParseFloat(value, 32)
+		if i := slices.Index(c.loadReportFields, name); i >= 0 && err == nil {
+			report[i] = float32(figure)
 		}
 	}
-	return load
+	return report
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -2,124 +2,162 @@
 
 import (
 	"slices"
+	"sync"
 	"time"
 )
 
-// Target is one life of an endpoint at one address. It is closed for good once
-// the endpoint is told draining or gone, or has restarted.
+// Endpoints close a connection once it has been idle for the keepalive timeout, and what is written to it from then on is
+// lost. Therefore the pool uses a connection only for keepaliveNumerator/keepaliveDenominator of that time.
+const (
+	keepaliveNumerator   = 3
+	keepaliveDenominator = 4
+)
+
+// Target is an endpoint from one start to the next, at one address. A restarted endpoint is another target.
 type Target struct {
-	Address         string
-	StartedAtMillis int64
-	retired         bool // under upstream.mu
+	Address         string // host:port
+	StartedAtMillis int64  // Unix time; 0 if unknown
+
+	isRetired bool // guarded by pool.mu
 }
 
-// takeIdle returns an idle connection, or none with the right to open one.
-func (u *Client) takeIdle(t *Target) (*connection, error) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if t.retired {
+// pool limits the connections to all endpoints and keeps the idle ones. Its methods may be called from any goroutine.
+type pool struct {
+	maxIdleTime time.Duration // idle connections are not used for longer
+
+	mu      sync.Mutex                // guards the fields below and Target.isRetired
+	open    int                       // connections, those being dialed included
+	maxOpen int                       // what is beyond it is not closed while in use
+	maxIdle int                       // of the open ones
+	idle    map[*Target][]*connection // the latest used last
+}
+
+func newPool(maxOpen int, keepaliveTimeout time.Duration) pool {
+	return pool{
+		maxIdleTime: keepaliveTimeout * keepaliveNumerator / keepaliveDenominator,
+		maxOpen:     maxOpen,
+		maxIdle:     maxOpen,
+		idle:        map[*Target][]*connection{},
+	}
+}
+
+// takeIdle returns an idle connection, or nil with the right to open one, which cancelOpen gives back. It fails with
+// ErrTargetRetired or ErrNoFreeConnection.
+func (p *pool) takeIdle(target *Target) (*connection, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if target.isRetired {
 		return nil, ErrTargetRetired
 	}
-	for list := u.idle[t]; len(list) > 0; list = u.idle[t] {
-		c := list[len(list)-1]
-		u.idle[t] = list[:len(list)-1]
-		if time.Since(c.idleSince) < u.maxIdleTime && c.isQuiet() {
-			return c, nil
+	for conns := p.idle[target]; len(conns) > 0; conns = p.idle[target] {
+		conn := conns[len(conns)-1]
+		p.idle[target] = conns[:len(conns)-1]
+		if time.Since(conn.idleSince) < p.maxIdleTime && conn.isQuiet() {
+			return conn, nil
 		}
-		u.closeLocked(c)
+		p.closeLocked(conn)
 	}
-	u.closeIdleUntil(u.maxOpen - 1)
-	if u.open >= u.maxOpen {
+	p.closeIdleLocked(p.maxOpen - 1)
+	if p.open >= p.maxOpen {
 		return nil, ErrNoFreeConnection
 	}
-	u.open++
+	p.open++
 	return nil, nil
 }
 
-// closeIdleUntil closes idle connections until so many are open, or none is idle. It holds u.mu.
-func (u *Client) closeIdleUntil(most int) {
-	for t, list := range u.idle {
-		for u.open > most && len(list) > 0 {
-			u.closeLocked(list[0])
-			list = list[1:]
-		}
-		u.idle[t] = list
+// cancelOpen gives back the right to open a connection.
+func (p *pool) cancelOpen() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.open--
+}
+
+// release takes back a connection that takeIdle returned or that was opened. It keeps it for the next request if it is
+// reusable, and else closes it.
+func (p *pool) release(conn *connection, isReusable bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if !isReusable || conn.target.isRetired {
+		p.closeLocked(conn)
+		return
+	}
+	conn.idleSince = time.Now()
+	p.idle[conn.target] = append(p.idle[conn.target], conn)
+	if p.idleCountLocked() > p.maxIdle {
+		p.closeIdleLocked(p.open - 1)
 	}
 }
 
-// SetLimits sets how many connections there may be, and how many of them idle.
-func (u *Client) SetLimits(most, rest int) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.maxOpen, u.maxIdle = most, rest
-	u.closeIdleUntil(min(most, u.open-u.idleCount()+rest))
+// SetLimits sets how many connections there may be, and how many of them may be idle. It closes idle connections beyond that.
+func (p *pool) SetLimits(maxOpen, maxIdle int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.maxOpen, p.maxIdle = maxOpen, maxIdle
+	inUse := p.open - p.idleCountLocked()
+	p.closeIdleLocked(min(maxOpen, inUse+maxIdle))
 }
 
-// idleCount counts the idle connections. It holds u.mu.
-func (u *Client) idleCount() (n int) {
-	for _, list := range u.idle {
-		n += len(list)
-	}
-	return n
+// ConnectionCounts returns how many connections are open, and how many of them are idle.
+func (p *pool) ConnectionCounts() (open, idle int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.open, p.idleCountLocked()
 }
 
-// ConnectionCounts counts the open connections and the idle ones among them.
-func (u *Client) ConnectionCounts() (open, idle int) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return u.open, u.idleCount()
+// Retire ends the use of a target that drains, was removed or banned, or has restarted: its idle connections are closed, and
+// no request is started on the others.
+func (p *pool) Retire(target *Target) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	target.isRetired = true
+	for _, conn := range p.idle[target] {
+		p.closeLocked(conn)
+	}
+	delete(p.idle, target)
 }
 
-// closeLocked closes a connection. It holds u.mu.
-func (u *Client) closeLocked(c *connection) {
-	c.Close()
-	u.open--
+// IsRetired reports whether Retire was called for a target.
+func (p *pool) IsRetired(target *Target) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return target.isRetired
 }
 
-// release keeps a connection for the next request, or closes it.
-func (u *Client) release(c *connection, keep bool) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if !keep || c.target.retired {
-		u.closeLocked(c)
-		return
-	}
-	c.idleSince = time.Now()
-	u.idle[c.target] = append(u.idle[c.target], c)
-	if u.idleCount() > u.maxIdle {
-		u.closeIdleUntil(u.open - 1)
+// CloseExpired closes connections that have been idle for too long. The event loop calls it once a second.
+func (p *pool) CloseExpired() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for target, conns := range p.idle {
+		expired := 0 // the longest idle come first
+		for expired < len(conns) && time.Since(conns[expired].idleSince) >= p.maxIdleTime {
+			p.closeLocked(conns[expired])
+			expired++
+		}
+		p.idle[target] = slices.Delete(conns, 0, expired)
 	}
 }
 
-// Retire closes a target for good, and its idle connections. What is out there
-// goes on.
-func (u *Client) Retire(t *Target) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	t.retired = true
-	for _, c := range u.idle[t] {
-		u.closeLocked(c)
+// closeIdleLocked closes idle connections until no more than maxOpen are open, or none is idle. The caller holds p.mu.
+func (p *pool) closeIdleLocked(maxOpen int) {
+	for target, conns := range p.idle {
+		for p.open > maxOpen && len(conns) > 0 {
+			p.closeLocked(conns[0])
+			conns = conns[1:]
+		}
+		p.idle[target] = conns
 	}
-	delete(u.idle, t)
 }
 
-// IsRetired reports whether Retire was called for a target.
-func (u *Client) IsRetired(t *Target) bool {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return t.retired
+// idleCountLocked counts the idle connections. The caller holds p.mu.
+func (p *pool) idleCountLocked() (count int) {
+	for _, conns := range p.idle {
+		count += len(conns)
+	}
+	return count
 }
 
-// CloseExpired closes connections that have been idle for too long.
-func (u *Client) CloseExpired() {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	for t, list := range u.idle {
-		old := 0 // the longest idle come first
-		for old < len(list) && time.Since(list[old].idleSince) >= u.maxIdleTime {
-			u.closeLocked(list[old])
-			old++
-		}
-		u.idle[t] = slices.Delete(list, 0, old)
-	}
+// closeLocked closes a connection. The caller holds p.mu.
+func (p *pool) closeLocked(conn *connection) {
+	conn.Close()
+	p.open--
 }
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -13,19 +13,28 @@
 	"bramblestand/internal/controltraffic"
 )
 
-// Request is a request as it goes to endpoints, any number of times.
+// Headers that this package reads or writes.
+const (
+	requestIDHeader   = "X-Correlation-Id"
+	timeLeftHeader    = "X-Time-Left-Ms" // of a request: milliseconds until its deadline
+	loadReportHeader  = "X-Backend-Load" // of a response: name=value pairs
+	unprocessedHeader = "X-Unprocessed"  // of a response: 1 if the request never ran
+)
+
+// Request is a request to endpoints. It may be sent repeatedly, by one attempt after the other, until IsBodyConsumed.
 type Request struct {
-	Method  string
-	URL     *url.URL
-	Host    string
-	Header  http.Header             // X-Time-Left-Ms is written for each attempt
-	Body    []byte                  // all of it, or what is kept of one that still comes:
-	Upload  Upload                  // the rest of it, or nil
-	traffic *controltraffic.Counter // counts it; nil for a client's request
+	Method string
+	URL    *url.URL
+	Host   string
+	Header http.Header // of the client's request; X-Time-Left-Ms is written anew by each attempt
+	Body   []byte      // all of it, or its buffered start if there is an Upload
+	Upload Upload      // the rest of the body; nil if there is none
+
+	traffic *controltraffic.Counter // counts the request; nil for a client's
 }
 
-// Upload is the part of a request's body that has not been buffered and is still to come from the client. An attempt's
-// goroutine reads it; there is one attempt at a time.
+// Upload is the part of a request's body that is not buffered and is still coming from the client. An attempt's goroutine reads
+// it; there is one attempt at a time.
 type Upload interface {
 	io.Reader // fails with what ClientError returns from then on
 
@@ -34,43 +43,25 @@
 	ClientError() *ClientError // what ended reading, or nil
 }
 
-// BodyConsumed says that part of the body is gone, so that the request cannot be sent again.
-func (m *Request) BodyConsumed() bool { return m.Upload != nil && m.Upload.IsConsumed() }
+// IsBodyConsumed reports whether part of the body is gone, so that the request cannot be sent again. It must not be called
+// during an attempt.
+func (r *Request) IsBodyConsumed() bool { return r.Upload != nil && r.Upload.IsConsumed() }
 
-// writeStreamed writes a request whose body still comes from the client. It never ran if this fails: its last byte was not
-// written.
-func (m *Request) writeStreamed(c *connection, p *Forwarding) error {
-	request := m.httpRequest(p.StreamContext)
-	request.ContentLength = m.Upload.ContentLength()
-	// Without the reader's own WriteTo, which would take a buffer for each request.
-	request.Body = io.NopCloser(struct{ io.Reader }{io.MultiReader(bytes.NewReader(m.Body), m.Upload)})
-	err := request.Write(stallGuardedWriter{c, p.StreamContext})
-	if failed := m.Upload.ClientError(); failed != nil {
-		return failed
-	}
-	if err != nil {
-		return &notSentError{err}
-	}
-	return nil
+// writeUpload writes the request with the body's buffered start and its Upload.
+func (r *Request) writeUpload(ctx context.Context, w io.Writer) error {
+	request := r.toHTTP(ctx)
+	request.ContentLength = r.Upload.ContentLength()
+	// The struct hides the reader's WriteTo, which would allocate a buffer for each request.
+	request.Body = io.NopCloser(struct{ io.Reader }{io.MultiReader(bytes.NewReader(r.Body), r.Upload)})
+	return request.Write(w)
 }
 
-// httpRequest is the message as net/http writes it, with the time that this attempt has left and without a body.
-func (m *Request) httpRequest(ctx context.Context) *http.Request {
-	request := &http.Request{Method: m.Method, URL: m.URL, Host: m.Host, Header: http.Header{}}
-	CopyEndToEndHeaders(request.Header, m.Header)
-	if until, ok := ctx.Deadline(); ok {
-		left := max(0, time.Until(until).Milliseconds())
-		request.Header.Set("X-Time-Left-Ms", strconv.FormatInt(left, 10))
-	}
-	return request
-}
-
-// encode writes the request with the time that this attempt has left.
-func (m *Request) encode(ctx context.Context) ([]byte, error) {
-	request := m.httpRequest(ctx)
-	if len(m.Body) > 0 {
-		request.ContentLength = int64(len(m.Body))
-		request.Body = io.NopCloser(bytes.NewReader(m.Body))
+// encode returns the bytes of a request whose body is buffered.
+func (r *Request) encode(ctx context.Context) ([]byte, error) {
+	request := r.toHTTP(ctx)
+	if len(r.Body) > 0 {
+		request.ContentLength = int64(len(r.Body))
+		request.Body = io.NopCloser(bytes.NewReader(r.Body))
 	}
 	var data bytes.Buffer
 	if err := request.Write(&data); err != nil {
@@ -79,11 +70,23 @@
 	return data.Bytes(), nil
 }
 
-// hopByHopHeaders headers concern one connection only.
+// toHTTP returns the request without its body, with the time that is left until the deadline of ctx.
+func (r *Request) toHTTP(ctx context.Context) *http.Request {
+	request := &http.Request{Method: r.Method, URL: r.URL, Host: r.Host, Header: http.Header{}}
+	CopyEndToEndHeaders(request.Header, r.Header)
+	if deadline, ok := ctx.Deadline(); ok {
+		timeLeft := max(0, time.Until(deadline).Milliseconds())
+		request.Header.Set(timeLeftHeader, strconv.FormatInt(timeLeft, 10))
+	}
+	return request
+}
+
+// hopByHopHeaders concern one connection only (RFC 9110, section 7.6.1). Expect is among them since the sidecar answers it
+// itself.
 var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
 
-// CopyEndToEndHeaders copies the headers that are to be passed on.
+// CopyEndToEndHeaders copies the headers that are forwarded.
 func CopyEndToEndHeaders(to, from http.Header) {
 	for name, values := range from {
 		if !slices.Contains(hopByHopHeaders, name) {
--- a/internal/upstream/simulated.go
+++ b/internal/upstream/simulated.go
@@ -2,61 +2,63 @@
 
 import (
 	"context"
-	"fmt"
 	"net"
 	"net/http"
 )
 
-// Network carries a hollow sidecar's requests to endpoints.
+// Network carries a hollow sidecar's requests to endpoints, in place of sockets and HTTP. Only the lab has one.
 type Network interface {
-	// Dial opens a connection to an endpoint, or fails as a dial does.
+	// Dial opens a connection to an address, or fails as a dial does.
 	Dial(ctx context.Context, address string) (SimulatedConnection, error)
 }
 
 // SimulatedConnection takes one request at a time.
 type SimulatedConnection interface {
-	// Do sends a request (a probe is one without id) and gives the answer. An error is as a broken connection's;
-	// where ctx ends first it is ctx's.
-	Do(ctx context.Context, path, id string) (code int, header http.Header, body []byte, err error)
-	IsOpen() bool // nothing has closed it
+	// Do sends a request and returns the response. The id is empty for a load probe. It fails as a broken connection does, or
+	// with ctx's error if ctx ends first.
+	Do(ctx context.Context, path, id string) (statusCode int, header http.Header, body []byte, err error)
+	IsOpen() bool // neither side has closed it
 	Close()       // called once
 }
 
-// simulatedConn is a SimulatedConnection in the place of a socket; what only sockets have must not be called.
+// simulatedConn stands for a socket. The methods of the embedded net.Conn must not be called.
 type simulatedConn struct {
 	net.Conn
 	SimulatedConnection
 }
 
-// Close ends the connection.
-func (c simulatedConn) Close() error { c.SimulatedConnection.Close(); return nil }
+// Close closes the connection.
+func (c simulatedConn) Close() error {
+	c.SimulatedConnection.Close()
+	return nil
+}
+
+// simulatedTransport makes exchanges over a Network.
+type simulatedTransport struct{ client *Client }
 
-func (u *Client) dialSimulated(ctx context.Context, t *Target) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, u.Dialer.Timeout)
+func (t simulatedTransport) dial(ctx context.Context, target *Target) (*connection, error) {
+	ctx, cancel := context.WithTimeout(ctx, t.client.Dialer.Timeout)
 	defer cancel()
-	c, err := u.Network.Dial(ctx, t.Address)
+	conn, err := t.client.Network.Dial(ctx, target.Address)
 	if err != nil {
 		return nil, err
 	}
-	return simulatedConn{SimulatedConnection: c}, nil
+	return &connection{Conn: simulatedConn{SimulatedConnection: conn}, target: target}, nil
 }
 
-// exchangeSimulated is exchange where no byte is written: the same checks before a send, and the same end of the connection.
-func (u *Client) exchangeSimulated(ctx context.Context, c *connection, m *Request, p *Forwarding) (response *http.Response, body []byte, err error) {
-	keep := false
+// exchange implements transport. It makes the same checks before a request is sent as with a socket.
+func (t simulatedTransport) exchange(ctx context.Context, conn *connection, request *Request, forwarding *Forwarding) (response *http.Response, body []byte, err error) {
 	defer func() {
-		if err != nil && isPastDeadline(ctx) {
-			err = fmt.Errorf("%w: %w", errDeadlineExceeded, err)
-		}
-		u.release(c, keep)
+		isReusable := err == nil
+		err = markDeadline(ctx, err)
+		t.client.release(conn, isReusable)
 	}()
-	if err := u.checkMayStart(ctx, c, p); err != nil {
+	if err := t.client.checkMayStart(ctx, conn.target, forwarding); err != nil {
 		return nil, nil, err
 	}
-	code, header, body, err := c.Conn.(simulatedConn).Do(ctx, m.URL.Path, m.Header.Get("X-Correlation-Id"))
+	statusCode, header, body, err := conn.Conn.(simulatedConn).Do(ctx, request.URL.Path, request.Header.Get(requestIDHeader))
 	if err != nil {
 		return nil, nil, err
 	}
-	keep = true
-	return &http.Response{StatusCode: code, Header: header}, body, nil
+	return &http.Response{StatusCode: statusCode, Header: header}, body, nil
 }
