--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -16,7 +16,8 @@
 // the balancer's terms; other keys are skipped.
 //
 // Its errors are *balancer.SettingError and name the key in the text. No decision reads position, areas, skus, tick,
-// limits.dial-timeout, contract.drain-grace, contract.answer-slack, prices.waste, prices.late-fail and goal.worst-tenant.
+// limits.second-copies, limits.dial-timeout, contract.drain-grace, contract.answer-slack, prices.waste, prices.late-fail,
+// goal.worst-tenant, classes[].late-value, classes[].stream and tenants[].share.
 func ParseSettings(text string) (balancer.Settings, error) {
 	t, err := splitSettings(text)
 	if err != nil {
