--- a/internal/sidecar/client_conn.go
+++ b/internal/sidecar/client_conn.go
@@ -19,7 +19,7 @@
 
 // maxDrainTime is how long a closed connection may go on sending before it is reset. A misbehaving client has to be
 // disconnected within 3 s of connecting; one that sent a valid request may first have to write a long body, and gets the time
-// that its pace earns.
+// that its transfer rate earns.
 const maxDrainTime = 2 * time.Second
 
 // clientListener accepts clients' connections as clientConn.
@@ -267,7 +267,7 @@
 func (c *clientConn) drainBeforeClose(hasValidRequest bool) {
 	defer c.closeSocket()
 	limit := time.Now().Add(maxDrainTime)
-	for p := (pace{}); p.bytes <= maxRequestBody; time.Sleep(discardInterval) {
+	for p := (transferRate{}); p.bytes <= maxRequestBody; time.Sleep(discardInterval) {
 		start := time.Now()
 		deadline := start.Add(min(maxDrainTime, p.remaining()))
 		if !hasValidRequest && limit.Before(deadline) {
--- a/internal/sidecar/request_body.go
+++ b/internal/sidecar/request_body.go
@@ -19,7 +19,7 @@
 	reader        io.Reader
 	controller    *http.ResponseController
 	contentLength int64 // -1 if unknown
-	pace          pace
+	rate          transferRate
 	isConsumed    bool                  // bytes were read that are not buffered: the request cannot be sent again
 	err           *upstream.ClientError // what ended reading, or nil
 
@@ -39,8 +39,8 @@
 		return 0, b.fail(err)
 	}
 	n, err := b.reader.Read(p)
-	b.pace.add(n, start)
-	if b.pace.bytes > maxRequestBody {
+	b.rate.add(n, start)
+	if b.rate.bytes > maxRequestBody {
 		b.err = &upstream.ClientError{StatusCode: http.StatusRequestEntityTooLarge, Err: fmt.Errorf("the body is over %d bytes", maxRequestBody)}
 		return 0, b.err
 	}
@@ -57,7 +57,7 @@
 func (b *requestBody) setReadDeadline(now time.Time) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	deadline := now.Add(b.pace.remaining())
+	deadline := now.Add(b.rate.remaining())
 	if b.isAborted {
 		deadline = longAgo
 	}
--- a/internal/sidecar/request_handler.go
+++ b/internal/sidecar/request_handler.go
@@ -41,7 +41,7 @@
 func (h *requestHandler) newHTTPServer() *http.Server {
 	return &http.Server{
 		Handler:           h, // not a ServeMux, which would redirect paths that endpoints are to see unchanged
-		ReadHeaderTimeout: paceGrace,
+		ReadHeaderTimeout: transferGracePeriod,
 		WriteTimeout:      maxRequestTimeout + writeTimeout,
 		// Without IdleTimeout: clientConns closes idle connections.
 		MaxHeaderBytes: upstream.MaxHeaderBytes,
--- a/internal/sidecar/response_stream.go
+++ b/internal/sidecar/response_stream.go
@@ -9,18 +9,18 @@
 	"bramblestand/internal/upstream"
 )
 
-// pacedWriter writes to a client and flushes. It fails with a *upstream.ClientError if the client is too slow or has disconnected.
-type pacedWriter struct {
+// timedWriter writes to a client and flushes. It fails with a *upstream.ClientError if the client is too slow or has disconnected.
+type timedWriter struct {
 	writer     io.Writer
 	controller *http.ResponseController
-	pace       pace
+	rate       transferRate
 }
 
 // Write writes and flushes data.
-func (w *pacedWriter) Write(data []byte) (int, error) {
+func (w *timedWriter) Write(data []byte) (int, error) {
 	start := time.Now()
-	defer func() { w.pace.add(len(data), start) }()
-	if err := w.controller.SetWriteDeadline(start.Add(w.pace.remaining())); err != nil {
+	defer func() { w.rate.add(len(data), start) }()
+	if err := w.controller.SetWriteDeadline(start.Add(w.rate.remaining())); err != nil {
 		return 0, &upstream.ClientError{Err: err}
 	}
 	if n, err := w.writer.Write(data); err != nil {
@@ -35,7 +35,7 @@
 // forwardResponse writes the buffered start of a body and then the remainder while it arrives. It returns nil once the client
 // was sent everything, a *upstream.ClientError if the client's side failed, and else the endpoint's error.
 func forwardResponse(w http.ResponseWriter, controller *http.ResponseController, buffered []byte, stream *upstream.ResponseStream) error {
-	client := &pacedWriter{writer: w, controller: controller}
+	client := &timedWriter{writer: w, controller: controller}
 	if _, err := client.Write(buffered); err != nil {
 		return err
 	}
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -217,7 +217,7 @@
 	listener.Close()
 	s.requests.bodies.abort()
 	// Not http.Server.Shutdown: it closes idle connections on which part of a request has arrived. A response may take longer than
-	// any deadline; its pace limits it, and the platform decides when to kill the process.
+	// any deadline; its transfer rate limits it, and the platform decides when to kill the process.
 	for deadline := time.Now().Add(maxShutdownTime); time.Now().Before(deadline); time.Sleep(shutdownCheckInterval) {
 		s.clients.closeIdle(0)
 		if s.clients.count() == 0 {
--- /dev/null
+++ b/internal/sidecar/transfer_rate_test.go
@@ -0,0 +1,23 @@
+package sidecar
+
+import (
+	"testing"
+	"time"
+)
+
+func TestTransferRateBoundsTheWaitForAClient(t *testing.T) {
+	for _, c := range []struct {
+		p    transferRate
+		want time.Duration
+	}{
+		{transferRate{}, transferGracePeriod},
+		{transferRate{bytes: minTransferRate}, transferGracePeriod + time.Second},
+		{transferRate{bytes: minTransferRate, elapsed: 3 * time.Second}, transferGracePeriod - 2*time.Second},
+		{transferRate{bytes: 100 * minTransferRate}, maxClientStall},
+		{transferRate{bytes: 100 * minTransferRate, elapsed: 103 * time.Second}, transferGracePeriod - 3*time.Second},
+	} {
+		if got := c.p.remaining(); got != c.want {
+			t.Errorf("%+v has %v remaining, want %v", c.p, got, c.want)
+		}
+	}
+}
