--- a/internal/sidecar/departure_burst_test.go
+++ b/internal/sidecar/disconnect_burst_test.go
@@ -18,11 +18,11 @@
 	"bramblestand/internal/endpointtest"
 )
 
-// departedMost is how long after a client's close an attempt may still begin.
-const departedMost = 100 * time.Millisecond
+// maxDisconnectDelay is how long after a client's close an attempt may still begin.
+const maxDisconnectDelay = 100 * time.Millisecond
 
-// lateness tells by how much, at most, the machine let a timer of 5 ms run over until stop is closed.
-func lateness(stop <-chan struct{}) <-chan time.Duration {
+// measureTimerDelay tells by how much, at most, the machine let a timer of 5 ms run over until stop is closed.
+func measureTimerDelay(stop <-chan struct{}) <-chan time.Duration {
 	told := make(chan time.Duration, 1)
 	go func() {
 		const gap = 5 * time.Millisecond
@@ -41,21 +41,21 @@
 	return told
 }
 
-// plainPeers are connections whose far ends do nothing but wait for their end: what the machine makes of as many
+// plainConns are connections whose far ends do nothing but wait for their end: what the machine makes of as many
 // departures without a sidecar.
-type plainPeers struct {
-	near []net.Conn
-	seen []chan time.Time // when the far end saw it
+type plainConns struct {
+	near    []net.Conn
+	endSeen []chan time.Time // when the far end saw it
 }
 
-func newPlainPeers(t *testing.T, n int) *plainPeers {
+func newPlainConns(t *testing.T, n int) *plainConns {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	p := &plainPeers{}
+	p := &plainConns{}
 	for range n {
 		near, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -71,14 +71,14 @@
 			far.Read(make([]byte, 1))
 			seen <- time.Now()
 		}()
-		p.near, p.seen = append(p.near, near), append(p.seen, seen)
+		p.near, p.endSeen = append(p.near, near), append(p.endSeen, seen)
 	}
 	return p
 }
 
-// resent says how many of a connection's segments the system had to send again: what was lost on the way, which a busy
+// retransmissions says how many of a connection's segments the system had to send again: what was lost on the way, which a busy
 // machine does to loopback too, arrives 0.2 s later or more, and nobody can notice it before.
-func resent(t *testing.T, conn net.Conn) uint32 {
+func retransmissions(t *testing.T, conn net.Conn) uint32 {
 	t.Helper()
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -95,7 +95,7 @@
 // on to another server for them, while those who stayed are tried again. Each departure is noticed in time, but for what
 // the machine itself is late: by its timers, and by plain connections that end beside the clients'. A few ends that the
 // system had to send again are left out. It does not run beside other tests of this package.
-func TestBurstOfDeparturesIsNotTriedAgain(t *testing.T) {
+func TestBurstOfDisconnectsIsNotRetried(t *testing.T) {
 	const leaving, staying = 300, 20
 	for _, cancel := range []bool{true, false} {
 		for _, reset := range []bool{true, false} {
@@ -128,7 +128,7 @@
 					hosts = append(hosts, readyEndpoint(fmt.Sprint("s-", i), e.Address))
 				}
 				w := &testSidecar{t: t, registry: newFakeRegistry(t, hosts...)}
-				noticed := newDepartures()
+				noticed := newDisconnectLog()
 				w.log = noticed
 				cfg := newTestConfig(t, w.registry.address, func(s map[string]any) {
 					s["limits"].(map[string]any)["cancel"] = cancel
@@ -151,14 +151,14 @@
 					r.Write(conn)
 				}
 				w.await("all first attempts", func() bool { mu.Lock(); defer mu.Unlock(); return len(came) == leaving+staying })
-				plain := newPlainPeers(t, leaving)
+				plain := newPlainConns(t, leaving)
 				stop := make(chan struct{})
-				late := lateness(stop)
+				late := measureTimerDelay(stop)
 				left := make([]time.Time, leaving)
 				for i := range leaving {
 					left[i] = time.Now()
 					if reset {
-						leave(conns[i], reset)
+						disconnect(conns[i], reset)
 					} else if err := conns[i].(*net.TCPConn).CloseWrite(); err != nil { // all that a close sends; what became of it can be asked
 						t.Fatal(err)
 					}
@@ -167,7 +167,7 @@
 				w.await("all departures to be noticed", func() bool { return noticed.count() >= leaving })
 				close(stop)
 				slack := <-late
-				for i, seen := range plain.seen {
+				for i, seen := range plain.endSeen {
 					slack = max(slack, (<-seen).Sub(left[i]))
 				}
 				close(turnAway)
@@ -198,11 +198,11 @@
 				lost := 0
 				noticed.mu.Lock()
 				for i, at := range left {
-					if !reset && resent(t, conns[i]) > 0 {
+					if !reset && retransmissions(t, conns[i]) > 0 {
 						lost++
 						continue
 					}
-					delays = append(delays, noticed.noticed[fmt.Sprint(name, i)].Sub(at))
+					delays = append(delays, noticed.noticedAt[fmt.Sprint(name, i)].Sub(at))
 				}
 				noticed.mu.Unlock()
 				if lost > leaving/20 {
@@ -217,7 +217,7 @@
 				if again > 0 || stayed != staying {
 					t.Errorf("%d who had left were tried again, and %d of %d who stayed", again, stayed, staying)
 				}
-				if p(1) > departedMost+4*slack || p(0) < 0 {
+				if p(1) > maxDisconnectDelay+4*slack || p(0) < 0 {
 					t.Errorf("a departure was noticed after %v, and the machine was late by %v at most", p(1), slack)
 				}
 			})
--- a/internal/sidecar/departure_test.go
+++ b/internal/sidecar/disconnect_test.go
@@ -23,32 +23,32 @@
 	"bramblestand/internal/upstream"
 )
 
-// departures is a log handler that keeps when the sidecar noticed that a client had left.
-type departures struct {
+// disconnectLog is a log handler that keeps when the sidecar noticed that a client had left.
+type disconnectLog struct {
 	slog.Handler
-	id string // of the request a logger was made for
+	requestID string // of the request a logger was made for
 
-	mu      *sync.Mutex
-	noticed map[string]time.Time // by the requests' ids
+	mu        *sync.Mutex
+	noticedAt map[string]time.Time // by the requests' ids
 }
 
-func newDepartures() *departures {
-	return &departures{Handler: slog.DiscardHandler, mu: new(sync.Mutex), noticed: map[string]time.Time{}}
+func newDisconnectLog() *disconnectLog {
+	return &disconnectLog{Handler: slog.DiscardHandler, mu: new(sync.Mutex), noticedAt: map[string]time.Time{}}
 }
 
-func (d *departures) Enabled(context.Context, slog.Level) bool { return true }
+func (d *disconnectLog) Enabled(context.Context, slog.Level) bool { return true }
 
-func (d *departures) WithAttrs(attrs []slog.Attr) slog.Handler {
+func (d *disconnectLog) WithAttrs(attrs []slog.Attr) slog.Handler {
 	next := *d
 	for _, a := range attrs {
 		if a.Key == "request_id" {
-			next.id = a.Value.String()
+			next.requestID = a.Value.String()
 		}
 	}
 	return &next
 }
 
-func (d *departures) Handle(_ context.Context, r slog.Record) error {
+func (d *disconnectLog) Handle(_ context.Context, r slog.Record) error {
 	left := false
 	r.Attrs(func(a slog.Attr) bool {
 		left = left || a.Key == "status" && a.Value.Int64() == 0
@@ -57,57 +57,57 @@
 	if r.Message == "request not served" && left {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.noticed[d.id] = time.Now()
+		d.noticedAt[d.requestID] = time.Now()
 	}
 	return nil
 }
 
-func (d *departures) count() int {
+func (d *disconnectLog) count() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.noticed)
+	return len(d.noticedAt)
 }
 
-// holder decides nothing until a test lets it: requests wait for their pick.
-type holder struct {
+// deferringBalancer decides nothing until a test lets it: requests wait for their pick.
+type deferringBalancer struct {
 	loadBalancer
-	mu   sync.Mutex
-	held []balancer.Request
-	gone map[uint64]bool
+	mu           sync.Mutex
+	deferred     []balancer.Request
+	disconnected map[uint64]bool
 }
 
-func (h *holder) RequestArrived(now balancer.Micros, in balancer.Request) {
+func (h *deferringBalancer) RequestArrived(now balancer.Micros, in balancer.Request) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.held = append(h.held, in)
+	h.deferred = append(h.deferred, in)
 }
 
-func (h *holder) ClientDisconnected(now balancer.Micros, id uint64) {
+func (h *deferringBalancer) ClientDisconnected(now balancer.Micros, id uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.gone[id] = true
+	h.disconnected[id] = true
 }
 
-func (h *holder) waiting() int {
+func (h *deferringBalancer) deferredCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return len(h.held)
+	return len(h.deferred)
 }
 
 // release picks for every request whose client it does not know to have left, as a balancer would.
-func (h *holder) release(now balancer.Micros) {
+func (h *deferringBalancer) release(now balancer.Micros) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, in := range h.held {
-		if !h.gone[in.ID] {
+	for _, in := range h.deferred {
+		if !h.disconnected[in.ID] {
 			h.loadBalancer.RequestArrived(now, in)
 		}
 	}
-	h.held = nil
+	h.deferred = nil
 }
 
-// awaited counts the connections whose request waits for its answer.
-func awaited(c *clientConns) (n int) {
+// countAwaitingResponse counts the connections whose request waits for its answer.
+func countAwaitingResponse(c *clientConns) (n int) {
 	c.mu.Lock()
 	var all []*clientConn
 	for conn := range c.conns {
@@ -127,8 +127,8 @@
 	return n
 }
 
-// leave ends a client's connection, in order or by a reset.
-func leave(conn net.Conn, reset bool) {
+// disconnect ends a client's connection, in order or by a reset.
+func disconnect(conn net.Conn, reset bool) {
 	if reset {
 		conn.(*net.TCPConn).SetLinger(0)
 	}
@@ -138,7 +138,7 @@
 // A request whose client leaves while it waits for its first attempt is not sent on, however it waits, however the
 // client leaves, and whatever stands unread behind the request or of it. The departure is noticed within 50 ms
 // (logged; a busy machine may take longer), far under the 0.3 s that are allowed.
-func TestNothingIsSentOnForAClientThatLeft(t *testing.T) {
+func TestNothingIsForwardedForADisconnectedClient(t *testing.T) {
 	const clients = 20
 	type waits int
 	const (
@@ -177,7 +177,7 @@
 						hosts = append(hosts, readyEndpoint(fmt.Sprint("s-", i), e.Address))
 					}
 					w := &testSidecar{t: t, registry: newFakeRegistry(t, hosts...)}
-					noticed := newDepartures()
+					noticed := newDisconnectLog()
 					w.log = noticed
 					cfg := newTestConfig(t, w.registry.address, func(s map[string]any) {
 						s["limits"].(map[string]any)["cancel"] = how.waits != uncancelled
@@ -188,11 +188,11 @@
 					letGo := sync.OnceFunc(func() { close(hold) })
 					defer letGo()
 					begun := func() int { return 0 }
-					h := &holder{gone: map[uint64]bool{}}
+					h := &deferringBalancer{disconnected: map[uint64]bool{}}
 					switch how.waits {
 					case forAPick:
 						w.onLoop(func() { h.loadBalancer, w.loop.balancer = w.loop.balancer, h })
-						begun = h.waiting
+						begun = h.deferredCount
 					case forADial, uncancelled:
 						var mu sync.Mutex
 						dials := 0
@@ -208,7 +208,7 @@
 						held := make(chan struct{})
 						w.loop.post(func(balancer.Micros) { close(held); <-hold })
 						<-held
-						begun = func() int { return awaited(w.server.clients) }
+						begun = func() int { return countAwaitingResponse(w.server.clients) }
 					}
 					var conns []net.Conn
 					for i := range clients {
@@ -255,14 +255,14 @@
 					}
 					left := time.Now()
 					for _, conn := range conns {
-						leave(conn, reset)
+						disconnect(conn, reset)
 					}
 					for end := time.Now().Add(testTimeout / 4); noticed.count() < clients && time.Now().Before(end); {
 						time.Sleep(time.Millisecond)
 					}
 					var delays []time.Duration
 					noticed.mu.Lock()
-					for _, at := range noticed.noticed {
+					for _, at := range noticed.noticedAt {
 						delays = append(delays, at.Sub(left))
 					}
 					noticed.mu.Unlock()
--- a/internal/sidecar/departure_unread_test.go
+++ b/internal/sidecar/disconnect_unread_test.go
@@ -19,7 +19,7 @@
 
 // Clients leave while their attempts are dialled, and nobody has read their connections' ends when the dials come up, as
 // on a machine where the readers wait for their turn: nothing is sent on for them all the same.
-func TestNothingIsSentOnThoughNobodyHasReadTheEnd(t *testing.T) {
+func TestNothingIsForwardedAlthoughTheDisconnectIsUnread(t *testing.T) {
 	const clients = 20
 	for _, reset := range []bool{false, true} {
 		t.Run(fmt.Sprintf("reset %v", reset), func(t *testing.T) {
@@ -67,7 +67,7 @@
 				r.Header.Set("X-Correlation-Id", fmt.Sprint(name, i))
 				r.Write(conn)
 			}
-			w.await("all requests to wait", func() bool { return awaited(w.server.clients) >= clients && dials.Load() >= clients })
+			w.await("all requests to wait", func() bool { return countAwaitingResponse(w.server.clients) >= clients && dials.Load() >= clients })
 			all := w.server.clients.filter(func(*clientConnState) bool { return true })
 			for _, conn := range all {
 				conn.mu.Lock() // its reader gets no further
@@ -79,7 +79,7 @@
 			})
 			defer free()
 			for _, conn := range conns {
-				leave(conn, reset)
+				disconnect(conn, reset)
 			}
 			letGo()
 			w.await("the ledger to be empty", func() bool {
