--- a/internal/sidecar/attempts.go
+++ b/internal/sidecar/attempts.go
@@ -12,69 +12,125 @@
 // StartAttempt starts an attempt in a goroutine of its own. The attempt ends by timeout, if that is positive, and by the request's
 // deadline.
 func (l *eventLoop) StartAttempt(id uint64, endpoint uint32, timeout balancer.Micros) {
-	r, t := l.requests[id], l.targets[endpoint]
-	now, until := l.clock.now(), r.deadline
+	r := l.requests[id]
+	now := l.clock.now()
+	deadline := r.deadline
 	if timeout > 0 {
-		until = min(until, now+timeout)
+		deadline = min(deadline, now+timeout)
+	}
+	ctx, cancel := context.WithCancel(l.ctx)
+	a := &attempt{
+		loop:      l,
+		request:   r,
+		target:    l.targets[endpoint],
+		outcome:   balancer.Outcome{ID: id, Attempt: len(r.cancelAttempts), Endpoint: endpoint},
+		ctx:       ctx,
+		cancel:    cancel,
+		deadline:  deadline,
+		startedAt: now,
 	}
-	life, cancel := context.WithCancel(l.ctx)
-	o := balancer.Outcome{ID: id, Attempt: len(r.cancelAttempts), Endpoint: endpoint}
 	r.cancelAttempts = append(r.cancelAttempts, cancel)
 	r.outstanding++
-	began, ended := now, balancer.Micros(0) // what counts as the attempt's time
-	// A client that leaves takes back what was not begun to be sent, whatever may be cancelled beyond that.
-	unguard := func() bool { return true }
-	guard := func() {
-		if r.clientCtx != nil {
-			unguard = context.AfterFunc(r.clientCtx, cancel)
-		}
+	a.watchClient()
+	go a.run()
+}
+
+// attempt is one attempt to have a request served, from StartAttempt to its outcome. Its own goroutine, in run, owns it once it is
+// started, and hands it back to the loop's goroutine with the outcome.
+type attempt struct {
+	loop    *eventLoop
+	request *pendingRequest
+	target  *upstream.Target // nil if no request may be sent to the endpoint
+	outcome balancer.Outcome // completed by finish
+
+	ctx      context.Context // without a deadline
+	cancel   context.CancelFunc
+	deadline balancer.Micros // of a request whose body is buffered; for others see bodySent
+
+	startedAt   balancer.Micros // of the attempt's latency: the start, or the last byte of a streamed request body
+	respondedAt balancer.Micros // when a streamed response started; 0 if none did
+
+	unwatchClient func() bool // ends watchClient, and reports whether the client was connected until now
+}
+
+// watchClient cancels the attempt if the client disconnects.
+func (a *attempt) watchClient() {
+	if a.request.clientCtx == nil {
+		a.unwatchClient = func() bool { return true }
+		return
 	}
-	guard()
-	p := &upstream.Forwarding{StreamContext: life,
-		MayStart: func() bool {
-			if r.checkDisconnect != nil {
-				r.checkDisconnect() // whoever reads the connection may be far behind, where many come at once
-			}
-			return unguard() && !r.isClientGone()
-		},
-		BodySent: func() time.Time {
-			began = l.clock.now()
-			deadline := began + r.timeLeft
-			l.post(func(at balancer.Micros) {
-				r.deadline = deadline
-				l.bodySent(at, r)
-			})
-			return l.clock.wallTime(deadline)
-		},
-		StartResponse: func(h *http.Response, kept []byte, s *upstream.ResponseStream) {
-			ended = l.clock.now()
-			latency := ended - began
-			guard() // what is passed on as it comes has nobody else to come for
-			s.StopWatchingClient = unguard
-			l.post(func(at balancer.Micros) {
-				l.responseStarted(at, r, o.Attempt, latency, finalResponse{statusCode: http.StatusOK, header: h.Header, body: kept, stream: s})
-			})
-		}}
-	go func() {
-		defer cancel()
-		defer func() { unguard() }()
-		res := upstream.Result{Status: balancer.NotSent}
-		if t != nil {
-			ctx, stop := life, context.CancelFunc(func() {})
-			if r.outgoing.Upload == nil { // else its time begins with its last byte
-				ctx, stop = context.WithDeadline(life, l.clock.wallTime(until))
-			}
-			res = l.upstream.Attempt(ctx, t, r.outgoing, p)
-			stop()
-		}
-		l.post(func(at balancer.Micros) {
-			if ended == 0 {
-				ended = at
-			}
-			o.Status, o.LoadReport, o.Latency = res.Status, res.LoadReport, ended-began
-			l.attemptFinished(at, r, o, res)
-		})
-	}()
+	a.unwatchClient = context.AfterFunc(a.request.clientCtx, a.cancel)
+}
+
+// run is the attempt's goroutine.
+func (a *attempt) run() {
+	defer a.cancel()
+	defer func() { a.unwatchClient() }() // the one of the last watchClient
+	result := a.send()
+	a.loop.post(func(now balancer.Micros) { a.finish(now, result) })
+}
+
+// send sends the request and reads the response.
+func (a *attempt) send() upstream.Result {
+	if a.target == nil {
+		return upstream.Result{Status: balancer.NotSent}
+	}
+	ctx := a.ctx
+	if a.request.outgoing.Upload == nil {
+		withDeadline, stop := context.WithDeadline(a.ctx, a.loop.clock.wallTime(a.deadline))
+		defer stop()
+		ctx = withDeadline
+	}
+	return a.loop.upstream.Attempt(ctx, a.target, a.request.outgoing, &upstream.Forwarding{
+		StreamContext: a.ctx,
+		MayStart:      a.mayStart,
+		BodySent:      a.bodySent,
+		StartResponse: a.startResponse,
+	})
+}
+
+// mayStart reports whether the client is still connected. From here on a disconnect does not end the attempt by itself: the
+// balancer decides.
+func (a *attempt) mayStart() bool {
+	if a.request.checkDisconnect != nil {
+		a.request.checkDisconnect() // the read that notices a disconnect may come late if many clients disconnect at once
+	}
+	return a.unwatchClient() && !a.request.isClientDisconnected()
+}
+
+// bodySent notes that the last byte of a streamed request body was sent, and returns the request's deadline, which counts from now.
+func (a *attempt) bodySent() time.Time {
+	a.startedAt = a.loop.clock.now()
+	deadline := a.startedAt + a.request.timeLeft
+	a.loop.post(func(now balancer.Micros) {
+		a.request.deadline = deadline
+		a.loop.bodySent(now, a.request)
+	})
+	return a.loop.clock.wallTime(deadline)
+}
+
+// startResponse gives the beginning of a streamed response to the client, for whom alone the rest is read.
+func (a *attempt) startResponse(response *http.Response, buffered []byte, stream *upstream.ResponseStream) {
+	a.respondedAt = a.loop.clock.now()
+	latency := a.respondedAt - a.startedAt
+	a.watchClient()
+	stream.StopWatchingClient = a.unwatchClient
+	final := finalResponse{statusCode: http.StatusOK, header: response.Header, body: buffered, stream: stream}
+	a.loop.post(func(now balancer.Micros) {
+		a.loop.responseStarted(now, a.request, a.outcome.Attempt, latency, final)
+	})
+}
+
+// finish completes the outcome. The loop's goroutine calls it.
+func (a *attempt) finish(now balancer.Micros, result upstream.Result) {
+	endedAt := a.respondedAt
+	if endedAt == 0 {
+		endedAt = now
+	}
+	a.outcome.Status = result.Status
+	a.outcome.LoadReport = result.LoadReport
+	a.outcome.Latency = endedAt - a.startedAt
+	a.loop.attemptFinished(now, a.request, a.outcome, result)
 }
 
 // SendLoadProbe asks an endpoint for its load report in a goroutine of its own.
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -33,8 +33,10 @@
 	outstanding    int                  // attempts without an outcome
 }
 
-// isClientGone reports whether the client has disconnected. Any goroutine may call it.
-func (r *pendingRequest) isClientGone() bool { return r.clientCtx != nil && r.clientCtx.Err() != nil }
+// isClientDisconnected reports whether the client has disconnected. Any goroutine may call it.
+func (r *pendingRequest) isClientDisconnected() bool {
+	return r.clientCtx != nil && r.clientCtx.Err() != nil
+}
 
 // finalResponse is the one response to a client's request.
 type finalResponse struct {
@@ -94,7 +96,7 @@
 // still learns from it.
 func (l *eventLoop) attemptFinished(now balancer.Micros, r *pendingRequest, outcome balancer.Outcome, res upstream.Result) {
 	r.outstanding--
-	if r.isClientGone() {
+	if r.isClientDisconnected() {
 		l.clientDisconnected(now, r) // before the balancer would retry
 	}
 	switch {
