--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -112,11 +112,7 @@
 // connect opens a client's connection, which the test's end closes.
 func (s *testSidecar) connect() *clientConnection {
 	s.t.Helper()
-	conn, err := net.Dial("tcp", strings.TrimPrefix(s.url, "http://"))
-	if err != nil {
-		s.t.Fatal(err)
-	}
-	s.t.Cleanup(func() { conn.Close() })
+	conn := s.dial()
 	conn.SetDeadline(time.Now().Add(testTimeout))
 	return &clientConnection{s, conn, bufio.NewReader(conn)}
 }
--- /dev/null
+++ b/internal/sidecar/client_conns_test.go
@@ -0,0 +1,76 @@
+package sidecar
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"bramblestand/internal/endpointtest"
+)
+
+// Connections on which nothing is sent are evicted in favour of the application's, however many there are.
+func TestSilentConnectionsAreEvicted(t *testing.T) {
+	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
+	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	application := w.dial() // idle between its requests
+	in := bufio.NewReader(application)
+	use := func() {
+		t.Helper()
+		w.request("read", "", 3*time.Second).Write(application)
+		application.SetReadDeadline(time.Now().Add(testTimeout))
+		response, err := http.ReadResponse(in, nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if io.Copy(io.Discard, response.Body); response.StatusCode != http.StatusOK {
+			t.Errorf("on the idle connection: %d", response.StatusCode)
+		}
+	}
+	use()
+	for range 2 * w.server.clients.maxConns {
+		w.dial()
+	}
+	w.await("all to be accepted", func() bool {
+		return w.server.clients.counts().accepted > 2*w.server.clients.maxConns
+	})
+	if n := w.server.clients.count(); n > w.server.clients.maxConns {
+		t.Errorf("%d connections are open, %d at most", n, w.server.clients.maxConns)
+	}
+	if got := w.send(w.request("read", "", 3*time.Second)); got.statusCode != http.StatusOK {
+		t.Errorf("on a new connection: %+v", got)
+	}
+	use()
+}
+
+// Beyond the limit of connections the sidecar rejects the request and closes its connection, if no other may be evicted.
+func TestClientConnectionsAreLimited(t *testing.T) {
+	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
+	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	w.server.clients.mu.Lock()
+	w.server.clients.minIdle = time.Hour
+	w.server.clients.mu.Unlock()
+	var connections []net.Conn
+	for range w.server.clients.maxConns {
+		conn := w.dial()
+		connections = append(connections, conn)
+		w.request("read", "", time.Minute).Write(conn)
+		conn.SetReadDeadline(time.Now().Add(testTimeout))
+		if response, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || response.StatusCode != http.StatusOK {
+			t.Fatalf("within the limit: %v, %v", response, err)
+		}
+	}
+	got := w.send(w.request("read", "", 3*time.Second))
+	if got.statusCode != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
+		t.Errorf("beyond the limit: %+v", got)
+	}
+	for _, conn := range connections {
+		conn.Close()
+	}
+	w.await("the connections to end", func() bool { return w.server.clients.count() == 0 })
+	if got := w.send(w.request("read", "", 3*time.Second)); got.statusCode != http.StatusOK {
+		t.Errorf("below the limit again: %+v", got)
+	}
+}
--- /dev/null
+++ b/internal/sidecar/shutdown_test.go
@@ -0,0 +1,88 @@
+package sidecar
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"bramblestand/internal/endpointtest"
+)
+
+// After SIGTERM requests in flight are served, idle connections are closed, new connections are accepted for a while, and the sidecar
+// ends without an error.
+func TestShutdownServesWhatWasAccepted(t *testing.T) {
+	respond := make(chan struct{})
+	e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
+		for r := e.ReadRequest(in); r != nil; r = e.ReadRequest(in) {
+			if strings.HasPrefix(r.RequestURI, "/pay") {
+				<-respond
+			}
+			io.WriteString(conn, endpointtest.OKResponse)
+		}
+	})
+	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	w.server.acceptDuration = 3 * time.Second // a loaded machine may be slow to connect
+	idle := w.dial()
+	w.request("read", "", time.Minute).Write(idle)
+	in := bufio.NewReader(idle)
+	response, err := http.ReadResponse(in, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	io.Copy(io.Discard, response.Body)
+
+	pending := make(chan clientResponse)
+	go func() { pending <- w.send(w.request("pay", "x", time.Minute)) }()
+	w.await("the request in flight", func() bool { n, _ := e.Counts(); return n == 2 })
+	w.stop()
+	// New connections are still served, one request each.
+	conn := w.dial()
+	w.request("read", "", time.Minute).Write(conn)
+	conn.SetReadDeadline(time.Now().Add(testTimeout))
+	if late, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || late.StatusCode != http.StatusOK || !late.Close {
+		t.Errorf("a request after SIGTERM: %v, %v; want 200 and Connection: close", late, err)
+	}
+	w.awaitEndOfAccepting()
+	idle.SetReadDeadline(time.Now().Add(testTimeout))
+	if _, err := in.ReadByte(); err != io.EOF {
+		t.Errorf("the idle connection: %v, want its end", err)
+	}
+	close(respond)
+	if got := <-pending; got.statusCode != http.StatusOK || got.body != "done" {
+		t.Errorf("the request in flight: %+v", got)
+	}
+	w.expectCleanEnd()
+}
+
+// A request that is complete only after the shutdown has begun is rejected, not cut off: the process may be killed before an endpoint
+// responds.
+func TestRequestCompletedDuringShutdownIsRejected(t *testing.T) {
+	w := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
+	w.server.acceptDuration = 0
+	client := w.connect()
+	client.roundTrip()
+	w.await("the connection to be idle", func() bool { return w.server.clients.counts().idle == 1 })
+	var header strings.Builder
+	w.request("read", "", time.Minute).Write(&header)
+	io.WriteString(client.conn, header.String()[:10])
+	w.await("the start of the header to be read", func() bool {
+		w.server.clients.mu.Lock()
+		defer w.server.clients.mu.Unlock()
+		for conn := range w.server.clients.conns {
+			return conn.hasRequestInProgress()
+		}
+		return false
+	})
+	w.stop()
+	w.awaitEndOfAccepting()
+	time.Sleep(10 * shutdownCheckInterval) // in which the connection might be closed
+	io.WriteString(client.conn, header.String()[10:])
+	if got, err := http.ReadResponse(client.in, nil); err != nil || got.StatusCode != http.StatusServiceUnavailable ||
+		!got.Close || got.Header.Get("Retry-After") == "" {
+		t.Errorf("a request that was incomplete: %v, %v; want 503, Retry-After and the end", got, err)
+	}
+}
--- a/internal/sidecar/test_sidecar_test.go
+++ b/internal/sidecar/test_sidecar_test.go
@@ -185,6 +185,29 @@
 	return r
 }
 
+// dial opens a connection to the application's address, which the test's end closes.
+func (s *testSidecar) dial() net.Conn {
+	s.t.Helper()
+	conn, err := net.Dial("tcp", strings.TrimPrefix(s.url, "http://"))
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	s.t.Cleanup(func() { conn.Close() })
+	return conn
+}
+
+// awaitEndOfAccepting waits until the application's address refuses connections.
+func (s *testSidecar) awaitEndOfAccepting() {
+	s.t.Helper()
+	s.await("the end of accepting", func() bool {
+		conn, err := net.Dial("tcp", strings.TrimPrefix(s.url, "http://"))
+		if err == nil {
+			conn.Close()
+		}
+		return err != nil
+	})
+}
+
 // clientResponse is the response as the client sees it, or the error in its place.
 type clientResponse struct {
 	statusCode int
