--- a/internal/lab/faults_test.go
+++ b/internal/lab/faults_test.go
@@ -328,8 +328,8 @@
 // state is a process's state by the system: R, S, T (stopped) ...
 func state(pid int) string { return append(statFields(pid), "")[0] }
 
-// Machines are killed, paused and replaced whole: with their disk a ban holds, on an empty one it is gone. Holds that
-// overlap end in any order, and a target already down stays so until the last is gone.
+// Machines are killed, paused and replaced: with their disk a ban persists, with an empty one it is lost. Overlapping
+// faults end in any order, and a sidecar stays down until the last has ended.
 func TestMachineFaults(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, true, "")
@@ -361,7 +361,7 @@
 	paused = r.fault(Fault{Kind: "pause", Sidecars: []int{0}})
 	r.await("a stopped process", func() bool { return state(r.pids(0)[0]) == "T" })
 	paused()
-	r.await("it to run on", func() bool { return state(r.pids(0)[0]) != "T" })
+	r.await("it to continue", func() bool { return state(r.pids(0)[0]) != "T" })
 	r.fault(Fault{Kind: "machine-replace", Machines: []int{0}})()
 	if text := banned(0); text == "" || strings.Contains(text, "v001") {
 		t.Errorf("replaced with an empty disk: %s", text)
@@ -376,7 +376,7 @@
 	}
 	r.fault(Fault{Kind: "term", Sidecars: []int{1}})
 	if len(r.pids(1)) != 0 {
-		t.Error("a sidecar that left for good runs")
+		t.Error("a sidecar that was removed runs")
 	}
 	r.fault(Fault{Kind: "join", Sidecars: []int{1}})
 	if len(r.pids(1)) != 1 {
@@ -388,7 +388,7 @@
 	if syscall.Kill(r.pids(3)[0], syscall.SIGKILL) != nil {
 		t.Fatal("kill")
 	}
-	r.await("the end by itself to be recorded", func() bool {
+	r.await("the unexpected exit to be recorded", func() bool {
 		return strings.Contains(strings.Join(r.sidecars.UnexpectedFailures(), ""), "s3: ended by itself")
 	})
 }
--- a/internal/lab/history_checks.go
+++ b/internal/lab/history_checks.go
@@ -10,10 +10,10 @@
 
 // checkHistory runs the experiment's checks on the history. running is the sidecars that run at the end.
 func checkHistory(exp *Experiment, events []history.Event, running []string) []history.Violation {
-	var broken []history.Violation
-	add := func(b *history.Violation) {
-		if b != nil {
-			broken = append(broken, *b)
+	var violations []history.Violation
+	add := func(v *history.Violation) {
+		if v != nil {
+			violations = append(violations, *v)
 		}
 	}
 	if !exp.Ops.On {
@@ -50,7 +50,7 @@
 			add(history.Durable(c.Field, c.Op, c.Undo, c.Within.Duration, events))
 		}
 	}
-	return broken
+	return violations
 }
 
 // registerStep is the effect of an event on the register of one sidecar's drain, or of its ban of one server, which is
--- a/internal/lab/run_test.go
+++ b/internal/lab/run_test.go
@@ -31,7 +31,7 @@
 		}
 	}
 	if err != nil {
-		os.Stderr.WriteString("the programs do not build: " + err.Error() + "\n")
+		os.Stderr.WriteString("build of the programs: " + err.Error() + "\n")
 		os.Exit(1)
 	}
 	programs = folder
--- a/internal/lab/testdata/twoholders/main.go
+++ b/internal/lab/testdata/twoholders/main.go
@@ -1,7 +1,7 @@
-// Command twoholders is a sidecar's double that is wrong on purpose: the
-// sidecar with the least name heard of in the last 300 ms holds the duty
-// "sweep", with no majority asked, so that two hold it once a link is cut. It
-// speaks as much of a sidecar's part as the lab needs, and refuses all requests.
+// Command twoholders is a faulty sidecar for a test of the lab: the sidecar
+// with the lowest name received in the last 300 ms holds the lease "sweep",
+// without a majority, so that two hold it once a link is cut. It implements as
+// much of a sidecar as the lab needs, and rejects all requests.
 package main
 
 import (
@@ -15,74 +15,116 @@
 	"time"
 )
 
+const (
+	announceInterval = 50 * time.Millisecond
+	peerTimeout      = 300 * time.Millisecond // without an announcement a peer counts as down
+	startDelay       = 400 * time.Millisecond // until the peers' announcements were received
+)
+
+// configuration is the part of a sidecar's configuration that it uses.
+type configuration struct {
+	Name           string `json:"name"`
+	ListenAddress  string `json:"listen"`
+	PeerAddress    string `json:"peer_listen"`
+	AllPeerAddress string `json:"peers_all"`
+}
+
+// holder announces this sidecar to its peers, and decides whether it holds the lease.
+type holder struct {
+	name   string
+	socket net.PacketConn
+	all    *net.UDPAddr
+
+	mu       sync.Mutex // guards the fields below
+	lastSeen map[string]time.Time
+	token    uint64 // of the current lease; 0 for none
+}
+
 func main() {
-	var config struct {
-		Name       string `json:"name"`
-		Listen     string `json:"listen"`
-		PeerListen string `json:"peer_listen"`
-		PeersAll   string `json:"peers_all"`
-	}
-	text, err := os.ReadFile(os.Getenv("BALANCER_CONFIG"))
-	if err == nil {
-		err = json.Unmarshal(text, &config)
-	}
+	config, err := readConfiguration()
 	if err != nil {
 		log.Fatal(err)
 	}
-	socket, err := net.ListenPacket("udp4", config.PeerListen)
+	h, err := newHolder(config)
 	if err != nil {
 		log.Fatal(err)
 	}
-	all, err := net.ResolveUDPAddr("udp4", config.PeersAll)
+	go h.receive()
+	go h.announce()
+	time.Sleep(startDelay)
+	http.HandleFunc("/duties", h.serveLeases)
+	http.HandleFunc("/ready", func(http.ResponseWriter, *http.Request) {})
+	http.HandleFunc("/health/ready", func(http.ResponseWriter, *http.Request) {})
+	http.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(http.StatusTooManyRequests) })
+	go func() { log.Fatal(http.ListenAndServe(config.ListenAddress, nil)) }()
+	log.Fatal(http.ListenAndServe(os.Getenv("BALANCER_OPS"), nil))
+}
+
+// readConfiguration reads the file that BALANCER_CONFIG names.
+func readConfiguration() (c configuration, err error) {
+	text, err := os.ReadFile(os.Getenv("BALANCER_CONFIG"))
 	if err != nil {
-		log.Fatal(err)
+		return c, err
 	}
-	var mu sync.Mutex
-	heard := map[string]time.Time{}
-	var token uint64 // of the claim now; 0 for none
-	go func() {
-		buffer := make([]byte, 256)
-		for {
-			n, _, err := socket.ReadFrom(buffer)
-			if err != nil {
-				return
-			}
-			mu.Lock()
-			heard[string(buffer[:n])] = time.Now()
-			mu.Unlock()
-		}
-	}()
-	holds := func() uint64 {
-		mu.Lock()
-		defer mu.Unlock()
-		for name, at := range heard {
-			if name < config.Name && time.Since(at) < 300*time.Millisecond {
-				token = 0
-				return 0
-			}
-		}
-		if token == 0 {
-			token = uint64(time.Now().UnixMilli())
-		}
-		return token
+	return c, json.Unmarshal(text, &c)
+}
+
+// newHolder opens the socket for announcements.
+func newHolder(c configuration) (*holder, error) {
+	socket, err := net.ListenPacket("udp4", c.PeerAddress)
+	if err != nil {
+		return nil, err
+	}
+	all, err := net.ResolveUDPAddr("udp4", c.AllPeerAddress)
+	if err != nil {
+		return nil, err
 	}
-	go func() {
-		for range time.Tick(50 * time.Millisecond) {
-			socket.WriteTo([]byte(config.Name), all)
-			holds()
+	return &holder{name: c.Name, socket: socket, all: all, lastSeen: map[string]time.Time{}}, nil
+}
+
+// receive notes the peers' announcements until the socket is closed.
+func (h *holder) receive() {
+	buffer := make([]byte, 256)
+	for {
+		n, _, err := h.socket.ReadFrom(buffer)
+		if err != nil {
+			return
 		}
-	}()
-	time.Sleep(400 * time.Millisecond) // until the others are heard
-	http.HandleFunc("/duties", func(w http.ResponseWriter, r *http.Request) {
-		if token := holds(); token > 0 {
-			fmt.Fprintf(w, `{"duties":{"sweep":%d}}`, token)
-		} else {
-			fmt.Fprint(w, `{"duties":{}}`)
+		h.mu.Lock()
+		h.lastSeen[string(buffer[:n])] = time.Now()
+		h.mu.Unlock()
+	}
+}
+
+// announce sends the own name to all peers.
+func (h *holder) announce() {
+	for range time.Tick(announceInterval) {
+		h.socket.WriteTo([]byte(h.name), h.all)
+		h.lease()
+	}
+}
+
+// lease returns the token of the lease, 0 if a peer with a lower name is up.
+func (h *holder) lease() uint64 {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for name, at := range h.lastSeen {
+		if name < h.name && time.Since(at) < peerTimeout {
+			h.token = 0
+			return 0
 		}
-	})
-	http.HandleFunc("/ready", func(http.ResponseWriter, *http.Request) {})
-	http.HandleFunc("/health/ready", func(http.ResponseWriter, *http.Request) {})
-	http.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(http.StatusTooManyRequests) })
-	go func() { log.Fatal(http.ListenAndServe(config.Listen, nil)) }()
-	log.Fatal(http.ListenAndServe(os.Getenv("BALANCER_OPS"), nil))
+	}
+	if h.token == 0 {
+		h.token = uint64(time.Now().UnixMilli())
+	}
+	return h.token
+}
+
+// serveLeases responds with the leases that this sidecar holds, in the form that the lab's check reads.
+func (h *holder) serveLeases(w http.ResponseWriter, _ *http.Request) {
+	if token := h.lease(); token > 0 {
+		fmt.Fprintf(w, `{"duties":{"sweep":%d}}`, token)
+	} else {
+		fmt.Fprint(w, `{"duties":{}}`)
+	}
 }
--- a/internal/lab/view_convergence_test.go
+++ b/internal/lab/view_convergence_test.go
@@ -12,7 +12,7 @@
 	"bramblestand/internal/lab/history"
 )
 
-// view is what sidecar i tells of the fleet; nothing where it does not answer.
+// view returns sidecar i's membership status, the zero value without a response.
 func (r *rig) view(i int) (s fleet.Status) {
 	if status, text := r.adminCall(http.MethodGet, i, "/fleet", ""); status == http.StatusOK {
 		r.fatal(json.Unmarshal([]byte(text), &s))
@@ -20,19 +20,19 @@
 	return s
 }
 
-// awaitViews waits until the sidecars all settled on just these names, cut off or not.
-func (r *rig) awaitViews(what string, cutOff bool, names string, sidecars ...int) {
+// awaitViews waits until the stable views of the sidecars have exactly these names, and are isolated or not.
+func (r *rig) awaitViews(what string, isIsolated bool, names string, sidecars ...int) {
 	r.Helper()
 	last := ""
 	defer func() {
 		if r.Failed() {
-			r.Log("last seen:", last)
+			r.Log("last view:", last)
 		}
 	}()
 	r.await(what, func() bool {
 		for _, i := range sidecars {
 			s := r.view(i)
-			if last = fmt.Sprintf("s%d: %v, cut off %v", i, s.StableMembers, s.Isolated); strings.Join(s.StableMembers, " ") != names || s.Isolated != cutOff {
+			if last = fmt.Sprintf("s%d: %v, isolated %v", i, s.StableMembers, s.Isolated); strings.Join(s.StableMembers, " ") != names || s.Isolated != isIsolated {
 				return false
 			}
 		}
@@ -40,8 +40,8 @@
 	})
 }
 
-// Real processes keep one view through a crash, a partition, deafness, an upgrade, a machine's loss with its disk and
-// a pause: each fault is seen by those it should be seen by, and after each all are one fleet again.
+// The views of real processes converge after a crash, a partition, an isolation, an upgrade, the loss of a machine with
+// its disk and a pause: the right members detect each fault, and after each all have one view again.
 func TestMembershipViewsOfProcesses(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, true, "", "view = true\n")
@@ -54,7 +54,7 @@
 	}
 
 	heal := r.fault(Fault{Kind: "kill", Sidecars: []int{3}})
-	r.awaitViews("a crash to be known", false, "s0 s1 s2", 0, 1, 2)
+	r.awaitViews("a crash to be detected", false, "s0 s1 s2", 0, 1, 2)
 	heal()
 	r.awaitViews("its return", false, all, everyone...)
 
@@ -65,10 +65,10 @@
 	r.awaitViews("the partition's end", false, all, everyone...)
 
 	heal = r.fault(Fault{Kind: "isolate", Sidecars: []int{0}, Direction: "in"})
-	r.awaitViews("the deaf one to say so", true, all, 0)
+	r.awaitViews("the isolated one to report it", true, all, 0)
 	r.awaitViews("the others to go on without it", false, "s1 s2 s3", 1, 2, 3)
 	heal()
-	r.awaitViews("it to hear again", false, all, everyone...)
+	r.awaitViews("the end of its isolation", false, all, everyone...)
 
 	start := r.view(0).Members[1].StartTime
 	r.fault(Fault{Kind: "upgrade", Sidecars: []int{1}})
@@ -91,11 +91,11 @@
 	r.awaitViews("a machine back with its disk", false, all, everyone...)
 
 	heal = r.fault(Fault{Kind: "pause", Sidecars: []int{2}})
-	r.awaitViews("a pause to be taken for a crash", false, "s0 s1 s3", 0, 1, 3)
+	r.awaitViews("a pause to be detected as a crash", false, "s0 s1 s3", 0, 1, 3)
 	heal()
 	r.awaitViews("the paused one's return", false, all, everyone...)
-	if relayed, _, oversize, strange := r.relay.Counts(); relayed == 0 || oversize > 0 || strange > 0 {
-		t.Errorf("%d datagrams relayed, %d over 256 bytes, %d of strangers", relayed, oversize, strange)
+	if relayed, _, oversize, unknown := r.relay.Counts(); relayed == 0 || oversize > 0 || unknown > 0 {
+		t.Errorf("%d datagrams relayed, %d over 256 bytes, %d from unknown senders", relayed, oversize, unknown)
 	}
 }
 
