--- a/internal/lab/control.go
+++ b/internal/lab/control.go
@@ -14,31 +14,31 @@
 	"bramblestand/internal/controltraffic"
 )
 
-// When control is looked at, on the lab's clock. Sidecars start before the load, and probe all that is new at their
-// first list: the start's burst is over by the one, and its connections by the other.
+// When control traffic is sampled, on the lab's clock. Sidecars start before the load and probe all endpoints of their
+// first list: that burst has ended by startSpanEnd, and its connections are closed by steadySpanStart.
 const (
 	startSpanEnd      = 10 * time.Second
 	steadySpanStart   = 15 * time.Second
 	minSteadyDuration = 5 * time.Second // of the steady span
-	maxControlCalls   = 16              // sidecars asked at a time
-	controlSlack      = 2 * time.Second // a sidecar's time between two looks may differ from the lab's by so much
+	maxControlCalls   = 16              // sidecars sampled at a time
+	controlSlack      = 2 * time.Second // maximum difference of a sidecar's and the lab's time between two samples; else it was restarted
 )
 
-// Control is what the sidecars spent on control by their own counts, with operators: in the start, from each process's
-// beginning to 10 s after the load's, and in the steady span from 15 s on to the load's end, where that is 5 s or more.
+// Control is the control traffic of the sidecars by their own counts, in runs with operators: from each process's start
+// to startSpanEnd, and from steadySpanStart to the load's end if that is at least minSteadyDuration.
 type Control struct {
 	Start  ControlSpan  `json:"start"`
 	Steady *ControlSpan `json:"steady,omitempty"`
 }
 
-// ControlSpan is the means over sidecars; those that restarted in it are left out.
+// ControlSpan is the means over the sidecars that were not restarted in it.
 type ControlSpan struct {
 	Sidecars  int                    `json:"sidecars"`
 	Seconds   float64                `json:"seconds"`              // mean duration
 	WireBytes float64                `json:"wire_bytes_per_s"`     // of a sidecar, all kinds in both directions, with estimated headers
 	MaxBytes  float64                `json:"wire_bytes_per_s_max"` // of the sidecar with the maximum
 	Kinds     map[string]ControlRate `json:"kinds"`
-	CPU       float64                `json:"cpu_share"` // of a core, of the whole process, serving included
+	CPU       float64                `json:"cpu_share"` // cores used by the process, for all of its work
 	// What the kernel counted on the loopback interface meanwhile, of all that used it, without Ethernet's frames,
 	// which loopback does not count.
 	LoopbackBytes   float64 `json:"loopback_bytes_per_s"`
--- a/internal/lab/control_table.go
+++ b/internal/lab/control_table.go
@@ -144,7 +144,7 @@
 	for _, kind := range controltraffic.Kinds {
 		fmt.Fprintf(w, "\t%s B/s", kind)
 	}
-	fmt.Fprint(w, "\tsteady B/s\tprobes/s\tcore %\tpeak MB\treckoned/lo start\tsteady\t\n")
+	fmt.Fprint(w, "\tsteady B/s\tprobes/s\tcore %\tpeak MB\testimated/lo start\tsteady\t\n")
 	for _, r := range t.Rows {
 		fmt.Fprintf(w, "%v\t%d\t%v\t%.0f\t%.1f", r.Price, r.Servers, r.Rate, r.StartBytes, r.Start.Seconds)
 		for _, kind := range controltraffic.Kinds {
--- a/internal/lab/descriptors.go
+++ b/internal/lab/descriptors.go
@@ -11,7 +11,7 @@
 
 const (
 	sidecarSockets    = 1024 // limits.sockets of every sidecar's configuration
-	descriptorsSpare  = 64   // standard streams, the runtime's own, result files, connections on their way out
+	descriptorsSpare  = 64   // standard streams, the runtime's own, result files, closing connections
 	descriptorsExcess = 0.1  // fraction by which the estimate may exceed the limit, see CheckDescriptors
 )
 
@@ -31,35 +31,35 @@
 func (e *Experiment) Descriptors() int {
 	f := &e.Fleet
 	connections := config.Limits{Sockets: sidecarSockets}.MaxConnections(e.Ops.On)
-	factor := 1.0
+	burstFactor := 1.0
 	if e.Load.Shape == "bursts" {
-		factor = max(1, e.Load.BurstFactor)
+		burstFactor = max(1, e.Load.BurstFactor)
 	}
-	out := min(connections, int(math.Ceil(e.Load.Rate*factor*e.Load.Deadline.Seconds())))
-	sidecar := min(connections, max(f.Servers, out)) + 2 + out + 1
+	inFlight := min(connections, int(math.Ceil(e.Load.Rate*burstFactor*e.Load.Deadline.Seconds())))
+	perSidecar := min(connections, max(f.Servers, inFlight)) + 2 + inFlight + 1
 	processes := 1
-	slow := 0
+	slowDisks := 0
 	for _, c := range e.Chaos {
 		if c.Kind == "upgrade" {
 			processes = 2
 		}
 	}
-	for _, x := range e.Faults {
-		if x.Kind == "upgrade" {
+	for _, fault := range e.Faults {
+		if fault.Kind == "upgrade" {
 			processes = 2
 		}
-		if x.Kind == "disk" && x.Mode == "slow" {
-			slow = e.machineCount()
+		if fault.Kind == "disk" && fault.Mode == "slow" {
+			slowDisks = e.machineCount()
 		}
 	}
-	sidecar += 3 * processes
+	perSidecar += 3 * processes
 	if e.Ops.On {
-		sidecar += 2
+		perSidecar += 2
 	}
 	if f.datagrams() {
-		sidecar++
+		perSidecar++
 	}
-	return descriptorsSpare + f.Servers + 1 + f.Sidecars*sidecar + slow + 1
+	return descriptorsSpare + f.Servers + 1 + f.Sidecars*perSidecar + slowDisks + 1
 }
 
 // CheckDescriptors returns an error for an experiment that, parallel times at once, needs more descriptors than this
@@ -68,7 +68,7 @@
 func (e *Experiment) CheckDescriptors(parallel int) error {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
-		return fmt.Errorf("the limit of descriptors: %w", err)
+		return fmt.Errorf("read limit of file descriptors: %w", err)
 	}
 	return e.checkDescriptors(parallel, limit.Cur)
 }
--- a/internal/lab/latency.go
+++ b/internal/lab/latency.go
@@ -265,7 +265,7 @@
 
 // String describes it in one line.
 func (p LatencyRun) String() string {
-	return fmt.Sprintf("seed %d: straight %d of %d, p50 %.3f p99 %.3f p99.9 %.3f ms; through %d of %d, p50 %.3f p99 %.3f p99.9 %.3f ms; %.3f ms of processor a call",
+	return fmt.Sprintf("seed %d: direct %d of %d, p50 %.3f p99 %.3f p99.9 %.3f ms; proxied %d of %d, p50 %.3f p99 %.3f p99.9 %.3f ms; %.3f ms of CPU time per call",
 		p.Seed, p.Direct.Served, p.Direct.Sent, p.Direct.Latency.P50, p.Direct.Latency.P99, p.Direct.Latency.P999,
 		p.Proxied.Served, p.Proxied.Sent, p.Proxied.Latency.P50, p.Proxied.Latency.P99, p.Proxied.Latency.P999, p.CPU)
 }
@@ -279,11 +279,11 @@
 		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.3f\t\n", name, s.Min, s.Median, s.Max)
 	}
 	for _, q := range quantiles {
-		line("straight "+q.name, l.Direct[q.name])
-		line("through "+q.name, l.Proxied[q.name])
+		line("direct "+q.name, l.Direct[q.name])
+		line("proxied "+q.name, l.Proxied[q.name])
 		line("added "+q.name, l.Added[q.name])
 	}
-	line("through p99 less straight p50", l.MaxAdded)
+	line("proxied p99 minus direct p50", l.MaxAdded)
 	w.Flush()
 	return text.String()
 }
--- a/internal/lab/summary.go
+++ b/internal/lab/summary.go
@@ -7,35 +7,40 @@
 
 // Summary describes the result in a few lines.
 func (r *Result) Summary() string {
-	return fmt.Sprintf("%s: %d sidecars, %d servers, %d requests\noutcomes %v\nran twice %d, copies %d, after drain %d, unknown ids %d; datagrams relayed %d, dropped %d, too long %d, of unknown senders %d; breaches %d\n"+
-		"latency ms p50 %.1f p99 %.1f p99.9 %.1f max %.1f\nsidecars: %.1f CPU s, %.1f MB mean peak, %.1f MB largest; lab: %.1f CPU s, %.1f MB\n",
-		r.Name, r.Sidecars, r.Servers, r.Requests, r.Outcomes, r.RanTwice, r.Copies, r.AfterDrain, r.UnknownIDs, r.Datagrams.Relayed, r.Datagrams.Dropped, r.Datagrams.Oversize, r.Datagrams.Unknown, r.Breaches(),
-		r.Latency.P50, r.Latency.P99, r.Latency.P999, r.Latency.Max, r.SidecarCPUSeconds, r.SidecarMeanMB, r.SidecarPeakMB, r.LabCPUSeconds, r.LabPeakMB) +
+	d := r.Datagrams
+	return fmt.Sprintf("%s: %d sidecars, %d servers, %d requests\n", r.Name, r.Sidecars, r.Servers, r.Requests) +
+		fmt.Sprintf("outcomes %v\n", r.Outcomes) +
+		fmt.Sprintf("ran twice %d, copies %d, after drain %d, unknown ids %d; ", r.RanTwice, r.Copies, r.AfterDrain, r.UnknownIDs) +
+		fmt.Sprintf("datagrams relayed %d, dropped %d, too long %d, of unknown senders %d; ", d.Relayed, d.Dropped, d.Oversize, d.Unknown) +
+		fmt.Sprintf("breaches %d\n", r.Breaches()) +
+		fmt.Sprintf("latency ms p50 %.1f p99 %.1f p99.9 %.1f max %.1f\n", r.Latency.P50, r.Latency.P99, r.Latency.P999, r.Latency.Max) +
+		fmt.Sprintf("sidecars: %.1f CPU s, %.1f MB mean peak, %.1f MB largest; ", r.SidecarCPUSeconds, r.SidecarMeanMB, r.SidecarPeakMB) +
+		fmt.Sprintf("lab: %.1f CPU s, %.1f MB\n", r.LabCPUSeconds, r.LabPeakMB) +
 		r.formatSummary() + r.restartSummary()
 }
 
 // formatSummary describes the fields that were added by format 1.
 func (r *Result) formatSummary() string {
 	if r.Format == 0 {
-		return "a result older than format 1: without calls, history and the lab's lateness\n"
+		return "a result of format 0: without calls, history and the lab's lateness\n"
 	}
 	text := fmt.Sprintf("the lab's own lateness ms: timers p99 %.1f max %.1f, requests p99 %.1f max %.1f; %.0f ms stalled; excused %v\n",
 		r.Lateness.Timers.P99, r.Lateness.Timers.Max, r.Lateness.Arrivals.P99, r.Lateness.Arrivals.Max, r.Lateness.StalledMs, r.Excused)
 	if r.Lateness.Late {
-		text += "THE LAB RAN LATE: it was short of CPU; do not trust the times above\n"
+		text += "THE LAB RAN LATE: it was short of CPU; the times above are not reliable\n"
 	}
 	if len(r.Calls) > 0 {
-		text += fmt.Sprintf("operators' calls %v; after ban %d\n", r.Calls, r.AfterBan)
+		text += fmt.Sprintf("admin calls %v; after ban %d\n", r.Calls, r.AfterBan)
 	}
 	if r.Control != nil {
 		text += r.Control.String()
 	}
 	text += r.viewSummary()
-	for _, t := range r.UnexpectedFailures {
-		text += "trouble: " + t + "\n"
+	for _, failure := range r.UnexpectedFailures {
+		text += "unexpected failure: " + failure + "\n"
 	}
-	for _, b := range r.Violations {
-		text += "broken: " + b.String() + "\n"
+	for _, violation := range r.Violations {
+		text += "violation: " + violation.String() + "\n"
 	}
 	return text
 }
@@ -64,20 +69,30 @@
 	if len(r.Restarts) == 0 {
 		return ""
 	}
-	var ready, first, settled []float64
+	var ready, firstServed, stable []float64
 	var sum Restart
 	for _, s := range r.Restarts {
-		ready, first, settled = append(ready, s.ReadyMs), append(first, s.FirstServedMs), append(settled, s.StableMs)
-		sum.Rejected, sum.Failed, sum.Unreached, sum.Lost = sum.Rejected+s.Rejected, sum.Failed+s.Failed, sum.Unreached+s.Unreached, sum.Lost+s.Lost
+		ready = append(ready, s.ReadyMs)
+		firstServed = append(firstServed, s.FirstServedMs)
+		stable = append(stable, s.StableMs)
+		sum.Rejected += s.Rejected
+		sum.Failed += s.Failed
+		sum.Unreached += s.Unreached
+		sum.Lost += s.Lost
 		sum.Unsent += s.Unsent
 	}
-	spread := func(v []float64) string {
-		slices.Sort(v)
-		if median := v[len(v)/2]; v[0] < 0 {
-			return fmt.Sprintf("median %.0f, %d never", median, len(slices.DeleteFunc(v, func(x float64) bool { return x >= 0 })))
-		}
-		return fmt.Sprintf("median %.0f, worst %.0f", v[len(v)/2], v[len(v)-1])
+	return fmt.Sprintf("restarts %d: ms to ready %s; to first served %s; to stable %s; ", len(r.Restarts), formatTimes(ready), formatTimes(firstServed), formatTimes(stable)) +
+		fmt.Sprintf("in their first 5 s rejected %d, failed %d, unreached %d, lost %d; ", sum.Rejected, sum.Failed, sum.Unreached, sum.Lost) +
+		fmt.Sprintf("not sent until ready %d\n", sum.Unsent)
+}
+
+// formatTimes describes times, of which -1 means never. It sorts them.
+func formatTimes(times []float64) string {
+	slices.Sort(times)
+	median := times[len(times)/2]
+	never := len(times) - len(slices.DeleteFunc(slices.Clone(times), func(t float64) bool { return t < 0 }))
+	if never > 0 {
+		return fmt.Sprintf("median %.0f, %d never", median, never)
 	}
-	return fmt.Sprintf("restarts %d: ms to ready %s; to first served %s; to settled %s; in their first 5 s refused %d, failed %d, unreached %d, lost %d; not sent until ready %d\n",
-		len(r.Restarts), spread(ready), spread(first), spread(settled), sum.Rejected, sum.Failed, sum.Unreached, sum.Lost, sum.Unsent)
+	return fmt.Sprintf("median %.0f, maximum %.0f", median, times[len(times)-1])
 }
--- a/internal/lab/view_convergence.go
+++ b/internal/lab/view_convergence.go
@@ -29,7 +29,7 @@
 
 // String describes it in one line.
 func (v ViewConvergence) String() string {
-	return fmt.Sprintf("views after %.60s: half moved last at %.0f ms, all %.0f ms; %d moves; %d digests, %d members, %d cut off\n",
+	return fmt.Sprintf("views after %.60s: half stable after %.0f ms, all after %.0f ms; %d changes; %d digests, %d members, %d isolated\n",
 		v.After, v.P50Ms, v.MaxMs, v.Changes, v.Digests, v.Largest, v.Isolated)
 }
 
