--- a/internal/sidecar/request_handler.go
+++ b/internal/sidecar/request_handler.go
@@ -253,7 +253,7 @@
 }
 
 // logRequest logs an event of the request, with its id, its connection and how its body is framed.
-func (e *clientExchange) logRequest(outgoing string, args ...any) {
+func (e *clientExchange) logRequest(message string, args ...any) {
 	e.log.With("request_id", e.in.Header.Get(requestIDHeader), "client", e.in.RemoteAddr, "protocol", e.in.Proto,
-		"content_length", e.in.ContentLength, "transfer_coding", e.in.TransferEncoding).Info(outgoing, args...)
+		"content_length", e.in.ContentLength, "transfer_coding", e.in.TransferEncoding).Info(message, args...)
 }
