--- a/internal/sidecar/event_costs.go
+++ b/internal/sidecar/event_costs.go
@@ -16,9 +16,12 @@
 	CPUTime [eventKinds]time.Duration
 }
 
-// Kinds of event, the indices of EventCosts.
+// EventKind is a kind of the balancer's events, an index of EventCosts.
+type EventKind int
+
+// The kinds whose costs are measured.
 const (
-	EventRequest = iota
+	EventRequest EventKind = iota
 	EventOutcome
 	EventTimer
 	EventLoadProbe
@@ -51,7 +54,8 @@
 	EventCosts
 }
 
-func (m *meteredBalancer) measure(kind int, call func()) {
+// measure adds the cost of a call to its kind of event.
+func (m *meteredBalancer) measure(kind EventKind, call func()) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	began := threadCPUTime()
--- a/internal/sidecar/membership.go
+++ b/internal/sidecar/membership.go
@@ -35,7 +35,7 @@
 // Otherwise runMembership does. The socket is closed when ctx ends.
 func (l *eventLoop) openGossip(ctx context.Context) error {
 	o := l.fleetOptions()
-	if l.cfg.Fleet.Enabled || !o.Listen.IsValid() || o.OnGossip == nil {
+	if l.cfg.Fleet.Enabled || !hasGossip(o) {
 		return nil
 	}
 	f, err := fleet.Open(ctx, o)
@@ -46,6 +46,9 @@
 	return nil
 }
 
+// hasGossip reports whether the options are those of a sidecar that sends and receives gossip.
+func hasGossip(o fleet.Options) bool { return o.Listen.IsValid() && o.OnGossip != nil }
+
 // SendGossip sends data to all other sidecars. It is the balancer's action.
 func (l *eventLoop) SendGossip(data []byte) {
 	if f := l.fleet.Load(); f != nil {
