--- a/balancer/discovery_poll.go
+++ b/balancer/discovery_poll.go
@@ -1,8 +1,8 @@
 package balancer
 
-// What discovery knows has to be in force 6 s after discovery can be reached again, and 2 s after a
-// change. The host gives up a silent call after 4 s, or 1 s after its wait: no pause may take as long as
-// what is left.
+// What discovery knows has to be in force 6 s after discovery can be reached again, and 2 s after the end of
+// a call that waited for changes and was not answered. The host gives up a silent call after 4 s, or 1 s
+// after its wait: no pause may take as long as what is left.
 const (
 	maxFirstPollDelay     = second // spreads the first polls of balancers that start together
 	firstPollDelayDivisor = 10     // of Rules.MaxPollInterval
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -11,10 +11,10 @@
 //
 //  1. requests.go: rejects past the deadline or above Limits.MaxUnanswered.
 //  2. probe_wait.go: defers a request for a few load probes, where reports are not fresh otherwise.
-//  3. bans.go: gives a reinstated endpoint its first request.
+//  3. bans.go: gives a reinstated endpoint its first request, past rules 4 and 5.
 //  4. pick.go: chooses the endpoint of the least cost, or rejects if none is left. The cost comes from
-//     load_estimate.go, latency_estimate.go, latency_trend.go and outliers.go (an ejected endpoint is the
-//     last resort).
+//     load_estimate.go, latency_estimate.go, latency_trend.go and outliers.go (an ejected endpoint costs
+//     more than any other).
 //  5. admission.go: rejects if the predicted latency is over the request's budget, which depends on the
 //     priority of its class and on its tenant's quota (quota.go).
 //  6. breaker.go: drops at random, for errors or latency. One other endpoint is then picked, or it rejects.
@@ -25,7 +25,7 @@
 // # Safety rules
 //
 // These hold for any input. No other rule can get round them, because startAttempt, reject and fail are the
-// only ways out:
+// only ways out (a request of an unknown class is rejected before it is entered):
 //
 //   - A request is answered exactly once, by its deadline (requests.go).
 //   - One attempt is outstanding at a time, Limits.MaxAttempts are made in all, and none after the answer,
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -57,9 +57,9 @@
 	Error                // the endpoint answered with an error
 	Rejected             // the endpoint rejected it unexecuted
 	Timeout              // no response in time
-	ConnectFailed        // no connection in time
+	ConnectFailed        // no connection, or it broke before the request's last byte
 	Reset                // the connection broke
-	Cancelled            // by the balancer
+	Cancelled            // by the balancer, or ended by the client's fault: an endpoint's 400 or 404, too
 	NotSent              // never sent
 )
 
--- a/balancer/load_estimate.go
+++ b/balancer/load_estimate.go
@@ -108,8 +108,8 @@
 	// The other balancers may have found the same low load: half of them are taken to send as this one did
 	// since. Not so with reports that were asked for one request, which nobody else acts on.
 	startedSince := float64(max(0, e.inFlight-e.report.ownInFlight))
-	herd := float64(b.settings.Balancers-1) / 2 * startedSince * indicator(!b.probesOnDemand)
-	return e.report.externalLoad + own + herd
+	assumedArrivals := float64(b.settings.Balancers-1) / 2 * startedSince * indicator(!b.probesOnDemand)
+	return e.report.externalLoad + own + assumedArrivals
 }
 
 // sharedLoad returns the external load of e by a report that all balancers got. As each acts on it without
--- a/balancer/outliers.go
+++ b/balancer/outliers.go
@@ -32,7 +32,8 @@
 	f.value, f.updatedAt = (1-failureWeight)*f.current(now)+failureWeight, now
 }
 
-// isOutlier reports whether the endpoint is ejected: it gets requests only if nothing else is left.
+// isOutlier reports whether the endpoint is ejected: it costs over one latency objective more than others,
+// and among random candidates it comes last. The rate fades below the threshold within 4 s without failures.
 func (f *failureRate) isOutlier(now Micros) bool { return f.current(now) >= ejectionThreshold }
 
 // recordFailure adds an attempt that failed at e, and logs an ejection.
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -12,7 +12,8 @@
 )
 
 // request is an entry of the request table: a request and its attempts. It stays there until it is
-// answered and no attempt is outstanding. All answers leave through reject and fail below.
+// answered and no attempt is outstanding. All answers leave through reject and fail below, but for
+// those of an unknown class.
 type request struct {
 	Request
 	timerToken       uint32
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -82,13 +82,14 @@
 	DrainGrace           Micros
 	SlowStartMinCapacity float64 // least fraction of its full capacity that an endpoint starts with
 	SlowStartDuration    Micros  // after which it has its full capacity
-	OverloadMultiple     float64 // an endpoint in its slow start fails if sent this multiple of its present
-	OverloadDuration     Micros  // capacity for so long
-	MaxPollInterval      Micros  // without a subscription
+	OverloadMultiple     float64 // of its present capacity: more work makes an endpoint in its slow start fail
+	OverloadDuration     Micros  // time over which that work is counted
+	MaxPollInterval      Micros  // without a subscription; bounds the first delay and the back-off of polls
 	ResponseSlack        Micros
 }
 
-// Costs holds what is taken off the result for each event per request. No decision reads WastedWork and
+// Costs holds what is taken off the score of a run (1 for each request served in time) for each event per
+// request. No decision reads WastedWork and
 // LateFailure.
 type Costs struct {
 	CrossZone     float64
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -121,7 +121,7 @@
 	}
 	lock(unix.F_WRLCK, 2)
 	if !s.HasOtherProcess() {
-		t.Error("the other's seat is not seen")
+		t.Error("the other's process slot is not seen")
 	}
 	lock(unix.F_UNLCK, 2)
 	lock(unix.F_WRLCK, 3)
--- a/internal/handover/locks.go
+++ b/internal/handover/locks.go
@@ -9,14 +9,14 @@
 
 // Bytes of the lock file. Each is locked by itself; processes of other releases use the same ones.
 const (
-	writeByte     = 0 // locked while the handover file is written
-	firstSeatByte = 1 // one seat for each of two processes
-	seatCount     = 2
-	fleetByte     = firstSeatByte + seatCount // locked by the process that is the sidecar's member of the fleet
+	writeByte        = 0 // locked while the handover file is written
+	firstProcessByte = 1 // one process slot for each of two processes
+	maxProcesses     = 2
+	fleetByte        = firstProcessByte + maxProcesses // locked by the process that is the sidecar's member of the fleet
 )
 
-// errNoSeat reports that as many processes of this sidecar run as may.
-var errNoSeat = errors.New("more than two processes of this sidecar run")
+// errTooManyProcesses reports that as many processes of this sidecar run as may.
+var errTooManyProcesses = errors.New("more than two processes of this sidecar run")
 
 // lockFile is a file whose bytes serve as locks between processes. They are open file description locks: the system
 // releases them when the file is closed, however the process ends.
@@ -42,19 +42,19 @@
 	return unix.FcntlFlock(l.file.Fd(), unix.F_OFD_SETLK, &unix.Flock_t{Type: kind, Start: at, Len: 1})
 }
 
-// takeSeat locks the first free seat.
-func (l *lockFile) takeSeat() error {
-	for seat := int64(firstSeatByte); seat < firstSeatByte+seatCount; seat++ {
-		if l.lock(seat) == nil {
+// lockProcessSlot locks the first free process slot.
+func (l *lockFile) lockProcessSlot() error {
+	for slot := int64(firstProcessByte); slot < firstProcessByte+maxProcesses; slot++ {
+		if l.lock(slot) == nil {
 			return nil
 		}
 	}
-	return errNoSeat
+	return errTooManyProcesses
 }
 
-// isOtherSeatTaken reports whether another process has a seat.
-func (l *lockFile) isOtherSeatTaken() bool {
-	query := unix.Flock_t{Type: unix.F_WRLCK, Start: firstSeatByte, Len: seatCount}
+// hasOtherProcess reports whether another process holds a process slot.
+func (l *lockFile) hasOtherProcess() bool {
+	query := unix.Flock_t{Type: unix.F_WRLCK, Start: firstProcessByte, Len: maxProcesses}
 	err := unix.FcntlFlock(l.file.Fd(), unix.F_OFD_GETLK, &query)
 	return err == nil && query.Type != unix.F_UNLCK
 }
--- a/internal/handover/store.go
+++ b/internal/handover/store.go
@@ -50,7 +50,7 @@
 	cached atomic.Pointer[State] // state, for readers that must not block on mu
 }
 
-// Open takes a seat for this process of the sidecar called name, whose handover file is in the folder dir. Where the
+// Open locks a process slot for this process of the sidecar called name, whose handover file is in the folder dir. Where the
 // folder cannot be used it logs that; then Update fails, and all else works as for a process alone.
 func Open(dir, name string, log *slog.Logger) *Store {
 	s := &Store{path: filePath(dir, name), log: log}
@@ -61,8 +61,8 @@
 		return s
 	}
 	s.locks = locks
-	if err := locks.takeSeat(); err != nil {
-		log.Error("handover seat not taken", "error", err)
+	if err := locks.lockProcessSlot(); err != nil {
+		log.Error("handover process slot not taken", "error", err)
 	}
 	return s
 }
@@ -81,7 +81,7 @@
 func (s *Store) HasOtherProcess() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.locks != nil && s.locks.isOtherSeatTaken()
+	return s.locks != nil && s.locks.hasOtherProcess()
 }
 
 // AcquireFleetMembership makes this process the sidecar's member of the fleet, and reports false where the other
@@ -182,7 +182,8 @@
 
 // Update changes the state for both processes and returns the new one. It calls persist with the new state, under the
 // write lock, before the other process can see it: a nil from persist means that it is where it has to outlive the
-// machine. On any error nothing was changed, and Update returns the state that is in force. Errors are ErrUnavailable,
+// machine. On an error the handover file is unchanged and Update returns the state that is in force; if the error is the
+// file's, after persist, the change is persisted and takes effect at the next start. Errors are ErrUnavailable,
 // those of persist, and those of the lock and the file.
 func (s *Store) Update(alter func(*State), persist func(State) error) (State, error) {
 	s.mu.Lock()
--- a/internal/membership/stabilizer.go
+++ b/internal/membership/stabilizer.go
@@ -37,7 +37,7 @@
 	hasJoined  bool                     // another member was seen, or there is none to see
 	pending    map[string]pendingChange // members that live and are not in names, or the reverse
 	flaps      map[string]flap          // members that failed not long ago
-	largest    map[string]bool          // all names since the last calm, without those that left
+	largest    map[string]bool          // all names since nothing was pending last, without those that left
 	lastFailed time.Time                // when a member was last removed that had not left
 }
 
--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -11,7 +11,7 @@
 // The methods below and in attempts.go, discovery_watch.go and membership.go implement balancer.Actions. The balancer calls them, amid
 // an event, from the loop's goroutine.
 
-// Reject responds 503: the request did not run, and may be retried after retryAfter.
+// Reject responds 503: the request may be sent again, after retryAfter, without a second effect.
 func (l *eventLoop) Reject(id uint64, retryAfter balancer.Micros) {
 	l.respond(l.requests[id], finalResponse{statusCode: http.StatusServiceUnavailable, retryAfter: retryAfter})
 }
--- a/internal/sidecar/event_loop.go
+++ b/internal/sidecar/event_loop.go
@@ -21,7 +21,7 @@
 const (
 	// maxQueuedEvents is how many events may wait for the loop before whoever posts another one blocks.
 	maxQueuedEvents = 1024
-	// urgentTimeout limits an operator's call, which has to be answered within a second.
+	// urgentTimeout limits one urgent event; an operator's call makes up to four.
 	urgentTimeout = 900 * time.Millisecond
 	// pruneInterval is between two closings of expired idle connections to endpoints.
 	pruneInterval = time.Second
--- a/internal/simwire/doc.go
+++ b/internal/simwire/doc.go
@@ -13,8 +13,8 @@
 //	}
 //	output.Write(reply.Bytes())
 //
-// The wire has names of its own for records, fields and settings. names.go and settings.go map them to the terms of this
-// program; no other package knows them. Errors name the wire's record and field, or the key of the setting.
+// The wire has names of its own for records, fields and settings. names.go and settings_keys.go map them to the terms of this
+// program. internal/config knows four more keys of the settings (areas, skus, reporting.fields, limits.keepalive). Errors name the wire's record and field, or the key of the setting.
 //
 // The package takes no decisions and holds no state but the numbered endpoint lists. Nothing in it is safe for concurrent
 // use.
