--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -12,9 +12,6 @@
 	"bramblestand/internal/socket"
 )
 
-// longAgo is a deadline that ends a read or write at once.
-var longAgo = time.Unix(1, 0)
-
 // connection is a connection that carries one exchange at a time. The goroutine of that exchange uses it; while it is idle the
 // pool owns it.
 type connection struct {
@@ -40,7 +37,7 @@
 func (c *connection) setDeadline(ctx context.Context, deadline time.Time) {
 	c.SetDeadline(deadline)
 	if ctx.Err() != nil { // the deadline that the end of ctx sets may have been overwritten
-		c.SetDeadline(longAgo)
+		c.SetDeadline(socket.LongAgo)
 	}
 }
 
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"net/http"
 	"time"
+
+	"bramblestand/internal/socket"
 )
 
 // Limits of an exchange.
@@ -90,7 +92,7 @@
 // watch has ctx end what is read and written from now on.
 func (e *exchange) watch(ctx context.Context) {
 	e.ctx = ctx
-	e.stopWatch = context.AfterFunc(ctx, func() { e.conn.SetDeadline(longAgo) })
+	e.stopWatch = context.AfterFunc(ctx, func() { e.conn.SetDeadline(socket.LongAgo) })
 }
 
 // writeRequest writes the request to its last byte.
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -15,10 +15,10 @@
 
 // Headers that this package reads or writes.
 const (
-	requestIDHeader   = "X-Correlation-Id"
-	timeLeftHeader    = "X-Time-Left-Ms" // of a request: milliseconds until its deadline
-	loadReportHeader  = "X-Backend-Load" // of a response: name=value pairs
-	unprocessedHeader = "X-Unprocessed"  // of a response: 1 if the request never ran
+	RequestIDHeader   = "X-Correlation-Id" // of a request: the client's id of it, forwarded and logged
+	TimeLeftHeader    = "X-Time-Left-Ms"   // of a request: milliseconds until its deadline, written anew by each attempt
+	loadReportHeader  = "X-Backend-Load"   // of a response: name=value pairs
+	unprocessedHeader = "X-Unprocessed"    // of a response: 1 if the request never ran
 )
 
 // Request is a request to endpoints. It may be sent repeatedly, by one attempt after the other, until IsBodyConsumed.
@@ -76,7 +76,7 @@
 	CopyEndToEndHeaders(request.Header, r.Header)
 	if deadline, ok := ctx.Deadline(); ok {
 		timeLeft := max(0, time.Until(deadline).Milliseconds())
-		request.Header.Set(timeLeftHeader, strconv.FormatInt(timeLeft, 10))
+		request.Header.Set(TimeLeftHeader, strconv.FormatInt(timeLeft, 10))
 	}
 	return request
 }
--- a/internal/upstream/simulated.go
+++ b/internal/upstream/simulated.go
@@ -56,7 +56,7 @@
 	if err := t.client.checkMayStart(ctx, conn.target, forwarding); err != nil {
 		return nil, nil, err
 	}
-	statusCode, header, body, err := conn.Conn.(simulatedConn).Do(ctx, request.URL.Path, request.Header.Get(requestIDHeader))
+	statusCode, header, body, err := conn.Conn.(simulatedConn).Do(ctx, request.URL.Path, request.Header.Get(RequestIDHeader))
 	if err != nil {
 		return nil, nil, err
 	}
