--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -15,26 +15,26 @@
 type Options struct {
 	DialTimeout      time.Duration
 	KeepaliveTimeout time.Duration // after which an endpoint may close an idle connection
-	LoadReportFields []string      // names of a load report's figures, in the order of Result.LoadReport; none if there are no reports
-	MaxConnections   int           // SetLimits changes it
+	LoadReportFields []string      // names of a load report's values, in the order of Result.LoadReport; empty if there are no reports
+	MaxConnections   int           // of open connections; SetLimits changes it
 }
 
-// Client sends requests to endpoints. Its methods may be called from any goroutine; the exported fields are set before the
+// Client sends requests to endpoints. Its methods may be called from any goroutine; the exported fields must be set before the
 // first call.
 //
-// It does not use http.Transport, which by itself repeats what it finds safe to repeat on a dead idle connection: each such
-// repetition would be an attempt that the balancer never decided.
+// It does not use http.Transport, which resends a request by itself if an idle connection turns out to be closed and the request
+// seems safe to repeat. Each resend would be an attempt that the balancer did not decide on.
 type Client struct {
 	pool
 
 	Dialer           net.Dialer
-	Network          Network                 // in place of sockets; nil outside the lab
+	Network          Network                 // replaces sockets; nil outside the lab
 	LoadProbeTraffic *controltraffic.Counter // counts load probes; may be nil
 
 	loadReportFields []string
 }
 
-// NewClient returns a client without connections.
+// NewClient returns a client that has no connections yet.
 func NewClient(options Options) *Client {
 	return &Client{
 		pool:             newPool(options.MaxConnections, options.KeepaliveTimeout),
@@ -43,22 +43,22 @@
 	}
 }
 
-// Result is the end of an attempt or a load probe.
+// Result is the outcome of an attempt or a load probe.
 type Result struct {
 	Status          balancer.Status
-	Header          http.Header   // of a response with status code 200, as is Body
-	Body            []byte        // nil if it was streamed
-	LoadReport      []float32     // in the order of Options.LoadReportFields, NaN for a missing figure; nil if there is none
-	Latency         time.Duration // from the first write to the end; dialing does not count
-	ClientErrorCode int           // status code for the client whose request is at fault; 0 if it is not
+	Header          http.Header   // of a response with status code 200, like Body; else nil
+	Body            []byte        // nil if the response was streamed
+	LoadReport      []float32     // in the order of Options.LoadReportFields, NaN for a missing value; nil if there is no report
+	Latency         time.Duration // from the first write to the end of the exchange, without dialing
+	ClientErrorCode int           // status code of the response to a client whose request is at fault; 0 if it is not
 	Err             error         // why there is no complete response, for the log; nil if there is one
 }
 
 // transport opens connections and exchanges requests and responses on them.
 type transport interface {
 	dial(ctx context.Context, target *Target) (*connection, error)
-	// exchange sends a request and reads its response, or forwards a response that is too long to be buffered. It returns the
-	// connection to the pool. The request never ran if the error is a *notSentError.
+	// exchange sends a request and reads its response, or forwards a response that is too long to be buffered. At the end it
+	// returns the connection to the pool. If the error is a *notSentError, the request never ran.
 	exchange(ctx context.Context, conn *connection, request *Request, forwarding *Forwarding) (*http.Response, []byte, error)
 }
 
@@ -70,10 +70,10 @@
 }
 
 // Attempt sends a request once and waits for the end of its response. The forwarding may be nil if the request has no Upload;
-// then a long response is an error.
+// then a response that is too long to be buffered is an error.
 //
-// The status claims that the request never ran only if its last byte was not written or if the endpoint says so. In doubt it
-// may have run.
+// The status says that the request never ran only if its last byte was not written or if the endpoint's response says so. In
+// all other cases the request may have run.
 func (c *Client) Attempt(ctx context.Context, target *Target, request *Request, forwarding *Forwarding) Result {
 	conn, err := c.connect(ctx, target, request.traffic)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return result
 }
 
-// connect returns the connection to the target that was used last, or opens one. It counts the traffic of a dial.
+// connect returns the most recently used idle connection to the target, or opens one. It counts a dial in traffic.
 func (c *Client) connect(ctx context.Context, target *Target, traffic *controltraffic.Counter) (*connection, error) {
 	conn, err := c.takeIdle(target)
 	if conn != nil || err != nil {
@@ -109,14 +109,14 @@
 	return conn, nil
 }
 
-// statusOfError returns the status of an exchange without a complete response, and the status code for the client if the error
-// is the client's.
+// statusOfError returns the status of an exchange without a complete response, and the status code of the response to the
+// client if the client caused the error.
 func statusOfError(ctx context.Context, err error) (status balancer.Status, clientErrorCode int) {
 	var clientErr *ClientError
 	var notSent *notSentError
 	switch {
 	case errors.As(err, &clientErr):
-		// It says nothing of the endpoint, and there is nobody left to retry for.
+		// The error says nothing about the endpoint, and no client is left to retry for.
 		return balancer.Cancelled, clientErr.StatusCode
 	case errors.As(err, &notSent):
 		return notSentStatus(ctx, notSent.error), 0
@@ -129,8 +129,8 @@
 	}
 }
 
-// statusOfResponse returns the status of an exchange with a complete response, and the status code for the client if the
-// endpoint says that the client's request is at fault.
+// statusOfResponse returns the status of an exchange with a complete response, and the status code of the response to the
+// client if the endpoint says that the client's request is at fault.
 func statusOfResponse(response *http.Response) (status balancer.Status, clientErrorCode int) {
 	switch code := response.StatusCode; code {
 	case http.StatusOK:
@@ -140,15 +140,15 @@
 			return balancer.Rejected, 0
 		}
 	case http.StatusBadRequest, http.StatusNotFound:
-		// It would be the same everywhere and says nothing of the endpoint's health: counted as errors, one bad client's
-		// requests could have all endpoints ejected.
+		// Every endpoint would respond like this, so it says nothing about this endpoint's health. If it counted as an error,
+		// the requests of one faulty client could have all endpoints ejected.
 		return balancer.Cancelled, code
 	}
 	return balancer.Error, 0
 }
 
-// notSentStatus returns the status of a request that was not written: the endpoint's fault, unless the sidecar no longer wanted
-// to send it.
+// notSentStatus returns the status of a request that was not completely written. ConnectFailed counts against the endpoint;
+// NotSent means that the sidecar itself did not send the request.
 func notSentStatus(ctx context.Context, err error) balancer.Status {
 	if ctx.Err() != nil || errors.Is(err, ErrTargetRetired) || errors.Is(err, ErrNoFreeConnection) || errors.Is(err, ErrRequestOver) {
 		return balancer.NotSent
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -12,17 +12,17 @@
 	"bramblestand/internal/socket"
 )
 
-// connection is a connection that carries one exchange at a time. The goroutine of that exchange uses it; while it is idle the
-// pool owns it.
+// connection is a connection to an endpoint that carries one exchange at a time. During an exchange it is used by the goroutine
+// of that exchange; an idle connection belongs to the pool.
 type connection struct {
 	net.Conn
 	target        *Target
-	reader        *bufio.Reader    // reads limitedReader; nil on a simulated network
-	limitedReader io.LimitedReader // reads the socket; its limit counts a response's bytes
-	idleSince     time.Time        // zero until the first exchange has ended
+	reader        *bufio.Reader    // reads from limitedReader; nil on a simulated network
+	limitedReader io.LimitedReader // reads from the socket; its limit counts the bytes of a response
+	idleSince     time.Time        // zero until the end of the first exchange
 
-	// onReadTimeout, if set, is called once when the read deadline passes during a read. The read goes on if it returns true,
-	// having set another deadline.
+	// onReadTimeout, if not nil, is called when the read deadline passes during a read, and is then reset to nil. If it returns
+	// true, it has set another deadline and the read continues.
 	onReadTimeout func() bool
 }
 
@@ -33,16 +33,16 @@
 	return conn
 }
 
-// setDeadline sets the deadline of what is read and written next, unless ctx has ended.
+// setDeadline sets the deadline of the next reads and writes. If ctx has ended, they fail at once.
 func (c *connection) setDeadline(ctx context.Context, deadline time.Time) {
 	c.SetDeadline(deadline)
-	if ctx.Err() != nil { // the deadline that the end of ctx sets may have been overwritten
+	if ctx.Err() != nil { // the deadline that was set at the end of ctx may just have been overwritten
 		c.SetDeadline(socket.LongAgo)
 	}
 }
 
-// isQuiet reports whether the connection is open and nothing waits to be read from it. An endpoint may close an idle
-// connection at any time, and a request written after that is lost as a reset that may have run.
+// isQuiet reports whether the connection is open and has no data to read. An endpoint may close an idle connection at any time; a
+// request written after that fails with status Reset and counts as one that may have run.
 func (c *connection) isQuiet() bool {
 	if simulated, ok := c.Conn.(simulatedConn); ok {
 		return simulated.IsOpen()
@@ -50,10 +50,10 @@
 	return socket.IsQuiet(c.Conn)
 }
 
-// resumableReader reads from a connection's socket. A read whose deadline passes goes on if onReadTimeout says so.
+// resumableReader reads from a connection's socket. A read whose deadline passes continues if onReadTimeout returns true.
 type resumableReader struct{ *connection }
 
-// Read reads what has arrived, or waits for it.
+// Read implements io.Reader.
 func (r resumableReader) Read(p []byte) (int, error) {
 	for {
 		n, err := r.Conn.Read(p)
@@ -81,14 +81,15 @@
 	return w.conn.Write(p)
 }
 
-// stallLimitedReader reads a response's body from an endpoint. A read fails if the endpoint sends nothing for maxEndpointStall.
+// stallLimitedReader reads a response's body from an endpoint. A read fails if the endpoint sends nothing within
+// maxEndpointStall.
 type stallLimitedReader struct {
 	conn *connection
 	ctx  context.Context
 	body io.Reader
 }
 
-// Read reads what has arrived, or waits for it.
+// Read implements io.Reader.
 func (r *stallLimitedReader) Read(p []byte) (int, error) {
 	r.conn.setDeadline(r.ctx, time.Now().Add(maxEndpointStall))
 	return r.body.Read(p)
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -2,28 +2,29 @@
 
 import "errors"
 
-// Reasons why the sidecar itself does not send a request. Result.Err wraps them; the status is then balancer.NotSent.
+// Reasons why the sidecar itself does not send a request. Result.Err wraps them, and the status is balancer.NotSent.
 var (
-	ErrTargetRetired    = errors.New("the endpoint is draining or removed")
-	ErrNoFreeConnection = errors.New("no connection is free")
-	ErrRequestOver      = errors.New("the request is over")
+	ErrTargetRetired    = errors.New("endpoint is draining, removed, banned or restarted")
+	ErrNoFreeConnection = errors.New("connection limit reached and no idle connection to close")
+	ErrRequestOver      = errors.New("request ended before it was sent")
 )
 
 // errDeadlineExceeded is wrapped by the error of an exchange whose deadline has passed.
-var errDeadlineExceeded = errors.New("the deadline has passed")
+var errDeadlineExceeded = errors.New("deadline exceeded")
 
-// errBodyTooLong is wrapped by the error of a response that cannot be forwarded and is too long to be buffered.
-var errBodyTooLong = errors.New("the response's body is too long")
+// errBodyTooLong is wrapped by the error of a response that is too long to be buffered and cannot be forwarded.
+var errBodyTooLong = errors.New("response body too long to buffer")
 
-// notSentError says that the last byte of a request was not written.
+// notSentError means that the last byte of a request was not written, so that the request never ran.
 type notSentError struct{ error }
 
 // Unwrap returns the cause.
 func (e *notSentError) Unwrap() error { return e.error }
 
-// ClientError is a failure of the client's side of a body. It counts against no endpoint.
+// ClientError means that a request's body cannot be read from the client or that a response's body cannot be written to it. It
+// counts against no endpoint.
 type ClientError struct {
-	StatusCode int // of the response, where one can still be written; else 0
+	StatusCode int // of the response to the client, if one can still be written; else 0
 	Err        error
 }
 
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -11,12 +11,12 @@
 
 // Limits of an exchange.
 const (
-	MaxBufferedBody  = 64 << 10         // bytes of a request's or a response's body
-	MaxHeaderBytes   = 32 << 10         // of a response's header
-	maxEndpointStall = 10 * time.Second // a single wait for an endpoint during a body that is forwarded
+	MaxBufferedBody  = 64 << 10         // bytes of a request's or a response's body that are buffered
+	MaxHeaderBytes   = 32 << 10         // bytes of a response's header
+	maxEndpointStall = 10 * time.Second // for a single read or write of a forwarded body
 )
 
-// socketTransport makes exchanges over sockets.
+// socketTransport is a transport over TCP sockets.
 type socketTransport struct{ client *Client }
 
 func (t socketTransport) dial(ctx context.Context, target *Target) (*connection, error) {
@@ -30,13 +30,13 @@
 // exchange implements transport. The returned body is nil if the response was streamed.
 func (t socketTransport) exchange(ctx context.Context, conn *connection, request *Request, forwarding *Forwarding) (response *http.Response, body []byte, err error) {
 	e := &exchange{conn: conn, request: request, forwarding: forwarding, cancel: func() {}}
-	e.watch(ctx)
+	e.watchContext(ctx)
 	isReusable := false
 	defer func() {
-		err = markDeadline(e.ctx, err)
-		isWatchEnded := e.stopWatch() // before cancel, which would end the watched context
+		err = wrapIfDeadlinePassed(e.ctx, err)
+		isUninterrupted := e.unwatchContext() // must precede cancel, which ends the watched context
 		e.cancel()
-		t.client.release(conn, isWatchEnded && isReusable)
+		t.client.release(conn, isUninterrupted && isReusable)
 	}()
 	if err := t.client.checkMayStart(ctx, conn.target, forwarding); err != nil {
 		return nil, nil, err
@@ -48,29 +48,29 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	// After a change of protocols the connection speaks no HTTP any more.
+	// After a change of protocols the connection no longer carries HTTP.
 	isReusable = !response.Close && conn.reader.Buffered() == 0 && response.StatusCode != http.StatusSwitchingProtocols
 	return response, body, nil
 }
 
-// checkMayStart is called in the moment before the first byte is written. It returns a *notSentError if nothing may be sent to
-// the target any more.
+// checkMayStart is called right before the first byte is written. It returns a *notSentError if the target is retired, or if the
+// request has ended.
 func (c *Client) checkMayStart(ctx context.Context, target *Target, forwarding *Forwarding) error {
 	// The target may have been retired while the connection was dialed.
 	if c.IsRetired(target) {
 		return &notSentError{ErrTargetRetired}
 	}
-	// The deadline may have passed, or the client have disconnected: what wakes a write then comes a little later.
+	// The deadline may have passed or the client may have disconnected just now; a write is interrupted only a little later.
 	if forwarding != nil && !forwarding.MayStart() || ctx.Err() != nil {
 		return &notSentError{ErrRequestOver}
 	}
 	return nil
 }
 
-// markDeadline wraps an error with errDeadlineExceeded if the deadline of ctx has passed by the clock. The balancer's own timer
-// for that instant may already have cancelled the attempt, but a cancellation in place of a timeout would hide the endpoint's
-// silence from the balancer.
-func markDeadline(ctx context.Context, err error) error {
+// wrapIfDeadlinePassed wraps an error with errDeadlineExceeded if the clock is past the deadline of ctx. The balancer has its own
+// timer for the same deadline and may have cancelled the attempt first. A status of Cancelled instead of Timeout would hide from
+// the balancer that the endpoint did not respond.
+func wrapIfDeadlinePassed(ctx context.Context, err error) error {
 	deadline, ok := ctx.Deadline()
 	if err == nil || !ok || time.Now().Before(deadline) {
 		return err
@@ -78,25 +78,25 @@
 	return fmt.Errorf("%w: %w", errDeadlineExceeded, err)
 }
 
-// exchange is one request and its response on a connection. One goroutine uses it.
+// exchange is one request and its response on a connection. It is used by a single goroutine.
 type exchange struct {
 	conn       *connection
 	request    *Request
 	forwarding *Forwarding // nil if there is nothing to forward
 
-	ctx       context.Context    // ends what is read and written now
-	stopWatch func() bool        // ends watch; false if ctx has ended before
-	cancel    context.CancelFunc // releases a context that the exchange made
-	readLimit int64              // of the connection, at the response's start
+	ctx            context.Context    // interrupts the current reads and writes when it ends
+	unwatchContext func() bool        // reverts watchContext; returns false if ctx has already ended
+	cancel         context.CancelFunc // releases a context that the exchange created
+	readLimit      int64              // bytes; set by limitRead
 }
 
-// watch has ctx end what is read and written from now on.
-func (e *exchange) watch(ctx context.Context) {
+// watchContext makes the end of ctx interrupt reads and writes from now on.
+func (e *exchange) watchContext(ctx context.Context) {
 	e.ctx = ctx
-	e.stopWatch = context.AfterFunc(ctx, func() { e.conn.SetDeadline(socket.LongAgo) })
+	e.unwatchContext = context.AfterFunc(ctx, func() { e.conn.SetDeadline(socket.LongAgo) })
 }
 
-// writeRequest writes the request to its last byte.
+// writeRequest writes the whole request.
 func (e *exchange) writeRequest() error {
 	if e.request.Upload == nil {
 		return e.writeBuffered()
@@ -118,7 +118,8 @@
 	return nil
 }
 
-// writeUpload writes a request whose body is still coming from the client. The request's deadline counts from the last byte.
+// writeUpload writes a request whose body still arrives from the client. The time of the request's deadline starts after the last
+// byte.
 func (e *exchange) writeUpload() error {
 	streamCtx := e.forwarding.StreamContext
 	err := e.request.writeUpload(streamCtx, stallLimitedWriter{e.conn, streamCtx})
@@ -129,13 +130,13 @@
 		return &notSentError{err}
 	}
 	deadline := e.forwarding.BodySent()
-	if !e.stopWatch() {
+	if !e.unwatchContext() {
 		return e.ctx.Err()
 	}
 	ctx, cancel := context.WithDeadline(streamCtx, deadline)
 	e.cancel = cancel
 	e.conn.setDeadline(ctx, time.Time{})
-	e.watch(ctx)
+	e.watchContext(ctx)
 	return nil
 }
 
@@ -163,12 +164,12 @@
 	return response, body, nil
 }
 
-// limitRead sets how many bytes may be read from here on.
+// limitRead sets how many bytes may be read from the connection from now on.
 func (e *exchange) limitRead(limit int64) {
 	e.conn.limitedReader.N, e.readLimit = limit, limit
 }
 
-// readHeader reads the header of the final response, and skips interim responses before it.
+// readHeader reads the header of the final response and skips interim (1xx) responses, except 101 Switching Protocols.
 func (e *exchange) readHeader() (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(e.conn.reader, &http.Request{Method: e.request.Method})
--- a/internal/upstream/load_probe.go
+++ b/internal/upstream/load_probe.go
@@ -16,13 +16,13 @@
 // Paths of load probes.
 const (
 	loadReportPath = "/stats"
-	livenessPath   = "/health/live" // where the deployment has no load reports
+	livenessPath   = "/health/live" // if the deployment has no load reports
 )
 
-// loadProbeTimeout is the time of a load probe, dialing included.
+// loadProbeTimeout limits the duration of a load probe, including dialing.
 const loadProbeTimeout = 400 * time.Millisecond
 
-// LoadProbe asks an endpoint for its load report, or for its liveness if the deployment has no load reports.
+// LoadProbe requests an endpoint's load report, or checks its liveness if the deployment has no load reports.
 func (c *Client) LoadProbe(ctx context.Context, target *Target) Result {
 	ctx, cancel := context.WithTimeout(ctx, loadProbeTimeout)
 	defer cancel()
@@ -38,8 +38,8 @@
 	return result
 }
 
-// parseLoadReport reads name=value pairs into the order of Options.LoadReportFields. A figure that is missing or malformed is
-// NaN, which the balancer skips.
+// parseLoadReport parses comma-separated name=value pairs and returns the values in the order of Options.LoadReportFields. A
+// value that is missing or malformed is NaN, which the balancer skips.
 func (c *Client) parseLoadReport(text string) []float32 {
 	if text == "" || len(c.loadReportFields) == 0 {
 		return nil
@@ -50,9 +50,9 @@
 	}
 	for pair := range strings.SplitSeq(strings.TrimSpace(text), ",") {
 		name, value, _ := strings.Cut(pair, "=")
-		figure, err := strconv.ParseFloat(value, 32)
+		number, err := strconv.ParseFloat(value, 32)
 		if i := slices.Index(c.loadReportFields, name); i >= 0 && err == nil {
-			report[i] = float32(figure)
+			report[i] = float32(number)
 		}
 	}
 	return report
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Endpoints close a connection once it has been idle for the keepalive timeout, and what is written to it from then on is
-// lost. Therefore the pool uses a connection only for keepaliveNumerator/keepaliveDenominator of that time.
+// An endpoint closes a connection that has been idle for the keepalive timeout, and a request written to it after that is
+// lost. Therefore the pool reuses an idle connection only within keepaliveNumerator/keepaliveDenominator of that timeout.
 const (
 	keepaliveNumerator   = 3
 	keepaliveDenominator = 4
 )
 
-// Target is an endpoint from one start to the next, at one address. A restarted endpoint is another target.
+// Target is one run of an endpoint, from its start to its next restart, at one address. A restarted endpoint gets a new Target.
 type Target struct {
 	Address         string // host:port
 	StartedAtMillis int64  // Unix time; 0 if unknown
@@ -21,15 +21,16 @@
 	isRetired bool // guarded by pool.mu
 }
 
-// pool limits the connections to all endpoints and keeps the idle ones. Its methods may be called from any goroutine.
+// pool limits the number of connections to all endpoints together and keeps the idle ones for reuse. Its methods may be called
+// from any goroutine.
 type pool struct {
-	maxIdleTime time.Duration // idle connections are not used for longer
+	maxIdleTime time.Duration // an idle connection is not reused after this time
 
 	mu      sync.Mutex                // guards the fields below and Target.isRetired
-	open    int                       // connections, those being dialed included
-	maxOpen int                       // what is beyond it is not closed while in use
-	maxIdle int                       // of the open ones
-	idle    map[*Target][]*connection // the latest used last
+	open    int                       // number of connections, including those being dialed
+	maxOpen int                       // limit of open; connections in use stay open beyond it
+	maxIdle int                       // limit of the idle connections among the open ones
+	idle    map[*Target][]*connection // the most recently used last
 }
 
 func newPool(maxOpen int, keepaliveTimeout time.Duration) pool {
@@ -41,8 +42,8 @@
 	}
 }
 
-// takeIdle returns an idle connection, or nil with the right to open one, which cancelOpen gives back. It fails with
-// ErrTargetRetired or ErrNoFreeConnection.
+// takeIdle returns an idle connection to the target. If there is none, it returns nil and counts a connection as open, which
+// the caller then dials; if the dial fails, the caller calls cancelOpen. It fails with ErrTargetRetired or ErrNoFreeConnection.
 func (p *pool) takeIdle(target *Target) (*connection, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,15 +66,14 @@
 	return nil, nil
 }
 
-// cancelOpen gives back the right to open a connection.
+// cancelOpen reverts what takeIdle counted as open, after a failed dial.
 func (p *pool) cancelOpen() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
 }
 
-// release takes back a connection that takeIdle returned or that was opened. It keeps it for the next request if it is
-// reusable, and else closes it.
+// release takes back a connection after an exchange. It keeps a reusable connection for the next request and closes any other.
 func (p *pool) release(conn *connection, isReusable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,7 +88,8 @@
 	}
 }
 
-// SetLimits sets how many connections there may be, and how many of them may be idle. It closes idle connections beyond that.
+// SetLimits sets how many connections may be open, and how many of those may be idle. It closes idle connections beyond the
+// limits.
 func (p *pool) SetLimits(maxOpen, maxIdle int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -104,8 +105,8 @@
 	return p.open, p.idleCountLocked()
 }
 
-// Retire ends the use of a target that drains, was removed or banned, or has restarted: its idle connections are closed, and
-// no request is started on the others.
+// Retire ends the use of a target that is draining, removed, banned or restarted. It closes the target's idle connections; no
+// request is started on its other connections.
 func (p *pool) Retire(target *Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -116,19 +117,19 @@
 	delete(p.idle, target)
 }
 
-// IsRetired reports whether Retire was called for a target.
+// IsRetired reports whether Retire was called for the target.
 func (p *pool) IsRetired(target *Target) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return target.isRetired
 }
 
-// CloseExpired closes connections that have been idle for too long. The event loop calls it once a second.
+// CloseExpired closes connections that have been idle for maxIdleTime. The event loop calls it once a second.
 func (p *pool) CloseExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for target, conns := range p.idle {
-		expired := 0 // the longest idle come first
+		expired := 0 // the connections idle the longest come first
 		for expired < len(conns) && time.Since(conns[expired].idleSince) >= p.maxIdleTime {
 			p.closeLocked(conns[expired])
 			expired++
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -15,48 +15,48 @@
 
 // Headers that this package reads or writes.
 const (
-	RequestIDHeader   = "X-Correlation-Id" // of a request: the client's id of it, forwarded and logged
-	TimeLeftHeader    = "X-Time-Left-Ms"   // of a request: milliseconds until its deadline, written anew by each attempt
+	RequestIDHeader   = "X-Correlation-Id" // of a request: its ID, chosen by the client, forwarded and logged
+	TimeLeftHeader    = "X-Time-Left-Ms"   // of a request: milliseconds until its deadline, set by each attempt
 	loadReportHeader  = "X-Backend-Load"   // of a response: name=value pairs
 	unprocessedHeader = "X-Unprocessed"    // of a response: 1 if the request never ran
 )
 
-// Request is a request to endpoints. It may be sent repeatedly, by one attempt after the other, until IsBodyConsumed.
+// Request is a request to endpoints. Successive attempts may send it again as long as IsBodyConsumed returns false.
 type Request struct {
 	Method string
 	URL    *url.URL
 	Host   string
-	Header http.Header // of the client's request; X-Time-Left-Ms is written anew by each attempt
-	Body   []byte      // all of it, or its buffered start if there is an Upload
+	Header http.Header // of the client's request; each attempt sets X-Time-Left-Ms anew
+	Body   []byte      // the whole body, or its buffered start if there is an Upload
 	Upload Upload      // the rest of the body; nil if there is none
 
-	traffic *controltraffic.Counter // counts the request; nil for a client's
+	traffic *controltraffic.Counter // counts a load probe; nil for a client's request
 }
 
-// Upload is the part of a request's body that is not buffered and is still coming from the client. An attempt's goroutine reads
-// it; there is one attempt at a time.
+// Upload is the part of a request's body that is not buffered and still arrives from the client. The attempt's goroutine reads
+// it; there is only one attempt at a time.
 type Upload interface {
-	io.Reader // fails with what ClientError returns from then on
+	io.Reader // if it fails, ClientError returns the same error from then on
 
 	ContentLength() int64      // of the whole body in bytes; -1 if unknown
-	IsConsumed() bool          // something was read: the request cannot be sent again
-	ClientError() *ClientError // what ended reading, or nil
+	IsConsumed() bool          // reports whether something was read, so that the request cannot be sent again
+	ClientError() *ClientError // the error that ended reading, or nil
 }
 
-// IsBodyConsumed reports whether part of the body is gone, so that the request cannot be sent again. It must not be called
-// during an attempt.
+// IsBodyConsumed reports whether part of the body was read and not kept, so that the request cannot be sent again. It must not
+// be called during an attempt.
 func (r *Request) IsBodyConsumed() bool { return r.Upload != nil && r.Upload.IsConsumed() }
 
 // writeUpload writes the request with the body's buffered start and its Upload.
 func (r *Request) writeUpload(ctx context.Context, w io.Writer) error {
 	request := r.toHTTP(ctx)
 	request.ContentLength = r.Upload.ContentLength()
-	// The struct hides the reader's WriteTo, which would allocate a buffer for each request.
+	// The struct hides the MultiReader's WriteTo, which would allocate a buffer for each request.
 	request.Body = io.NopCloser(struct{ io.Reader }{io.MultiReader(bytes.NewReader(r.Body), r.Upload)})
 	return request.Write(w)
 }
 
-// encode returns the bytes of a request whose body is buffered.
+// encode returns the HTTP/1.1 bytes of a request whose whole body is buffered.
 func (r *Request) encode(ctx context.Context) ([]byte, error) {
 	request := r.toHTTP(ctx)
 	if len(r.Body) > 0 {
@@ -70,7 +70,7 @@
 	return data.Bytes(), nil
 }
 
-// toHTTP returns the request without its body, with the time that is left until the deadline of ctx.
+// toHTTP returns the request without its body, with X-Time-Left-Ms set from the deadline of ctx.
 func (r *Request) toHTTP(ctx context.Context) *http.Request {
 	request := &http.Request{Method: r.Method, URL: r.URL, Host: r.Host, Header: http.Header{}}
 	CopyEndToEndHeaders(request.Header, r.Header)
@@ -81,12 +81,12 @@
 	return request
 }
 
-// hopByHopHeaders concern one connection only (RFC 9110, section 7.6.1). Expect is among them since the sidecar answers it
-// itself.
+// hopByHopHeaders apply to a single connection (RFC 9110, section 7.6.1) and are not forwarded. The list includes Expect because
+// the sidecar responds to it itself.
 var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
 
-// CopyEndToEndHeaders copies the headers that are forwarded.
+// CopyEndToEndHeaders copies all headers except the hop-by-hop ones.
 func CopyEndToEndHeaders(to, from http.Header) {
 	for name, values := range from {
 		if !slices.Contains(hopByHopHeaders, name) {
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -11,42 +11,43 @@
 	"bramblestand/internal/bodybuffer"
 )
 
-// responseBufferTime is how long a response of unknown length is buffered, in the hope that it ends.
+// responseBufferTime is how long a response of unknown length is buffered. A response that ends within this time is not
+// streamed.
 const responseBufferTime = 50 * time.Millisecond
 
-// Forwarding is what an attempt needs to forward a request or a response that is too long to be buffered. The attempt's
-// goroutine calls the functions.
+// Forwarding connects an attempt to the client's side, so that a request or a response that is too long to be buffered can be
+// forwarded while it arrives. The attempt's goroutine calls the functions.
 type Forwarding struct {
-	StreamContext context.Context // the attempt's, without a deadline
+	StreamContext context.Context // the attempt's context, without a deadline
 
-	// MayStart is called before the first byte is written. It reports whether the request is still wanted.
+	// MayStart is called before the first byte is written. It reports whether the client still wants the request.
 	MayStart func() bool
-	// BodySent is called after the last byte of a body that was not buffered. It returns the request's deadline, which counts
-	// from then on.
+	// BodySent is called after the last byte of a body that was not buffered has been written. It returns the request's
+	// deadline, whose time starts at this call.
 	BodySent func() time.Time
-	// StartResponse hands over a response to be forwarded, with the buffered start of its body. It sets
-	// ResponseStream.StopWatchingClient.
+	// StartResponse passes on a response to be forwarded, with the buffered start of its body. It must set
+	// stream.StopWatchingClient.
 	StartResponse func(response *http.Response, buffered []byte, stream *ResponseStream)
 }
 
-// ResponseStream is a response that is forwarded while it arrives. The attempt's goroutine makes it; the goroutine of the
+// ResponseStream is a response that is forwarded while it arrives. The attempt's goroutine creates it. The goroutine of the
 // client's request reads Remainder and calls End exactly once.
 type ResponseStream struct {
 	ContentLength      int64         // bytes; -1 if unknown
-	Remainder          io.ReadCloser // the body beyond what is buffered
-	StopWatchingClient func() bool   // from here on a disconnect of the client does not end the attempt
+	Remainder          io.ReadCloser // the body after its buffered start
+	StopWatchingClient func() bool   // after this call a disconnect of the client does not end the attempt
 
-	clientDone chan error // receives End's error; has room for it
+	clientDone chan error // receives End's error; buffered, so that End does not block
 }
 
-// End tells the attempt's goroutine how the client's side ended; nil means that the client has received everything.
+// End tells the attempt's goroutine how forwarding to the client ended; nil means that the client has received everything.
 func (s *ResponseStream) End(err error) {
-	s.StopWatchingClient() // what follows closes the client's connection, which is no disconnect by the client
+	s.StopWatchingClient() // the sidecar may close the client's connection next, which must not count as a disconnect by the client
 	s.Remainder.Close()
 	s.clientDone <- err
 }
 
-// readBuffered reads the body of a response that is not forwarded while it arrives.
+// readBuffered reads the whole body of a response that is not streamed. It fails if the body exceeds MaxBufferedBody.
 func readBuffered(response *http.Response) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(response.Body, MaxBufferedBody+1))
 	if err != nil {
@@ -58,15 +59,15 @@
 	return body, nil
 }
 
-// readOrStream reads the body of a response. If it is too long to be buffered, or has no length and does not end soon, it hands
-// over a stream, waits for the stream's end and returns nil.
+// readOrStream reads the body of a response. A body that is too long to be buffered, or that has no length and does not end
+// within responseBufferTime, is streamed: then readOrStream waits for the end of the stream and returns a nil body.
 func (e *exchange) readOrStream(response *http.Response) ([]byte, error) {
-	e.limitRead(math.MaxInt64) // what is buffered limits itself, however small its chunks
-	body, stream, err := e.bufferOrStart(response)
+	e.limitRead(math.MaxInt64) // buffering has its own limit; this one would also count the framing of small chunks
+	body, stream, err := e.bufferOrStream(response)
 	if stream != nil {
 		body = nil
 		if clientErr := <-stream.clientDone; clientErr != nil {
-			err = clientErr // the client's failure, or what the client was told of the endpoint's
+			err = clientErr // a failure of the client, or the endpoint's failure as the client's side saw it
 		}
 	}
 	if err != nil {
@@ -76,8 +77,9 @@
 	return body, nil
 }
 
-// bufferOrStart buffers a body to its end, or returns the stream that it has started, with an error of the endpoint's side.
-func (e *exchange) bufferOrStart(response *http.Response) (body []byte, stream *ResponseStream, err error) {
+// bufferOrStream buffers a body to its end, or starts a stream and returns it. The error is nil or a failure of the endpoint,
+// also beside a stream.
+func (e *exchange) bufferOrStream(response *http.Response) (body []byte, stream *ResponseStream, err error) {
 	switch {
 	case response.ContentLength > MaxBufferedBody:
 		if !e.liftDeadline() {
@@ -88,14 +90,14 @@
 		body, err = io.ReadAll(response.Body)
 		return body, nil, err
 	default:
-		return e.bufferOrStartUnknownLength(response)
+		return e.bufferOrStreamUnknownLength(response)
 	}
 }
 
-// bufferOrStartUnknownLength is bufferOrStart for a body whose end is not known in advance. It waits responseBufferTime for the
-// end, which may pass during a read. A body's reader does not survive an interrupted read: therefore that read goes on, and
-// what comes of it and after it goes through a pipe.
-func (e *exchange) bufferOrStartUnknownLength(response *http.Response) (body []byte, stream *ResponseStream, err error) {
+// bufferOrStreamUnknownLength is bufferOrStream for a body of unknown length. It starts a stream if the body has not ended
+// within responseBufferTime. That time may pass during a read, and a body's reader is unusable after an interrupted read.
+// Therefore the read continues, and its result and the rest of the body reach the client's goroutine through a pipe.
+func (e *exchange) bufferOrStreamUnknownLength(response *http.Response) (body []byte, stream *ResponseStream, err error) {
 	var pipe *io.PipeWriter
 	e.conn.onReadTimeout = func() bool {
 		if e.ctx.Err() != nil || !e.liftDeadline() {
@@ -125,15 +127,15 @@
 			return nil, nil, err
 		}
 	}
-	e.conn.onReadTimeout = nil // before the client's goroutine reads here
+	e.conn.onReadTimeout = nil // before the client's goroutine starts to read from the connection
 	if !e.liftDeadline() {
 		return nil, nil, e.ctx.Err()
 	}
 	return nil, e.startStream(response, body, io.NopCloser(e.remainder(response))), nil
 }
 
-// copyToPipe writes the result of a read, n bytes of the buffer and an error, and then the rest of a body. It returns the
-// body's error, unless the pipe's reader was closed first: then ResponseStream.End tells why.
+// copyToPipe writes the result of a read (n bytes of the buffer, and err) and then the rest of the body to a pipe. It returns
+// the body's read error. If the pipe's reader was closed first, it returns nil: ResponseStream.End reports the reason.
 func copyToPipe(pipe *io.PipeWriter, body io.Reader, buffer *bodybuffer.Buffer, n int, err error) error {
 	for {
 		if _, writeErr := pipe.Write(buffer[:n]); writeErr != nil {
@@ -151,12 +153,12 @@
 	}
 }
 
-// remainder reads the rest of a body, as long as the endpoint does not stall.
+// remainder returns a reader of the rest of a body. A read fails if the endpoint stalls.
 func (e *exchange) remainder(response *http.Response) io.Reader {
 	return &stallLimitedReader{e.conn, e.forwarding.StreamContext, response.Body}
 }
 
-// startStream hands over a response whose body is buffered up to remainder.
+// startStream passes a response on to the client's side: the buffered start of its body and a reader of the remainder.
 func (e *exchange) startStream(response *http.Response, buffered []byte, remainder io.ReadCloser) *ResponseStream {
 	stream := &ResponseStream{
 		ContentLength: response.ContentLength,
@@ -167,13 +169,13 @@
 	return stream
 }
 
-// liftDeadline ends the request's deadline, which is one for the first bytes of a response that is streamed. It returns false
-// if the exchange's context has ended before.
+// liftDeadline removes the request's deadline, which limits only the time to the start of a streamed response. From then on
+// maxEndpointStall limits each read. It returns false if the exchange's context has already ended.
 func (e *exchange) liftDeadline() bool {
-	if !e.stopWatch() {
+	if !e.unwatchContext() {
 		return false
 	}
-	e.watch(e.forwarding.StreamContext)
+	e.watchContext(e.forwarding.StreamContext)
 	e.conn.setDeadline(e.ctx, time.Now().Add(maxEndpointStall))
 	return true
 }
--- a/internal/upstream/simulated.go
+++ b/internal/upstream/simulated.go
@@ -6,22 +6,22 @@
 	"net/http"
 )
 
-// Network carries a hollow sidecar's requests to endpoints, in place of sockets and HTTP. Only the lab has one.
+// Network carries a hollow sidecar's requests to endpoints and replaces sockets and HTTP. Only the lab provides one.
 type Network interface {
-	// Dial opens a connection to an address, or fails as a dial does.
+	// Dial opens a connection to an address, or returns an error as a failed dial does.
 	Dial(ctx context.Context, address string) (SimulatedConnection, error)
 }
 
-// SimulatedConnection takes one request at a time.
+// SimulatedConnection is a connection of a Network. It carries one request at a time.
 type SimulatedConnection interface {
-	// Do sends a request and returns the response. The id is empty for a load probe. It fails as a broken connection does, or
-	// with ctx's error if ctx ends first.
+	// Do sends a request and returns the response. The id is the request's X-Correlation-Id, empty for a load probe. Do returns
+	// the error of a broken connection, or that of ctx if ctx ends first.
 	Do(ctx context.Context, path, id string) (statusCode int, header http.Header, body []byte, err error)
-	IsOpen() bool // neither side has closed it
+	IsOpen() bool // reports whether neither side has closed the connection
 	Close()       // called once
 }
 
-// simulatedConn stands for a socket. The methods of the embedded net.Conn must not be called.
+// simulatedConn wraps a SimulatedConnection as a net.Conn. The other methods of the embedded net.Conn must not be called.
 type simulatedConn struct {
 	net.Conn
 	SimulatedConnection
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// simulatedTransport makes exchanges over a Network.
+// simulatedTransport is a transport over a Network.
 type simulatedTransport struct{ client *Client }
 
 func (t simulatedTransport) dial(ctx context.Context, target *Target) (*connection, error) {
@@ -46,11 +46,11 @@
 	return &connection{Conn: simulatedConn{SimulatedConnection: conn}, target: target}, nil
 }
 
-// exchange implements transport. It makes the same checks before a request is sent as with a socket.
+// exchange implements transport. Before a request is sent it makes the same checks as socketTransport.
 func (t simulatedTransport) exchange(ctx context.Context, conn *connection, request *Request, forwarding *Forwarding) (response *http.Response, body []byte, err error) {
 	defer func() {
 		isReusable := err == nil
-		err = markDeadline(ctx, err)
+		err = wrapIfDeadlinePassed(ctx, err)
 		t.client.release(conn, isReusable)
 	}()
 	if err := t.client.checkMayStart(ctx, conn.target, forwarding); err != nil {
