--- a/internal/bodybuffer/bodybuffer.go
+++ b/internal/bodybuffer/bodybuffer.go
@@ -1,5 +1,5 @@
 // Package bodybuffer pools the buffers through which bodies are forwarded, in both directions.
-// io.Copy is not used between sockets: it would splice them in the kernel.
+// They replace io.Copy, which would splice two sockets in the kernel instead of copying through a buffer.
 package bodybuffer
 
 import "sync"
@@ -7,13 +7,13 @@
 // Size is the size of a buffer in bytes.
 const Size = 32 << 10
 
-// Buffer is memory for a part of a body.
+// Buffer holds a part of a body while it is forwarded.
 type Buffer [Size]byte
 
 var pool = sync.Pool{New: func() any { return new(Buffer) }}
 
-// Get returns a buffer with any content. Give it back with Put.
+// Get returns a buffer with undefined content. The caller returns it with Put.
 func Get() *Buffer { return pool.Get().(*Buffer) }
 
-// Put takes back a buffer that is no longer used.
+// Put returns a buffer to the pool. The caller must not use it afterwards.
 func Put(buffer *Buffer) { pool.Put(buffer) }
--- a/internal/controltraffic/accounting.go
+++ b/internal/controltraffic/accounting.go
@@ -8,7 +8,7 @@
 	"bramblestand/internal/datagram"
 )
 
-// Names of the kinds of control traffic in the operators' JSON and the log.
+// Names of the kinds of control traffic in the response to GET /control and in the log.
 const (
 	KindLoadProbe  = "probe"
 	KindDiscovery  = "discovery"
@@ -17,24 +17,24 @@
 	KindAdmin      = "orders"
 )
 
-// Kinds are all kinds of control traffic, in the order in which they are reported.
+// Kinds lists all kinds of control traffic in the order in which logs and reports list them.
 var Kinds = []string{KindLoadProbe, KindDiscovery, KindGossip, KindMembership, KindAdmin}
 
-// Accounting counts the control traffic of this process since its start. Datagrams are counted by
-// their transport, and are handed in where a status is made.
+// Accounting counts the control traffic of this process since its start. Datagrams are counted by their transport, whose
+// counts are passed to Status and Log.
 type Accounting struct {
-	Started                      time.Time
+	Started                      time.Time // start of the process
 	LoadProbes, Discovery, Admin Counter
 }
 
-// Status is the answer to GET /control: the control traffic since the start of this process.
+// Status is the response to GET /control: the control traffic since the start of this process.
 type Status struct {
 	Seconds   float64            `json:"seconds"`    // since the start
-	Kinds     map[string]Traffic `json:"kinds"`      // one for each of Kinds
+	Kinds     map[string]Traffic `json:"kinds"`      // by kind, with an entry for each of Kinds
 	WireBytes uint64             `json:"wire_bytes"` // of all kinds, in both directions, headers included
 }
 
-// Status returns what was counted so far. Datagrams are the transport's counts, nil where there is none.
+// Status returns the traffic counted so far. The datagrams are the counts of the datagram transport, nil if there is none.
 func (a *Accounting) Status(datagrams map[datagram.Channel]datagram.ChannelCounts) Status {
 	s := Status{
 		Seconds: math.Round(time.Since(a.Started).Seconds()*1e3) / 1e3,
@@ -52,7 +52,7 @@
 	return s
 }
 
-// Log writes one line with the bytes on the wire so far: the sum and each kind.
+// Log logs one line with the bytes on the wire so far, in total and of each kind.
 func (a *Accounting) Log(log *slog.Logger, datagrams map[datagram.Channel]datagram.ChannelCounts) {
 	s := a.Status(datagrams)
 	args := []any{"seconds", s.Seconds, "wire_bytes", s.WireBytes}
--- a/internal/controltraffic/accounting_test.go
+++ b/internal/controltraffic/accounting_test.go
@@ -28,7 +28,7 @@
 	if want := (Traffic{Sent: Totals{2, 30, 2, 86}, Received: Totals{3, 57, 3, 141}}); membership != want {
 		t.Errorf("membership %+v, want %+v", membership, want)
 	}
-	// And they are the transport's own counts, over a socket.
+	// Status takes the counts of a real datagram transport with a socket.
 	address := netip.MustParseAddrPort("127.0.0.1:0")
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -43,7 +43,7 @@
 	}
 }
 
-// The estimates follow the formula of Totals.
+// Packets and bytes on the wire are estimated by the formula in the comment of Totals.
 func TestWireBytesFollowTheFormula(t *testing.T) {
 	var counter Counter
 	counter.AddSent(100, true)
@@ -58,6 +58,6 @@
 		t.Errorf("%+v, want %+v", got, want)
 	}
 	if d := got.Sub(want); d != (Traffic{}) || !reflect.DeepEqual(got.Sub(Traffic{}), got) {
-		t.Errorf("minus itself: %+v", d)
+		t.Errorf("traffic minus itself: %+v, want zero", d)
 	}
 }
--- a/internal/controltraffic/counter.go
+++ b/internal/controltraffic/counter.go
@@ -1,6 +1,6 @@
-// Package controltraffic counts the control traffic of a sidecar: load probes, discovery, gossip,
-// membership and the operators' calls. Each is counted in messages and bytes, and what that comes to
-// on the wire is estimated from those. Nothing is counted where there is no operators' address.
+// Package controltraffic counts the control traffic of a sidecar: load probes, discovery, gossip, membership and admin
+// calls. It counts the messages and bytes of each kind and estimates the bytes on the wire from them. Nothing is counted if
+// no admin address is configured.
 package controltraffic
 
 import (
@@ -8,24 +8,23 @@
 	"sync/atomic"
 )
 
-// Counter counts one kind of control traffic on TCP connections: complete messages, and the bytes
-// that pass a connection, HTTP headers included. It is safe for use by several goroutines; the
-// methods of a nil Counter do nothing.
+// Counter counts one kind of control traffic on TCP connections: complete messages, and all bytes read and written,
+// including HTTP headers. It is safe for concurrent use. The Add methods of a nil Counter do nothing.
 type Counter struct {
 	sentMessages, sentBytes         atomic.Uint64
 	receivedMessages, receivedBytes atomic.Uint64
-	dialed, accepted                atomic.Uint64 // connections
-	dialsFailed                     atomic.Uint64
+	dialed, accepted                atomic.Uint64 // TCP connections
+	dialsFailed                     atomic.Uint64 // TCP connections that could not be established
 }
 
-// AddSent adds bytes that were written; messageDone says that a message was complete with them.
+// AddSent adds bytes that were written. If messageDone is true, they completed a message.
 func (c *Counter) AddSent(bytes int, messageDone bool) {
 	if c != nil {
 		add(&c.sentMessages, &c.sentBytes, bytes, messageDone)
 	}
 }
 
-// AddReceived adds bytes that were read; messageDone says that a message was complete with them.
+// AddReceived adds bytes that were read. If messageDone is true, they completed a message.
 func (c *Counter) AddReceived(bytes int, messageDone bool) {
 	if c != nil {
 		add(&c.receivedMessages, &c.receivedBytes, bytes, messageDone)
@@ -39,7 +38,7 @@
 	}
 }
 
-// AddDial adds a connection that was dialed, or one that could not be established where err is not nil.
+// AddDial adds a connection that was dialed or, if err is not nil, one that could not be established.
 func (c *Counter) AddDial(err error) {
 	switch {
 	case c == nil:
@@ -50,14 +49,14 @@
 	}
 }
 
-// AddAccepted adds a connection that was accepted.
+// AddAccepted adds an accepted connection.
 func (c *Counter) AddAccepted() {
 	if c != nil {
 		c.accepted.Add(1)
 	}
 }
 
-// Traffic returns what was counted so far, with the estimates.
+// Traffic returns the traffic counted so far, including the estimated packets and bytes on the wire.
 func (c *Counter) Traffic() Traffic {
 	t := Traffic{
 		Sent:     Totals{Messages: c.sentMessages.Load(), Bytes: c.sentBytes.Load()},
@@ -70,7 +69,7 @@
 	return t
 }
 
-// Conn is a connection whose bytes are counted.
+// Conn wraps a connection and counts its bytes.
 type Conn struct {
 	net.Conn
 	Counter *Counter
--- a/internal/controltraffic/traffic.go
+++ b/internal/controltraffic/traffic.go
@@ -2,32 +2,31 @@
 
 import "bramblestand/internal/datagram"
 
-// Bytes on the wire, for IPv4 and an MTU of 1,500. Ethernet framing, 38 bytes a packet with preamble
-// and gap, is left out.
+// Header and payload sizes in bytes, for IPv4 and an MTU of 1,500. Ethernet framing, which adds 38 bytes to each packet with
+// preamble and inter-packet gap, is not counted.
 const (
-	tcpHeaderBytes  = 20 + 32 // IP, and TCP with timestamps
-	udpHeaderBytes  = 20 + 8
+	tcpHeaderBytes  = 20 + 32               // IP header, and TCP header with timestamps
+	udpHeaderBytes  = 20 + 8                // IP header and UDP header
 	tcpSegmentBytes = 1500 - tcpHeaderBytes // payload of a full packet
 )
 
-// Packets of a TCP connection's handshake and close, by the side that dialed and the other.
+// Packets that each side of a TCP connection sends during the handshake and the close.
 const (
-	dialerPackets   = 2 + 2
-	acceptorPackets = 1 + 2
+	dialerPackets   = 2 + 2 // by the side that dialed
+	acceptorPackets = 1 + 2 // by the side that accepted
 )
 
-// Traffic is what one kind of control traffic came to.
+// Traffic holds the counts of one kind of control traffic.
 type Traffic struct {
 	Sent     Totals `json:"sent"`
 	Received Totals `json:"received"`
-	Opened   uint64 `json:"opened"`   // connections dialed; a load probe and a request may use each other's
+	Opened   uint64 `json:"opened"`   // connections dialed; load probes and requests share connections
 	Accepted uint64 `json:"accepted"` // connections accepted
 	Failed   uint64 `json:"failed"`   // connections that could not be established
 }
 
-// Totals is the traffic in one direction. Messages and Bytes are counted: Bytes as they pass the
-// connection, HTTP headers included, or as the payload of datagrams. Packets and WireBytes are
-// estimated from them:
+// Totals holds the traffic in one direction. Messages and Bytes are counted. Bytes are those read from or written to a
+// connection, including HTTP headers, or the payload of datagrams. Packets and WireBytes are estimated:
 //
 //	TCP  data     messages + bytes / 1448
 //	     acks     one for each message in the other direction
@@ -45,7 +44,7 @@
 // TotalWireBytes returns the bytes on the wire in both directions.
 func (t Traffic) TotalWireBytes() uint64 { return t.Sent.WireBytes + t.Received.WireBytes }
 
-// Sub returns what was added since an earlier reading.
+// Sub returns the traffic since an earlier reading.
 func (t Traffic) Sub(earlier Traffic) Traffic {
 	return Traffic{
 		Sent:     t.Sent.sub(earlier.Sent),
@@ -65,7 +64,7 @@
 	}
 }
 
-// estimateTCP sets packets and bytes on the wire by the formula of Totals.
+// estimateTCP sets Packets and WireBytes by the formula for TCP in the comment of Totals.
 func (t *Traffic) estimateTCP() {
 	sent, received := &t.Sent, &t.Received
 	sent.Packets = sent.Messages + sent.Bytes/tcpSegmentBytes + received.Messages +
@@ -76,7 +75,7 @@
 	received.WireBytes = received.Bytes + tcpHeaderBytes*received.Packets
 }
 
-// datagramTraffic adds up some channels of the datagram transport.
+// datagramTraffic returns the sum of the given channels of the datagram transport.
 func datagramTraffic(counts map[datagram.Channel]datagram.ChannelCounts, channels ...datagram.Channel) Traffic {
 	var t Traffic
 	for _, channel := range channels {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -14,53 +14,54 @@
 )
 
 const (
-	// CallTimeout bounds a call that does not wait for changes, and connecting: discovery
-	// answers calls in turn, and a later one may succeed.
+	// CallTimeout limits a call that does not wait for changes, and a dial. Discovery handles calls one after the
+	// other, so a later call may succeed.
 	CallTimeout = 4 * time.Second
-	// MaxWait is how long a call may wait for changes. A watch that has fallen silent is only noticed waitGrace after its wait, and
-	// what it misses counts as known 6 s after that, whatever it waits for.
+	// MaxWait is how long a call may wait for changes. A watch that no longer gets responses is noticed only when
+	// waitGrace has passed after the wait, but 6 s after the responses stopped the sidecar is expected to know the
+	// changes it missed, however long the call waits.
 	MaxWait = 4 * time.Second
 
-	// By the protocol a sidecar is expected to know a change 2 s after the end of a wait, whether the
-	// answer arrived or not: this leaves a second to call again.
+	// waitGrace is how long a response may arrive after the end of the wait. The protocol expects a sidecar to know a
+	// change 2 s after the end of a wait, whether the response arrived or not: this leaves one second to call again.
 	waitGrace = time.Second
 
 	listPath     = "/registry/instances"
-	maxListBytes = 8 << 20
+	maxListBytes = 8 << 20 // a longer response is cut off and fails to decode
 )
 
-// ErrOlderVersion is returned for a delta with a lower version than the caller's list: discovery has
-// restarted, and the delta does not apply to that list. The caller needs a full list.
+// ErrOlderVersion is returned for a delta with a lower version than the caller's list. Discovery has restarted, so
+// the delta does not apply to that list, and the caller must request the full list.
 var ErrOlderVersion = errors.New("changes of an older version")
 
-// StatusError says that discovery answered with a status other than 200.
+// StatusError means that discovery responded with a status code other than 200.
 type StatusError struct {
 	Code   int
-	Status string // code and text
+	Status string // status code and reason phrase
 }
 
-// Error gives the status.
+// Error returns a text with the status.
 func (e *StatusError) Error() string { return "discovery answered " + e.Status }
 
-// DialFunc opens a connection.
+// DialFunc opens a connection, like net.Dialer.DialContext.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Options of a Client. All may be left out.
+// Options configures a Client. All fields are optional.
 type Options struct {
-	Dial DialFunc // in place of the system's
-	// Transport takes the place of connections altogether; calls are then not counted.
+	Dial DialFunc // replaces net.Dialer
+	// Transport replaces connections altogether; calls are then not counted.
 	Transport http.RoundTripper
-	Traffic   *controltraffic.Counter // counts the calls
+	Traffic   *controltraffic.Counter // counts calls and connections; nil counts nothing
 }
 
-// Client calls the discovery service at one address. Its methods may be called by several goroutines.
+// Client calls the discovery service at one address. Its methods may be called from any goroutine.
 type Client struct {
 	address string
 	options Options
 	http    http.Client
 }
 
-// NewClient returns a client of the service at an address host:port. It connects with the first call.
+// NewClient returns a client of the service at an address (host:port). The first call opens a connection.
 func NewClient(address string, options Options) *Client {
 	c := &Client{address: address, options: options}
 	if options.Transport != nil {
@@ -72,18 +73,18 @@
 	return c
 }
 
-// Address returns where the service is.
+// Address returns the address of the service.
 func (c *Client) Address() string { return c.address }
 
-// Options returns what the client was made with, for a client of another address.
+// Options returns the client's options, for example to create a client of another address.
 func (c *Client) Options() Options { return c.options }
 
-// CloseIdleConnections closes the connections that no call uses.
+// CloseIdleConnections closes the connections that are not in use by a call.
 func (c *Client) CloseIdleConnections() { c.http.CloseIdleConnections() }
 
-// List makes one call. With after, it asks for what is newer than that version, which may be 0, and
-// discovery may hold the answer back for up to wait until there is something; without, for the full
-// list at once. Its errors are ErrOlderVersion, *StatusError, *MalformedError and those of the connection.
+// List makes one call. If after is nil, it requests the full list, and wait has no effect. Otherwise it requests the
+// changes since the version *after, which may be 0, and discovery may delay its response by up to wait until there are
+// changes. The errors are ErrOlderVersion, *StatusError, *MalformedError and those of the connection.
 func (c *Client) List(ctx context.Context, after *uint64, wait time.Duration) (List, error) {
 	body, err := c.get(ctx, after, wait)
 	if err != nil {
@@ -99,7 +100,7 @@
 	return list, nil
 }
 
-// get makes the HTTP call of List and returns the body of the answer.
+// get makes the HTTP call of List and returns the body of the response.
 func (c *Client) get(ctx context.Context, after *uint64, wait time.Duration) ([]byte, error) {
 	url := "http://" + c.address + listPath
 	timeout := CallTimeout
@@ -131,7 +132,7 @@
 	return body, nil
 }
 
-// dial opens a connection, counted where calls are.
+// dial opens a connection. It counts the connection and its bytes if the client counts calls.
 func (c *Client) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := c.dialUncounted(ctx, network, address)
 	if c.options.Traffic == nil {
@@ -144,9 +145,9 @@
 	return controltraffic.Conn{Conn: conn, Counter: c.options.Traffic}, nil
 }
 
-// dialUncounted opens a connection, or fails after CallTimeout: net/http would let the dial go on after
-// its call has failed, and the system would retry for minutes, at growing intervals, while later calls
-// queue behind it.
+// dialUncounted opens a connection, or fails after CallTimeout. Without this limit net/http would continue the dial
+// after its call has failed, and the operating system would retry for minutes, at growing intervals, while later calls
+// wait for that dial.
 func (c *Client) dialUncounted(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
@@ -157,7 +158,8 @@
 	return dialer.DialContext(ctx, network, address)
 }
 
-// countWrites has requests counted as they are written, which the transport may repeat on another connection.
+// countWrites returns a context that counts each request when it is written. The transport may write a request again on
+// another connection, which counts again.
 func (c *Client) countWrites(ctx context.Context) context.Context {
 	if c.options.Traffic == nil {
 		return ctx
--- a/internal/discovery/codec.go
+++ b/internal/discovery/codec.go
@@ -1,6 +1,6 @@
-// Package discovery reads the endpoint list from the discovery service: codec.go has the protocol's
-// form, client.go makes one call, watch.go follows changes and tries again after failures. When the
-// list is asked for, and what follows from it, is decided by the caller.
+// Package discovery reads the endpoint list from the discovery service: codec.go decodes and validates responses,
+// client.go makes single calls, and watch.go follows changes and retries after failures. The caller decides when the list
+// is requested and how it is used.
 package discovery
 
 import (
@@ -13,15 +13,15 @@
 	"bramblestand/internal/state"
 )
 
-// List is an answer of discovery. In Go it has the standard names, on the wire the protocol's.
+// List is a response of discovery. Its JSON keys are the names of the discovery protocol.
 type List struct {
 	Version uint64 `json:"seq"`
-	// IsFull says that Endpoints is the complete list; otherwise it holds the entries that changed.
+	// IsFull means that Endpoints is the complete list; otherwise it holds only the entries that changed.
 	IsFull    bool       `json:"whole"`
 	Endpoints []Endpoint `json:"hosts"`
 }
 
-// Endpoint is one entry of a List. The persisted snapshot stores entries in the same form.
+// Endpoint is one entry of a List. The persisted state snapshot stores entries in the same form.
 type Endpoint = state.Endpoint
 
 var endpointStates = map[string]balancer.EndpointState{
@@ -30,19 +30,17 @@
 	"Gone":        balancer.Removed,
 }
 
-// StateOf returns the state that an entry's health stands for. The entry must be of a valid List.
+// StateOf returns the endpoint state for an entry's health. The entry must belong to a valid List.
 func StateOf(endpoint Endpoint) balancer.EndpointState { return endpointStates[endpoint.Health] }
 
-// MalformedError is returned for a list that cannot be used. Index is the entry's, -1 where the fault is
-// not in one entry. Field is the protocol's name, "" where the list could not be decoded: then Err is
-// that of encoding/json.
+// MalformedError is returned for a list that cannot be used.
 type MalformedError struct {
-	Index int
-	Field string
-	Err   error
+	Index int    // of the invalid entry; -1 if the error does not concern a single entry
+	Field string // JSON key of the invalid field; empty if the list could not be decoded
+	Err   error  // what is wrong with the field, or the error of encoding/json
 }
 
-// Error names the field and what is wrong with it.
+// Error returns the path of the invalid field and what is wrong with it.
 func (e *MalformedError) Error() string {
 	if e.Field == "" {
 		return e.Err.Error()
@@ -57,7 +55,7 @@
 	return fmt.Sprintf("%s: %v", path, e.Err)
 }
 
-// Unwrap returns what is wrong with the field.
+// Unwrap returns Err.
 func (e *MalformedError) Unwrap() error { return e.Err }
 
 var (
@@ -66,33 +64,33 @@
 	errNotHostPort  = errors.New("is not host:port")
 )
 
-// ParseList decodes and validates an answer of discovery. Its errors are *MalformedError.
+// ParseList decodes and validates a response of discovery. Its errors are of type *MalformedError.
 func ParseList(body []byte) (List, error) {
-	// Pointers: without its version, or without saying whether it is full, an answer that was cut
-	// short, or that is something else, would pass for an empty delta.
-	var answer struct {
+	// The pointers tell a missing key from a zero value. Otherwise a truncated response, or any other JSON object, would
+	// be accepted as an empty delta.
+	var response struct {
 		Version   *uint64    `json:"seq"`
 		IsFull    *bool      `json:"whole"`
 		Endpoints []Endpoint `json:"hosts"`
 	}
-	if err := json.Unmarshal(body, &answer); err != nil {
+	if err := json.Unmarshal(body, &response); err != nil {
 		return List{}, &MalformedError{Index: -1, Err: err}
 	}
-	if answer.Version == nil {
+	if response.Version == nil {
 		return List{}, &MalformedError{Index: -1, Field: "seq", Err: errMissing}
 	}
-	if answer.IsFull == nil {
+	if response.IsFull == nil {
 		return List{}, &MalformedError{Index: -1, Field: "whole", Err: errMissing}
 	}
-	list := List{Version: *answer.Version, IsFull: *answer.IsFull, Endpoints: answer.Endpoints}
+	list := List{Version: *response.Version, IsFull: *response.IsFull, Endpoints: response.Endpoints}
 	if err := list.Validate(); err != nil {
 		return List{}, err
 	}
 	return list, nil
 }
 
-// Validate returns a *MalformedError for the first entry that the balancer could not use: one without
-// a name, with a state that is not known, or ready without an address to connect to.
+// Validate returns a *MalformedError for the first entry that the balancer cannot use: an entry without a name, with an
+// unknown state, or in state Ready without a valid address.
 func (l *List) Validate() error {
 	for i, endpoint := range l.Endpoints {
 		if field, err := validateEndpoint(endpoint); err != nil {
@@ -102,7 +100,7 @@
 	return nil
 }
 
-// validateEndpoint returns the protocol's name of the field at fault, and the fault.
+// validateEndpoint returns the JSON key of the first invalid field, and what is wrong with it.
 func validateEndpoint(endpoint Endpoint) (field string, err error) {
 	if endpoint.Name == "" {
 		return "host", errMissing
--- a/internal/discovery/discoverytest/discoverytest.go
+++ b/internal/discovery/discoverytest/discoverytest.go
@@ -1,4 +1,4 @@
-// Package discoverytest helps tests that compare endpoint lists.
+// Package discoverytest formats endpoint lists, for tests that compare them.
 package discoverytest
 
 import (
@@ -8,7 +8,7 @@
 	"bramblestand/internal/discovery"
 )
 
-// ListText returns a list as text, a line for each key of the protocol.
+// ListText formats a list as text, with one line for each JSON key. Each line begins with prefix.
 func ListText(prefix string, list discovery.List) string {
 	var out strings.Builder
 	line := func(key string, value any) { fmt.Fprintf(&out, "%s%s=%v\n", prefix, key, value) }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -10,29 +10,30 @@
 )
 
 const (
-	// Discovery regards a watch as ended when its next call comes more than 200 ms after the last
-	// answer; without any pause, calls could become a flood.
+	// callInterval is the pause between a response and the next call. Discovery regards a watch as ended if the next call
+	// comes more than 200 ms after the last response. Without a pause, the watch could flood discovery with calls.
 	callInterval = 20 * time.Millisecond
-	// resubscribeDelay is the pause after a failure where the watch goes on by itself.
+	// resubscribeDelay is the pause after a failure before the watch continues by itself.
 	resubscribeDelay = 500 * time.Millisecond
 )
 
-// NotifyFunc takes what a watch learns: a list as UpdateFull or UpdateDelta, or UpdateFailed with an
-// empty one. It is called by the watch's goroutine.
+// NotifyFunc receives the result of each call of a watch: a list with UpdateFull or UpdateDelta, or an empty list with
+// UpdateFailed. It is called by the watch's goroutine.
 type NotifyFunc func(kind balancer.UpdateKind, list List)
 
-// Watch follows the list of a Client.
+// Watch follows the changes of the endpoint list that a Client reads.
 type Watch struct {
 	Client *Client
-	After  *uint64 // version of the caller's list; nil where it has none
+	After  *uint64 // version of the caller's list; nil if it has none
 	Notify NotifyFunc
-	// Resubscribes continues the watch after a failure, which is needed where lists are pushed and the
-	// balancer never polls. Otherwise the balancer decides when to call again.
+	// Resubscribes makes the watch continue after a failure. This is needed if lists are pushed, since the balancer then
+	// never polls. Otherwise the balancer decides when to call again.
 	Resubscribes bool
 	Log          *slog.Logger
 }
 
-// Run watches until a call fails or, where the watch resubscribes, until ctx ends. It may be called once.
+// Run watches until a call fails or ctx ends. If the watch resubscribes, a failed call does not end it. Run may be called
+// only once.
 func (w *Watch) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := w.runOnce(ctx)
@@ -46,13 +47,13 @@
 	}
 }
 
-// runOnce watches until a call fails, and notifies of the failure. Its first call does not wait for
-// changes: the answer is the balancer's sign that the watch has begun.
+// runOnce watches until a call fails or ctx ends, and notifies of a failed call. Its first call does not wait for changes:
+// its response tells the balancer that the watch has started.
 func (w *Watch) runOnce(ctx context.Context) error {
 	for wait := time.Duration(0); ; wait = MaxWait {
 		list, err := w.Client.List(ctx, w.After, wait)
 		if errors.Is(err, ErrOlderVersion) {
-			w.After = nil // which asks for the full list
+			w.After = nil // requests the full list
 			continue
 		}
 		if err != nil {
@@ -71,7 +72,7 @@
 	}
 }
 
-// sleep returns after a pause, or with the context's error when that ends first.
+// sleep waits for the pause. If ctx ends first, it returns the error of ctx.
 func sleep(ctx context.Context, pause time.Duration) error {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
--- a/internal/endpointtest/endpointtest.go
+++ b/internal/endpointtest/endpointtest.go
@@ -1,4 +1,5 @@
-// Package endpointtest has endpoints for tests: TCP servers whose responses a test writes byte by byte.
+// Package endpointtest has endpoints for tests: TCP servers whose responses are given by the test byte for byte, so that they
+// may be malformed or incomplete.
 package endpointtest
 
 import (
@@ -14,10 +15,10 @@
 	"time"
 )
 
-// Timeout is how long a test waits for what must happen.
+// Timeout is how long a test waits for an expected event before it fails.
 const Timeout = 20 * time.Second
 
-// Responses in full.
+// Complete HTTP responses.
 const (
 	OKResponse       = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 	ErrorResponse    = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
@@ -27,9 +28,9 @@
 // Handler serves one connection. The connection is closed after it has returned.
 type Handler = func(s *Server, conn net.Conn, in *bufio.Reader)
 
-// Server is an endpoint.
+// Server is an endpoint that records its requests.
 type Server struct {
-	Address string
+	Address string // host:port
 
 	mu       sync.Mutex // guards the fields below
 	conns    int        // accepted
@@ -63,7 +64,7 @@
 	return s
 }
 
-// ReadRequest reads a whole request and records it. It returns nil when the connection has ended.
+// ReadRequest reads a whole request and records it. It returns nil if the connection ended or the request is malformed.
 func (s *Server) ReadRequest(in *bufio.Reader) *http.Request {
 	r, err := http.ReadRequest(in)
 	if err != nil {
@@ -80,24 +81,25 @@
 	return r
 }
 
-// Counts returns how many requests were recorded and how many connections accepted.
+// Counts returns the number of recorded requests and of accepted connections.
 func (s *Server) Counts() (requests, conns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.requests), s.conns
 }
 
-// Request returns the recorded request of an index.
+// Request returns the recorded request with index i, counted from 0.
 func (s *Server) Request(i int) *http.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requests[i]
 }
 
-// Always writes the same response to every request.
+// Always returns a handler that writes the same response to every request.
 func Always(response string) Handler { return FirstThen(response, response) }
 
-// FirstThen writes one response to the first request of the endpoint, over all connections, and another to all others.
+// FirstThen returns a handler that writes one response to the first request of the endpoint, counted over all connections, and
+// another response to all later requests.
 func FirstThen(first, rest string) Handler {
 	return func(s *Server, conn net.Conn, in *bufio.Reader) {
 		for s.ReadRequest(in) != nil {
@@ -110,7 +112,8 @@
 	}
 }
 
-// HoldPath writes OKResponse to every request, to those whose path begins with prefix once release is closed.
+// HoldPath returns a handler that writes OKResponse to every request. Requests whose path begins with prefix get it only after
+// release is closed.
 func HoldPath(prefix string, release <-chan struct{}) Handler {
 	return func(s *Server, conn net.Conn, in *bufio.Reader) {
 		for r := s.ReadRequest(in); r != nil; r = s.ReadRequest(in) {
@@ -122,13 +125,13 @@
 	}
 }
 
-// Silent reads requests and never responds.
+// Silent is a handler that reads requests and never responds.
 func Silent(s *Server, conn net.Conn, in *bufio.Reader) {
 	for s.ReadRequest(in) != nil {
 	}
 }
 
-// ReadOne reads one request without recording it and reports whether its body was complete.
+// ReadOne returns a handler that reads one request without recording it and reports whether its body was complete.
 func ReadOne(isComplete chan<- bool) Handler {
 	return func(s *Server, conn net.Conn, in *bufio.Reader) {
 		if r, err := http.ReadRequest(in); err == nil {
@@ -138,8 +141,8 @@
 	}
 }
 
-// ClosedAddress returns an address that refuses connections: bound and not listened to, so that nothing else can be
-// given its port before the test ends.
+// ClosedAddress returns an address that refuses connections. Its port is bound by a socket that does not listen, so that no
+// other socket can get the port before the test ends.
 func ClosedAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -157,12 +160,12 @@
 	return fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)
 }
 
-// WaitFor waits until isTrue returns true. It ends the test if that takes longer than Timeout.
+// WaitFor waits until isTrue returns true. It fails the test and stops it if that takes longer than Timeout.
 func WaitFor(t *testing.T, what string, isTrue func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(Timeout); !isTrue(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited %v in vain for: %s", Timeout, what)
+			t.Fatalf("timed out after %v waiting for: %s", Timeout, what)
 		}
 	}
 }
--- a/internal/endpointtest/log_buffer.go
+++ b/internal/endpointtest/log_buffer.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// LogBuffer is a log that a test may read while it is written.
+// LogBuffer holds log output in memory. A test may read it while it is written.
 type LogBuffer struct {
 	mu   sync.Mutex // guards text
 	text bytes.Buffer
@@ -18,7 +18,7 @@
 	return b.text.Write(p)
 }
 
-// String returns the log until now.
+// String returns the log output so far.
 func (b *LogBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,4 +1,4 @@
-// Package socket asks the operating system about the state of a socket.
+// Package socket reads the state of a socket from the operating system, and has a deadline that interrupts reads and writes.
 package socket
 
 import (
@@ -6,19 +6,19 @@
 	"syscall"
 )
 
-// IsQuiet reports whether a connection is open and nothing waits to be read from it. It does not block, and takes no lock
-// that a goroutine reading the connection holds. It is false for what is no socket.
+// IsQuiet reports whether a connection is open and has no data to read. It does not block, and it takes no lock that is held by
+// a goroutine reading the connection. It returns false if conn is not a socket.
 func IsQuiet(conn net.Conn) bool {
-	own, ok := conn.(syscall.Conn)
+	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
 	}
-	raw, err := own.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return false
 	}
 	isQuiet := false
-	err = raw.Control(func(fd uintptr) { // not Read: it would wait for a goroutine that is reading
+	err = raw.Control(func(fd uintptr) { // raw.Read would wait for a goroutine that reads the connection
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		isQuiet = err == syscall.EAGAIN
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -7,42 +7,42 @@
 )
 
 // connect returns the two ends of a TCP connection.
-func connect(t *testing.T) (near, far net.Conn) {
+func connect(t *testing.T) (local, remote net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	if near, err = net.Dial("tcp", listener.Addr().String()); err != nil {
+	if local, err = net.Dial("tcp", listener.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { near.Close() })
-	if far, err = listener.Accept(); err != nil {
+	t.Cleanup(func() { local.Close() })
+	if remote, err = listener.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { far.Close() })
-	return near, far
+	t.Cleanup(func() { remote.Close() })
+	return local, remote
 }
 
-// A connection is quiet until its other end sends something or closes it, and not once it is closed itself.
+// A connection is quiet until its remote end sends data or closes it, or until it is closed locally.
 func TestIsQuiet(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change func(near, far net.Conn)
+		change func(local, remote net.Conn)
 		want   bool
 	}{
-		{"open", func(near, far net.Conn) {}, true},
-		{"data waits", func(near, far net.Conn) { far.Write([]byte("x")) }, false},
-		{"closed by the other end", func(near, far net.Conn) { far.Close() }, false},
-		{"reset by the other end", func(near, far net.Conn) { far.(*net.TCPConn).SetLinger(0); far.Close() }, false},
-		{"closed", func(near, far net.Conn) { near.Close() }, false},
+		{"open", func(local, remote net.Conn) {}, true},
+		{"data waits", func(local, remote net.Conn) { remote.Write([]byte("x")) }, false},
+		{"closed by the other end", func(local, remote net.Conn) { remote.Close() }, false},
+		{"reset by the other end", func(local, remote net.Conn) { remote.(*net.TCPConn).SetLinger(0); remote.Close() }, false},
+		{"closed", func(local, remote net.Conn) { local.Close() }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			near, far := connect(t)
-			c.change(near, far)
+			local, remote := connect(t)
+			c.change(local, remote)
 			deadline := time.Now().Add(10 * time.Second)
-			for IsQuiet(near) != c.want {
+			for IsQuiet(local) != c.want {
 				if time.Now().After(deadline) {
 					t.Fatalf("quiet %t, want %t", !c.want, c.want)
 				}
@@ -50,7 +50,7 @@
 			}
 		})
 	}
-	if near, _ := net.Pipe(); IsQuiet(near) {
-		t.Error("what is no socket is quiet")
+	if local, _ := net.Pipe(); IsQuiet(local) {
+		t.Error("a net.Pipe, which is not a socket, is quiet")
 	}
 }
