--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -8,6 +8,7 @@
 	"bramblestand/internal/controltraffic"
 )
 
+// The client wraps its connections to count their bytes only if it has a traffic counter.
 func TestConnectionIsWrappedOnlyWhereCallsAreCounted(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -24,11 +25,11 @@
 		t.Cleanup(func() { conn.Close() })
 		return conn
 	}
-	if conn, bare := dial(nil).(*net.TCPConn); !bare {
-		t.Errorf("uncounted: a %T, want the system's connection itself", conn)
+	if conn, isTCP := dial(nil).(*net.TCPConn); !isTCP {
+		t.Errorf("without a counter: connection of type %T, want *net.TCPConn", conn)
 	}
 	var traffic controltraffic.Counter
-	if conn, counted := dial(&traffic).(controltraffic.Conn); !counted || traffic.Traffic().Opened != 1 {
-		t.Errorf("counted: a %T, %+v, want one connection opened", conn, traffic.Traffic())
+	if conn, isCounted := dial(&traffic).(controltraffic.Conn); !isCounted || traffic.Traffic().Opened != 1 {
+		t.Errorf("with a counter: connection of type %T, traffic %+v; want controltraffic.Conn, one connection opened", conn, traffic.Traffic())
 	}
 }
--- a/internal/discovery/codec_test.go
+++ b/internal/discovery/codec_test.go
@@ -8,6 +8,7 @@
 	"bramblestand/internal/discovery"
 )
 
+// The error for a malformed list has the index of the invalid entry and the JSON key of the invalid field.
 func TestMalformedListNamesEntryAndField(t *testing.T) {
 	for _, c := range []struct {
 		name, body string
@@ -28,13 +29,13 @@
 				t.Errorf("error %#v, want entry %d, field %q", err, c.index, c.field)
 			}
 			if len(list.Endpoints) > 0 || list.Version != 0 {
-				t.Errorf("beside an error: %+v", list)
+				t.Errorf("list %+v together with an error, want an empty list", list)
 			}
 		})
 	}
 	_, err := discovery.ParseList([]byte(`{"seq":"9"}`))
 	var wrongType *json.UnmarshalTypeError
 	if !errors.As(err, &wrongType) || wrongType.Field != "seq" {
-		t.Errorf("error %v, want the field of a wrong type", err)
+		t.Errorf("error %v, want an UnmarshalTypeError for the field seq", err)
 	}
 }
--- a/internal/discovery/silent_watch_test.go
+++ b/internal/discovery/silent_watch_test.go
@@ -16,14 +16,15 @@
 	"bramblestand/internal/discovery"
 )
 
-// silentWatch answers calls at once, but for the first one that waits for changes: that one is never answered.
-type silentWatch struct {
-	silentSince time.Time // of the waiting call; zero before
-	calledAgain time.Time // the next call
+// silentService is a discovery service that never responds to the first call that waits for changes. It responds at once to the
+// calls before that and to the next call. Later calls that wait for changes get no response.
+type silentService struct {
+	silentSince time.Time // time of the first call that waits for changes; zero before it
+	calledAgain time.Time // time of the next call; zero before it
 }
 
-// RoundTrip answers a call, or waits until it is given up.
-func (s *silentWatch) RoundTrip(r *http.Request) (*http.Response, error) {
+// RoundTrip responds to a call, or blocks until the call is cancelled.
+func (s *silentService) RoundTrip(r *http.Request) (*http.Response, error) {
 	isWaiting := r.URL.Query().Get("wait_ms") != "0"
 	switch {
 	case isWaiting && s.silentSince.IsZero():
@@ -40,12 +41,13 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(body)), Request: r}, nil
 }
 
-// A watch that falls silent although discovery can be reached is opened again within the time in which a change counts as known
-// after a watch's silence. Guards against a sidecar that uses endpoints which were replaced long ago, since its call waits on.
+// If a call of the watch gets no response although discovery can be reached, the watch calls again within 6 s. After that time
+// the sidecar is expected to know all changes. Otherwise a sidecar whose call keeps waiting would use endpoints that were
+// replaced long ago.
 func TestSilentWatchIsOpenedAgainInTime(t *testing.T) {
 	const maxSilence = 6 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		service := &silentWatch{}
+		service := &silentService{}
 		version := uint64(3)
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
@@ -60,7 +62,7 @@
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		if service.calledAgain.IsZero() || service.calledAgain.Sub(service.silentSince) > maxSilence {
-			t.Errorf("called again %v after the watch fell silent, want %v at most", service.calledAgain.Sub(service.silentSince), maxSilence)
+			t.Errorf("called again %v after the call that got no response, want %v at most", service.calledAgain.Sub(service.silentSince), maxSilence)
 		}
 	})
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -16,8 +16,8 @@
 	"bramblestand/internal/discovery"
 )
 
-// A delta with a lower version than the known list means that discovery has restarted: it is not used, and the full list
-// is requested at once.
+// A delta with a lower version than the known list means that discovery has restarted. The watch discards it and requests the
+// full list at once.
 func TestOlderVersionMakesTheWatchRequestTheFullList(t *testing.T) {
 	var mu sync.Mutex
 	var calls []string
@@ -34,7 +34,7 @@
 			}
 			fallthrough
 		default:
-			io.WriteString(w, "{\n \"seq\": 3,\n \"whole\": false,\n \"hosts\": []\n}\n") // indented, as it may come
+			io.WriteString(w, "{\n \"seq\": 3,\n \"whole\": false,\n \"hosts\": []\n}\n") // discovery may send indented JSON
 		}
 	}))
 	t.Cleanup(server.CloseClientConnections)
@@ -46,7 +46,7 @@
 		After:  &knownVersion,
 		Notify: func(kind balancer.UpdateKind, list discovery.List) {
 			if kind == balancer.UpdateFull && (list.Version != 3 || len(list.Endpoints) != 1) {
-				t.Errorf("the list %+v", list)
+				t.Errorf("full list %+v, want version 3 with 1 endpoint", list)
 			}
 			kinds <- kind
 		},
@@ -56,24 +56,24 @@
 	select {
 	case kind := <-kinds:
 		if kind != balancer.UpdateFull {
-			t.Errorf("notified of %v first, want the full list", kind)
+			t.Errorf("first notification is %v, want UpdateFull", kind)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("notified of no list")
+		t.Fatal("no notification")
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	if len(calls) < 2 || calls[0] != "after=41&wait_ms=0" || calls[1] != "" {
-		t.Errorf("calls %q, want one for the full list next", calls)
+		t.Errorf("calls %q, want the call after version 41 and then one for the full list", calls)
 	}
 }
 
-// roundTripper responds to calls in place of connections.
+// roundTripper is an http.RoundTripper that responds to calls without a connection.
 type roundTripper func(r *http.Request) (*http.Response, error)
 
 func (f roundTripper) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// failingTransport fails each call and keeps when it came.
+// failingTransport fails each call and records its time.
 type failingTransport struct{ calls []time.Time }
 
 func (f *failingTransport) RoundTrip(*http.Request) (*http.Response, error) {
@@ -81,7 +81,7 @@
 	return nil, errors.New("unreachable")
 }
 
-// After a failure the watch ends, or resubscribes after half a second where the balancer would never poll.
+// After a failure the watch ends or, if Resubscribes is set because the balancer never polls, calls again after half a second.
 func TestWatchResubscribesOnlyIfConfigured(t *testing.T) {
 	const pause = 500 * time.Millisecond
 	for name, c := range map[string]struct {
@@ -97,7 +97,7 @@
 				Client: discovery.NewClient("discovery:1", discovery.Options{Transport: transport}),
 				Notify: func(kind balancer.UpdateKind, _ discovery.List) {
 					if kind != balancer.UpdateFailed {
-						t.Errorf("notified of %v, want a failure", kind)
+						t.Errorf("notified of %v, want UpdateFailed", kind)
 					}
 					if failures++; failures == 3 {
 						cancel()
@@ -112,16 +112,16 @@
 			}
 			for i := 1; i < c.calls; i++ {
 				if waited := transport.calls[i].Sub(transport.calls[i-1]); waited < pause {
-					t.Errorf("call %d came %v after the one before, want %v or more", i, waited, pause)
+					t.Errorf("call %d was made %v after the previous one, want at least %v", i, waited, pause)
 				}
 			}
 		})
 	}
 }
 
-// The pauses of a watch end with its context, and no call is made after that.
+// A pause of a watch ends when its context ends, and no call is made after that.
 func TestWatchEndsWithItsContext(t *testing.T) {
-	for name, answer := range map[string]func() (*http.Response, error){
+	for name, respond := range map[string]func() (*http.Response, error){
 		"between calls": func() (*http.Response, error) {
 			return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(`{"seq":1,"whole":true,"hosts":[]}`))}, nil
 		},
@@ -134,7 +134,7 @@
 			watch := &discovery.Watch{
 				Client: discovery.NewClient("discovery:1", discovery.Options{Transport: roundTripper(func(*http.Request) (*http.Response, error) {
 					calls++
-					return answer()
+					return respond()
 				})}),
 				Notify: func(balancer.UpdateKind, discovery.List) {
 					notifications++
--- a/internal/upstream/load_probe_test.go
+++ b/internal/upstream/load_probe_test.go
@@ -37,7 +37,7 @@
 				t.Errorf("status %v, load %v; want %v, %v", result.Status, result.LoadReport, c.status, c.load)
 			}
 			if path := server.Request(0).RequestURI; path != "/stats" {
-				t.Errorf("the probe went to %s", path)
+				t.Errorf("the load probe requested %s, want /stats", path)
 			}
 		})
 	}
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -14,7 +14,8 @@
 	"bramblestand/internal/endpointtest"
 )
 
-// What an endpoint sends that leaves the state of its connection in doubt closes the connection; the next request opens another.
+// After a response that leaves the state of the connection uncertain the connection is closed, and the next request opens
+// another one.
 func TestConnectionInDoubtIsNotReused(t *testing.T) {
 	for name, response := range map[string]string{
 		"a second response with the first":      endpointtest.OKResponse + endpointtest.OKResponse,
@@ -35,14 +36,14 @@
 	}
 }
 
-// A second response that arrives while the connection is idle is not taken for the next request's.
+// A second response that arrives while the connection is idle is not taken for the response to the next request.
 func TestLateSecondResponseIsNotTakenForTheNext(t *testing.T) {
-	again := make(chan struct{})
+	sendLate := make(chan struct{})
 	server := endpointtest.NewServer(t, func(server *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
 		for server.ReadRequest(in) != nil {
 			if n, _ := server.Counts(); n == 1 {
 				io.WriteString(conn, endpointtest.OKResponse)
-				<-again
+				<-sendLate
 				io.WriteString(conn, strings.Replace(endpointtest.OKResponse, "done", "late", 1))
 			} else {
 				io.WriteString(conn, endpointtest.OKResponse)
@@ -51,7 +52,7 @@
 	})
 	client, target := newTestClient(t, 4), &Target{Address: server.Address}
 	client.Attempt(context.Background(), target, get("/"), nil)
-	close(again)
+	close(sendLate)
 	endpointtest.WaitFor(t, "the second response", func() bool {
 		client.mu.Lock()
 		defer client.mu.Unlock()
@@ -62,7 +63,8 @@
 	}
 }
 
-// A request written to an idle connection that its endpoint has closed would end as a reset that may have run.
+// An idle connection that its endpoint has closed is not reused. A request written to it would fail with status Reset and count
+// as one that may have run.
 func TestIdleConnectionClosedByTheEndpointIsNotUsed(t *testing.T) {
 	closed := make(chan struct{}, 2)
 	server := endpointtest.NewServer(t, func(server *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
@@ -85,7 +87,7 @@
 	}
 }
 
-// Idle connections are not used up to the endpoint's keepalive timeout, and CloseExpired closes them before.
+// Idle connections are no longer used some time before the endpoint's keepalive timeout, and CloseExpired closes them then.
 func TestIdleConnectionsExpireBeforeTheEndpointClosesThem(t *testing.T) {
 	server := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
 	client, target := newTestClient(t, 4), &Target{Address: server.Address}
@@ -119,7 +121,7 @@
 	}
 }
 
-// At the limit an idle connection is closed for a new one; one in use is not.
+// At the limit of open connections an idle connection is closed to open a new one. A connection in use is not closed.
 func TestOpenConnectionsAreLimited(t *testing.T) {
 	quick, slow := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)), endpointtest.NewServer(t, endpointtest.Silent)
 	client := newTestClient(t, 1)
@@ -142,7 +144,7 @@
 	}
 }
 
-// Idle connections beyond their limit are closed, the others stay.
+// Idle connections beyond the limit are closed, and the others stay open.
 func TestIdleConnectionsAreLimited(t *testing.T) {
 	client := newTestClient(t, 6)
 	var targets []*Target
@@ -170,21 +172,21 @@
 	}
 }
 
-// A request that waited for a dial is not sent to a target that was retired meanwhile.
+// A request is not sent to a target that was retired during the dial.
 func TestRetireDuringDialStopsTheRequest(t *testing.T) {
 	server := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
 	client, target := newTestClient(t, 1), &Target{Address: server.Address}
-	dialing, goOn := make(chan struct{}), make(chan struct{})
+	dialing, continueDial := make(chan struct{}), make(chan struct{})
 	client.Dialer.Control = func(_, _ string, _ syscall.RawConn) error {
 		close(dialing)
-		<-goOn
+		<-continueDial
 		return nil
 	}
 	done := make(chan Result)
 	go func() { done <- client.Attempt(context.Background(), target, get("/"), nil) }()
 	<-dialing
 	client.Retire(target)
-	close(goOn)
+	close(continueDial)
 	if result := <-done; result.Status != balancer.NotSent {
 		t.Errorf("status %v, want NotSent", result.Status)
 	}
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -12,13 +12,13 @@
 	"bramblestand/internal/endpointtest"
 )
 
-// fakeUpload is a body that ends in order or with a client's failure.
+// fakeUpload is an Upload that reads from a Reader. After the Reader's end it ends the body or fails with a client's error.
 type fakeUpload struct {
 	io.Reader
 	length     int64
 	isConsumed bool
-	failure    *ClientError // after the reader's end
-	err        *ClientError
+	failure    *ClientError // returned at the end of Reader; nil to end the body
+	err        *ClientError // returned by ClientError
 }
 
 func (u *fakeUpload) Read(p []byte) (int, error) {
@@ -35,10 +35,10 @@
 func (u *fakeUpload) IsConsumed() bool          { return u.isConsumed }
 func (u *fakeUpload) ClientError() *ClientError { return u.err }
 
-// An endpoint receives the buffered start of a body and its upload as one. What the client breaks off counts against no
-// endpoint, and a request whose upload was read cannot be sent again.
+// An endpoint receives the buffered start of a body and its upload as one body. If the client breaks off the upload, this
+// counts against no endpoint. A request whose upload was read cannot be sent again.
 func TestUploadFollowsTheBufferedBody(t *testing.T) {
-	broken := errors.New("the client broke off")
+	errBrokenOff := errors.New("the client broke off the upload")
 	for _, c := range []struct {
 		name     string
 		length   int64
@@ -48,8 +48,8 @@
 	}{
 		{"with a length", 10, nil, balancer.OK, 0},
 		{"in chunks", -1, nil, balancer.OK, 0},
-		{"broken off with a length", 12, &ClientError{http.StatusRequestTimeout, broken}, balancer.Cancelled, http.StatusRequestTimeout},
-		{"broken off in chunks", -1, &ClientError{http.StatusBadRequest, broken}, balancer.Cancelled, http.StatusBadRequest},
+		{"broken off with a length", 12, &ClientError{http.StatusRequestTimeout, errBrokenOff}, balancer.Cancelled, http.StatusRequestTimeout},
+		{"broken off in chunks", -1, &ClientError{http.StatusBadRequest, errBrokenOff}, balancer.Cancelled, http.StatusBadRequest},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			server := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
@@ -69,8 +69,8 @@
 			}
 			requests, _ := server.Counts()
 			if c.failure != nil {
-				if requests != 0 || !errors.Is(result.Err, broken) {
-					t.Errorf("the endpoint received %d requests, error %v; want none, %v", requests, result.Err, broken)
+				if requests != 0 || !errors.Is(result.Err, errBrokenOff) {
+					t.Errorf("the endpoint received %d requests, error %v; want none, %v", requests, result.Err, errBrokenOff)
 				}
 				return
 			}
@@ -81,7 +81,7 @@
 	}
 }
 
-// An upload that is not read before the connection fails may be sent by another attempt.
+// If the dial fails before the upload is read, another attempt may send the request.
 func TestUploadIsNotConsumedByAFailedDial(t *testing.T) {
 	request := get("/")
 	request.Method, request.Upload = http.MethodPost, &fakeUpload{Reader: strings.NewReader("rest"), length: 4}
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -16,10 +16,10 @@
 	"bramblestand/internal/endpointtest"
 )
 
-// errClientStopped is what a client's side of a stream ends with if it fails.
-var errClientStopped = errors.New("the client does not read on")
+// errClientStopped is the error with which the client's side ends a stream in these tests.
+var errClientStopped = errors.New("the client stopped reading")
 
-// forwardTo returns a forwarding whose responses are read by the given function, on a goroutine of its own.
+// forwardTo returns a Forwarding whose responses are read by the given function in a separate goroutine.
 func forwardTo(ctx context.Context, read func(buffered []byte, stream *ResponseStream) error) *Forwarding {
 	return &Forwarding{
 		StreamContext: ctx,
@@ -32,7 +32,8 @@
 	}
 }
 
-// writeThenClose reads a request, writes a response and closes the connection.
+// writeThenClose returns a handler that reads a request, writes the parts of a response and closes the connection. It pauses
+// for twice responseBufferTime between the parts.
 func writeThenClose(parts ...string) endpointtest.Handler {
 	return func(server *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
 		server.ReadRequest(in)
@@ -45,8 +46,8 @@
 	}
 }
 
-// A response is streamed if it is too long to be buffered, or does not end within responseBufferTime. The attempt's status then
-// depends on both sides of the stream.
+// A response is streamed if it is too long to be buffered, or if it has no length and does not end within responseBufferTime. The
+// attempt's status then depends on the endpoint and on the client.
 func TestStreamedResponseStatus(t *testing.T) {
 	long := strings.Repeat("x", MaxBufferedBody+1)
 	withLength := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(long))
@@ -57,7 +58,7 @@
 		serve      endpointtest.Handler
 		clientErr  error
 		wantStream bool
-		wantLength int // of the body that was buffered or streamed; not checked if the response is incomplete
+		wantLength int // of the buffered and streamed body in bytes; checked only if want is OK
 		want       balancer.Status
 	}{
 		{"buffered below the limit", writeThenClose(chunked + chunk(long[2:]) + "0\r\n\r\n"), nil, false, len(long) - 2, balancer.OK},
@@ -98,7 +99,7 @@
 	}
 }
 
-// A response that is too long to be buffered is an error where nothing can be forwarded.
+// A response that is too long to be buffered is an error if the attempt has no Forwarding.
 func TestLongResponseWithoutForwardingIsAnError(t *testing.T) {
 	response := "HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", MaxBufferedBody+1)
 	server := endpointtest.NewServer(t, endpointtest.Always(response))
