--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -17,9 +17,9 @@
 	// CallTimeout limits a call that does not wait for changes, and a dial. Discovery handles calls one after the
 	// other, so a later call may succeed.
 	CallTimeout = 4 * time.Second
-	// MaxWait is how long a call may wait for changes. A watch that no longer gets responses is noticed only when
-	// waitGrace has passed after the wait, but 6 s after the responses stopped the sidecar is expected to know the
-	// changes it missed, however long the call waits.
+	// MaxWait is how long a call may wait for changes. If discovery stops responding to the watch, the sidecar notices only
+	// waitGrace after the end of the wait. It is expected to know the missed changes 6 s after discovery stopped
+	// responding, however long its call waits.
 	MaxWait = 4 * time.Second
 
 	// waitGrace is how long a response may arrive after the end of the wait. The protocol expects a sidecar to know a
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -77,8 +77,8 @@
 	return body, nil
 }
 
-// bufferOrStream buffers a body to its end, or starts a stream and returns it. The error is nil or a failure of the endpoint,
-// also beside a stream.
+// bufferOrStream buffers a body to its end, or starts a stream and returns it. Beside a stream, the error is nil or a failure of
+// the endpoint; the client's failures arrive through stream.clientDone.
 func (e *exchange) bufferOrStream(response *http.Response) (body []byte, stream *ResponseStream, err error) {
 	switch {
 	case response.ContentLength > MaxBufferedBody:
