--- a/cmd/faultlab/chain.go
+++ b/cmd/faultlab/chain.go
@@ -50,10 +50,10 @@
 	o.spec = scale.NewChain()
 	flags.StringVar(&o.out, "out", "lab-out", "folder for chain.json")
 	flags.IntVar(&o.spec.Levels, "levels", o.spec.Levels, "services in a row, 1 to 12")
-	flags.IntVar(&o.spec.Size, "size", o.spec.Size, "servers of each, and callers at the edge, 1 to 50")
+	flags.IntVar(&o.spec.ServersPerLevel, "size", o.spec.ServersPerLevel, "servers of each, and callers at the edge, 1 to 50")
 	flags.Float64Var(&o.spec.Rate, "rate", o.spec.Rate, "calls per second of each caller")
 	flags.DurationVar(&o.spec.Deadline.Duration, "deadline", o.spec.Deadline.Duration, "of a caller's call")
-	flags.DurationVar(&o.spec.For.Duration, "for", o.spec.For.Duration, "with failures, the first 10s reported separately")
+	flags.DurationVar(&o.spec.FailureDuration.Duration, "for", o.spec.FailureDuration.Duration, "with failures, the first 10s reported separately")
 	flags.Uint64Var(&o.spec.Seed, "seed", o.spec.Seed, "of all random numbers")
 	flags.StringVar(&o.fails, "fails", "0,0.1,0.5,1", "failure rates of the last level, separated by commas")
 	flags.StringVar(&o.plain, "plain", "2,3", "attempts of callers without sidecars, for comparison, separated by commas; empty for none")
@@ -93,9 +93,9 @@
 	for _, n := range attempts {
 		for _, failureRate := range failureRates {
 			s := o.spec
-			if s.Fail, s.Plain = failureRate, n; n > 0 {
+			if s.FailureRate, s.PlainAttempts = failureRate, n; n > 0 {
 				s.Rate = o.plainRate
-				naive = append(naive, naiveChain{n, failureRate, scale.Naive(s.Levels, n, failureRate)})
+				naive = append(naive, naiveChain{n, failureRate, scale.NaiveAttemptsPerCall(s.Levels, n, failureRate)})
 			}
 			if err := s.Validate(); err != nil {
 				return nil, nil, fmt.Errorf("-%w", err) // it names the flag
@@ -127,9 +127,9 @@
 	broken := 0
 	for i, err := range errs {
 		if err != nil {
-			return fmt.Errorf("fail %v, plain %d: %w", specs[i].Fail, specs[i].Plain, err)
+			return fmt.Errorf("fail %v, plain %d: %w", specs[i].FailureRate, specs[i].PlainAttempts, err)
 		}
-		broken += len(file.Chains[i].Broken)
+		broken += len(file.Chains[i].FailedChecks)
 	}
 	fmt.Print(scale.ChainTable(file.Chains))
 	for _, n := range file.Naive {
@@ -183,7 +183,7 @@
 	if err := json.Unmarshal([]byte(text), &spec); err != nil {
 		return fmt.Errorf("-one: %w", err)
 	}
-	return scale.VirtualChain(spec, func(r *scale.ChainResult, err error) {
+	return scale.RunChainVirtual(spec, func(r *scale.ChainResult, err error) {
 		if err == nil {
 			err = lab.WriteJSON(into, r)
 		}
--- a/cmd/faultlab/scale.go
+++ b/cmd/faultlab/scale.go
@@ -41,8 +41,8 @@
 		o.rungs = nil
 		for _, word := range strings.Split(text, ",") {
 			n, err := strconv.Atoi(word)
-			if err != nil || n < 2*scale.ServiceSize || n > scale.MachinesMost || n%scale.ServiceSize != 0 {
-				return fmt.Errorf("%q is not a multiple of %d within %d to %d", word, scale.ServiceSize, 2*scale.ServiceSize, scale.MachinesMost)
+			if err != nil || n < 2*scale.ServiceSize || n > scale.MaxMachines || n%scale.ServiceSize != 0 {
+				return fmt.Errorf("%q is not a multiple of %d within %d to %d", word, scale.ServiceSize, 2*scale.ServiceSize, scale.MaxMachines)
 			}
 			o.rungs = append(o.rungs, n)
 		}
@@ -84,7 +84,7 @@
 	defer stop()
 	say := func(line string) { fmt.Fprintln(os.Stderr, line) }
 	if o.agree {
-		a, err := scale.Agree(ctx, program, o.sidecar, o.seeds, o.kept, o.out, say)
+		a, err := scale.CheckAgreement(ctx, program, o.sidecar, o.seeds, o.kept, o.out, say)
 		if err != nil {
 			return err
 		}
@@ -101,7 +101,7 @@
 		}
 		specs = slices.DeleteFunc(specs, func(s scale.Spec) bool { return !slices.Contains(kinds, kindOf(s)) })
 	}
-	l, failed := scale.Sweep(ctx, program, specs, scale.Measured, o.places, filepath.Join(o.out, "rungs"), say)
+	l, failed := scale.Sweep(ctx, program, specs, scale.MeasuredCosts, o.places, filepath.Join(o.out, "rungs"), say)
 	l.Command = fmt.Sprintf("faultlab scale -rungs %s -only %q -parallel %d", strings.Trim(fmt.Sprint(o.rungs), "[]"), o.only, o.places)
 	fmt.Print(l.Table())
 	return errors.Join(failed, lab.WriteJSON(filepath.Join(o.out, "scale.json"), l), l.Plot(filepath.Join(o.out, "scale.png")))
@@ -116,11 +116,11 @@
 	if len(args) != 1 {
 		return errors.New("scale-rung is scale's own: it takes the file for its result, and its order on standard input")
 	}
-	var order scale.Order
+	var order scale.RunRequest
 	if err := json.NewDecoder(os.Stdin).Decode(&order); err != nil {
 		return fmt.Errorf("scale-rung: %w", err)
 	}
-	return scale.Virtual(order.Spec, order.Costs, func(r *scale.Result, err error) {
+	return scale.RunVirtual(order.Spec, order.Costs, func(r *scale.Result, err error) {
 		if err == nil {
 			err = lab.WriteJSON(args[0], r)
 		}
--- a/internal/lab/scale/agree.go
+++ b/internal/lab/scale/agree.go
@@ -15,44 +15,44 @@
 
 // Agreement is hollow sidecars held against real processes under the same settings.
 type Agreement struct {
-	Goal   float64    `json:"goal"` // the most that a figure may deviate for its row to be used
-	Rows   []AgreeRow `json:"rows"`
-	NotRun []string   `json:"not_run"`
+	MaxDeviation float64        `json:"goal"` // the most that a figure may deviate for its row to be used
+	Rows         []AgreementRow `json:"rows"`
+	NotRun       []string       `json:"not_run"`
 }
 
 // AgreeRow is one fleet, played both ways with each seed.
-type AgreeRow struct {
-	Sidecars int           `json:"sidecars"`
-	Servers  int           `json:"servers"`
-	Rate     float64       `json:"rate"` // calls a second a sidecar
-	Peers    bool          `json:"peers"`
-	Seeds    []uint64      `json:"seeds"`
-	Late     int           `json:"late"` // plays in which the lab ran late
-	Figures  []AgreeFigure `json:"figures"`
-	Used     bool          `json:"used"` // no figure is beyond the goal
-	Beyond   []string      `json:"beyond,omitempty"`
+type AgreementRow struct {
+	Sidecars   int               `json:"sidecars"`
+	Servers    int               `json:"servers"`
+	Rate       float64           `json:"rate"` // calls a second a sidecar
+	Peers      bool              `json:"peers"`
+	Seeds      []uint64          `json:"seeds"`
+	LateRuns   int               `json:"late"` // plays in which the lab ran late
+	Figures    []AgreementFigure `json:"figures"`
+	WithinGoal bool              `json:"used"` // no figure is beyond the goal
+	Exceeding  []string          `json:"beyond,omitempty"`
 }
 
 // AgreeFigure is one figure: means over the seeds, least and largest.
-type AgreeFigure struct {
-	Name       string     `json:"name"`
-	Real       float64    `json:"real"`
-	RealSpan   [2]float64 `json:"real_span"`
-	Hollow     float64    `json:"hollow"`
-	HollowSpan [2]float64 `json:"hollow_span"`
-	Deviation  float64    `json:"deviation"` // of hollow, as a share of real
-	Judged     bool       `json:"judged"`    // it counts for the goal
+type AgreementFigure struct {
+	Name        string     `json:"name"`
+	Real        float64    `json:"real"`
+	RealRange   [2]float64 `json:"real_span"`
+	Hollow      float64    `json:"hollow"`
+	HollowRange [2]float64 `json:"hollow_span"`
+	Deviation   float64    `json:"deviation"` // of hollow, as a share of real
+	Compared    bool       `json:"judged"`    // it counts for the goal
 }
 
 // AgreeSpec is a row's rung: all ways are as short as loopback's.
-func AgreeSpec(sidecars, servers int, rate float64, peers bool, seed uint64) Spec {
+func AgreementSpec(sidecars, servers int, rate float64, peers bool, seed uint64) Spec {
 	s := NewSpec(servers)
 	s.Name = fmt.Sprintf("agree-%dx%d-%v-%v-%d", sidecars, servers, rate, peers, seed)
 	s.Sidecars, s.Rate, s.Peers, s.Seed = sidecars, rate, peers, seed
 	way := lab.Duration{Duration: 60 * time.Microsecond}
-	s.Near, s.Far, s.Distant = way, way, way
+	s.SameZoneDelay, s.SameRegionDelay, s.CrossRegionDelay = way, way, way
 	s.Server.ColdStart.Duration = 0
-	s.Warm.Duration, s.For.Duration = 10*time.Second, agreeFor
+	s.WarmUp.Duration, s.SteadyDuration.Duration = 10*time.Second, agreeFor
 	s.Regions = 1
 	return s
 }
@@ -169,7 +169,7 @@
 	f["wire B/s with calls"] = p.Bytes["all"].Mean*n + of(attempts)*h.Call + of(attemptConns)*r.Costs.Conn
 	// The start's windows and what lies between them and the steady phase's begin.
 	start := r.Phase("start")
-	f["start probes a sidecar"] = start.Sidecar["probes"].Mean*(start.To-start.From) - p.Sidecar["probes"].Mean*(start.To-r.Spec.Spread.Seconds()/2)
+	f["start probes a sidecar"] = start.Sidecar["probes"].Mean*(start.To-start.From) - p.Sidecar["probes"].Mean*(start.To-r.Spec.StartSpread.Seconds()/2)
 	all := int64(0)
 	for _, c := range r.Calls {
 		all += c
@@ -184,15 +184,15 @@
 
 // row makes a row of the plays of its seeds.
 func (a *Agreement) row(s Spec, seeds []uint64, late int, real, hollow []map[string]float64) {
-	row := AgreeRow{Sidecars: s.Sidecars, Servers: s.Servers, Rate: s.Rate, Peers: s.Peers, Seeds: seeds, Late: late, Used: true}
+	row := AgreementRow{Sidecars: s.Sidecars, Servers: s.Servers, Rate: s.Rate, Peers: s.Peers, Seeds: seeds, LateRuns: late, WithinGoal: true}
 	for _, name := range agreeNames {
-		f := AgreeFigure{Name: name}
-		f.Real, f.RealSpan = spread(real, name)
-		f.Hollow, f.HollowSpan = spread(hollow, name)
-		if f.Judged = judged(name, f.Real, f.Hollow); f.Judged {
+		f := AgreementFigure{Name: name}
+		f.Real, f.RealRange = spread(real, name)
+		f.Hollow, f.HollowRange = spread(hollow, name)
+		if f.Compared = judged(name, f.Real, f.Hollow); f.Compared {
 			f.Deviation = (f.Hollow - f.Real) / f.Real
-			if math.Abs(f.Deviation) > a.Goal {
-				row.Used, row.Beyond = false, append(row.Beyond, name)
+			if math.Abs(f.Deviation) > a.MaxDeviation {
+				row.WithinGoal, row.Exceeding = false, append(row.Exceeding, name)
 			}
 		} else if f.Real == 0 && f.Hollow == 0 && !strings.HasSuffix(name, "%") {
 			continue
@@ -216,18 +216,18 @@
 	var b strings.Builder
 	for _, r := range a.Rows {
 		fmt.Fprintf(&b, "%d sidecars x %d servers, %v calls/s a sidecar, peers %v, seeds %v: ", r.Sidecars, r.Servers, r.Rate, r.Peers, r.Seeds)
-		if r.Used {
-			fmt.Fprintf(&b, "within %.0f%%", 100*a.Goal)
+		if r.WithinGoal {
+			fmt.Fprintf(&b, "within %.0f%%", 100*a.MaxDeviation)
 		} else {
-			fmt.Fprintf(&b, "BEYOND %.0f%%, not used: %s", 100*a.Goal, strings.Join(r.Beyond, ", "))
+			fmt.Fprintf(&b, "BEYOND %.0f%%, not used: %s", 100*a.MaxDeviation, strings.Join(r.Exceeding, ", "))
 		}
-		if r.Late > 0 {
-			fmt.Fprintf(&b, "; the lab ran late in %d", r.Late)
+		if r.LateRuns > 0 {
+			fmt.Fprintf(&b, "; the lab ran late in %d", r.LateRuns)
 		}
 		b.WriteByte('\n')
 		for _, f := range r.Figures {
-			fmt.Fprintf(&b, "  %-24s real %10.2f (%.2f to %.2f)  hollow %10.2f (%.2f to %.2f)", f.Name, f.Real, f.RealSpan[0], f.RealSpan[1], f.Hollow, f.HollowSpan[0], f.HollowSpan[1])
-			if f.Judged {
+			fmt.Fprintf(&b, "  %-24s real %10.2f (%.2f to %.2f)  hollow %10.2f (%.2f to %.2f)", f.Name, f.Real, f.RealRange[0], f.RealRange[1], f.Hollow, f.HollowRange[0], f.HollowRange[1])
+			if f.Compared {
 				fmt.Fprintf(&b, "  %+6.1f%%", 100*f.Deviation)
 			}
 			b.WriteByte('\n')
@@ -253,15 +253,15 @@
 
 // Agree plays all rows both ways: first all that is real, one after the other, then the hollow. With kept nothing real
 // is played: plays that the folder does not hold are left out, and named.
-func Agree(ctx context.Context, program, sidecar string, seeds []uint64, kept bool, folder string, say func(string)) (*Agreement, error) {
-	a := &Agreement{Goal: 0.15, NotRun: []string{}}
+func CheckAgreement(ctx context.Context, program, sidecar string, seeds []uint64, kept bool, folder string, say func(string)) (*Agreement, error) {
+	a := &Agreement{MaxDeviation: 0.15, NotRun: []string{}}
 	missing := func(s Spec) bool {
 		_, err := os.Stat(realFile(s, folder))
 		return kept && err != nil
 	}
 	for _, row := range agreeRows {
 		for _, seed := range seeds {
-			spec := AgreeSpec(row.sidecars, row.servers, row.rate, row.peers, seed)
+			spec := AgreementSpec(row.sidecars, row.servers, row.rate, row.peers, seed)
 			if missing(spec) {
 				a.NotRun = append(a.NotRun, spec.Name)
 				continue
@@ -279,7 +279,7 @@
 		var spec Spec
 		late := 0
 		for _, seed := range seeds {
-			one := AgreeSpec(row.sidecars, row.servers, row.rate, row.peers, seed)
+			one := AgreementSpec(row.sidecars, row.servers, row.rate, row.peers, seed)
 			if missing(one) {
 				continue
 			}
@@ -295,12 +295,12 @@
 				late++
 			}
 			r := realFigures(spec, result)
-			h, err := RunInProcess(ctx, program, Order{spec, Measured}, filepath.Join(folder, spec.Name+".json"))
+			h, err := RunInProcess(ctx, program, RunRequest{spec, MeasuredCosts}, filepath.Join(folder, spec.Name+".json"))
 			if err != nil {
 				return nil, fmt.Errorf("%s: %w", spec.Name, err)
 			}
-			if len(h.Broken) > 0 {
-				return nil, fmt.Errorf("%s: %v", spec.Name, h.Broken)
+			if len(h.FailedChecks) > 0 {
+				return nil, fmt.Errorf("%s: %v", spec.Name, h.FailedChecks)
 			}
 			reals, hollow = append(reals, r), append(hollow, h.figures(heads))
 		}
@@ -313,7 +313,7 @@
 
 // Measured are the costs that hollow sidecars leave out, and heads the payload in them, of the same plays.
 var (
-	Measured = Costs{Probe: 447, Conn: 351, DeadDial: 104, List: 454, ListByte: 1.05, Datagram: 28,
+	MeasuredCosts = Costs{Probe: 447, Conn: 351, FailedDial: 104, DiscoveryCall: 454, DiscoveryByte: 1.05, Datagram: 28,
 		Source: "probe and conn: least squares over loopback's bytes in the 18 plays of 10 sidecars with 6, 60 and 240 servers at 0.1 and 5 calls/s " +
 			"(scale-agreement.json); list: payload of those plays, 4 packets; dead_dial, list_byte, datagram: reckoned from headers (2 packets of 52, " +
 			"a head and half an acknowledgement in 1448, IP and UDP)"}
--- a/internal/lab/scale/chain.go
+++ b/internal/lab/scale/chain.go
@@ -25,27 +25,27 @@
 // Chain is a chain of services: callers at the edge call level 1, each server of a level calls the next one through the
 // sidecar beside it, and the last level's servers fail a share of what they run. Times are virtual.
 type Chain struct {
-	Levels   int          `json:"levels"`   // 1 to 12
-	Size     int          `json:"size"`     // servers of each level; callers and sidecars at the edge
-	Rate     float64      `json:"rate"`     // calls a second of each caller, drawn after Poisson
-	Fail     float64      `json:"fail"`     // share that the last level fails from the warm time on, 0 to 1
-	Deadline lab.Duration `json:"deadline"` // of a caller's call
-	Latency  lab.Duration `json:"latency"`  // mean of a server's own work
-	Way      lab.Duration `json:"way"`      // one way between machines
-	Warm     lab.Duration `json:"warm"`     // without failures
-	Early    lab.Duration `json:"early"`    // of the failures' time, told apart
-	For      lab.Duration `json:"for"`      // with failures, Early included
+	Levels          int          `json:"levels"`   // 1 to 12
+	ServersPerLevel int          `json:"size"`     // servers of each level; callers and sidecars at the edge
+	Rate            float64      `json:"rate"`     // calls a second of each caller, drawn after Poisson
+	FailureRate     float64      `json:"fail"`     // share that the last level fails from the warm time on, 0 to 1
+	Deadline        lab.Duration `json:"deadline"` // of a caller's call
+	Latency         lab.Duration `json:"latency"`  // mean of a server's own work
+	OneWayDelay     lab.Duration `json:"way"`      // one way between machines
+	WarmUp          lab.Duration `json:"warm"`     // without failures
+	EarlyDuration   lab.Duration `json:"early"`    // of the failures' time, told apart
+	FailureDuration lab.Duration `json:"for"`      // with failures, Early included
 	// Plain is how many attempts a call gets where callers try servers in turn by themselves, without a sidecar, its
 	// breakers and its budget; 0 for sidecars. It is what the sidecars are compared with.
-	Plain int    `json:"plain,omitempty"`
-	Seed  uint64 `json:"seed"`
+	PlainAttempts int    `json:"plain,omitempty"`
+	Seed          uint64 `json:"seed"`
 }
 
 // NewChain is a chain nine deep at the target's load.
 func NewChain() Chain {
 	d := func(d time.Duration) lab.Duration { return lab.Duration{Duration: d} }
-	return Chain{Levels: 9, Size: 6, Rate: 47, Deadline: d(time.Second), Latency: d(5 * time.Millisecond), Way: d(400 * time.Microsecond),
-		Warm: d(20 * time.Second), Early: d(10 * time.Second), For: d(40 * time.Second), Seed: 30}
+	return Chain{Levels: 9, ServersPerLevel: 6, Rate: 47, Deadline: d(time.Second), Latency: d(5 * time.Millisecond), OneWayDelay: d(400 * time.Microsecond),
+		WarmUp: d(20 * time.Second), EarlyDuration: d(10 * time.Second), FailureDuration: d(40 * time.Second), Seed: 30}
 }
 
 // Validate names the first field that cannot be.
@@ -55,15 +55,15 @@
 		field, what string
 	}{
 		{c.Levels < 1 || c.Levels > 12, "levels", "is not within 1 to 12"},
-		{c.Size < 1 || c.Size > 50, "size", "is not within 1 to 50"},
+		{c.ServersPerLevel < 1 || c.ServersPerLevel > 50, "size", "is not within 1 to 50"},
 		{!(c.Rate > 0 && c.Rate <= 1000), "rate", "is not within 0 to 1000, or is 0"},
-		{!(c.Fail >= 0 && c.Fail <= 1), "fail", "is not within 0 to 1"},
+		{!(c.FailureRate >= 0 && c.FailureRate <= 1), "fail", "is not within 0 to 1"},
 		{c.Deadline.Duration < 50*time.Millisecond || c.Deadline.Duration > time.Minute, "deadline", "is not within 50ms to 1m"},
 		{c.Latency.Duration <= 0, "latency", "is not positive"},
-		{c.Way.Duration < 0, "way", "is negative"},
-		{c.Warm.Duration <= 0 || c.Early.Duration <= 0, "warm", "or early is not positive"},
-		{c.For.Duration <= c.Early.Duration, "for", "is not longer than early"},
-		{c.Plain < 0 || c.Plain > 5, "plain", "is not within 0 to 5"},
+		{c.OneWayDelay.Duration < 0, "way", "is negative"},
+		{c.WarmUp.Duration <= 0 || c.EarlyDuration.Duration <= 0, "warm", "or early is not positive"},
+		{c.FailureDuration.Duration <= c.EarlyDuration.Duration, "for", "is not longer than early"},
+		{c.PlainAttempts < 0 || c.PlainAttempts > 5, "plain", "is not within 0 to 5"},
 	} {
 		if f.bad {
 			return fmt.Errorf("%s %s", f.field, f.what)
@@ -74,10 +74,10 @@
 
 // ChainResult is a chain as played.
 type ChainResult struct {
-	Spec   Chain        `json:"spec"`
-	Phases []ChainPhase `json:"phases"` // warm, early, late
-	Broken []string     `json:"broken"` // checks that did not hold
-	Wall   float64      `json:"wall_s"`
+	Spec         Chain        `json:"spec"`
+	Phases       []ChainPhase `json:"phases"` // warm, early, late
+	FailedChecks []string     `json:"broken"` // checks that did not hold
+	WallSeconds  float64      `json:"wall_s"`
 }
 
 // ChainPhase is one time of it: the edge's calls that were sent in it, and all that came of them.
@@ -86,20 +86,20 @@
 	Seconds  float64          `json:"seconds"`
 	Calls    int64            `json:"calls"` // of the edge
 	Outcomes map[string]int64 `json:"outcomes"`
-	P50      float64          `json:"p50_ms"` // of the edge's calls, whatever came of them
-	P99      float64          `json:"p99_ms"`
+	P50Ms    float64          `json:"p50_ms"` // of the edge's calls, whatever came of them
+	P99Ms    float64          `json:"p99_ms"`
 	Levels   []ChainLevel     `json:"levels"`
 	// PerCall is attempts at the last level for each call of the edge.
-	PerCall float64 `json:"last_attempts_per_call"`
+	LastLevelAttemptsPerCall float64 `json:"last_attempts_per_call"`
 }
 
 // ChainLevel is one level.
 type ChainLevel struct {
-	Calls    int64   `json:"calls"`    // of the level before it
-	Attempts int64   `json:"attempts"` // at its servers
-	PerCall  float64 `json:"attempts_per_call"`
+	Calls           int64   `json:"calls"`    // of the level before it
+	Attempts        int64   `json:"attempts"` // at its servers
+	AttemptsPerCall float64 `json:"attempts_per_call"`
 	// LeftMs is the time that its attempts told their servers, in milliseconds: the mean.
-	LeftMs float64 `json:"time_left_ms"`
+	MeanTimeLeftMs float64 `json:"time_left_ms"`
 }
 
 const chainPhases = 3
@@ -146,9 +146,9 @@
 
 func (c *chain) phase() int {
 	switch at := time.Since(c.began); {
-	case at < c.spec.Warm.Duration:
+	case at < c.spec.WarmUp.Duration:
 		return 0
-	case at < c.spec.Warm.Duration+c.spec.Early.Duration:
+	case at < c.spec.WarmUp.Duration+c.spec.EarlyDuration.Duration:
 		return 1
 	default:
 		return 2
@@ -167,7 +167,7 @@
 	ctx, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
 	code := sidecar.CodeClientDisconnected
-	for try := 0; try < k.chain.spec.Plain && ctx.Err() == nil; try++ {
+	for try := 0; try < k.chain.spec.PlainAttempts && ctx.Err() == nil; try++ {
 		var err error
 		if code, _, _, err = k.conns[k.chain.draw(len(k.conns))].Do(ctx, "/read/"+id, id); err != nil {
 			code = http.StatusBadGateway
@@ -201,7 +201,7 @@
 	if number -= firstPort; err != nil || number < 0 || number >= len(n.chain.servers[n.level]) {
 		return nil, errRefused
 	}
-	if !wait(ctx, 2*n.chain.spec.Way.Duration) {
+	if !wait(ctx, 2*n.chain.spec.OneWayDelay.Duration) {
 		return nil, ctx.Err()
 	}
 	return &chainConn{server: n.chain.servers[n.level][number], chain: n.chain}, nil
@@ -223,7 +223,7 @@
 // milliseconds, as X-Time-Left-Ms tells it; who gives the attempt up closes its connection, and the server's own call
 // ends with that.
 func (c *chainConn) Do(ctx context.Context, path, id string) (int, http.Header, []byte, error) {
-	s, way := c.server, c.chain.spec.Way.Duration
+	s, way := c.server, c.chain.spec.OneWayDelay.Duration
 	if id == "" { // a probe
 		if !wait(ctx, way) {
 			return 0, nil, nil, ctx.Err()
@@ -276,11 +276,11 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.random.Float64() < c.spec.Fail
+	return c.random.Float64() < c.spec.FailureRate
 }
 
 // PlayChain plays a chain on the clock that holds: a program's is virtual (see VirtualChain).
-func PlayChain(spec Chain) (*ChainResult, error) {
+func RunChain(spec Chain) (*ChainResult, error) {
 	if err := spec.Validate(); err != nil {
 		return nil, err
 	}
@@ -293,8 +293,8 @@
 	for level := range spec.Levels {
 		agent := lab.NewFakeDiscoveryHandler(spec.Seed + uint64(level))
 		var all []*chainServer
-		for j := range spec.Size {
-			s := &chainServer{ServerModel: lab.NewServerModel(work, spec.Seed+uint64(level*spec.Size+j)), level: level, number: j}
+		for j := range spec.ServersPerLevel {
+			s := &chainServer{ServerModel: lab.NewServerModel(work, spec.Seed+uint64(level*spec.ServersPerLevel+j)), level: level, number: j}
 			all = append(all, s)
 			agent.Set(lab.Instance{Name: fmt.Sprintf("l%d-%d", level, j), Address: "127.0.0.1:" + strconv.Itoa(firstPort+j), Zone: "z0", MachineType: "m",
 				Health: "Ready", Weight: 1, StartedAtMillis: s.StartedAt().UnixMilli() - time.Hour.Milliseconds()}, nil)
@@ -302,7 +302,7 @@
 		c.servers, c.agents = append(c.servers, all), append(c.agents, agent)
 	}
 	ctx, end := context.WithCancel(context.Background())
-	for i := range spec.Size {
+	for i := range spec.ServersPerLevel {
 		caller, err := c.caller(ctx, i, 0)
 		if err != nil {
 			end()
@@ -323,9 +323,9 @@
 			c.load(caller, rand.New(rand.NewPCG(spec.Seed, uint64(i)+100)))
 		}()
 	}
-	time.Sleep(spec.Warm.Duration)
+	time.Sleep(spec.WarmUp.Duration)
 	c.failing.Store(true)
-	time.Sleep(spec.For.Duration)
+	time.Sleep(spec.FailureDuration.Duration)
 	time.Sleep(spec.Deadline.Duration + time.Second)
 	end()
 	c.running.Wait()
@@ -336,15 +336,15 @@
 // caller makes the one number i of those that call a level.
 func (c *chain) caller(ctx context.Context, i, level int) (*chainCaller, error) {
 	k := &chainCaller{chain: c, level: level}
-	if c.spec.Plain > 0 {
+	if c.spec.PlainAttempts > 0 {
 		for _, s := range c.servers[level] {
 			k.conns = append(k.conns, &chainConn{server: s, chain: c})
 		}
 		return k, nil
 	}
 	exp := &lab.Experiment{Name: "chain", Seed: c.spec.Seed + uint64(level), Load: lab.Load{Deadline: c.spec.Deadline},
-		Fleet: lab.Fleet{Sidecars: c.spec.Size, Servers: c.spec.Size, Zones: []string{"z0"}}}
-	cfg, err := config.Parse(exp.SidecarConfig(i, c.spec.Size, "127.0.0.1:1", "127.0.0.1:2", ""))
+		Fleet: lab.Fleet{Sidecars: c.spec.ServersPerLevel, Servers: c.spec.ServersPerLevel, Zones: []string{"z0"}}}
+	cfg, err := config.Parse(exp.SidecarConfig(i, c.spec.ServersPerLevel, "127.0.0.1:1", "127.0.0.1:2", ""))
 	if err != nil {
 		return nil, err
 	}
@@ -365,7 +365,7 @@
 	for k.hollow != nil && !k.hollow.HasEndpoints() {
 		time.Sleep(100 * time.Millisecond)
 	}
-	ends := c.spec.Warm.Duration + c.spec.For.Duration
+	ends := c.spec.WarmUp.Duration + c.spec.FailureDuration.Duration
 	for n := 0; ; n++ {
 		time.Sleep(time.Duration(random.ExpFloat64() / c.spec.Rate * float64(time.Second)))
 		if time.Since(c.began) >= ends {
@@ -398,8 +398,8 @@
 }
 
 func (c *chain) result() *ChainResult {
-	r := &ChainResult{Spec: *c.spec, Broken: []string{}}
-	lengths := [chainPhases]time.Duration{c.spec.Warm.Duration, c.spec.Early.Duration, c.spec.For.Duration - c.spec.Early.Duration}
+	r := &ChainResult{Spec: *c.spec, FailedChecks: []string{}}
+	lengths := [chainPhases]time.Duration{c.spec.WarmUp.Duration, c.spec.EarlyDuration.Duration, c.spec.FailureDuration.Duration - c.spec.EarlyDuration.Duration}
 	per := func(a, b int64) float64 {
 		if b == 0 {
 			return 0
@@ -408,7 +408,7 @@
 	}
 	for p := range chainPhases {
 		phase := ChainPhase{Name: chainPhaseNames[p], Seconds: lengths[p].Seconds(), Calls: c.placed[p].Load(), Outcomes: map[string]int64{},
-			P50: float64(c.took[p].ValueAtQuantile(50)) / 1000, P99: float64(c.took[p].ValueAtQuantile(99)) / 1000}
+			P50Ms: float64(c.took[p].ValueAtQuantile(50)) / 1000, P99Ms: float64(c.took[p].ValueAtQuantile(99)) / 1000}
 		ended := int64(0)
 		for o, name := range outcomeNames {
 			if n := c.outcomes[p][o].Load(); n > 0 {
@@ -417,24 +417,24 @@
 			}
 		}
 		if ended != phase.Calls {
-			r.Broken = append(r.Broken, fmt.Sprintf("%s: %d calls, %d outcomes", phase.Name, phase.Calls, ended))
+			r.FailedChecks = append(r.FailedChecks, fmt.Sprintf("%s: %d calls, %d outcomes", phase.Name, phase.Calls, ended))
 		}
 		for level := range c.spec.Levels {
 			calls, attempts := c.calls[p][level].Load(), c.attempts[p][level].Load()
 			phase.Levels = append(phase.Levels, ChainLevel{calls, attempts, per(attempts, calls), per(c.leftMs[p][level].Load(), attempts)})
 		}
-		phase.PerCall = per(phase.Levels[c.spec.Levels-1].Attempts, phase.Calls)
+		phase.LastLevelAttemptsPerCall = per(phase.Levels[c.spec.Levels-1].Attempts, phase.Calls)
 		r.Phases = append(r.Phases, phase)
 	}
 	if sent, arrived, unheard := c.sent.Load(), c.arrived.Load(), c.unheard.Load(); sent != arrived+unheard {
-		r.Broken = append(r.Broken, fmt.Sprintf("%d attempts were sent, %d came and %d were given up", sent, arrived, unheard))
+		r.FailedChecks = append(r.FailedChecks, fmt.Sprintf("%d attempts were sent, %d came and %d were given up", sent, arrived, unheard))
 	}
 	return r
 }
 
 // Naive is the attempts at the last level for each call of the edge, reckoned, where every level makes so many attempts
 // at the most until one succeeds, nothing else ends them, and the last level fails this share.
-func Naive(levels, tries int, fail float64) float64 {
+func NaiveAttemptsPerCall(levels, tries int, fail float64) float64 {
 	product := 1.0
 	for range levels {
 		sum, all := 0.0, 1.0 // all: the chance that an attempt is made
@@ -456,15 +456,15 @@
 	for _, r := range results {
 		for _, p := range r.Phases {
 			tries := "sidecar"
-			if r.Spec.Plain > 0 {
-				tries = fmt.Sprintf("plain %d", r.Spec.Plain)
+			if r.Spec.PlainAttempts > 0 {
+				tries = fmt.Sprintf("plain %d", r.Spec.PlainAttempts)
 			}
 			var by []string
 			for _, l := range p.Levels {
-				by = append(by, fmt.Sprintf("%.2f", l.PerCall))
+				by = append(by, fmt.Sprintf("%.2f", l.AttemptsPerCall))
 			}
-			fmt.Fprintf(w, "%s\t%v\t%s\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.3f\t%s\t%.0f\t\n", tries, r.Spec.Fail, p.Name, p.Calls, p.Outcomes["served"],
-				p.Outcomes["refused"], p.Outcomes["failed"], p.Outcomes["late"], p.P99, p.PerCall, strings.Join(by, " "), p.Levels[len(p.Levels)-1].LeftMs)
+			fmt.Fprintf(w, "%s\t%v\t%s\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.3f\t%s\t%.0f\t\n", tries, r.Spec.FailureRate, p.Name, p.Calls, p.Outcomes["served"],
+				p.Outcomes["refused"], p.Outcomes["failed"], p.Outcomes["late"], p.P99Ms, p.LastLevelAttemptsPerCall, strings.Join(by, " "), p.Levels[len(p.Levels)-1].MeanTimeLeftMs)
 		}
 	}
 	w.Flush()
--- a/internal/lab/scale/chain_test.go
+++ b/internal/lab/scale/chain_test.go
@@ -15,8 +15,8 @@
 // shallow is a chain of three levels, played in seconds.
 func shallow(fail float64, plain int) Chain {
 	c := NewChain()
-	c.Levels, c.Size, c.Rate, c.Fail, c.Plain = 3, 3, 20, fail, plain
-	c.Warm, c.Early, c.For = lab.Duration{Duration: 8 * time.Second}, lab.Duration{Duration: 4 * time.Second}, lab.Duration{Duration: 12 * time.Second}
+	c.Levels, c.ServersPerLevel, c.Rate, c.FailureRate, c.PlainAttempts = 3, 3, 20, fail, plain
+	c.WarmUp, c.EarlyDuration, c.FailureDuration = lab.Duration{Duration: 8 * time.Second}, lab.Duration{Duration: 4 * time.Second}, lab.Duration{Duration: 12 * time.Second}
 	return c
 }
 
@@ -25,11 +25,11 @@
 	var r *ChainResult
 	synctest.Test(t, func(t *testing.T) {
 		var err error
-		if r, err = PlayChain(c); err != nil {
+		if r, err = RunChain(c); err != nil {
 			t.Fatal(err)
 		}
 	})
-	for _, b := range r.Broken {
+	for _, b := range r.FailedChecks {
 		t.Error(b)
 	}
 	t.Log("\n" + ChainTable([]*ChainResult{r}))
@@ -39,46 +39,46 @@
 // Callers that try twice by themselves make the product of the levels, as reckoned; sidecars stay within what their
 // budgets of retries let pass, and make one attempt a call where nothing fails.
 func TestChainOfThree(t *testing.T) {
-	if n := Naive(9, 2, 1); n != 512 {
+	if n := NaiveAttemptsPerCall(9, 2, 1); n != 512 {
 		t.Errorf("nine levels of two tries that all fail: %v, want 512", n)
 	}
 	for _, fail := range []float64{0.5, 1} {
-		r, want := playedChain(t, shallow(fail, 2)), Naive(3, 2, fail)
-		if got := r.Phases[2].PerCall; math.Abs(got-want) > 0.1*want || fail == 1 && got != want {
+		r, want := playedChain(t, shallow(fail, 2)), NaiveAttemptsPerCall(3, 2, fail)
+		if got := r.Phases[2].LastLevelAttemptsPerCall; math.Abs(got-want) > 0.1*want || fail == 1 && got != want {
 			t.Errorf("plain, %v fail: %.3f attempts at the last level for each call, reckoned %.3f", fail, got, want)
 		}
-		if warm := r.Phases[0]; warm.PerCall != 1 || warm.Outcomes["served"] != warm.Calls {
+		if warm := r.Phases[0]; warm.LastLevelAttemptsPerCall != 1 || warm.Outcomes["served"] != warm.Calls {
 			t.Errorf("plain, before the failures: %+v", warm)
 		}
 	}
 	right := playedChain(t, shallow(0, 0))
 	for _, p := range right.Phases {
-		if p.PerCall < 0.99 || p.PerCall > 1.1 || p.Outcomes["served"] < p.Calls*99/100 {
+		if p.LastLevelAttemptsPerCall < 0.99 || p.LastLevelAttemptsPerCall > 1.1 || p.Outcomes["served"] < p.Calls*99/100 {
 			t.Errorf("nothing fails, %s: %+v", p.Name, p)
 		}
 	}
 	// Each level's budget is a retry for every fifth call, and 10 at once in the beginning.
 	most := math.Pow(1.2, 3)
-	if late := playedChain(t, shallow(1, 0)).Phases[2]; late.PerCall > most || late.Outcomes["served"] > 0 {
-		t.Errorf("all fail: %.3f attempts at the last level for each call, want %.3f at the most; %v", late.PerCall, most, late.Outcomes)
+	if late := playedChain(t, shallow(1, 0)).Phases[2]; late.LastLevelAttemptsPerCall > most || late.Outcomes["served"] > 0 {
+		t.Errorf("all fail: %.3f attempts at the last level for each call, want %.3f at the most; %v", late.LastLevelAttemptsPerCall, most, late.Outcomes)
 	}
 }
 
 func TestBadChainNamesTheField(t *testing.T) {
 	for field, spoil := range map[string]func(*Chain){
 		"levels":   func(c *Chain) { c.Levels = 0 },
-		"size":     func(c *Chain) { c.Size = 0 },
+		"size":     func(c *Chain) { c.ServersPerLevel = 0 },
 		"rate":     func(c *Chain) { c.Rate = 0 },
-		"fail":     func(c *Chain) { c.Fail = 1.5 },
+		"fail":     func(c *Chain) { c.FailureRate = 1.5 },
 		"deadline": func(c *Chain) { c.Deadline.Duration = 0 },
 		"latency":  func(c *Chain) { c.Latency.Duration = 0 },
-		"warm":     func(c *Chain) { c.Warm.Duration = 0 },
-		"for":      func(c *Chain) { c.For.Duration = time.Second },
-		"plain":    func(c *Chain) { c.Plain = 9 },
+		"warm":     func(c *Chain) { c.WarmUp.Duration = 0 },
+		"for":      func(c *Chain) { c.FailureDuration.Duration = time.Second },
+		"plain":    func(c *Chain) { c.PlainAttempts = 9 },
 	} {
 		c := NewChain()
 		spoil(&c)
-		if _, err := PlayChain(c); err == nil || !strings.HasPrefix(err.Error(), field+" ") {
+		if _, err := RunChain(c); err == nil || !strings.HasPrefix(err.Error(), field+" ") {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
--- a/internal/lab/scale/chain_virtual.go
+++ b/internal/lab/scale/chain_virtual.go
@@ -10,7 +10,7 @@
 )
 
 // VirtualChain plays a chain on a virtual clock. It needs a program of its own, as Virtual does.
-func VirtualChain(spec Chain, take func(*ChainResult, error)) error {
+func RunChainVirtual(spec Chain, take func(*ChainResult, error)) error {
 	testing.Init()
 	flag.Parse() // what stands before the program's subcommand: nothing
 	began := time.Now()
@@ -18,9 +18,9 @@
 	testing.Main(all, []testing.InternalTest{{Name: "chain", F: func(t *testing.T) {
 		var r *ChainResult
 		var err error
-		synctest.Test(t, func(*testing.T) { r, err = PlayChain(spec) })
+		synctest.Test(t, func(*testing.T) { r, err = RunChain(spec) })
 		if r != nil {
-			r.Wall = time.Since(began).Seconds()
+			r.WallSeconds = time.Since(began).Seconds()
 		}
 		take(r, err)
 	}}}, nil, nil)
--- a/internal/lab/scale/chain_virtual_old.go
+++ b/internal/lab/scale/chain_virtual_old.go
@@ -2,5 +2,5 @@
 
 package scale
 
-// VirtualChain cannot be: this toolchain has no virtual clock.
-func VirtualChain(Chain, func(*ChainResult, error)) error { return ErrToolchain }
+// RunChainVirtual cannot be: this toolchain has no virtual clock.
+func RunChainVirtual(Chain, func(*ChainResult, error)) error { return ErrNoVirtualClock }
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -76,7 +76,7 @@
 		n.servers = append(n.servers, &server{ServerModel: lab.NewServerModel(spec.Server, spec.Seed+uint64(j)), number: j, zone: spec.zone(j)})
 	}
 	handlers := 1
-	if spec.Scope > 0 {
+	if spec.ServicesPerSidecar > 0 {
 		handlers = spec.Servers / ServiceSize
 	}
 	f.sharing = make([]int, handlers)
@@ -115,7 +115,7 @@
 // tell puts a server's entry into the agents' lists.
 func (f *fleet) tell(j int, health string, share float64) {
 	s, handler := f.net.servers[j], 0
-	if f.spec.Scope > 0 {
+	if f.spec.ServicesPerSidecar > 0 {
 		if handler = j / ServiceSize; handler >= len(f.sharing) {
 			return // the rest of a division
 		}
@@ -144,7 +144,7 @@
 			more = lab.PeersConfig(m.station.address.String(), hub.String(), f.known)
 		}
 		// The number gives zone and seed: another for each process and life.
-		number := i + f.spec.Zones*(k+f.spec.Scope*m.lives+m.lives)*MachinesMost
+		number := i + f.spec.Zones*(k+f.spec.ServicesPerSidecar*m.lives+m.lives)*MaxMachines
 		cfg, err := config.Parse(f.exp.SidecarConfig(number, total, "127.0.0.1:1", "127.0.0.1:2", more))
 		if err != nil {
 			return fmt.Errorf("sidecar %d: %w", i, err)
--- a/internal/lab/scale/play.go
+++ b/internal/lab/scale/play.go
@@ -18,7 +18,7 @@
 )
 
 // Play plays one rung on the clock that holds: a program's is virtual (see Child).
-func Play(spec Spec, costs Costs) (*Result, error) {
+func Run(spec Spec, costs Costs) (*Result, error) {
 	if err := spec.Validate(); err != nil {
 		return nil, err
 	}
@@ -29,12 +29,12 @@
 
 func (f *fleet) play() (*Result, error) {
 	spec, costs := *f.spec, f.costs
-	r := &Result{Spec: spec, Calls: map[string]int64{}, Broken: []string{}, Costs: costs}
+	r := &Result{Spec: spec, Calls: map[string]int64{}, FailedChecks: []string{}, Costs: costs}
 	before := heapMB()
 	random := rand.New(rand.NewPCG(spec.Seed, 2))
 	starts := make([]time.Duration, spec.Sidecars)
 	for i := range starts {
-		starts[i] = time.Duration(random.Int64N(int64(spec.Spread.Duration) + 1))
+		starts[i] = time.Duration(random.Int64N(int64(spec.StartSpread.Duration) + 1))
 	}
 	errs := make(chan error, spec.Sidecars)
 	for i, at := range starts {
@@ -43,41 +43,41 @@
 			errs <- f.start(i)
 		}()
 	}
-	r.Phases = append(r.Phases, f.phase("start", spec.Start.Duration))
+	r.Phases = append(r.Phases, f.phase("start", spec.StartDuration.Duration))
 	for range starts {
 		if err := <-errs; err != nil {
 			f.close()
 			return nil, err
 		}
 	}
-	f.until(spec.Warm.Duration)
-	r.Phases = append(r.Phases, f.phase("steady", spec.Warm.Duration+spec.For.Duration))
+	f.until(spec.WarmUp.Duration)
+	r.Phases = append(r.Phases, f.phase("steady", spec.WarmUp.Duration+spec.SteadyDuration.Duration))
 	r.HeapKB = (heapMB() - before) * 1024 / float64(spec.Sidecars)
 	if err := f.effort(r); err != nil {
-		r.Broken = append(r.Broken, err.Error())
+		r.FailedChecks = append(r.FailedChecks, err.Error())
 	}
 	ready := make([]bool, spec.Servers)
 	for j := range ready {
 		ready[j] = true
 	}
 	if _, wrong := f.settle(ready, time.Second); wrong > 0 {
-		r.Broken = append(r.Broken, fmt.Sprintf("%d processes do not hold the list at the end of the steady phase", wrong))
+		r.FailedChecks = append(r.FailedChecks, fmt.Sprintf("%d processes do not hold the list at the end of the steady phase", wrong))
 	}
 	f.event(r, ready)
 	f.close()
-	r.Broken = append(r.Broken, f.check()...)
+	r.FailedChecks = append(r.FailedChecks, f.check()...)
 	for o, name := range outcomeNames {
 		for s := range f.seconds {
 			r.Calls[name] += f.seconds[s][o].Load()
 		}
 	}
-	r.CPU, r.PeakMB = cpuSeconds(), peakMB()
+	r.CPUSeconds, r.PeakMB = cpuSeconds(), peakMB()
 	return r, nil
 }
 
 // effort asks all sidecars what the module's events took.
 func (f *fleet) effort(r *Result) error {
-	r.Module = map[string]Effort{}
+	r.EventCosts = map[string]EventCost{}
 	var elapsed [len(sidecar.EventKindNames)]time.Duration
 	for _, m := range f.sidecars {
 		for _, p := range m.procs {
@@ -87,10 +87,10 @@
 			}
 			for k, name := range sidecar.EventKindNames {
 				elapsed[k] += e.CPUTime[k]
-				all := r.Module[name]
+				all := r.EventCosts[name]
 				all.Events += e.Events[k]
-				all.Micros = float64(elapsed[k].Nanoseconds()) / 1e3 / float64(max(1, all.Events))
-				r.Module[name] = all
+				all.MicrosEach = float64(elapsed[k].Nanoseconds()) / 1e3 / float64(max(1, all.Events))
+				r.EventCosts[name] = all
 			}
 		}
 	}
@@ -163,7 +163,7 @@
 		s.down.Store(false)
 		f.tell(i, "Ready", 1)
 		if err := f.start(i); err != nil {
-			r.Broken = append(r.Broken, err.Error())
+			r.FailedChecks = append(r.FailedChecks, err.Error())
 		}
 	}
 }
@@ -205,16 +205,16 @@
 		go func() { defer close(done); act(&extra) }()
 		p := f.phase(name, from+length)
 		<-done
-		p.Note, p.Settled, p.Wrong = extra.Note, extra.Settled, extra.Wrong
-		p.Recovered = f.recovered(from, time.Since(f.began))
+		p.Note, p.SettledSeconds, p.WrongProcesses = extra.Note, extra.SettledSeconds, extra.WrongProcesses
+		p.RecoverySeconds = f.recovered(from, time.Since(f.began))
 		r.Phases = append(r.Phases, p)
 	}
 	settle := func(p *Phase) {
 		took, wrong := f.settle(ready, settleFor)
-		if p.Wrong += wrong; wrong > 0 {
-			p.Settled = -1
+		if p.WrongProcesses += wrong; wrong > 0 {
+			p.SettledSeconds = -1
 		} else {
-			p.Settled = max(p.Settled, took)
+			p.SettledSeconds = max(p.SettledSeconds, took)
 		}
 	}
 	machines := func(list []int, silent time.Duration, downFor time.Duration) {
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -14,7 +14,7 @@
 )
 
 // BudgetBytes is what a sidecar may spend on control, in bytes a second.
-const BudgetBytes = 3000
+const BudgetBytesPerSecond = 3000
 
 // Table is the ladder for people: a line a phase.
 func (l *SweepResult) Table() string {
@@ -24,22 +24,22 @@
 		"probes/s", "borne by a srv", "agents B/s", "settled", "calls")
 	rate := func(r Rate) string { return fmt.Sprintf("%.0f/%.0f", r.Mean, r.P99) }
 	fine := func(r Rate) string { return fmt.Sprintf("%.2f/%.1f", r.Mean, r.P99) }
-	for _, r := range l.Rungs {
+	for _, r := range l.Runs {
 		for _, p := range r.Phases {
 			settled := ""
-			if p.Settled != 0 {
-				settled = fmt.Sprintf("%.1f s", p.Settled)
+			if p.SettledSeconds != 0 {
+				settled = fmt.Sprintf("%.1f s", p.SettledSeconds)
 			}
 			fmt.Fprintf(&b, "%-22s %-9s %5.0f | %15s %15s %15s | %13s %13s | %12.0f | %8s %v\n", r.Spec.Name, p.Name, p.To-p.From, rate(p.Bytes["all"]), rate(p.Bytes["probe"]),
 				rate(p.Bytes["discovery"]), fine(p.Sidecar["probes"]), fine(p.Server["probes"]), p.Agent["list_bytes"], settled, p.Outcomes)
 		}
 	}
 	fmt.Fprintf(&b, "%-22s %10s %10s | microseconds of the module an event (hollow)\n", "rung", "heap KB", "rung CPU s")
-	for _, r := range l.Rungs {
-		fmt.Fprintf(&b, "%-22s %10.0f %10.0f |", r.Spec.Name, r.HeapKB, r.CPU)
+	for _, r := range l.Runs {
+		fmt.Fprintf(&b, "%-22s %10.0f %10.0f |", r.Spec.Name, r.HeapKB, r.CPUSeconds)
 		for _, name := range sidecar.EventKindNames {
-			if e := r.Module[name]; e.Events > 0 {
-				fmt.Fprintf(&b, " %s %.1f (%d)", name, e.Micros, e.Events)
+			if e := r.EventCosts[name]; e.Events > 0 {
+				fmt.Fprintf(&b, " %s %.1f (%d)", name, e.MicrosEach, e.Events)
 			}
 		}
 		b.WriteByte('\n')
@@ -58,7 +58,7 @@
 	p.Y.Label.Text = "bytes/s (log), p99 of 10 s windows"
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 	sizes := plot.ConstantTicks{}
-	for _, r := range l.Rungs {
+	for _, r := range l.Runs {
 		sizes = append(sizes, plot.Tick{Value: float64(r.Spec.Servers), Label: fmt.Sprint(r.Spec.Servers)})
 	}
 	var rates plot.ConstantTicks
@@ -87,10 +87,10 @@
 		{"with the view, at rest", "view", "steady", 0, color.RGBA{R: 120, G: 60, A: 255}},
 	} {
 		var points plotter.XYs
-		for i := range l.Rungs {
-			r := &l.Rungs[i]
+		for i := range l.Runs {
+			r := &l.Runs[i]
 			phase := r.Phase(line.phase)
-			if kind, _, _ := strings.Cut(r.Spec.Name, "-"); kind != line.rung || r.Spec.Scope != line.scope || phase == nil || phase.Bytes["all"].P99 <= 0 {
+			if kind, _, _ := strings.Cut(r.Spec.Name, "-"); kind != line.rung || r.Spec.ServicesPerSidecar != line.scope || phase == nil || phase.Bytes["all"].P99 <= 0 {
 				continue
 			}
 			points = append(points, plotter.XY{X: float64(r.Spec.Servers), Y: phase.Bytes["all"].P99})
@@ -110,7 +110,7 @@
 	if most == 0 {
 		return nil // nothing was played that is drawn
 	}
-	budget, err := plotter.NewLine(plotter.XYs{{X: least, Y: BudgetBytes}, {X: math.Max(most, least*1.01), Y: BudgetBytes}})
+	budget, err := plotter.NewLine(plotter.XYs{{X: least, Y: BudgetBytesPerSecond}, {X: math.Max(most, least*1.01), Y: BudgetBytesPerSecond}})
 	if err != nil {
 		return err
 	}
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -10,13 +10,13 @@
 // and IP headers and HTTP heads, both ways together. They are measured on real
 // processes (Source).
 type Costs struct {
-	Probe    float64 `json:"probe"`     // request, answer and what acknowledges them
-	Conn     float64 `json:"conn"`      // a connection's begin and end
-	DeadDial float64 `json:"dead_dial"` // what a connection that does not come up sends
-	List     float64 `json:"list"`      // a call of discovery without its answer's body
-	ListByte float64 `json:"list_byte"` // for each byte of a body
-	Datagram float64 `json:"datagram"`  // headers of one
-	Source   string  `json:"source"`
+	Probe         float64 `json:"probe"`     // request, answer and what acknowledges them
+	Conn          float64 `json:"conn"`      // a connection's begin and end
+	FailedDial    float64 `json:"dead_dial"` // what a connection that does not come up sends
+	DiscoveryCall float64 `json:"list"`      // a call of discovery without its answer's body
+	DiscoveryByte float64 `json:"list_byte"` // for each byte of a body
+	Datagram      float64 `json:"datagram"`  // headers of one
+	Source        string  `json:"source"`
 }
 
 // Rate is a figure a second: the mean, and the 99th of 100 of all machines' windows of 10 s.
@@ -34,36 +34,36 @@
 	Server  map[string]Rate    `json:"server"`  // a second, borne by one pin server
 	Agent   map[string]float64 `json:"agent"`   // a second, borne by discovery's agents together
 	// Bytes of control on the wire a second that a sidecar sends and bears, by kind, by Costs.
-	Bytes     map[string]Rate  `json:"bytes"`
-	Outcomes  map[string]int64 `json:"outcomes"` // of calls sent in it
-	CPU       float64          `json:"cpu_s"`    // of the hollow fleet, network and load
-	Note      string           `json:"note,omitempty"`
-	Settled   float64          `json:"settled_s,omitempty"`   // from when discovery had it until all sidecars held the right list; -1 for not
-	Wrong     int              `json:"wrong,omitempty"`       // processes that did not
-	Recovered float64          `json:"recovered_s,omitempty"` // from the event until under 1 call in 100 of a second was refused, failed or late
+	Bytes           map[string]Rate  `json:"bytes"`
+	Outcomes        map[string]int64 `json:"outcomes"` // of calls sent in it
+	CPUSeconds      float64          `json:"cpu_s"`    // of the hollow fleet, network and load
+	Note            string           `json:"note,omitempty"`
+	SettledSeconds  float64          `json:"settled_s,omitempty"`   // from when discovery had it until all sidecars held the right list; -1 for not
+	WrongProcesses  int              `json:"wrong,omitempty"`       // processes that did not
+	RecoverySeconds float64          `json:"recovered_s,omitempty"` // from the event until under 1 call in 100 of a second was refused, failed or late
 }
 
 // Result is a rung as played.
 type Result struct {
-	Spec   Spec             `json:"spec"`
-	Phases []Phase          `json:"phases"`
-	Calls  map[string]int64 `json:"calls"`
-	Broken []string         `json:"broken"` // checks that did not hold
+	Spec         Spec             `json:"spec"`
+	Phases       []Phase          `json:"phases"`
+	Calls        map[string]int64 `json:"calls"`
+	FailedChecks []string         `json:"broken"` // checks that did not hold
 	// HeapKB is the heap and stacks of one sidecar, with its part of what the hollow keeps for it.
 	HeapKB float64 `json:"heap_kb"`
 	// Module is the processor time of the module's events up to the end of the steady phase, the hollow's own: no
 	// socket, no HTTP and none of the loop's around it.
-	Module map[string]Effort `json:"module"`
-	CPU    float64           `json:"cpu_s"`
-	Wall   float64           `json:"wall_s"`
-	PeakMB float64           `json:"peak_mb"`
-	Costs  Costs             `json:"costs"`
+	EventCosts  map[string]EventCost `json:"module"`
+	CPUSeconds  float64              `json:"cpu_s"`
+	WallSeconds float64              `json:"wall_s"`
+	PeakMB      float64              `json:"peak_mb"`
+	Costs       Costs                `json:"costs"`
 }
 
 // Effort is the module's on events of one kind.
-type Effort struct {
-	Events int64   `json:"events"`
-	Micros float64 `json:"us_each"`
+type EventCost struct {
+	Events     int64   `json:"events"`
+	MicrosEach float64 `json:"us_each"`
 }
 
 // Phase finds a phase by its name; nil for none.
@@ -80,8 +80,8 @@
 func (c *Costs) wire(n [kinds]int64) map[string]float64 {
 	x := func(k kind) float64 { return float64(n[k]) }
 	b := map[string]float64{
-		"probe":     x(probes)*c.Probe + x(probeConns)*c.Conn + x(deadDials)*c.DeadDial,
-		"discovery": x(lists)*c.List + x(listBytes)*c.ListByte,
+		"probe":     x(probes)*c.Probe + x(probeConns)*c.Conn + x(deadDials)*c.FailedDial,
+		"discovery": x(lists)*c.DiscoveryCall + x(listBytes)*c.DiscoveryByte,
 		"news":      (x(newsSent)+x(newsBorne))*c.Datagram + x(newsSentBytes) + x(newsBorneBytes),
 		"view":      (x(viewSent)+x(viewBorne))*c.Datagram + x(viewSentBytes) + x(viewBorneBytes),
 	}
@@ -117,7 +117,7 @@
 func (f *fleet) reckon(name string, frames []frame) Phase {
 	first, last := frames[0], frames[len(frames)-1]
 	p := Phase{Name: name, From: first.at.Seconds(), To: last.at.Seconds(), Sidecar: map[string]Rate{}, Server: map[string]Rate{},
-		Agent: map[string]float64{}, Bytes: map[string]Rate{}, Outcomes: map[string]int64{}, CPU: last.cpu - first.cpu}
+		Agent: map[string]float64{}, Bytes: map[string]Rate{}, Outcomes: map[string]int64{}, CPUSeconds: last.cpu - first.cpu}
 	seconds := p.To - p.From
 	rates := func(of func(frame) [][kinds]int64, into map[string]Rate, bytes map[string]Rate) {
 		var each [kinds][]float64
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -19,7 +19,7 @@
 func quick(n int) Spec {
 	s := NewSpec(n)
 	s.Rate = 2
-	s.Warm, s.For = lab.Duration{Duration: 12 * time.Second}, lab.Duration{Duration: 10 * time.Second}
+	s.WarmUp, s.SteadyDuration = lab.Duration{Duration: 12 * time.Second}, lab.Duration{Duration: 10 * time.Second}
 	return s
 }
 
@@ -29,7 +29,7 @@
 	var r *Result
 	synctest.Test(t, func(t *testing.T) {
 		var err error
-		if r, err = Play(s, Costs{Probe: 700, Conn: 500, List: 400, ListByte: 1, Datagram: 28}); err != nil {
+		if r, err = Run(s, Costs{Probe: 700, Conn: 500, DiscoveryCall: 400, DiscoveryByte: 1, Datagram: 28}); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -43,12 +43,12 @@
 		s := quick(n)
 		s.Event = "changes"
 		r := played(t, s)
-		for _, b := range r.Broken {
+		for _, b := range r.FailedChecks {
 			t.Errorf("%d machines: %s", n, b)
 		}
 		p := r.Phase("changes")
-		if p.Settled <= 0 || p.Settled > 2 || p.Wrong > 0 {
-			t.Errorf("%d machines: changes settled after %v s, %d wrong", n, p.Settled, p.Wrong)
+		if p.SettledSeconds <= 0 || p.SettledSeconds > 2 || p.WrongProcesses > 0 {
+			t.Errorf("%d machines: changes settled after %v s, %d wrong", n, p.SettledSeconds, p.WrongProcesses)
 		}
 		if r.Calls["served"] < int64(n)*100 || r.Calls["served"] < 99*(r.Calls["refused"]+r.Calls["failed"]+r.Calls["late"]) {
 			t.Errorf("%d machines: calls %v", n, r.Calls)
@@ -117,10 +117,10 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if broken := strings.Join(r.Broken, "; "); broken != "" != (c.says != "") || !strings.Contains(broken, c.says) {
+				if broken := strings.Join(r.FailedChecks, "; "); broken != "" != (c.says != "") || !strings.Contains(broken, c.says) {
 					t.Errorf("broken %q, want %q", broken, c.says)
 				}
-				if wrong := r.Phase("changes").Wrong; wrong > 0 != (c.wrong > 0) {
+				if wrong := r.Phase("changes").WrongProcesses; wrong > 0 != (c.wrong > 0) {
 					t.Errorf("%d processes with a wrong list, want %d", wrong, c.wrong)
 				}
 			})
@@ -131,21 +131,21 @@
 func TestBadSpecNamesTheField(t *testing.T) {
 	for field, spoil := range map[string]func(*Spec){
 		"sidecars": func(s *Spec) { s.Sidecars = 0 },
-		"servers":  func(s *Spec) { s.Servers = MachinesMost + 1 },
-		"scope":    func(s *Spec) { s.Scope = 3 },
+		"servers":  func(s *Spec) { s.Servers = MaxMachines + 1 },
+		"scope":    func(s *Spec) { s.ServicesPerSidecar = 3 },
 		"zones":    func(s *Spec) { s.Zones = 0 },
 		"regions":  func(s *Spec) { s.Regions = 8 },
 		"rate":     func(s *Spec) { s.Rate = -1 },
 		"deadline": func(s *Spec) { s.Deadline.Duration = 0 },
-		"warm":     func(s *Spec) { s.Warm.Duration = time.Second },
-		"for":      func(s *Spec) { s.For.Duration = 0 },
+		"warm":     func(s *Spec) { s.WarmUp.Duration = time.Second },
+		"for":      func(s *Spec) { s.SteadyDuration.Duration = 0 },
 		"event":    func(s *Spec) { s.Event = "flood" },
 
 		"probe_price": func(s *Spec) { s.ProbePrice = -1 },
 	} {
 		s := NewSpec(12)
 		spoil(&s)
-		if _, err := Play(s, Costs{}); err == nil || !strings.HasPrefix(err.Error(), field+": ") {
+		if _, err := Run(s, Costs{}); err == nil || !strings.HasPrefix(err.Error(), field+": ") {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
--- a/internal/lab/scale/sweep.go
+++ b/internal/lab/scale/sweep.go
@@ -20,7 +20,7 @@
 	Command string   `json:"command"`
 	Seconds float64  `json:"seconds"` // of real time
 	Costs   Costs    `json:"costs"`
-	Rungs   []Result `json:"rungs"`   // the runs that ended, by size
+	Runs    []Result `json:"rungs"`   // the runs that ended, by size
 	NotRun  []string `json:"not_run"` // names of runs with the reason
 }
 
@@ -34,10 +34,10 @@
 // sidecar lists.
 func (s *Spec) memoryNeededMB() float64 {
 	listed := s.Servers
-	if s.Scope > 0 {
-		listed = s.Scope * ServiceSize
+	if s.ServicesPerSidecar > 0 {
+		listed = s.ServicesPerSidecar * ServiceSize
 	}
-	need := 60 + float64(s.Sidecars)*(0.25*float64(max(1, s.Scope))+float64(listed)*0.0032)
+	need := 60 + float64(s.Sidecars)*(0.25*float64(max(1, s.ServicesPerSidecar))+float64(listed)*0.0032)
 	if s.View {
 		need += float64(s.Sidecars) * float64(s.Sidecars) * 0.004
 	}
@@ -47,10 +47,10 @@
 // cost returns the expected processor time of a run, in a unit of its own: the most expensive run starts first.
 func (s *Spec) cost() float64 {
 	listed := float64(s.Servers)
-	if s.Scope > 0 {
-		listed = float64(s.Scope * ServiceSize)
+	if s.ServicesPerSidecar > 0 {
+		listed = float64(s.ServicesPerSidecar * ServiceSize)
 	}
-	span := (s.Warm.Duration + s.For.Duration - s.LoadFrom.Duration).Seconds()
+	span := (s.WarmUp.Duration + s.SteadyDuration.Duration - s.LoadFrom.Duration).Seconds()
 	if s.Event != "" {
 		span += 120
 	}
@@ -75,8 +75,8 @@
 		change(&s)
 		s.Name = fmt.Sprintf("%s-%d", name, n)
 		switch {
-		case s.Scope > 0:
-			s.Name += fmt.Sprintf("-scope%d", s.Scope)
+		case s.ServicesPerSidecar > 0:
+			s.Name += fmt.Sprintf("-scope%d", s.ServicesPerSidecar)
 		}
 		list = append(list, s)
 	}
@@ -89,18 +89,18 @@
 			if scope*ServiceSize > n {
 				continue
 			}
-			add("rest", n, func(s *Spec) { s.Scope, s.Event = scope, "changes" })
+			add("rest", n, func(s *Spec) { s.ServicesPerSidecar, s.Event = scope, "changes" })
 			if scope == 0 {
 				add("quiet", n, func(s *Spec) { s.Rate = 0.1 })
 			}
 			load := func(s *Spec) {
-				s.Scope, s.Rate = scope, 47
-				s.LoadFrom.Duration, s.Warm.Duration, s.For.Duration = 12*time.Second, 17*time.Second, 10*time.Second
+				s.ServicesPerSidecar, s.Rate = scope, 47
+				s.LoadFrom.Duration, s.WarmUp.Duration, s.SteadyDuration.Duration = 12*time.Second, 17*time.Second, 10*time.Second
 				if n > 120 { // a call takes the longer, the more are listed
-					s.Warm.Duration, s.For.Duration = 14*time.Second, 4*time.Second
+					s.WarmUp.Duration, s.SteadyDuration.Duration = 14*time.Second, 4*time.Second
 				}
 				if n > 480 {
-					s.Warm.Duration, s.For.Duration = 13*time.Second, 2*time.Second
+					s.WarmUp.Duration, s.SteadyDuration.Duration = 13*time.Second, 2*time.Second
 				}
 			}
 			add("load", n, load)
@@ -110,16 +110,18 @@
 			}
 			for _, event := range []string{"restarts", "tenth", "rack", "zone"} {
 				add(event, n, func(s *Spec) {
-					s.Scope, s.Event, s.Rate = scope, event, 0.2
-					s.LoadFrom.Duration, s.For.Duration = 20*time.Second, 20*time.Second
+					s.ServicesPerSidecar, s.Event, s.Rate = scope, event, 0.2
+					s.LoadFrom.Duration, s.SteadyDuration.Duration = 20*time.Second, 20*time.Second
 				})
 			}
 			if scope != 5 { // five processes are five times one
-				add("apart", n, func(s *Spec) { s.Scope, s.Event, s.For.Duration = scope, "apart", 20*time.Second })
+				add("apart", n, func(s *Spec) {
+					s.ServicesPerSidecar, s.Event, s.SteadyDuration.Duration = scope, "apart", 20*time.Second
+				})
 			}
 		}
 		if n <= 480 {
-			add("news", n, func(s *Spec) { s.Peers, s.For.Duration = true, 20*time.Second })
+			add("news", n, func(s *Spec) { s.Peers, s.SteadyDuration.Duration = true, 20*time.Second })
 		}
 		if n <= 240 {
 			add("view", n, func(s *Spec) { s.View = true })
@@ -174,8 +176,8 @@
 		}()
 	}
 	runs.Wait()
-	slices.SortStableFunc(s.result.Rungs, func(a, b Result) int {
-		return cmp.Or(a.Spec.Servers-b.Spec.Servers, a.Spec.Scope-b.Spec.Scope)
+	slices.SortStableFunc(s.result.Runs, func(a, b Result) int {
+		return cmp.Or(a.Spec.Servers-b.Spec.Servers, a.Spec.ServicesPerSidecar-b.Spec.ServicesPerSidecar)
 	})
 	s.result.Seconds = time.Since(s.began).Seconds()
 	return s.result, errors.Join(s.errs...)
@@ -202,7 +204,7 @@
 func (s *sweep) run(spec *Spec) {
 	result, err := (*Result)(nil), s.ctx.Err()
 	if err == nil {
-		result, err = RunInProcess(s.ctx, s.program, Order{*spec, s.costs}, filepath.Join(s.folder, spec.Name+".json"))
+		result, err = RunInProcess(s.ctx, s.program, RunRequest{*spec, s.costs}, filepath.Join(s.folder, spec.Name+".json"))
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -222,16 +224,16 @@
 
 // add adds a result. The caller holds s.mu.
 func (s *sweep) add(spec *Spec, result *Result) {
-	s.result.Rungs = append(s.result.Rungs, *result)
+	s.result.Runs = append(s.result.Runs, *result)
 	s.report(fmt.Sprintf("%6.0f s  %s: %.0f s, %.0f CPU s, %.0f MB (expected %.0f)", time.Since(s.began).Seconds(), spec.Name,
-		result.Wall, result.CPU, result.PeakMB, spec.memoryNeededMB()))
-	if len(result.Broken) > 0 {
-		s.errs = append(s.errs, fmt.Errorf("%s: %v", spec.Name, result.Broken))
+		result.WallSeconds, result.CPUSeconds, result.PeakMB, spec.memoryNeededMB()))
+	if len(result.FailedChecks) > 0 {
+		s.errs = append(s.errs, fmt.Errorf("%s: %v", spec.Name, result.FailedChecks))
 	}
 }
 
 // RunInProcess carries out one run in a process of its own.
-func RunInProcess(ctx context.Context, program string, order Order, file string) (*Result, error) {
+func RunInProcess(ctx context.Context, program string, order RunRequest, file string) (*Result, error) {
 	if err := order.Spec.Validate(); err != nil {
 		return nil, err
 	}
--- a/internal/lab/scale/virtual_old.go
+++ b/internal/lab/scale/virtual_old.go
@@ -2,5 +2,5 @@
 
 package scale
 
-// Virtual cannot be: this toolchain has no virtual clock.
-func Virtual(Spec, Costs, func(*Result, error)) error { return ErrToolchain }
+// RunVirtual cannot be: this toolchain has no virtual clock.
+func RunVirtual(Spec, Costs, func(*Result, error)) error { return ErrNoVirtualClock }
