--- a/internal/lab/scale/chain.go
+++ b/internal/lab/scale/chain.go
@@ -51,8 +51,8 @@
 // Validate names the first field that cannot be.
 func (c *Chain) Validate() error {
 	for _, f := range []struct {
-		bad         bool
-		field, what string
+		invalid       bool
+		field, reason string
 	}{
 		{c.Levels < 1 || c.Levels > 12, "levels", "is not within 1 to 12"},
 		{c.ServersPerLevel < 1 || c.ServersPerLevel > 50, "size", "is not within 1 to 50"},
@@ -65,8 +65,8 @@
 		{c.FailureDuration.Duration <= c.EarlyDuration.Duration, "for", "is not longer than early"},
 		{c.PlainAttempts < 0 || c.PlainAttempts > 5, "plain", "is not within 0 to 5"},
 	} {
-		if f.bad {
-			return fmt.Errorf("%s %s", f.field, f.what)
+		if f.invalid {
+			return fmt.Errorf("%s %s", f.field, f.reason)
 		}
 	}
 	return nil
@@ -102,31 +102,31 @@
 	MeanTimeLeftMs float64 `json:"time_left_ms"`
 }
 
-const chainPhases = 3
+const chainPhaseCount = 3
 
-var chainPhaseNames = [chainPhases]string{"warm", "early", "late"}
+var chainPhaseNames = [chainPhaseCount]string{"warm", "early", "late"}
 
 // chain is one as it is played.
-type chain struct {
-	spec     *Chain
-	began    time.Time
-	servers  [][]*chainServer // by level, from 0
-	edge     []*chainCaller
-	agents   []*lab.FakeDiscovery
-	failing  atomic.Bool
-	outcomes [chainPhases][outcomes]atomic.Int64
-	placed   [chainPhases]atomic.Int64
-	calls    [chainPhases][]atomic.Int64 // by level called
-	attempts [chainPhases][]atomic.Int64
-	leftMs   [chainPhases][]atomic.Int64
-	running  sync.WaitGroup
-	arrived  atomic.Int64 // attempts that came to a server's machine, for the check
-	sent     atomic.Int64 // and all that left
-	unheard  atomic.Int64 // and those given up on the way
-
-	mu     sync.Mutex
-	random *rand.Rand
-	took   [chainPhases]*hdrhistogram.Histogram // µs
+type chainRun struct {
+	spec        *Chain
+	started     time.Time
+	servers     [][]*chainServer // by level, from 0
+	edgeCallers []*chainCaller
+	discoveries []*lab.FakeDiscovery
+	failing     atomic.Bool
+	outcomes    [chainPhaseCount][outcomeCount]atomic.Int64
+	callsSent   [chainPhaseCount]atomic.Int64
+	calls       [chainPhaseCount][]atomic.Int64 // by level called
+	attempts    [chainPhaseCount][]atomic.Int64
+	timeLeftMs  [chainPhaseCount][]atomic.Int64
+	running     sync.WaitGroup
+	arrived     atomic.Int64 // attempts that came to a server's machine, for the check
+	sent        atomic.Int64 // and all that left
+	undelivered atomic.Int64 // and those given up on the way
+
+	mu        sync.Mutex
+	random    *rand.Rand
+	latencies [chainPhaseCount]*hdrhistogram.Histogram // µs
 }
 
 // chainServer is a hollow pin server and the caller beside it.
@@ -138,14 +138,14 @@
 
 // chainCaller calls a level, through a sidecar or plainly.
 type chainCaller struct {
-	chain  *chain
+	run    *chainRun
 	level  int             // that it calls
 	hollow *sidecar.Hollow // nil for plain
 	conns  []upstream.SimulatedConnection
 }
 
-func (c *chain) phase() int {
-	switch at := time.Since(c.began); {
+func (c *chainRun) currentPhase() int {
+	switch at := time.Since(c.started); {
 	case at < c.spec.WarmUp.Duration:
 		return 0
 	case at < c.spec.WarmUp.Duration+c.spec.EarlyDuration.Duration:
@@ -156,20 +156,20 @@
 }
 
 // phaseOf is the phase in which the edge's call was sent that an attempt belongs to: its id begins with it.
-func phaseOf(id string) int { return int(id[0] - '0') }
+func phaseOfCall(id string) int { return int(id[0] - '0') }
 
 // call makes one call of the level and gives its code.
-func (k *chainCaller) call(ctx context.Context, id string, left time.Duration) int {
-	k.chain.calls[phaseOf(id)][k.level].Add(1)
+func (k *chainCaller) call(ctx context.Context, id string, timeLeft time.Duration) int {
+	k.run.calls[phaseOfCall(id)][k.level].Add(1)
 	if k.hollow != nil {
-		return k.hollow.Call(ctx, "read", id, left)
+		return k.hollow.Call(ctx, "read", id, timeLeft)
 	}
-	ctx, cancel := context.WithTimeout(ctx, left)
+	ctx, cancel := context.WithTimeout(ctx, timeLeft)
 	defer cancel()
 	code := sidecar.CodeClientDisconnected
-	for try := 0; try < k.chain.spec.PlainAttempts && ctx.Err() == nil; try++ {
+	for attempt := 0; attempt < k.run.spec.PlainAttempts && ctx.Err() == nil; attempt++ {
 		var err error
-		if code, _, _, err = k.conns[k.chain.draw(len(k.conns))].Do(ctx, "/read/"+id, id); err != nil {
+		if code, _, _, err = k.conns[k.run.randomIndex(len(k.conns))].Do(ctx, "/read/"+id, id); err != nil {
 			code = http.StatusBadGateway
 		}
 		if code == http.StatusOK {
@@ -182,7 +182,7 @@
 	return code
 }
 
-func (c *chain) draw(n int) int {
+func (c *chainRun) randomIndex(n int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.random.IntN(n)
@@ -190,7 +190,7 @@
 
 // chainNetwork is what lies before one level.
 type chainNetwork struct {
-	chain *chain
+	run   *chainRun
 	level int
 }
 
@@ -198,18 +198,18 @@
 func (n *chainNetwork) Dial(ctx context.Context, address string) (upstream.SimulatedConnection, error) {
 	_, port, _ := strings.Cut(address, ":")
 	number, err := strconv.Atoi(port)
-	if number -= firstPort; err != nil || number < 0 || number >= len(n.chain.servers[n.level]) {
+	if number -= firstPort; err != nil || number < 0 || number >= len(n.run.servers[n.level]) {
 		return nil, errRefused
 	}
-	if !wait(ctx, 2*n.chain.spec.OneWayDelay.Duration) {
+	if !wait(ctx, 2*n.run.spec.OneWayDelay.Duration) {
 		return nil, ctx.Err()
 	}
-	return &chainConn{server: n.chain.servers[n.level][number], chain: n.chain}, nil
+	return &chainConn{server: n.run.servers[n.level][number], run: n.run}, nil
 }
 
 type chainConn struct {
 	server *chainServer
-	chain  *chain
+	run    *chainRun
 	closed atomic.Bool
 }
 
@@ -223,35 +223,35 @@
 // milliseconds, as X-Time-Left-Ms tells it; who gives the attempt up closes its connection, and the server's own call
 // ends with that.
 func (c *chainConn) Do(ctx context.Context, path, id string) (int, http.Header, []byte, error) {
-	s, way := c.server, c.chain.spec.OneWayDelay.Duration
+	s, delay := c.server, c.run.spec.OneWayDelay.Duration
 	if id == "" { // a probe
-		if !wait(ctx, way) {
+		if !wait(ctx, delay) {
 			return 0, nil, nil, ctx.Err()
 		}
 		report := s.LoadReport()
-		if !wait(ctx, way) {
+		if !wait(ctx, delay) {
 			return 0, nil, nil, ctx.Err()
 		}
 		return http.StatusOK, nil, []byte(report), nil
 	}
-	until, ok := ctx.Deadline()
+	deadline, ok := ctx.Deadline()
 	if !ok {
 		return 0, nil, nil, errors.New("an attempt without a deadline")
 	}
-	left := max(0, time.Until(until).Truncate(time.Millisecond))
-	phase := phaseOf(id)
-	c.chain.sent.Add(1)
-	c.chain.attempts[phase][s.level].Add(1)
-	c.chain.leftMs[phase][s.level].Add(left.Milliseconds())
-	if !wait(ctx, way) {
-		c.chain.unheard.Add(1)
+	timeLeft := max(0, time.Until(deadline).Truncate(time.Millisecond))
+	phase := phaseOfCall(id)
+	c.run.sent.Add(1)
+	c.run.attempts[phase][s.level].Add(1)
+	c.run.timeLeftMs[phase][s.level].Add(timeLeft.Milliseconds())
+	if !wait(ctx, delay) {
+		c.run.undelivered.Add(1)
 		return 0, nil, nil, ctx.Err()
 	}
-	c.chain.arrived.Add(1)
-	came, code := time.Now(), http.StatusOK
+	c.run.arrived.Add(1)
+	arrived, code := time.Now(), http.StatusOK
 	verdict, report := s.Run(ctx, func() {
 		if s.next != nil {
-			code = s.next.call(ctx, id, max(0, left-time.Since(came)))
+			code = s.next.call(ctx, id, max(0, timeLeft-time.Since(arrived)))
 		}
 	})
 	header := http.Header{"X-Backend-Load": {report}}
@@ -260,17 +260,17 @@
 		return 0, nil, nil, ctx.Err()
 	case verdict == lab.VerdictRejected:
 		code, header = http.StatusServiceUnavailable, http.Header{"X-Unprocessed": {"1"}}
-	case code != http.StatusOK || s.next == nil && c.chain.fails():
+	case code != http.StatusOK || s.next == nil && c.run.drawFailure():
 		code = http.StatusInternalServerError // it has run, whatever kept the next level from answering
 	}
-	if !wait(ctx, way) {
+	if !wait(ctx, delay) {
 		return 0, nil, nil, ctx.Err()
 	}
 	return code, header, []byte("ok:" + id), nil
 }
 
 // fails draws whether the last level fails a request.
-func (c *chain) fails() bool {
+func (c *chainRun) drawFailure() bool {
 	if !c.failing.Load() {
 		return false
 	}
@@ -284,74 +284,74 @@
 	if err := spec.Validate(); err != nil {
 		return nil, err
 	}
-	c := &chain{spec: &spec, began: time.Now(), random: rand.New(rand.NewPCG(spec.Seed, 9))}
-	for p := range chainPhases {
-		c.calls[p], c.attempts[p], c.leftMs[p] = make([]atomic.Int64, spec.Levels), make([]atomic.Int64, spec.Levels), make([]atomic.Int64, spec.Levels)
-		c.took[p] = hdrhistogram.New(1, 120_000_000, 3)
+	c := &chainRun{spec: &spec, started: time.Now(), random: rand.New(rand.NewPCG(spec.Seed, 9))}
+	for p := range chainPhaseCount {
+		c.calls[p], c.attempts[p], c.timeLeftMs[p] = make([]atomic.Int64, spec.Levels), make([]atomic.Int64, spec.Levels), make([]atomic.Int64, spec.Levels)
+		c.latencies[p] = hdrhistogram.New(1, 120_000_000, 3)
 	}
-	work := lab.Server{Capacity: 256, Queue: 256, Latency: spec.Latency}
+	serverSettings := lab.Server{Capacity: 256, Queue: 256, Latency: spec.Latency}
 	for level := range spec.Levels {
-		agent := lab.NewFakeDiscoveryHandler(spec.Seed + uint64(level))
-		var all []*chainServer
+		discovery := lab.NewFakeDiscoveryHandler(spec.Seed + uint64(level))
+		var servers []*chainServer
 		for j := range spec.ServersPerLevel {
-			s := &chainServer{ServerModel: lab.NewServerModel(work, spec.Seed+uint64(level*spec.ServersPerLevel+j)), level: level, number: j}
-			all = append(all, s)
-			agent.Set(lab.Instance{Name: fmt.Sprintf("l%d-%d", level, j), Address: "127.0.0.1:" + strconv.Itoa(firstPort+j), Zone: "z0", MachineType: "m",
+			s := &chainServer{ServerModel: lab.NewServerModel(serverSettings, spec.Seed+uint64(level*spec.ServersPerLevel+j)), level: level, number: j}
+			servers = append(servers, s)
+			discovery.Set(lab.Instance{Name: fmt.Sprintf("l%d-%d", level, j), Address: "127.0.0.1:" + strconv.Itoa(firstPort+j), Zone: "z0", MachineType: "m",
 				Health: "Ready", Weight: 1, StartedAtMillis: s.StartedAt().UnixMilli() - time.Hour.Milliseconds()}, nil)
 		}
-		c.servers, c.agents = append(c.servers, all), append(c.agents, agent)
+		c.servers, c.discoveries = append(c.servers, servers), append(c.discoveries, discovery)
 	}
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	for i := range spec.ServersPerLevel {
-		caller, err := c.caller(ctx, i, 0)
+		caller, err := c.newCaller(ctx, i, 0)
 		if err != nil {
-			end()
+			cancel()
 			return nil, err
 		}
-		c.edge = append(c.edge, caller)
+		c.edgeCallers = append(c.edgeCallers, caller)
 		for level := range spec.Levels - 1 {
-			if c.servers[level][i].next, err = c.caller(ctx, i, level+1); err != nil {
-				end()
+			if c.servers[level][i].next, err = c.newCaller(ctx, i, level+1); err != nil {
+				cancel()
 				return nil, err
 			}
 		}
 	}
-	for i, caller := range c.edge {
+	for i, caller := range c.edgeCallers {
 		c.running.Add(1)
 		go func() {
 			defer c.running.Done()
-			c.load(caller, rand.New(rand.NewPCG(spec.Seed, uint64(i)+100)))
+			c.generateLoad(caller, rand.New(rand.NewPCG(spec.Seed, uint64(i)+100)))
 		}()
 	}
 	time.Sleep(spec.WarmUp.Duration)
 	c.failing.Store(true)
 	time.Sleep(spec.FailureDuration.Duration)
 	time.Sleep(spec.Deadline.Duration + time.Second)
-	end()
+	cancel()
 	c.running.Wait()
 	time.Sleep(time.Minute) // timers run out
 	return c.result(), nil
 }
 
 // caller makes the one number i of those that call a level.
-func (c *chain) caller(ctx context.Context, i, level int) (*chainCaller, error) {
-	k := &chainCaller{chain: c, level: level}
+func (c *chainRun) newCaller(ctx context.Context, i, level int) (*chainCaller, error) {
+	k := &chainCaller{run: c, level: level}
 	if c.spec.PlainAttempts > 0 {
 		for _, s := range c.servers[level] {
-			k.conns = append(k.conns, &chainConn{server: s, chain: c})
+			k.conns = append(k.conns, &chainConn{server: s, run: c})
 		}
 		return k, nil
 	}
-	exp := &lab.Experiment{Name: "chain", Seed: c.spec.Seed + uint64(level), Load: lab.Load{Deadline: c.spec.Deadline},
+	experiment := &lab.Experiment{Name: "chain", Seed: c.spec.Seed + uint64(level), Load: lab.Load{Deadline: c.spec.Deadline},
 		Fleet: lab.Fleet{Sidecars: c.spec.ServersPerLevel, Servers: c.spec.ServersPerLevel, Zones: []string{"z0"}}}
-	cfg, err := config.Parse(exp.SidecarConfig(i, c.spec.ServersPerLevel, "127.0.0.1:1", "127.0.0.1:2", ""))
+	cfg, err := config.Parse(experiment.SidecarConfig(i, c.spec.ServersPerLevel, "127.0.0.1:1", "127.0.0.1:2", ""))
 	if err != nil {
 		return nil, err
 	}
 	net := &network{spec: &Spec{Zones: 1, Regions: 1}}
-	way := &client{network: net, sent: &tally{}}
-	k.hollow, err = sidecar.NewHollow(ctx, cfg, sidecar.HollowOptions{Network: &chainNetwork{chain: c, level: level},
-		Discovery: &caller{client: way, agent: &agent{}, handler: c.agents[level]}, Log: slog.New(slog.DiscardHandler)})
+	discoveryClient := &client{network: net, counters: &counters{}}
+	k.hollow, err = sidecar.NewHollow(ctx, cfg, sidecar.HollowOptions{Network: &chainNetwork{run: c, level: level},
+		Discovery: &discoveryTransport{client: discoveryClient, agent: &discoveryAgent{}, handler: c.discoveries[level]}, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		return nil, err
 	}
@@ -361,28 +361,28 @@
 }
 
 // load sends an edge caller's calls until the failures' time is over.
-func (c *chain) load(k *chainCaller, random *rand.Rand) {
+func (c *chainRun) generateLoad(k *chainCaller, random *rand.Rand) {
 	for k.hollow != nil && !k.hollow.HasEndpoints() {
 		time.Sleep(100 * time.Millisecond)
 	}
-	ends := c.spec.WarmUp.Duration + c.spec.FailureDuration.Duration
+	end := c.spec.WarmUp.Duration + c.spec.FailureDuration.Duration
 	for n := 0; ; n++ {
 		time.Sleep(time.Duration(random.ExpFloat64() / c.spec.Rate * float64(time.Second)))
-		if time.Since(c.began) >= ends {
+		if time.Since(c.started) >= end {
 			return
 		}
-		phase := c.phase()
+		phase := c.currentPhase()
 		id := strconv.Itoa(phase) + strconv.FormatUint(random.Uint64(), 16)
-		c.placed[phase].Add(1)
+		c.callsSent[phase].Add(1)
 		c.running.Add(1)
 		go func() {
 			defer c.running.Done()
 			sent := time.Now()
 			code := k.call(context.Background(), id, c.spec.Deadline.Duration)
-			took := time.Since(sent)
+			latency := time.Since(sent)
 			o := failed
 			switch {
-			case code == http.StatusOK && took > c.spec.Deadline.Duration+50*time.Millisecond:
+			case code == http.StatusOK && latency > c.spec.Deadline.Duration+50*time.Millisecond:
 				o = late
 			case code == http.StatusOK:
 				o = served
@@ -392,23 +392,23 @@
 			c.outcomes[phase][o].Add(1)
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.took[phase].RecordValue(took.Microseconds())
+			c.latencies[phase].RecordValue(latency.Microseconds())
 		}()
 	}
 }
 
-func (c *chain) result() *ChainResult {
+func (c *chainRun) result() *ChainResult {
 	r := &ChainResult{Spec: *c.spec, FailedChecks: []string{}}
-	lengths := [chainPhases]time.Duration{c.spec.WarmUp.Duration, c.spec.EarlyDuration.Duration, c.spec.FailureDuration.Duration - c.spec.EarlyDuration.Duration}
-	per := func(a, b int64) float64 {
+	durations := [chainPhaseCount]time.Duration{c.spec.WarmUp.Duration, c.spec.EarlyDuration.Duration, c.spec.FailureDuration.Duration - c.spec.EarlyDuration.Duration}
+	ratio := func(a, b int64) float64 {
 		if b == 0 {
 			return 0
 		}
 		return float64(a) / float64(b)
 	}
-	for p := range chainPhases {
-		phase := ChainPhase{Name: chainPhaseNames[p], Seconds: lengths[p].Seconds(), Calls: c.placed[p].Load(), Outcomes: map[string]int64{},
-			P50Ms: float64(c.took[p].ValueAtQuantile(50)) / 1000, P99Ms: float64(c.took[p].ValueAtQuantile(99)) / 1000}
+	for p := range chainPhaseCount {
+		phase := ChainPhase{Name: chainPhaseNames[p], Seconds: durations[p].Seconds(), Calls: c.callsSent[p].Load(), Outcomes: map[string]int64{},
+			P50Ms: float64(c.latencies[p].ValueAtQuantile(50)) / 1000, P99Ms: float64(c.latencies[p].ValueAtQuantile(99)) / 1000}
 		ended := int64(0)
 		for o, name := range outcomeNames {
 			if n := c.outcomes[p][o].Load(); n > 0 {
@@ -421,12 +421,12 @@
 		}
 		for level := range c.spec.Levels {
 			calls, attempts := c.calls[p][level].Load(), c.attempts[p][level].Load()
-			phase.Levels = append(phase.Levels, ChainLevel{calls, attempts, per(attempts, calls), per(c.leftMs[p][level].Load(), attempts)})
+			phase.Levels = append(phase.Levels, ChainLevel{calls, attempts, ratio(attempts, calls), ratio(c.timeLeftMs[p][level].Load(), attempts)})
 		}
-		phase.LastLevelAttemptsPerCall = per(phase.Levels[c.spec.Levels-1].Attempts, phase.Calls)
+		phase.LastLevelAttemptsPerCall = ratio(phase.Levels[c.spec.Levels-1].Attempts, phase.Calls)
 		r.Phases = append(r.Phases, phase)
 	}
-	if sent, arrived, unheard := c.sent.Load(), c.arrived.Load(), c.unheard.Load(); sent != arrived+unheard {
+	if sent, arrived, unheard := c.sent.Load(), c.arrived.Load(), c.undelivered.Load(); sent != arrived+unheard {
 		r.FailedChecks = append(r.FailedChecks, fmt.Sprintf("%d attempts were sent, %d came and %d were given up", sent, arrived, unheard))
 	}
 	return r
@@ -434,16 +434,16 @@
 
 // Naive is the attempts at the last level for each call of the edge, reckoned, where every level makes so many attempts
 // at the most until one succeeds, nothing else ends them, and the last level fails this share.
-func NaiveAttemptsPerCall(levels, tries int, fail float64) float64 {
+func NaiveAttemptsPerCall(levels, attempts int, fail float64) float64 {
 	product := 1.0
 	for range levels {
-		sum, all := 0.0, 1.0 // all: the chance that an attempt is made
-		for range tries {
-			sum += all
-			all *= fail
+		expected, reached := 0.0, 1.0 // all: the chance that an attempt is made
+		for range attempts {
+			expected += reached
+			reached *= fail
 		}
-		product *= sum
-		fail = all // of the level before: all of its attempts failed
+		product *= expected
+		fail = reached // of the level before: all of its attempts failed
 	}
 	return product
 }
@@ -455,16 +455,16 @@
 	fmt.Fprint(w, "tries\tfail\tphase\tcalls\tserved\trefused\tfailed\tlate\tp99 ms\tlast/call\tby level: attempts a call\tlast's time left ms\t\n")
 	for _, r := range results {
 		for _, p := range r.Phases {
-			tries := "sidecar"
+			callers := "sidecar"
 			if r.Spec.PlainAttempts > 0 {
-				tries = fmt.Sprintf("plain %d", r.Spec.PlainAttempts)
+				callers = fmt.Sprintf("plain %d", r.Spec.PlainAttempts)
 			}
-			var by []string
+			var byLevel []string
 			for _, l := range p.Levels {
-				by = append(by, fmt.Sprintf("%.2f", l.AttemptsPerCall))
+				byLevel = append(byLevel, fmt.Sprintf("%.2f", l.AttemptsPerCall))
 			}
-			fmt.Fprintf(w, "%s\t%v\t%s\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.3f\t%s\t%.0f\t\n", tries, r.Spec.FailureRate, p.Name, p.Calls, p.Outcomes["served"],
-				p.Outcomes["refused"], p.Outcomes["failed"], p.Outcomes["late"], p.P99Ms, p.LastLevelAttemptsPerCall, strings.Join(by, " "), p.Levels[len(p.Levels)-1].MeanTimeLeftMs)
+			fmt.Fprintf(w, "%s\t%v\t%s\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.3f\t%s\t%.0f\t\n", callers, r.Spec.FailureRate, p.Name, p.Calls, p.Outcomes["served"],
+				p.Outcomes["refused"], p.Outcomes["failed"], p.Outcomes["late"], p.P99Ms, p.LastLevelAttemptsPerCall, strings.Join(byLevel, " "), p.Levels[len(p.Levels)-1].MeanTimeLeftMs)
 		}
 	}
 	w.Flush()
--- a/internal/lab/scale/chain_test.go
+++ b/internal/lab/scale/chain_test.go
@@ -13,14 +13,14 @@
 )
 
 // shallow is a chain of three levels, played in seconds.
-func shallow(fail float64, plain int) Chain {
+func threeLevelChain(fail float64, plain int) Chain {
 	c := NewChain()
 	c.Levels, c.ServersPerLevel, c.Rate, c.FailureRate, c.PlainAttempts = 3, 3, 20, fail, plain
 	c.WarmUp, c.EarlyDuration, c.FailureDuration = lab.Duration{Duration: 8 * time.Second}, lab.Duration{Duration: 4 * time.Second}, lab.Duration{Duration: 12 * time.Second}
 	return c
 }
 
-func playedChain(t *testing.T, c Chain) *ChainResult {
+func mustRunChain(t *testing.T, c Chain) *ChainResult {
 	t.Helper()
 	var r *ChainResult
 	synctest.Test(t, func(t *testing.T) {
@@ -43,7 +43,7 @@
 		t.Errorf("nine levels of two tries that all fail: %v, want 512", n)
 	}
 	for _, fail := range []float64{0.5, 1} {
-		r, want := playedChain(t, shallow(fail, 2)), NaiveAttemptsPerCall(3, 2, fail)
+		r, want := mustRunChain(t, threeLevelChain(fail, 2)), NaiveAttemptsPerCall(3, 2, fail)
 		if got := r.Phases[2].LastLevelAttemptsPerCall; math.Abs(got-want) > 0.1*want || fail == 1 && got != want {
 			t.Errorf("plain, %v fail: %.3f attempts at the last level for each call, reckoned %.3f", fail, got, want)
 		}
@@ -51,21 +51,21 @@
 			t.Errorf("plain, before the failures: %+v", warm)
 		}
 	}
-	right := playedChain(t, shallow(0, 0))
-	for _, p := range right.Phases {
+	healthy := mustRunChain(t, threeLevelChain(0, 0))
+	for _, p := range healthy.Phases {
 		if p.LastLevelAttemptsPerCall < 0.99 || p.LastLevelAttemptsPerCall > 1.1 || p.Outcomes["served"] < p.Calls*99/100 {
 			t.Errorf("nothing fails, %s: %+v", p.Name, p)
 		}
 	}
 	// Each level's budget is a retry for every fifth call, and 10 at once in the beginning.
-	most := math.Pow(1.2, 3)
-	if late := playedChain(t, shallow(1, 0)).Phases[2]; late.LastLevelAttemptsPerCall > most || late.Outcomes["served"] > 0 {
-		t.Errorf("all fail: %.3f attempts at the last level for each call, want %.3f at the most; %v", late.LastLevelAttemptsPerCall, most, late.Outcomes)
+	maxPerCall := math.Pow(1.2, 3)
+	if late := mustRunChain(t, threeLevelChain(1, 0)).Phases[2]; late.LastLevelAttemptsPerCall > maxPerCall || late.Outcomes["served"] > 0 {
+		t.Errorf("all fail: %.3f attempts at the last level for each call, want %.3f at the most; %v", late.LastLevelAttemptsPerCall, maxPerCall, late.Outcomes)
 	}
 }
 
 func TestBadChainNamesTheField(t *testing.T) {
-	for field, spoil := range map[string]func(*Chain){
+	for field, invalidate := range map[string]func(*Chain){
 		"levels":   func(c *Chain) { c.Levels = 0 },
 		"size":     func(c *Chain) { c.ServersPerLevel = 0 },
 		"rate":     func(c *Chain) { c.Rate = 0 },
@@ -77,7 +77,7 @@
 		"plain":    func(c *Chain) { c.PlainAttempts = 9 },
 	} {
 		c := NewChain()
-		spoil(&c)
+		invalidate(&c)
 		if _, err := RunChain(c); err == nil || !strings.HasPrefix(err.Error(), field+" ") {
 			t.Errorf("%s: %v", field, err)
 		}
--- a/internal/lab/scale/network.go
+++ b/internal/lab/scale/network.go
@@ -18,73 +18,73 @@
 )
 
 // kind is what a tally counts.
-type kind int
+type counter int
 
 const (
-	probes         kind = iota // sent
-	probeConns                 // opened for one
-	attempts                   // of calls, sent
-	attemptConns               // opened for one
-	deadDials                  // connections that did not come up
-	unheard                    // probes and attempts that no server bore
-	lists                      // calls of discovery
-	listBytes                  // bodies of its answers
-	newsSent                   // datagrams, by those who send
-	newsSentBytes              // payload
-	newsBorne                  // by those who receive
-	newsBorneBytes             // payload
+	probes              counter = iota // sent
+	probeConns                         // opened for one
+	attempts                           // of calls, sent
+	attemptConns                       // opened for one
+	failedDials                        // connections that did not come up
+	undelivered                        // probes and attempts that no server bore
+	listCalls                          // calls of discovery
+	listBytes                          // bodies of its answers
+	gossipSent                         // datagrams, by those who send
+	gossipSentBytes                    // payload
+	gossipReceived                     // by those who receive
+	gossipReceivedBytes                // payload
 	viewSent
 	viewSentBytes
-	viewBorne
-	viewBorneBytes
-	kinds
+	viewReceived
+	viewReceivedBytes
+	counterCount
 )
 
-var kindNames = [kinds]string{"probes", "probe_conns", "attempts", "attempt_conns", "dead_dials", "unheard", "lists", "list_bytes",
+var counterNames = [counterCount]string{"probes", "probe_conns", "attempts", "attempt_conns", "dead_dials", "unheard", "lists", "list_bytes",
 	"news_sent", "news_sent_bytes", "news_borne", "news_borne_bytes", "view_sent", "view_sent_bytes", "view_borne", "view_borne_bytes"}
 
 // tally counts one machine's part.
-type tally [kinds]atomic.Int64
+type counters [counterCount]atomic.Int64
 
 // server is a hollow pin server.
 type server struct {
 	*lab.ServerModel
-	number int
-	zone   int
-	life   atomic.Int64 // moves with each start
-	down   atomic.Bool  // no process: connections are refused
-	silent atomic.Bool  // no machine: nothing answers
-	borne  tally        // probes, attempts and connections
+	number      int
+	zone        int
+	incarnation atomic.Int64 // moves with each start
+	down        atomic.Bool  // no process: connections are refused
+	unreachable atomic.Bool  // no machine: nothing answers
+	received    counters     // probes, attempts and connections
 }
 
 // network is what lies between all of them. Its faults are of machines, zones and regions.
 type network struct {
 	spec    *Spec
 	servers []*server
-	agents  []*agent // one a region
+	agents  []*discoveryAgent // one a region
 
-	apart atomic.Bool // the regions
+	partitioned atomic.Bool // the regions
 
 	// Tests have them do wrong on purpose; else nil.
-	through func(carrying) carrying
-	answers func(sidecar int, agent http.Handler) http.Handler
+	wrapRoundTrip func(roundTripFunc) roundTripFunc
+	wrapDiscovery func(sidecar int, agent http.Handler) http.Handler
 
-	links map[netip.AddrPort]*station
-	zones [][]*station // stations by zone
+	sockets       map[netip.AddrPort]*datagramSocket
+	socketsByZone [][]*datagramSocket // stations by zone
 }
 
 // agent is discovery's, of one region.
-type agent struct {
+type discoveryAgent struct {
 	zone     int
 	handlers []*lab.FakeDiscovery // one for all servers, or one a service
-	borne    tally                // lists
+	received counters             // lists
 }
 
 // firstPort is the first server's: discovery tells each caller its own address of every server, so that the port alone
 // tells one from the other.
 const firstPort = 10000
 
-func (n *network) at(address string) *server {
+func (n *network) serverAt(address string) *server {
 	_, port, _ := strings.Cut(address, ":")
 	number, err := strconv.Atoi(port)
 	if number -= firstPort; err != nil || number < 0 || number >= len(n.servers) {
@@ -94,13 +94,15 @@
 }
 
 // cut says whether nothing passes between two zones.
-func (n *network) cut(a, b int) bool { return n.apart.Load() && n.spec.region(a) != n.spec.region(b) }
+func (n *network) isPartitioned(a, b int) bool {
+	return n.partitioned.Load() && n.spec.regionOf(a) != n.spec.regionOf(b)
+}
 
 // client is one sidecar's side of the network.
 type client struct {
 	*network
-	zone int
-	sent *tally
+	zone     int
+	counters *counters
 }
 
 var (
@@ -110,24 +112,24 @@
 
 // Dial opens a connection to a server.
 func (c *client) Dial(ctx context.Context, address string) (upstream.SimulatedConnection, error) {
-	s := c.at(address)
+	s := c.serverAt(address)
 	if s == nil {
 		return nil, errRefused
 	}
-	if s.silent.Load() || c.cut(c.zone, s.zone) {
+	if s.unreachable.Load() || c.isPartitioned(c.zone, s.zone) {
 		<-ctx.Done()
-		c.sent[deadDials].Add(1)
+		c.counters[failedDials].Add(1)
 		return nil, ctx.Err()
 	}
 	if !wait(ctx, 2*c.spec.delay(c.zone, s.zone)) {
-		c.sent[deadDials].Add(1)
+		c.counters[failedDials].Add(1)
 		return nil, ctx.Err()
 	}
 	if s.down.Load() {
-		c.sent[deadDials].Add(1)
+		c.counters[failedDials].Add(1)
 		return nil, errRefused
 	}
-	return &connection{client: c, server: s, life: s.life.Load(), fresh: true}, nil
+	return &connection{client: c, server: s, incarnation: s.incarnation.Load(), isNew: true}, nil
 }
 
 // wait lets a time pass, unless ctx ends first.
@@ -148,15 +150,15 @@
 
 type connection struct {
 	*client
-	server *server
-	life   int64
-	fresh  bool
-	closed atomic.Bool
+	server      *server
+	incarnation int64
+	isNew       bool
+	closed      atomic.Bool
 }
 
 // IsOpen says whether neither side closed the connection.
 func (c *connection) IsOpen() bool {
-	return !c.closed.Load() && c.life == c.server.life.Load() && !c.server.down.Load()
+	return !c.closed.Load() && c.incarnation == c.server.incarnation.Load() && !c.server.down.Load()
 }
 
 // Close closes it.
@@ -164,51 +166,51 @@
 
 // Do sends a request and brings the answer.
 func (c *connection) Do(ctx context.Context, path, id string) (int, http.Header, []byte, error) {
-	message, conns := attempts, attemptConns
+	requestCounter, connCounter := attempts, attemptConns
 	if id == "" {
-		message, conns = probes, probeConns
+		requestCounter, connCounter = probes, probeConns
 	}
-	c.sent[message].Add(1)
-	if c.fresh {
-		c.fresh = false
-		c.sent[conns].Add(1)
-		c.server.borne[conns].Add(1)
+	c.counters[requestCounter].Add(1)
+	if c.isNew {
+		c.isNew = false
+		c.counters[connCounter].Add(1)
+		c.server.received[connCounter].Add(1)
 	}
-	if c.through != nil {
-		return c.through(c.carry)(ctx, message, id)
+	if c.wrapRoundTrip != nil {
+		return c.wrapRoundTrip(c.roundTrip)(ctx, requestCounter, id)
 	}
-	return c.carry(ctx, message, id)
+	return c.roundTrip(ctx, requestCounter, id)
 }
 
 // carrying brings a request to a server and its answer back.
-type carrying func(ctx context.Context, message kind, id string) (int, http.Header, []byte, error)
+type roundTripFunc func(ctx context.Context, message counter, id string) (int, http.Header, []byte, error)
 
 // carry is the network's part of Do, and the server's.
-func (c *connection) carry(ctx context.Context, message kind, id string) (int, http.Header, []byte, error) {
+func (c *connection) roundTrip(ctx context.Context, requestCounter counter, id string) (int, http.Header, []byte, error) {
 	s := c.server
-	lost := func() (int, http.Header, []byte, error) {
+	awaitCancel := func() (int, http.Header, []byte, error) {
 		<-ctx.Done()
 		return 0, nil, nil, ctx.Err()
 	}
-	unborne := func() { c.sent[unheard].Add(1) }
-	if s.silent.Load() || c.cut(c.zone, s.zone) {
-		unborne()
-		return lost()
+	countUndelivered := func() { c.counters[undelivered].Add(1) }
+	if s.unreachable.Load() || c.isPartitioned(c.zone, s.zone) {
+		countUndelivered()
+		return awaitCancel()
 	}
-	way := c.spec.delay(c.zone, s.zone)
-	if !wait(ctx, way) {
-		unborne()
+	delay := c.spec.delay(c.zone, s.zone)
+	if !wait(ctx, delay) {
+		countUndelivered()
 		return 0, nil, nil, ctx.Err()
 	}
-	if c.life != s.life.Load() || s.down.Load() {
-		unborne()
+	if c.incarnation != s.incarnation.Load() || s.down.Load() {
+		countUndelivered()
 		return 0, nil, nil, errReset
 	}
-	s.borne[message].Add(1)
+	s.received[requestCounter].Add(1)
 	var code int
 	var header http.Header
 	var body []byte
-	if message == probes {
+	if requestCounter == probes {
 		code, body = http.StatusOK, []byte(s.LoadReport())
 	} else {
 		verdict, report := s.Run(ctx, func() {})
@@ -224,109 +226,109 @@
 			body = []byte("ok:" + id)
 		}
 	}
-	if c.cut(c.zone, s.zone) || s.silent.Load() {
-		return lost()
+	if c.isPartitioned(c.zone, s.zone) || s.unreachable.Load() {
+		return awaitCancel()
 	}
-	if c.life != s.life.Load() {
+	if c.incarnation != s.incarnation.Load() {
 		return 0, nil, nil, errReset
 	}
-	if !wait(ctx, way) {
+	if !wait(ctx, delay) {
 		return 0, nil, nil, ctx.Err()
 	}
 	return code, header, body, nil
 }
 
 // caller is a sidecar's process's way to discovery.
-type caller struct {
+type discoveryTransport struct {
 	*client
-	agent   *agent
+	agent   *discoveryAgent
 	handler http.Handler
 }
 
 // RoundTrip calls the agent's own handler.
-func (c *caller) RoundTrip(r *http.Request) (*http.Response, error) {
+func (c *discoveryTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	ctx := r.Context()
-	c.sent[lists].Add(1)
-	way := c.spec.delay(c.zone, c.agent.zone)
-	if !wait(ctx, way) {
+	c.counters[listCalls].Add(1)
+	delay := c.spec.delay(c.zone, c.agent.zone)
+	if !wait(ctx, delay) {
 		return nil, ctx.Err()
 	}
-	c.agent.borne[lists].Add(1)
-	w := &recorder{code: http.StatusOK, header: http.Header{}}
+	c.agent.received[listCalls].Add(1)
+	w := &responseRecorder{code: http.StatusOK, header: http.Header{}}
 	c.handler.ServeHTTP(w, r)
-	if !wait(ctx, way) {
+	if !wait(ctx, delay) {
 		return nil, ctx.Err()
 	}
 	n := int64(w.body.Len())
-	c.sent[listBytes].Add(n)
-	c.agent.borne[listBytes].Add(n)
+	c.counters[listBytes].Add(n)
+	c.agent.received[listBytes].Add(n)
 	return &http.Response{StatusCode: w.code, Status: http.StatusText(w.code), Header: w.header, Body: io.NopCloser(&w.body), Request: r}, nil
 }
 
 // recorder keeps an answer.
-type recorder struct {
+type responseRecorder struct {
 	code   int
 	header http.Header
 	body   bytes.Buffer
 }
 
-func (w *recorder) Header() http.Header         { return w.header }
-func (w *recorder) WriteHeader(code int)        { w.code = code }
-func (w *recorder) Write(p []byte) (int, error) { return w.body.Write(p) }
+func (w *responseRecorder) Header() http.Header         { return w.header }
+func (w *responseRecorder) WriteHeader(code int)        { w.code = code }
+func (w *responseRecorder) Write(p []byte) (int, error) { return w.body.Write(p) }
 
 // station is one sidecar's place for datagrams.
-type station struct {
-	zone    int
-	address netip.AddrPort
-	sent    *tally
-	link    atomic.Pointer[datagram.Transport] // nil while it does not run
+type datagramSocket struct {
+	zone      int
+	address   netip.AddrPort
+	counters  *counters
+	transport atomic.Pointer[datagram.Transport] // nil while it does not run
 }
 
 // hub reaches all stations.
-var hub = netip.MustParseAddrPort("10.255.255.255:7946")
+var broadcastAddress = netip.MustParseAddrPort("10.255.255.255:7946")
 
-func stationAddress(i int) netip.AddrPort {
+func socketAddress(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7946)
 }
 
 // send carries one datagram from a station.
-func (n *network) send(from *station, data []byte, to netip.AddrPort) error {
-	own, ownBytes := viewSent, viewSentBytes
+func (n *network) send(from *datagramSocket, data []byte, to netip.AddrPort) error {
+	messages, payload := viewSent, viewSentBytes
 	if datagram.Channel(data[0]) == datagram.ChannelGossip {
-		own, ownBytes = newsSent, newsSentBytes
+		messages, payload = gossipSent, gossipSentBytes
 	}
-	from.sent[own].Add(1) // to the hub too it is one
-	from.sent[ownBytes].Add(int64(len(data)))
-	one := n.links[to]
-	if to == hub {
-		for zone, all := range n.zones {
-			n.carry(from, zone, all, data)
+	from.counters[messages].Add(1) // to the hub too it is one
+	from.counters[payload].Add(int64(len(data)))
+	target := n.sockets[to]
+	if to == broadcastAddress {
+		for zone, all := range n.socketsByZone {
+			n.deliver(from, zone, all, data)
 		}
-	} else if one != nil {
-		n.carry(from, one.zone, []*station{one}, data)
+	} else if target != nil {
+		n.deliver(from, target.zone, []*datagramSocket{target}, data)
 	}
 	return nil
 }
 
 // carry brings a datagram to stations of one zone.
-func (n *network) carry(from *station, zone int, to []*station, data []byte) {
-	if n.cut(from.zone, zone) || len(to) == 0 {
+func (n *network) deliver(from *datagramSocket, zone int, to []*datagramSocket, data []byte) {
+	if n.isPartitioned(from.zone, zone) || len(to) == 0 {
 		return
 	}
-	held := bytes.Clone(data)
+	content := bytes.Clone(data)
 	time.AfterFunc(n.spec.delay(from.zone, zone), func() {
 		for _, s := range to {
-			l := s.link.Load()
-			if l == nil || s == from {
+			transport := s.transport.Load()
+			if transport == nil || s == from {
 				continue
 			}
-			borne, borneBytes := viewBorne, viewBorneBytes
-			if datagram.Channel(held[0]) == datagram.ChannelGossip {
-				borne, borneBytes = newsBorne, newsBorneBytes
+			messages, payload := viewReceived, viewReceivedBytes
+			if datagram.Channel(content[0]) == datagram.ChannelGossip {
+				messages, payload = gossipReceived, gossipReceivedBytes
 			}
-			s.sent[borne].Add(1)
-			s.sent[borneBytes].Add(int64(len(held)))
-			l.Deliver(from.address, bytes.Clone(held))
+			s.counters[messages].Add(1)
+			s.counters[payload].Add(int64(len(content)))
+			transport.Deliver(from.address, bytes.Clone(content))
 		}
 	})
 }
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -69,9 +69,9 @@
 	}
 	p.X.Tick.Marker, p.Y.Tick.Marker = sizes, rates
 	p.Add(plotter.NewGrid())
-	least, most := math.Inf(1), 0.0
+	minServers, maxServers := math.Inf(1), 0.0
 	for _, line := range []struct {
-		label, rung, phase string
+		label, kind, phase string
 		scope              int
 		c                  color.Color
 	}{
@@ -90,27 +90,27 @@
 		for i := range l.Runs {
 			r := &l.Runs[i]
 			phase := r.Phase(line.phase)
-			if kind, _, _ := strings.Cut(r.Spec.Name, "-"); kind != line.rung || r.Spec.ServicesPerSidecar != line.scope || phase == nil || phase.Bytes["all"].P99 <= 0 {
+			if runKind, _, _ := strings.Cut(r.Spec.Name, "-"); runKind != line.kind || r.Spec.ServicesPerSidecar != line.scope || phase == nil || phase.Bytes["all"].P99 <= 0 {
 				continue
 			}
 			points = append(points, plotter.XY{X: float64(r.Spec.Servers), Y: phase.Bytes["all"].P99})
-			least, most = math.Min(least, float64(r.Spec.Servers)), math.Max(most, float64(r.Spec.Servers))
+			minServers, maxServers = math.Min(minServers, float64(r.Spec.Servers)), math.Max(maxServers, float64(r.Spec.Servers))
 		}
 		if len(points) == 0 {
 			continue
 		}
-		drawn, marks, err := plotter.NewLinePoints(points)
+		segments, marks, err := plotter.NewLinePoints(points)
 		if err != nil {
 			return err
 		}
-		drawn.Color, marks.Color = line.c, line.c
-		p.Add(drawn, marks)
-		p.Legend.Add(line.label, drawn, marks)
+		segments.Color, marks.Color = line.c, line.c
+		p.Add(segments, marks)
+		p.Legend.Add(line.label, segments, marks)
 	}
-	if most == 0 {
+	if maxServers == 0 {
 		return nil // nothing was played that is drawn
 	}
-	budget, err := plotter.NewLine(plotter.XYs{{X: least, Y: BudgetBytesPerSecond}, {X: math.Max(most, least*1.01), Y: BudgetBytesPerSecond}})
+	budget, err := plotter.NewLine(plotter.XYs{{X: minServers, Y: BudgetBytesPerSecond}, {X: math.Max(maxServers, minServers*1.01), Y: BudgetBytesPerSecond}})
 	if err != nil {
 		return err
 	}
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -77,19 +77,19 @@
 }
 
 // wire is the control bytes of counts, by kind.
-func (c *Costs) wire(n [kinds]int64) map[string]float64 {
-	x := func(k kind) float64 { return float64(n[k]) }
-	b := map[string]float64{
-		"probe":     x(probes)*c.Probe + x(probeConns)*c.Conn + x(deadDials)*c.FailedDial,
-		"discovery": x(lists)*c.DiscoveryCall + x(listBytes)*c.DiscoveryByte,
-		"news":      (x(newsSent)+x(newsBorne))*c.Datagram + x(newsSentBytes) + x(newsBorneBytes),
-		"view":      (x(viewSent)+x(viewBorne))*c.Datagram + x(viewSentBytes) + x(viewBorneBytes),
+func (c *Costs) wireBytes(n [counterCount]int64) map[string]float64 {
+	count := func(k counter) float64 { return float64(n[k]) }
+	bytes := map[string]float64{
+		"probe":     count(probes)*c.Probe + count(probeConns)*c.Conn + count(failedDials)*c.FailedDial,
+		"discovery": count(listCalls)*c.DiscoveryCall + count(listBytes)*c.DiscoveryByte,
+		"news":      (count(gossipSent)+count(gossipReceived))*c.Datagram + count(gossipSentBytes) + count(gossipReceivedBytes),
+		"view":      (count(viewSent)+count(viewReceived))*c.Datagram + count(viewSentBytes) + count(viewReceivedBytes),
 	}
-	b["all"] = b["probe"] + b["discovery"] + b["news"] + b["view"]
-	return b
+	bytes["all"] = bytes["probe"] + bytes["discovery"] + bytes["news"] + bytes["view"]
+	return bytes
 }
 
-func less(a, b [kinds]int64) (d [kinds]int64) {
+func subtract(a, b [counterCount]int64) (d [counterCount]int64) {
 	for k := range a {
 		d[k] = a[k] - b[k]
 	}
@@ -114,49 +114,49 @@
 }
 
 // reckon gives a phase from its frames.
-func (f *fleet) reckon(name string, frames []frame) Phase {
-	first, last := frames[0], frames[len(frames)-1]
+func (f *fleet) summarize(name string, snapshots []snapshot) Phase {
+	first, last := snapshots[0], snapshots[len(snapshots)-1]
 	p := Phase{Name: name, From: first.at.Seconds(), To: last.at.Seconds(), Sidecar: map[string]Rate{}, Server: map[string]Rate{},
-		Agent: map[string]float64{}, Bytes: map[string]Rate{}, Outcomes: map[string]int64{}, CPUSeconds: last.cpu - first.cpu}
+		Agent: map[string]float64{}, Bytes: map[string]Rate{}, Outcomes: map[string]int64{}, CPUSeconds: last.cpuSeconds - first.cpuSeconds}
 	seconds := p.To - p.From
-	rates := func(of func(frame) [][kinds]int64, into map[string]Rate, bytes map[string]Rate) {
-		var each [kinds][]float64
-		wire := map[string][]float64{}
-		for w := 1; w < len(frames); w++ {
-			span := (frames[w].at - frames[w-1].at).Seconds()
-			for i, now := range of(frames[w]) {
-				d := less(now, of(frames[w-1])[i])
+	addRates := func(countersOf func(snapshot) [][counterCount]int64, result map[string]Rate, bytes map[string]Rate) {
+		var ratesByCounter [counterCount][]float64
+		ratesByTraffic := map[string][]float64{}
+		for w := 1; w < len(snapshots); w++ {
+			span := (snapshots[w].at - snapshots[w-1].at).Seconds()
+			for i, now := range countersOf(snapshots[w]) {
+				d := subtract(now, countersOf(snapshots[w-1])[i])
 				for k := range d {
-					each[k] = append(each[k], float64(d[k])/span)
+					ratesByCounter[k] = append(ratesByCounter[k], float64(d[k])/span)
 				}
 				if bytes != nil {
-					for kind, b := range f.costs.wire(d) {
-						wire[kind] = append(wire[kind], b/span)
+					for traffic, b := range f.costs.wireBytes(d) {
+						ratesByTraffic[traffic] = append(ratesByTraffic[traffic], b/span)
 					}
 				}
 			}
 		}
-		for k := range each {
-			if m := mean(each[k]); m > 0 {
-				into[kindNames[k]] = Rate{m, p99(each[k])}
+		for k := range ratesByCounter {
+			if m := mean(ratesByCounter[k]); m > 0 {
+				result[counterNames[k]] = Rate{m, p99(ratesByCounter[k])}
 			}
 		}
-		for kind, b := range wire {
-			bytes[kind] = Rate{mean(b), p99(b)}
+		for traffic, b := range ratesByTraffic {
+			bytes[traffic] = Rate{mean(b), p99(b)}
 		}
 	}
-	rates(func(fr frame) [][kinds]int64 { return fr.sidecars }, p.Sidecar, p.Bytes)
-	rates(func(fr frame) [][kinds]int64 { return fr.servers }, p.Server, nil)
+	addRates(func(s snapshot) [][counterCount]int64 { return s.sidecars }, p.Sidecar, p.Bytes)
+	addRates(func(s snapshot) [][counterCount]int64 { return s.servers }, p.Server, nil)
 	for a := range last.agents {
-		for k, n := range less(last.agents[a], first.agents[a]) {
+		for k, n := range subtract(last.agents[a], first.agents[a]) {
 			if n > 0 {
-				p.Agent[kindNames[k]] += float64(n) / seconds
+				p.Agent[counterNames[k]] += float64(n) / seconds
 			}
 		}
 	}
 	for s := int(first.at / time.Second); s < int(last.at/time.Second); s++ {
-		for o := range f.seconds[s] {
-			if n := f.seconds[s][o].Load(); n > 0 {
+		for o := range f.outcomesBySecond[s] {
+			if n := f.outcomesBySecond[s][o].Load(); n > 0 {
 				p.Outcomes[outcomeNames[o]] += n
 			}
 		}
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -16,7 +16,7 @@
 )
 
 // quick is a small rung: ten seconds of start, ten of rest.
-func quick(n int) Spec {
+func smallSpec(n int) Spec {
 	s := NewSpec(n)
 	s.Rate = 2
 	s.WarmUp, s.SteadyDuration = lab.Duration{Duration: 12 * time.Second}, lab.Duration{Duration: 10 * time.Second}
@@ -24,7 +24,7 @@
 }
 
 // played plays a rung on a virtual clock.
-func played(t *testing.T, s Spec) *Result {
+func mustRun(t *testing.T, s Spec) *Result {
 	t.Helper()
 	var r *Result
 	synctest.Test(t, func(t *testing.T) {
@@ -38,11 +38,11 @@
 
 // What is sent is borne, each call has one outcome, and after each change all sidecars hold the list, at two sizes; a
 // list costs each sidecar no more than its own length.
-func TestSmallRungs(t *testing.T) {
+func TestSmallFleets(t *testing.T) {
 	for _, n := range []int{12, 24} {
-		s := quick(n)
+		s := smallSpec(n)
 		s.Event = "changes"
-		r := played(t, s)
+		r := mustRun(t, s)
 		for _, b := range r.FailedChecks {
 			t.Errorf("%d machines: %s", n, b)
 		}
@@ -65,63 +65,63 @@
 
 // The checks of a rung find what is wrong: a transport that repeats some requests by itself, one that answers calls it
 // never carried, and an agent that leaves a sidecar's changes out.
-func TestWrongFleetsAreCaught(t *testing.T) {
+func TestChecksDetectFaults(t *testing.T) {
 	var messages atomic.Int64
 	for name, c := range map[string]struct {
-		spoil func(n *network)
-		says  string // in Broken
-		wrong int    // processes with a wrong list
+		inject    func(n *network)
+		wantCheck string // in Broken
+		wantWrong int    // processes with a wrong list
 	}{
 		"right": {func(*network) {}, "", 0},
 		"repeats a request by itself": {func(n *network) {
-			n.through = func(carry carrying) carrying {
-				return func(ctx context.Context, message kind, id string) (int, http.Header, []byte, error) {
+			n.wrapRoundTrip = func(roundTrip roundTripFunc) roundTripFunc {
+				return func(ctx context.Context, requestCounter counter, id string) (int, http.Header, []byte, error) {
 					if messages.Add(1)%100 == 0 {
-						carry(ctx, message, id)
+						roundTrip(ctx, requestCounter, id)
 					}
-					return carry(ctx, message, id)
+					return roundTrip(ctx, requestCounter, id)
 				}
 			}
 		}, "were borne or lost", 0},
 		"answers probes without a server": {func(n *network) {
-			n.through = func(carry carrying) carrying {
-				return func(ctx context.Context, message kind, id string) (int, http.Header, []byte, error) {
-					if message == probes {
+			n.wrapRoundTrip = func(roundTrip roundTripFunc) roundTripFunc {
+				return func(ctx context.Context, requestCounter counter, id string) (int, http.Header, []byte, error) {
+					if requestCounter == probes {
 						return http.StatusOK, nil, []byte("failed_ps=0,pending=0"), nil
 					}
-					return carry(ctx, message, id)
+					return roundTrip(ctx, requestCounter, id)
 				}
 			}
 		}, "were borne or lost", 0},
 		"leaves out changes": {func(n *network) {
-			n.answers = func(i int, agent http.Handler) http.Handler {
+			n.wrapDiscovery = func(i int, agent http.Handler) http.Handler {
 				return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 					if i != 7 || r.FormValue("after") == "" {
 						agent.ServeHTTP(w, r)
 						return
 					}
-					answer := &recorder{header: http.Header{}}
-					agent.ServeHTTP(answer, r)
-					w.Write(regexp.MustCompile(`"hosts":.*`).ReplaceAll(answer.body.Bytes(), []byte(`"hosts":[]}`)))
+					response := &responseRecorder{header: http.Header{}}
+					agent.ServeHTTP(response, r)
+					w.Write(regexp.MustCompile(`"hosts":.*`).ReplaceAll(response.body.Bytes(), []byte(`"hosts":[]}`)))
 				})
 			}
 		}, "", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := quick(12)
+				s := smallSpec(12)
 				s.Event = "changes"
 				f := newFleet(&s)
-				c.spoil(f.net)
-				r, err := f.play()
+				c.inject(f.net)
+				r, err := f.run()
 				if err != nil {
 					t.Fatal(err)
 				}
-				if broken := strings.Join(r.FailedChecks, "; "); broken != "" != (c.says != "") || !strings.Contains(broken, c.says) {
-					t.Errorf("broken %q, want %q", broken, c.says)
+				if broken := strings.Join(r.FailedChecks, "; "); broken != "" != (c.wantCheck != "") || !strings.Contains(broken, c.wantCheck) {
+					t.Errorf("broken %q, want %q", broken, c.wantCheck)
 				}
-				if wrong := r.Phase("changes").WrongProcesses; wrong > 0 != (c.wrong > 0) {
-					t.Errorf("%d processes with a wrong list, want %d", wrong, c.wrong)
+				if wantWrong := r.Phase("changes").WrongProcesses; wantWrong > 0 != (c.wantWrong > 0) {
+					t.Errorf("%d processes with a wrong list, want %d", wantWrong, c.wantWrong)
 				}
 			})
 		})
@@ -129,7 +129,7 @@
 }
 
 func TestBadSpecNamesTheField(t *testing.T) {
-	for field, spoil := range map[string]func(*Spec){
+	for field, invalidate := range map[string]func(*Spec){
 		"sidecars": func(s *Spec) { s.Sidecars = 0 },
 		"servers":  func(s *Spec) { s.Servers = MaxMachines + 1 },
 		"scope":    func(s *Spec) { s.ServicesPerSidecar = 3 },
@@ -144,7 +144,7 @@
 		"probe_price": func(s *Spec) { s.ProbePrice = -1 },
 	} {
 		s := NewSpec(12)
-		spoil(&s)
+		invalidate(&s)
 		if _, err := Run(s, Costs{}); err == nil || !strings.HasPrefix(err.Error(), field+": ") {
 			t.Errorf("%s: %v", field, err)
 		}
--- a/internal/lab/scale/spec.go
+++ b/internal/lab/scale/spec.go
@@ -64,8 +64,8 @@
 // Validate names the first field that cannot be.
 func (s *Spec) Validate() error {
 	for _, c := range []struct {
-		bad         bool
-		field, what string
+		invalid       bool
+		field, reason string
 	}{
 		{s.Sidecars < 1 || s.Sidecars > MaxMachines, "sidecars", fmt.Sprintf("%d is not within 1 to %d", s.Sidecars, MaxMachines)},
 		{s.Servers < 1 || s.Servers > MaxMachines, "servers", fmt.Sprintf("%d is not within 1 to %d", s.Servers, MaxMachines)},
@@ -83,19 +83,19 @@
 		{!Events[s.Event], "event", fmt.Sprintf("%q is none that is known", s.Event)},
 		{s.Event != "" && s.Sidecars != s.Servers, "event", "needs as many sidecars as servers"},
 		{s.Event == "apart" && s.Regions < 2, "event", "apart needs two regions"},
-		{s.Event == "rack" && s.Sidecars < rackSize*s.Zones, "event", fmt.Sprintf("rack needs %d machines a zone", rackSize)},
+		{s.Event == "rack" && s.Sidecars < machinesPerRack*s.Zones, "event", fmt.Sprintf("rack needs %d machines a zone", machinesPerRack)},
 	} {
-		if c.bad {
-			return fmt.Errorf("%s: %s", c.field, c.what)
+		if c.invalid {
+			return fmt.Errorf("%s: %s", c.field, c.reason)
 		}
 	}
 	return nil
 }
 
 // zone is a machine's; region is a zone's.
-func (s *Spec) zone(machine int) int { return machine % s.Zones }
+func (s *Spec) zoneOf(machine int) int { return machine % s.Zones }
 
-func (s *Spec) region(zone int) int {
+func (s *Spec) regionOf(zone int) int {
 	first := (s.Zones + s.Regions - 1) / s.Regions // the first regions are the larger
 	return min(zone/first, s.Regions-1)
 }
@@ -105,7 +105,7 @@
 	switch {
 	case a == b:
 		return s.SameZoneDelay.Duration
-	case s.region(a) == s.region(b):
+	case s.regionOf(a) == s.regionOf(b):
 		return s.SameRegionDelay.Duration
 	default:
 		return s.CrossRegionDelay.Duration
@@ -113,7 +113,7 @@
 }
 
 // services gives the numbers of the services that a sidecar lists; nil for all in one.
-func (s *Spec) services(sidecar int) []int {
+func (s *Spec) servicesOf(sidecar int) []int {
 	var list []int
 	all := s.Servers / ServiceSize
 	for k := range s.ServicesPerSidecar {
