--- a/cmd/faultlab/scale.go
+++ b/cmd/faultlab/scale.go
@@ -19,7 +19,7 @@
 	"bramblestand/internal/lab/scale"
 )
 
-// scaleFlags are what scale takes.
+// scaleFlags are the flags of scale.
 type scaleFlags struct {
 	out, only, sidecar string
 	sizes              []int
@@ -28,16 +28,17 @@
 	agree, reuseOnly   bool
 }
 
+// parseScale parses the flags of scale.
 func parseScale(args []string) (o scaleFlags, err error) {
 	o.sizes, o.seeds = []int{60, 120, 240, 480, 960, 1920}, []uint64{1, 2, 3}
 	flags := flag.NewFlagSet("scale", flag.ContinueOnError)
 	flags.StringVar(&o.out, "out", "scale-out", "folder for the results and the plot")
-	flags.StringVar(&o.only, "only", "", "only rungs of these kinds, by commas: rest, quiet, load, probing, news, view, restarts, tenth, rack, zone, apart")
-	flags.IntVar(&o.parallel, "parallel", runtime.NumCPU(), "rungs at a time")
-	flags.BoolVar(&o.agree, "agree", false, "hold hollow sidecars against real processes in place of the ladder")
-	flags.BoolVar(&o.reuseOnly, "kept", false, "of -agree, play nothing real: take what the folder holds of earlier goes")
-	flags.StringVar(&o.sidecar, "sidecar", "bin/sidecar", "the real sidecar's program, for -agree")
-	flags.Func("rungs", "sizes of the ladder's rungs, by commas (default 60,120,240,480,960,1920)", func(text string) error {
+	flags.StringVar(&o.only, "only", "", "only runs of these kinds, separated by commas: rest, quiet, load, probing, news, view, restarts, tenth, rack, zone, apart")
+	flags.IntVar(&o.parallel, "parallel", runtime.NumCPU(), "runs at a time, 1 to 64")
+	flags.BoolVar(&o.agree, "agree", false, "compare hollow sidecars with real processes instead of the sweep over sizes")
+	flags.BoolVar(&o.reuseOnly, "kept", false, "with -agree, start no real processes: use only the real results that are in the folder")
+	flags.StringVar(&o.sidecar, "sidecar", "bin/sidecar", "program of the real sidecar, for -agree")
+	flags.Func("rungs", "fleet sizes of the sweep, separated by commas (default 60,120,240,480,960,1920)", func(text string) error {
 		o.sizes = nil
 		for _, word := range strings.Split(text, ",") {
 			n, err := strconv.Atoi(word)
@@ -48,7 +49,7 @@
 		}
 		return nil
 	})
-	flags.Func("seeds", "seeds of each row of -agree, by commas (default 1,2,3)", func(text string) error {
+	flags.Func("seeds", "seeds of each row of -agree, separated by commas (default 1,2,3)", func(text string) error {
 		o.seeds = nil
 		for _, word := range strings.Split(text, ",") {
 			n, err := strconv.ParseUint(word, 10, 32)
@@ -66,11 +67,12 @@
 	case flags.NArg() > 0:
 		err = fmt.Errorf("scale: %q is not a flag", flags.Arg(0))
 	case o.parallel < 1 || o.parallel > 64:
-		err = fmt.Errorf("-parallel %d is out of range", o.parallel)
+		err = fmt.Errorf("-parallel %d is not within 1 to 64", o.parallel)
 	}
 	return o, err
 }
 
+// scaleRun runs a sweep over fleet sizes or, with -agree, compares hollow sidecars with real processes.
 func scaleRun(args []string) error {
 	o, err := parseScale(args)
 	if err != nil {
@@ -96,7 +98,7 @@
 		kinds := strings.Split(o.only, ",")
 		for _, k := range kinds {
 			if !slices.ContainsFunc(specs, func(s scale.Spec) bool { return runKind(s) == k }) {
-				return fmt.Errorf("-only: %q is no kind of these rungs", k)
+				return fmt.Errorf("-only: %q is not a kind of these runs", k)
 			}
 		}
 		specs = slices.DeleteFunc(specs, func(s scale.Spec) bool { return !slices.Contains(kinds, runKind(s)) })
@@ -107,14 +109,14 @@
 	return errors.Join(runErr, lab.WriteJSON(filepath.Join(o.out, "scale.json"), result), result.Plot(filepath.Join(o.out, "scale.png")))
 }
 
-// kindOf is the first word of a rung's name.
+// runKind returns the kind of a run: the first word of its name.
 func runKind(s scale.Spec) string { kind, _, _ := strings.Cut(s.Name, "-"); return kind }
 
-// scaleRung plays one rung, as scale has a process of its own do it: the order comes on standard input, the result goes
-// to the file named.
+// scaleRung is the child process of scale that carries out one run. It reads a scale.RunRequest from standard input and writes
+// the result to the file that is its argument.
 func scaleRung(args []string) error {
 	if len(args) != 1 {
-		return errors.New("scale-rung is scale's own: it takes the file for its result, and its order on standard input")
+		return errors.New("scale-rung is internal to scale: it takes the file for its result, and the request on standard input")
 	}
 	var request scale.RunRequest
 	if err := json.NewDecoder(os.Stdin).Decode(&request); err != nil {
--- a/cmd/faultlab/scale_test.go
+++ b/cmd/faultlab/scale_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// What scale cannot do is refused by its name before anything is played.
+// Invalid flags are rejected before any run starts, and the error names the value or the flag.
 func TestScaleRefusesBadInput(t *testing.T) {
-	for says, args := range map[string][]string{
+	for wantError, args := range map[string][]string{
 		`"7"`:                 {"-rungs", "60,7"},
 		`"1926"`:              {"-rungs", "1926"},
 		`""`:                  {"-rungs", ""},
@@ -17,13 +17,13 @@
 		`"one"`:               {"-agree", "-seeds", "one"},
 		`"flood"`:             {"-only", "flood"},
 	} {
-		if err := scaleRun(append([]string{"-out", t.TempDir()}, args...)); err == nil || !strings.Contains(err.Error(), says) {
-			t.Errorf("%v: %v, want %q", args, err, says)
+		if err := scaleRun(append([]string{"-out", t.TempDir()}, args...)); err == nil || !strings.Contains(err.Error(), wantError) {
+			t.Errorf("%v: %v, want %q", args, err, wantError)
 		}
 	}
 }
 
-// A rung's order that is none is refused by what is wrong with it.
+// Without the argument for the result file, the child process reports how it is used.
 func TestScaleRungRefusesBadInput(t *testing.T) {
 	if err := scaleRung(nil); err == nil || !strings.Contains(err.Error(), "scale-rung") {
 		t.Error(err)
--- a/internal/lab/scale/agree.go
+++ b/internal/lab/scale/agree.go
@@ -13,38 +13,39 @@
 	"bramblestand/internal/lab"
 )
 
-// Agreement is hollow sidecars held against real processes under the same settings.
+// Agreement compares hollow sidecars with real processes under the same settings.
 type Agreement struct {
-	MaxDeviation float64        `json:"goal"` // the most that a figure may deviate for its row to be used
+	MaxDeviation float64        `json:"goal"` // largest relative deviation of a compared figure for WithinGoal
 	Rows         []AgreementRow `json:"rows"`
-	NotRun       []string       `json:"not_run"`
+	NotRun       []string       `json:"not_run"` // names of the runs without a stored real result
 }
 
-// AgreeRow is one fleet, played both ways with each seed.
+// AgreementRow is one fleet, run with real and with hollow sidecars for each seed.
 type AgreementRow struct {
 	Sidecars   int               `json:"sidecars"`
 	Servers    int               `json:"servers"`
-	Rate       float64           `json:"rate"` // calls a second a sidecar
+	Rate       float64           `json:"rate"` // calls per second of each sidecar
 	Peers      bool              `json:"peers"`
 	Seeds      []uint64          `json:"seeds"`
-	LateRuns   int               `json:"late"` // plays in which the lab ran late
+	LateRuns   int               `json:"late"` // real runs in which the lab itself ran late
 	Figures    []AgreementFigure `json:"figures"`
-	WithinGoal bool              `json:"used"` // no figure is beyond the goal
-	Exceeding  []string          `json:"beyond,omitempty"`
+	WithinGoal bool              `json:"used"`             // no compared figure deviates by more than MaxDeviation
+	Exceeding  []string          `json:"beyond,omitempty"` // names of the figures that do
 }
 
-// AgreeFigure is one figure: means over the seeds, least and largest.
+// AgreementFigure is one figure of a row: its mean over the seeds, and the smallest and largest value.
 type AgreementFigure struct {
 	Name        string     `json:"name"`
 	Real        float64    `json:"real"`
 	RealRange   [2]float64 `json:"real_span"`
 	Hollow      float64    `json:"hollow"`
 	HollowRange [2]float64 `json:"hollow_span"`
-	Deviation   float64    `json:"deviation"` // of hollow, as a share of real
-	Compared    bool       `json:"judged"`    // it counts for the goal
+	Deviation   float64    `json:"deviation"` // of Hollow from Real, as a fraction of Real; 0 if it is not compared
+	Compared    bool       `json:"judged"`    // the deviation counts for WithinGoal
 }
 
-// AgreeSpec is a row's rung: all ways are as short as loopback's.
+// AgreementSpec returns the hollow run of a row for one seed. All delays are as short as those of loopback, since the real
+// processes share one machine.
 func AgreementSpec(sidecars, servers int, rate float64, peers bool, seed uint64) Spec {
 	s := NewSpec(servers)
 	s.Name = fmt.Sprintf("agree-%dx%d-%v-%v-%d", sidecars, servers, rate, peers, seed)
@@ -57,17 +58,18 @@
 	return s
 }
 
-// agreeFor is the window: as long as discovery's calls are apart.
+// measurementDuration is the length of the measured window: the interval between calls of discovery.
 const measurementDuration = 20 * time.Second
 
-// agreeFrom is when it begins, on the lab's clock, which starts once all sidecars are ready.
+// measurementStart is when the window begins on the lab's clock, which starts once all sidecars are ready.
 const measurementStart = 8 * time.Second
 
-// agreeNames are the figures. Rates are of the whole fleet.
+// figureNames are the names of the figures. Rates are those of the whole fleet.
 var figureNames = []string{"probes/s", "attempts a call", "connections/s", "discovery calls/s", "server payload B/s", "discovery payload B/s",
 	"datagrams/s", "wire B/s with calls", "start probes a sidecar", "served %", "late %", "refused %", "failed %"}
 
-// judged says whether a figure counts: not where it is so near to 0 that a share says nothing.
+// isCompared reports whether the deviation of a figure counts. It does not where the value is so close to 0 that a relative
+// deviation is meaningless.
 func isCompared(name string, real, hollow float64) bool {
 	if strings.HasSuffix(name, "%") && name != "served %" || strings.HasPrefix(name, "start") {
 		return max(real, hollow) >= 1
@@ -75,13 +77,15 @@
 	return real > 0
 }
 
-// headBytes are payload bytes of HTTP: a probe's and an attempt's request and answer together, and a call of discovery
-// without its answer's body. Call is an application's call on the wire, to its sidecar and on to a server.
+// httpBytes holds sizes of HTTP messages in bytes. Probe and Attempt are the payload of a request and its response together.
+// DiscoveryCall is the same for a call of discovery, without the body of the response. ApplicationCall is a call of the
+// application on the wire: to its sidecar, and from there to a server.
 type httpBytes struct{ Probe, Attempt, DiscoveryCall, ApplicationCall float64 }
 
+// realResultFile returns the file that holds the result of a run with real processes.
 func realResultFile(s Spec, folder string) string { return filepath.Join(folder, s.Name+"-real.json") }
 
-// real plays a row's rung with real processes, or takes what an earlier go left in the folder.
+// runReal runs a row's fleet with real processes, or reads the result that an earlier invocation left in the folder.
 func runReal(ctx context.Context, s Spec, program, folder string) (*lab.Result, error) {
 	file := realResultFile(s, folder)
 	if result, err := lab.ReadResult(file); err == nil {
@@ -92,7 +96,7 @@
 	e.Load.Shape = "poisson"
 	result, err := lab.Run(ctx, e, program, filepath.Join(folder, s.Name), slog.New(slog.DiscardHandler))
 	if err == nil {
-		err = ctx.Err() // cut short
+		err = ctx.Err() // a run that was cancelled ends early, without an error
 	}
 	if err != nil {
 		return nil, err
@@ -100,7 +104,7 @@
 	return result, lab.WriteJSON(file, result)
 }
 
-// realFigures gives the figures of a play with real processes.
+// realFigures returns the figures of a run with real processes, by name.
 func realFigures(s Spec, result *lab.Result) map[string]float64 {
 	from, to := receivedLoadAt(result.ReceivedLoad, measurementStart), receivedLoadAt(result.ReceivedLoad, measurementStart+measurementDuration)
 	seconds := to.At - from.At
@@ -117,7 +121,7 @@
 	if sent > 0 {
 		figures["attempts a call"] = float64(to.Calls-from.Calls) / float64(sent)
 	}
-	// What came before the window, less what the steady rate makes of the time since the sidecars were up, is the start's.
+	// The probes of the start are those before the window, minus what the steady rate accounts for since the sidecars started.
 	figures["start probes a sidecar"] = (float64(from.Probes) - figures["probes/s"]*(from.At+meanStartLead(result.ReceivedLoad))) / float64(s.Sidecars)
 	total := 0
 	for _, n := range result.Outcomes {
@@ -131,7 +135,7 @@
 	return figures
 }
 
-// borneAt is the sample nearest to an instant.
+// receivedLoadAt returns the sample closest to a time.
 func receivedLoadAt(samples []lab.ReceivedLoad, at time.Duration) lab.ReceivedLoad {
 	nearest := samples[0]
 	for _, sample := range samples {
@@ -142,7 +146,8 @@
 	return nearest
 }
 
-// startMean is how long before the lab's clock the sidecars began, in seconds, on the mean: by their first calls of discovery.
+// meanStartLead returns by how many seconds, on average, the sidecars started before the lab's clock did. It takes the time
+// of their first calls of discovery.
 func meanStartLead(samples []lab.ReceivedLoad) float64 {
 	sum, calls := 0.0, int64(0)
 	for i := 1; i < len(samples) && samples[i].At <= 0; i++ {
@@ -152,7 +157,7 @@
 	return sum / math.Max(1, float64(calls))
 }
 
-// figures gives the same of a rung as played.
+// figures returns the figures of a hollow run, by name, with the given sizes of HTTP messages.
 func (r *Result) figures(h httpBytes) map[string]float64 {
 	steady, sidecars := r.Phase("steady"), float64(r.Spec.Sidecars)
 	fleetRate := func(k counter) float64 { return steady.Sidecar[counterNames[k]].Mean * sidecars }
@@ -167,14 +172,15 @@
 		figures["attempts a call"] = fleetRate(attempts) * (steady.To - steady.From) / float64(calls)
 	}
 	figures["wire B/s with calls"] = steady.Bytes["all"].Mean*sidecars + fleetRate(attempts)*h.ApplicationCall + fleetRate(attemptConns)*r.Costs.Conn
-	// The start's windows and what lies between them and the steady phase's begin.
+	// The probes of the start are those of the start phase, minus what the steady rate accounts for. On average, the sidecars
+	// started half of StartSpread after the run began.
 	start := r.Phase("start")
 	figures["start probes a sidecar"] = start.Sidecar["probes"].Mean*(start.To-start.From) - steady.Sidecar["probes"].Mean*(start.To-r.Spec.StartSpread.Seconds()/2)
 	total := int64(0)
 	for _, c := range r.Calls {
 		total += c
 	}
-	if total -= r.Calls["cut"]; total > 0 { // of those that a rung's end cut nothing is known
+	if total -= r.Calls["cut"]; total > 0 { // the outcome of calls that were interrupted by the end of the run is unknown
 		for _, o := range []string{"served", "late", "refused", "failed"} {
 			figures[o+" %"] = 100 * float64(r.Calls[o]) / float64(total)
 		}
@@ -182,7 +188,7 @@
 	return figures
 }
 
-// row makes a row of the plays of its seeds.
+// addRow adds a row from the figures of its runs, one of each kind per seed.
 func (a *Agreement) addRow(s Spec, seeds []uint64, late int, real, hollow []map[string]float64) {
 	row := AgreementRow{Sidecars: s.Sidecars, Servers: s.Servers, Rate: s.Rate, Peers: s.Peers, Seeds: seeds, LateRuns: late, WithinGoal: true}
 	for _, name := range figureNames {
@@ -202,6 +208,7 @@
 	a.Rows = append(a.Rows, row)
 }
 
+// meanAndRange returns the mean, and the smallest and largest value, of a figure over runs.
 func meanAndRange(runs []map[string]float64, name string) (m float64, bounds [2]float64) {
 	bounds = [2]float64{math.Inf(1), math.Inf(-1)}
 	for _, p := range runs {
@@ -211,18 +218,18 @@
 	return m, bounds
 }
 
-// Table is the agreement for people, a line a figure.
+// Table returns the agreement as text, with one line per figure.
 func (a *Agreement) Table() string {
 	var b strings.Builder
 	for _, row := range a.Rows {
-		fmt.Fprintf(&b, "%d sidecars x %d servers, %v calls/s a sidecar, peers %v, seeds %v: ", row.Sidecars, row.Servers, row.Rate, row.Peers, row.Seeds)
+		fmt.Fprintf(&b, "%d sidecars x %d servers, %v calls/s per sidecar, peers %v, seeds %v: ", row.Sidecars, row.Servers, row.Rate, row.Peers, row.Seeds)
 		if row.WithinGoal {
 			fmt.Fprintf(&b, "within %.0f%%", 100*a.MaxDeviation)
 		} else {
-			fmt.Fprintf(&b, "BEYOND %.0f%%, not used: %s", 100*a.MaxDeviation, strings.Join(row.Exceeding, ", "))
+			fmt.Fprintf(&b, "EXCEEDS %.0f%%, not used: %s", 100*a.MaxDeviation, strings.Join(row.Exceeding, ", "))
 		}
 		if row.LateRuns > 0 {
-			fmt.Fprintf(&b, "; the lab ran late in %d", row.LateRuns)
+			fmt.Fprintf(&b, "; the lab ran late in %d runs", row.LateRuns)
 		}
 		b.WriteByte('\n')
 		for _, f := range row.Figures {
@@ -239,20 +246,21 @@
 	return b.String()
 }
 
-// agreeRows are the fleets of the agreement: sidecars, servers, calls a second a sidecar, peers.
+// agreementFleets are the fleets that CheckAgreement runs. The rate is in calls per second of each sidecar.
 var agreementFleets = []struct {
 	sidecars, servers int
 	rate              float64
 	peers             bool
 }{
-	{10, 6, 0.1, false}, {10, 60, 0.1, false}, {10, 240, 0.1, false}, // at rest
+	{10, 6, 0.1, false}, {10, 60, 0.1, false}, {10, 240, 0.1, false}, // nearly idle
 	{10, 6, 5, false}, {10, 60, 5, false}, {10, 240, 5, false},
 	{50, 6, 5, false}, {50, 60, 5, false}, {50, 240, 5, false},
 	{10, 60, 5, true},
 }
 
-// Agree plays all rows both ways: first all that is real, one after the other, then the hollow. With kept nothing real
-// is played: plays that the folder does not hold are left out, and named.
+// CheckAgreement runs all fleets with real and with hollow sidecars: first all real runs, one after the other, then the hollow
+// ones. The results of real runs are stored in folder and reused. With reuseOnly no real run is started, and those without a
+// stored result are listed in NotRun. It calls report with a line for each real run.
 func CheckAgreement(ctx context.Context, program, sidecar string, seeds []uint64, reuseOnly bool, folder string, report func(string)) (*Agreement, error) {
 	a := &Agreement{MaxDeviation: 0.15, NotRun: []string{}}
 	missing := func(s Spec) bool {
@@ -288,8 +296,8 @@
 			if err != nil {
 				return nil, fmt.Errorf("%s: %w", spec.Name, err)
 			}
-			if lastSample := result.ReceivedLoad[len(result.ReceivedLoad)-1].At; lastSample < (measurementStart+measurementDuration).Seconds()-5 { // it ends with the last call
-				return nil, fmt.Errorf("%s: the real play was cut short at %.1f s: take its file away", spec.Name, lastSample)
+			if lastSample := result.ReceivedLoad[len(result.ReceivedLoad)-1].At; lastSample < (measurementStart+measurementDuration).Seconds()-5 { // samples end with the last call
+				return nil, fmt.Errorf("%s: the real run ended early, at %.1f s: delete its result file", spec.Name, lastSample)
 			}
 			if result.Lateness.Late {
 				lateRuns++
@@ -311,11 +319,12 @@
 	return a, nil
 }
 
-// Measured are the costs that hollow sidecars leave out, and heads the payload in them, of the same plays.
+// MeasuredCosts are the costs on the wire that hollow sidecars leave out. measuredHTTPBytes are the message sizes measured in
+// the same runs.
 var (
 	MeasuredCosts = Costs{Probe: 447, Conn: 351, FailedDial: 104, DiscoveryCall: 454, DiscoveryByte: 1.05, Datagram: 28,
-		Source: "probe and conn: least squares over loopback's bytes in the 18 plays of 10 sidecars with 6, 60 and 240 servers at 0.1 and 5 calls/s " +
-			"(scale-agreement.json); list: payload of those plays, 4 packets; dead_dial, list_byte, datagram: reckoned from headers (2 packets of 52, " +
-			"a head and half an acknowledgement in 1448, IP and UDP)"}
+		Source: "probe and conn: least squares over the loopback bytes of the 18 runs of 10 sidecars with 6, 60 and 240 servers at 0.1 and 5 calls/s " +
+			"(scale-agreement.json); list: payload of those runs, 4 packets; dead_dial, list_byte, datagram: calculated from headers (2 packets of 52, " +
+			"a header and half an acknowledgement per 1448 bytes, IP and UDP)"}
 	measuredHTTPBytes = httpBytes{Probe: 239, Attempt: 351, DiscoveryCall: 246, ApplicationCall: 1012}
 )
--- a/internal/lab/scale/chain.go
+++ b/internal/lab/scale/chain.go
@@ -22,33 +22,34 @@
 	"bramblestand/internal/upstream"
 )
 
-// Chain is a chain of services: callers at the edge call level 1, each server of a level calls the next one through the
-// sidecar beside it, and the last level's servers fail a share of what they run. Times are virtual.
+// Chain describes a run of a chain of services. Callers at the edge call level 1, and each server of a level calls the next
+// level through the sidecar beside it. The servers of the last level fail a fraction of the requests that they run. Times are
+// virtual.
 type Chain struct {
 	Levels          int          `json:"levels"`   // 1 to 12
-	ServersPerLevel int          `json:"size"`     // servers of each level; callers and sidecars at the edge
-	Rate            float64      `json:"rate"`     // calls a second of each caller, drawn after Poisson
-	FailureRate     float64      `json:"fail"`     // share that the last level fails from the warm time on, 0 to 1
-	Deadline        lab.Duration `json:"deadline"` // of a caller's call
-	Latency         lab.Duration `json:"latency"`  // mean of a server's own work
-	OneWayDelay     lab.Duration `json:"way"`      // one way between machines
-	WarmUp          lab.Duration `json:"warm"`     // without failures
-	EarlyDuration   lab.Duration `json:"early"`    // of the failures' time, told apart
-	FailureDuration lab.Duration `json:"for"`      // with failures, Early included
-	// Plain is how many attempts a call gets where callers try servers in turn by themselves, without a sidecar, its
-	// breakers and its budget; 0 for sidecars. It is what the sidecars are compared with.
+	ServersPerLevel int          `json:"size"`     // servers of each level; also the number of callers, each with a sidecar, at the edge
+	Rate            float64      `json:"rate"`     // calls per second of each caller at the edge, as a Poisson process
+	FailureRate     float64      `json:"fail"`     // fraction of requests that the last level fails after WarmUp, 0 to 1
+	Deadline        lab.Duration `json:"deadline"` // of a call from the edge
+	Latency         lab.Duration `json:"latency"`  // mean time of a server's own work per request
+	OneWayDelay     lab.Duration `json:"way"`      // network delay between machines, one way
+	WarmUp          lab.Duration `json:"warm"`     // time without failures, at the beginning
+	EarlyDuration   lab.Duration `json:"early"`    // first part of FailureDuration, reported as a phase of its own
+	FailureDuration lab.Duration `json:"for"`      // time with failures, EarlyDuration included
+	// PlainAttempts is the number of attempts of a call, each at a random server, if callers use no sidecar and thus have no
+	// breakers and no retry budget; 0 runs sidecars. Such runs are the baseline for the sidecars.
 	PlainAttempts int    `json:"plain,omitempty"`
 	Seed          uint64 `json:"seed"`
 }
 
-// NewChain is a chain nine deep at the target's load.
+// NewChain returns a chain of nine levels at the target load, without failures.
 func NewChain() Chain {
 	d := func(d time.Duration) lab.Duration { return lab.Duration{Duration: d} }
 	return Chain{Levels: 9, ServersPerLevel: 6, Rate: 47, Deadline: d(time.Second), Latency: d(5 * time.Millisecond), OneWayDelay: d(400 * time.Microsecond),
 		WarmUp: d(20 * time.Second), EarlyDuration: d(10 * time.Second), FailureDuration: d(40 * time.Second), Seed: 30}
 }
 
-// Validate names the first field that cannot be.
+// Validate returns an error that begins with the JSON name of the first invalid field.
 func (c *Chain) Validate() error {
 	for _, f := range []struct {
 		invalid       bool
@@ -56,7 +57,7 @@
 	}{
 		{c.Levels < 1 || c.Levels > 12, "levels", "is not within 1 to 12"},
 		{c.ServersPerLevel < 1 || c.ServersPerLevel > 50, "size", "is not within 1 to 50"},
-		{!(c.Rate > 0 && c.Rate <= 1000), "rate", "is not within 0 to 1000, or is 0"},
+		{!(c.Rate > 0 && c.Rate <= 1000), "rate", "is not over 0 and up to 1000"},
 		{!(c.FailureRate >= 0 && c.FailureRate <= 1), "fail", "is not within 0 to 1"},
 		{c.Deadline.Duration < 50*time.Millisecond || c.Deadline.Duration > time.Minute, "deadline", "is not within 50ms to 1m"},
 		{c.Latency.Duration <= 0, "latency", "is not positive"},
@@ -72,33 +73,34 @@
 	return nil
 }
 
-// ChainResult is a chain as played.
+// ChainResult is the result of a chain's run.
 type ChainResult struct {
 	Spec         Chain        `json:"spec"`
 	Phases       []ChainPhase `json:"phases"` // warm, early, late
-	FailedChecks []string     `json:"broken"` // checks that did not hold
-	WallSeconds  float64      `json:"wall_s"`
+	FailedChecks []string     `json:"broken"` // consistency checks of the run that failed
+	WallSeconds  float64      `json:"wall_s"` // real time
 }
 
-// ChainPhase is one time of it: the edge's calls that were sent in it, and all that came of them.
+// ChainPhase is one phase of a run. It counts the calls from the edge that began in it, with all calls and attempts that
+// followed from them.
 type ChainPhase struct {
 	Name     string           `json:"name"`
 	Seconds  float64          `json:"seconds"`
-	Calls    int64            `json:"calls"` // of the edge
+	Calls    int64            `json:"calls"` // from the edge
 	Outcomes map[string]int64 `json:"outcomes"`
-	P50Ms    float64          `json:"p50_ms"` // of the edge's calls, whatever came of them
+	P50Ms    float64          `json:"p50_ms"` // latency of calls from the edge, whatever their outcome
 	P99Ms    float64          `json:"p99_ms"`
 	Levels   []ChainLevel     `json:"levels"`
-	// PerCall is attempts at the last level for each call of the edge.
+	// LastLevelAttemptsPerCall is the attempts at the last level per call from the edge.
 	LastLevelAttemptsPerCall float64 `json:"last_attempts_per_call"`
 }
 
-// ChainLevel is one level.
+// ChainLevel counts the calls and attempts of one level.
 type ChainLevel struct {
-	Calls           int64   `json:"calls"`    // of the level before it
+	Calls           int64   `json:"calls"`    // from the level before, or from the edge
 	Attempts        int64   `json:"attempts"` // at its servers
 	AttemptsPerCall float64 `json:"attempts_per_call"`
-	// LeftMs is the time that its attempts told their servers, in milliseconds: the mean.
+	// MeanTimeLeftMs is the mean of the remaining time that the attempts announced to their servers, in milliseconds.
 	MeanTimeLeftMs float64 `json:"time_left_ms"`
 }
 
@@ -106,44 +108,45 @@
 
 var chainPhaseNames = [chainPhaseCount]string{"warm", "early", "late"}
 
-// chain is one as it is played.
+// chainRun is the state of a chain's run. Counters are by phase of the call from the edge.
 type chainRun struct {
 	spec        *Chain
 	started     time.Time
-	servers     [][]*chainServer // by level, from 0
+	servers     [][]*chainServer // by level from 0
 	edgeCallers []*chainCaller
 	discoveries []*lab.FakeDiscovery
 	failing     atomic.Bool
 	outcomes    [chainPhaseCount][outcomeCount]atomic.Int64
 	callsSent   [chainPhaseCount]atomic.Int64
-	calls       [chainPhaseCount][]atomic.Int64 // by level called
+	calls       [chainPhaseCount][]atomic.Int64 // by the level that is called
 	attempts    [chainPhaseCount][]atomic.Int64
 	timeLeftMs  [chainPhaseCount][]atomic.Int64
 	running     sync.WaitGroup
-	arrived     atomic.Int64 // attempts that came to a server's machine, for the check
-	sent        atomic.Int64 // and all that left
-	undelivered atomic.Int64 // and those given up on the way
+	arrived     atomic.Int64 // attempts that reached the machine of a server; checked at the end
+	sent        atomic.Int64 // all attempts that were sent
+	undelivered atomic.Int64 // attempts given up on the way to the server
 
 	mu        sync.Mutex
 	random    *rand.Rand
 	latencies [chainPhaseCount]*hdrhistogram.Histogram // µs
 }
 
-// chainServer is a hollow pin server and the caller beside it.
+// chainServer is a simulated pin server with the caller beside it.
 type chainServer struct {
 	*lab.ServerModel
 	level, number int
-	next          *chainCaller // nil at the last level
+	next          *chainCaller // calls the next level; nil at the last one
 }
 
-// chainCaller calls a level, through a sidecar or plainly.
+// chainCaller calls a level, through a hollow sidecar or directly.
 type chainCaller struct {
 	run    *chainRun
-	level  int             // that it calls
-	hollow *sidecar.Hollow // nil for plain
-	conns  []upstream.SimulatedConnection
+	level  int                            // that it calls, from 0
+	hollow *sidecar.Hollow                // nil without a sidecar
+	conns  []upstream.SimulatedConnection // without a sidecar: one to each server of the level
 }
 
+// currentPhase returns the index of the phase at the present time.
 func (c *chainRun) currentPhase() int {
 	switch at := time.Since(c.started); {
 	case at < c.spec.WarmUp.Duration:
@@ -155,10 +158,11 @@
 	}
 }
 
-// phaseOf is the phase in which the edge's call was sent that an attempt belongs to: its id begins with it.
+// phaseOfCall returns the phase in which a call from the edge was sent. The call's id begins with it, and all calls and
+// attempts that follow from it have the same id.
 func phaseOfCall(id string) int { return int(id[0] - '0') }
 
-// call makes one call of the level and gives its code.
+// call makes one call to the level and returns its HTTP status.
 func (k *chainCaller) call(ctx context.Context, id string, timeLeft time.Duration) int {
 	k.run.calls[phaseOfCall(id)][k.level].Add(1)
 	if k.hollow != nil {
@@ -182,13 +186,14 @@
 	return code
 }
 
+// randomIndex returns a random number from 0 to n-1.
 func (c *chainRun) randomIndex(n int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.random.IntN(n)
 }
 
-// chainNetwork is what lies before one level.
+// chainNetwork is the simulated network between callers and the servers of one level.
 type chainNetwork struct {
 	run   *chainRun
 	level int
@@ -207,21 +212,22 @@
 	return &chainConn{server: n.run.servers[n.level][number], run: n.run}, nil
 }
 
+// chainConn is a simulated connection to a server.
 type chainConn struct {
 	server *chainServer
 	run    *chainRun
 	closed atomic.Bool
 }
 
-// IsOpen says whether it was not closed.
+// IsOpen reports whether the connection was not closed.
 func (c *chainConn) IsOpen() bool { return !c.closed.Load() }
 
-// Close closes it.
+// Close closes the connection.
 func (c *chainConn) Close() { c.closed.Store(true) }
 
-// Do brings a request to the server and its answer back. The time that the attempt has left is told in whole
-// milliseconds, as X-Time-Left-Ms tells it; who gives the attempt up closes its connection, and the server's own call
-// ends with that.
+// Do sends a request to the server and returns its response. The server gets the remaining time of the attempt in whole
+// milliseconds, as X-Time-Left-Ms has it. A caller that gives up an attempt closes its connection, which also ends the
+// server's own call to the next level.
 func (c *chainConn) Do(ctx context.Context, path, id string) (int, http.Header, []byte, error) {
 	s, delay := c.server, c.run.spec.OneWayDelay.Duration
 	if id == "" { // a probe
@@ -236,7 +242,7 @@
 	}
 	deadline, ok := ctx.Deadline()
 	if !ok {
-		return 0, nil, nil, errors.New("an attempt without a deadline")
+		return 0, nil, nil, errors.New("the attempt has no deadline")
 	}
 	timeLeft := max(0, time.Until(deadline).Truncate(time.Millisecond))
 	phase := phaseOfCall(id)
@@ -261,7 +267,7 @@
 	case verdict == lab.VerdictRejected:
 		code, header = http.StatusServiceUnavailable, http.Header{"X-Unprocessed": {"1"}}
 	case code != http.StatusOK || s.next == nil && c.run.drawFailure():
-		code = http.StatusInternalServerError // it has run, whatever kept the next level from answering
+		code = http.StatusInternalServerError // the request was run here, whatever the failure of the next level
 	}
 	if !wait(ctx, delay) {
 		return 0, nil, nil, ctx.Err()
@@ -269,7 +275,7 @@
 	return code, header, []byte("ok:" + id), nil
 }
 
-// fails draws whether the last level fails a request.
+// drawFailure randomly decides whether the last level fails a request.
 func (c *chainRun) drawFailure() bool {
 	if !c.failing.Load() {
 		return false
@@ -279,7 +285,8 @@
 	return c.random.Float64() < c.spec.FailureRate
 }
 
-// PlayChain plays a chain on the clock that holds: a program's is virtual (see VirtualChain).
+// RunChain runs a chain on the clock of the caller: the real one, or the virtual one of a synctest bubble (see
+// RunChainVirtual).
 func RunChain(spec Chain) (*ChainResult, error) {
 	if err := spec.Validate(); err != nil {
 		return nil, err
@@ -329,11 +336,11 @@
 	time.Sleep(spec.Deadline.Duration + time.Second)
 	cancel()
 	c.running.Wait()
-	time.Sleep(time.Minute) // timers run out
+	time.Sleep(time.Minute) // lets outstanding timers expire
 	return c.result(), nil
 }
 
-// caller makes the one number i of those that call a level.
+// newCaller returns caller number i of a level, with a hollow sidecar unless the chain runs without.
 func (c *chainRun) newCaller(ctx context.Context, i, level int) (*chainCaller, error) {
 	k := &chainCaller{run: c, level: level}
 	if c.spec.PlainAttempts > 0 {
@@ -360,7 +367,8 @@
 	return k, nil
 }
 
-// load sends an edge caller's calls until the failures' time is over.
+// generateLoad sends the calls of a caller at the edge until FailureDuration is over. With a sidecar it starts once that has
+// endpoints.
 func (c *chainRun) generateLoad(k *chainCaller, random *rand.Rand) {
 	for k.hollow != nil && !k.hollow.HasEndpoints() {
 		time.Sleep(100 * time.Millisecond)
@@ -397,6 +405,7 @@
 	}
 }
 
+// result collects the counters and runs the consistency checks.
 func (c *chainRun) result() *ChainResult {
 	r := &ChainResult{Spec: *c.spec, FailedChecks: []string{}}
 	durations := [chainPhaseCount]time.Duration{c.spec.WarmUp.Duration, c.spec.EarlyDuration.Duration, c.spec.FailureDuration.Duration - c.spec.EarlyDuration.Duration}
@@ -426,33 +435,33 @@
 		phase.LastLevelAttemptsPerCall = ratio(phase.Levels[c.spec.Levels-1].Attempts, phase.Calls)
 		r.Phases = append(r.Phases, phase)
 	}
-	if sent, arrived, unheard := c.sent.Load(), c.arrived.Load(), c.undelivered.Load(); sent != arrived+unheard {
-		r.FailedChecks = append(r.FailedChecks, fmt.Sprintf("%d attempts were sent, %d came and %d were given up", sent, arrived, unheard))
+	if sent, arrived, undelivered := c.sent.Load(), c.arrived.Load(), c.undelivered.Load(); sent != arrived+undelivered {
+		r.FailedChecks = append(r.FailedChecks, fmt.Sprintf("%d attempts were sent, %d arrived and %d were given up on the way", sent, arrived, undelivered))
 	}
 	return r
 }
 
-// Naive is the attempts at the last level for each call of the edge, reckoned, where every level makes so many attempts
-// at the most until one succeeds, nothing else ends them, and the last level fails this share.
+// NaiveAttemptsPerCall calculates the attempts at the last level per call from the edge if no retry budget or deadline limits
+// them. Every level makes up to the given number of attempts until one succeeds, and the last level fails the fraction fail.
 func NaiveAttemptsPerCall(levels, attempts int, fail float64) float64 {
 	product := 1.0
 	for range levels {
-		expected, reached := 0.0, 1.0 // all: the chance that an attempt is made
+		expected, reached := 0.0, 1.0 // reached: the probability that the attempt is made
 		for range attempts {
 			expected += reached
 			reached *= fail
 		}
 		product *= expected
-		fail = reached // of the level before: all of its attempts failed
+		fail = reached // the level before fails if all attempts of this level failed
 	}
 	return product
 }
 
-// ChainTable is chains for people.
+// ChainTable returns the results as a text table, with one line per phase.
 func ChainTable(results []*ChainResult) string {
 	var text strings.Builder
 	w := tabwriter.NewWriter(&text, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprint(w, "tries\tfail\tphase\tcalls\tserved\trefused\tfailed\tlate\tp99 ms\tlast/call\tby level: attempts a call\tlast's time left ms\t\n")
+	fmt.Fprint(w, "attempts\tfail\tphase\tcalls\tserved\trefused\tfailed\tlate\tp99 ms\tlast level/call\tattempts per call by level\ttime left at last level ms\t\n")
 	for _, r := range results {
 		for _, p := range r.Phases {
 			callers := "sidecar"
--- a/internal/lab/scale/chain_test.go
+++ b/internal/lab/scale/chain_test.go
@@ -12,7 +12,7 @@
 	"bramblestand/internal/lab"
 )
 
-// shallow is a chain of three levels, played in seconds.
+// threeLevelChain returns a small and short chain of three levels.
 func threeLevelChain(fail float64, plain int) Chain {
 	c := NewChain()
 	c.Levels, c.ServersPerLevel, c.Rate, c.FailureRate, c.PlainAttempts = 3, 3, 20, fail, plain
@@ -20,6 +20,7 @@
 	return c
 }
 
+// mustRunChain runs a chain on a virtual clock and fails the test if a consistency check fails.
 func mustRunChain(t *testing.T, c Chain) *ChainResult {
 	t.Helper()
 	var r *ChainResult
@@ -36,16 +37,16 @@
 	return r
 }
 
-// Callers that try twice by themselves make the product of the levels, as reckoned; sidecars stay within what their
-// budgets of retries let pass, and make one attempt a call where nothing fails.
+// Callers without sidecars that make two attempts multiply the attempts from level to level, as NaiveAttemptsPerCall calculates.
+// Sidecars stay within their retry budgets, and make about one attempt per call if nothing fails.
 func TestChainOfThree(t *testing.T) {
 	if n := NaiveAttemptsPerCall(9, 2, 1); n != 512 {
-		t.Errorf("nine levels of two tries that all fail: %v, want 512", n)
+		t.Errorf("nine levels of two attempts that all fail: %v, want 512", n)
 	}
 	for _, fail := range []float64{0.5, 1} {
 		r, want := mustRunChain(t, threeLevelChain(fail, 2)), NaiveAttemptsPerCall(3, 2, fail)
 		if got := r.Phases[2].LastLevelAttemptsPerCall; math.Abs(got-want) > 0.1*want || fail == 1 && got != want {
-			t.Errorf("plain, %v fail: %.3f attempts at the last level for each call, reckoned %.3f", fail, got, want)
+			t.Errorf("plain, %v fail: %.3f attempts at the last level per call, calculated %.3f", fail, got, want)
 		}
 		if warm := r.Phases[0]; warm.LastLevelAttemptsPerCall != 1 || warm.Outcomes["served"] != warm.Calls {
 			t.Errorf("plain, before the failures: %+v", warm)
@@ -57,13 +58,14 @@
 			t.Errorf("nothing fails, %s: %+v", p.Name, p)
 		}
 	}
-	// Each level's budget is a retry for every fifth call, and 10 at once in the beginning.
+	// The retry budget of each level is one retry per five calls, with a burst of 10 at the beginning.
 	maxPerCall := math.Pow(1.2, 3)
 	if late := mustRunChain(t, threeLevelChain(1, 0)).Phases[2]; late.LastLevelAttemptsPerCall > maxPerCall || late.Outcomes["served"] > 0 {
-		t.Errorf("all fail: %.3f attempts at the last level for each call, want %.3f at the most; %v", late.LastLevelAttemptsPerCall, maxPerCall, late.Outcomes)
+		t.Errorf("all fail: %.3f attempts at the last level per call, want at most %.3f; %v", late.LastLevelAttemptsPerCall, maxPerCall, late.Outcomes)
 	}
 }
 
+// The error of an invalid chain begins with the name of the field.
 func TestBadChainNamesTheField(t *testing.T) {
 	for field, invalidate := range map[string]func(*Chain){
 		"levels":   func(c *Chain) { c.Levels = 0 },
--- a/internal/lab/scale/chain_virtual.go
+++ b/internal/lab/scale/chain_virtual.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// VirtualChain plays a chain on a virtual clock. It needs a program of its own, as Virtual does.
+// RunChainVirtual runs a chain on a virtual clock and passes the result to handle. It ends the program, as RunVirtual does.
 func RunChainVirtual(spec Chain, handle func(*ChainResult, error)) error {
 	testing.Init()
-	flag.Parse() // what stands before the program's subcommand: nothing
+	flag.Parse() // testing needs parsed flags; no flags precede the subcommand
 	began := time.Now()
 	matchAll := func(string, string) (bool, error) { return true, nil }
 	testing.Main(matchAll, []testing.InternalTest{{Name: "chain", F: func(t *testing.T) {
--- a/internal/lab/scale/chain_virtual_old.go
+++ b/internal/lab/scale/chain_virtual_old.go
@@ -2,5 +2,5 @@
 
 package scale
 
-// RunChainVirtual cannot be: this toolchain has no virtual clock.
+// RunChainVirtual returns ErrNoVirtualClock: toolchains before Go 1.25 have no virtual clock.
 func RunChainVirtual(Chain, func(*ChainResult, error)) error { return ErrNoVirtualClock }
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -20,38 +20,40 @@
 	"bramblestand/internal/sidecar"
 )
 
-// fleet is a rung as it is played.
+// fleet is the state of a run.
 type fleet struct {
 	spec             *Spec
 	net              *network
 	experiment       *lab.Experiment
 	started          time.Time
 	sidecars         []*machine
-	peerAddresses    []string // of all, where there are datagrams
-	listingProcesses []int    // processes that list each service
+	peerAddresses    []string // of all sidecars; nil if they exchange no datagrams
+	listingProcesses []int    // processes that list each service, by its number
 
 	lastCallID       atomic.Int64
-	callsSent        atomic.Int64 // calls
-	outcomesBySecond [][outcomeCount]atomic.Int64
+	callsSent        atomic.Int64
+	outcomesBySecond [][outcomeCount]atomic.Int64 // by the second in which the call was sent
 	running          sync.WaitGroup
 	costs            Costs
 }
 
-// machine is a sidecar: its processes, while it runs.
+// machine is the machine of one sidecar, with the processes that it runs.
 type machine struct {
 	number    int
 	counters  counters
 	socket    *datagramSocket
-	starts    int
-	processes []*process // none while it is down
+	starts    int        // of the sidecar so far
+	processes []*process // empty while the sidecar is down
 }
 
+// process is one process of a sidecar.
 type process struct {
 	hollow  *sidecar.Hollow
-	service int // -1 for all
+	service int // that it lists; -1 for all servers
 	cancel  context.CancelFunc
 }
 
+// outcome is how a call of an application ended.
 type outcome int
 
 const (
@@ -59,15 +61,16 @@
 	late
 	refused
 	failed
-	interrupted // its own sidecar ended
+	interrupted // its own sidecar was stopped
 	outcomeCount
 )
 
 var outcomeNames = [outcomeCount]string{"served", "late", "refused", "failed", "cut"}
 
-// secondsMost is the longest that a rung lasts, in virtual seconds.
+// maxSeconds is the longest duration of a run, in virtual seconds.
 const maxSeconds = 2 * 3600
 
+// newFleet returns the fleet of a run with all servers ready and no sidecar started.
 func newFleet(spec *Spec) *fleet {
 	f := &fleet{spec: spec, experiment: spec.experiment(), started: time.Now(), outcomesBySecond: make([][outcomeCount]atomic.Int64, maxSeconds)}
 	n := &network{spec: spec, sockets: map[netip.AddrPort]*datagramSocket{}, socketsByZone: make([][]*datagramSocket, spec.Zones)}
@@ -112,12 +115,12 @@
 	return f
 }
 
-// tell puts a server's entry into the agents' lists.
+// announce changes the entry of a server in the lists of all discovery agents.
 func (f *fleet) announce(j int, health string, weight float64) {
 	s, handler := f.net.servers[j], 0
 	if f.spec.ServicesPerSidecar > 0 {
 		if handler = j / ServiceSize; handler >= len(f.listingProcesses) {
-			return // the rest of a division
+			return // the server is left over if the servers do not divide into services
 		}
 	}
 	for _, a := range f.net.agents {
@@ -126,7 +129,7 @@
 	}
 }
 
-// start begins a sidecar's processes, and their load.
+// startSidecar starts the processes of a sidecar, and their load.
 func (f *fleet) startSidecar(i int) error {
 	m := f.sidecars[i]
 	m.starts++
@@ -143,7 +146,7 @@
 		if f.peerAddresses != nil {
 			peersConfig = lab.PeersConfig(m.socket.address.String(), broadcastAddress.String(), f.peerAddresses)
 		}
-		// The number gives zone and seed: another for each process and life.
+		// The settings derive zone and seed from the number. It differs for each process and each start.
 		number := i + f.spec.Zones*(k+f.spec.ServicesPerSidecar*m.starts+m.starts)*MaxMachines
 		cfg, err := config.Parse(f.experiment.SidecarConfig(number, total, "127.0.0.1:1", "127.0.0.1:2", peersConfig))
 		if err != nil {
@@ -187,7 +190,7 @@
 	return nil
 }
 
-// stop ends a sidecar, as a crash does.
+// stopSidecar stops the processes of a sidecar without a drain, like a crash.
 func (f *fleet) stopSidecar(i int) {
 	m := f.sidecars[i]
 	m.socket.transport.Store(nil)
@@ -197,7 +200,8 @@
 	m.processes = nil
 }
 
-// load sends a process's calls, each at its time, whatever became of those before. They begin once it is ready.
+// generateLoad sends the calls of a process as a Poisson process, without waiting for earlier calls to end. It starts at
+// LoadFrom, once the process has endpoints.
 func (f *fleet) generateLoad(ctx context.Context, p *process, rate float64, random *rand.Rand) {
 	if rate == 0 {
 		return
@@ -221,6 +225,7 @@
 	}
 }
 
+// call makes one call and counts its outcome.
 func (f *fleet) call(ctx context.Context, p *process, id string) {
 	sent := time.Now()
 	var o outcome
@@ -239,7 +244,7 @@
 	f.outcomesBySecond[min(int(sent.Sub(f.started)/time.Second), maxSeconds-1)][o].Add(1)
 }
 
-// right says whether a process may send to just the servers that are ready, of those that it lists.
+// hasExpectedTargets reports whether the targets of a process are exactly the ready servers among those that it lists.
 func (f *fleet) hasExpectedTargets(p *process, state sidecar.HollowState, ready []bool) bool {
 	want := 0
 	for j, isReady := range ready {
@@ -258,8 +263,9 @@
 	return true
 }
 
-// settle waits until all running sidecars send to just the servers that are ready, for as long as most. It returns the
-// seconds that took, and how many are wrong at the end.
+// awaitTargets waits until the targets of all running processes are exactly the ready servers that they list, or until the
+// timeout. It returns the time that this took, and how many processes have other targets at the end. A process that had the
+// right targets once is not checked again.
 func (f *fleet) awaitTargets(ready []bool, timeout time.Duration) (seconds float64, wrong int) {
 	began := time.Now()
 	pending := map[*process]bool{}
@@ -281,18 +287,19 @@
 	}
 }
 
-// until lets virtual time pass up to so long after the begin.
+// sleepUntil sleeps until a time after the start of the run.
 func (f *fleet) sleepUntil(at time.Duration) { time.Sleep(at - time.Since(f.started)) }
 
-// frame is all counts at one time.
+// snapshot holds the values of all counters at one time.
 type snapshot struct {
-	at         time.Duration
+	at         time.Duration // since the start of the run
 	sidecars   [][counterCount]int64
 	servers    [][counterCount]int64
 	agents     [][counterCount]int64
 	cpuSeconds float64
 }
 
+// counterValues returns the present values of counters.
 func counterValues(t *counters) (c [counterCount]int64) {
 	for k := range t {
 		c[k] = t[k].Load()
@@ -300,6 +307,7 @@
 	return c
 }
 
+// takeSnapshot returns the present values of all counters.
 func (f *fleet) takeSnapshot() snapshot {
 	s := snapshot{at: time.Since(f.started), cpuSeconds: cpuSeconds()}
 	for _, m := range f.sidecars {
@@ -314,10 +322,10 @@
 	return s
 }
 
-// window is the time over which a sidecar's rates are taken.
+// rateWindow is the length of the windows over which rates are calculated.
 const rateWindow = 10 * time.Second
 
-// phase lets time pass up to an instant and reckons what happened meanwhile.
+// runPhase sleeps until a time after the start of the run, and returns what was counted meanwhile.
 func (f *fleet) runPhase(name string, to time.Duration) Phase {
 	snapshots := []snapshot{f.takeSnapshot()}
 	for at := time.Since(f.started); at < to; at = time.Since(f.started) {
@@ -327,6 +335,7 @@
 	return f.summarize(name, snapshots)
 }
 
+// cpuSeconds returns the processor time that this process used so far, in seconds; 0 if it is unknown.
 func cpuSeconds() float64 {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -335,6 +344,7 @@
 	return float64(usage.Utime.Sec+usage.Stime.Sec) + float64(usage.Utime.Usec+usage.Stime.Usec)/1e6
 }
 
+// peakMB returns the peak resident memory of this process in MB; 0 if it is unknown.
 func peakMB() float64 {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -343,6 +353,7 @@
 	return float64(usage.Maxrss) / 1024
 }
 
+// heapMB returns the heap and stacks in use in MB, after a garbage collection.
 func heapMB() float64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/lab/scale/network.go
+++ b/internal/lab/scale/network.go
@@ -17,23 +17,23 @@
 	"bramblestand/internal/upstream"
 )
 
-// kind is what a tally counts.
+// counter is the index of a value in counters.
 type counter int
 
 const (
-	probes              counter = iota // sent
-	probeConns                         // opened for one
-	attempts                           // of calls, sent
-	attemptConns                       // opened for one
-	failedDials                        // connections that did not come up
-	undelivered                        // probes and attempts that no server bore
+	probes              counter = iota // load probes sent
+	probeConns                         // connections opened for a load probe
+	attempts                           // attempts of calls sent
+	attemptConns                       // connections opened for an attempt
+	failedDials                        // connections that could not be established
+	undelivered                        // load probes and attempts that reached no server
 	listCalls                          // calls of discovery
-	listBytes                          // bodies of its answers
-	gossipSent                         // datagrams, by those who send
-	gossipSentBytes                    // payload
-	gossipReceived                     // by those who receive
+	listBytes                          // response bodies of discovery
+	gossipSent                         // gossip datagrams, counted by the sender
+	gossipSentBytes                    // their payload
+	gossipReceived                     // counted by each receiver
 	gossipReceivedBytes                // payload
-	viewSent
+	viewSent                           // datagrams of the membership view, likewise
 	viewSentBytes
 	viewReceived
 	viewReceivedBytes
@@ -43,47 +43,49 @@
 var counterNames = [counterCount]string{"probes", "probe_conns", "attempts", "attempt_conns", "dead_dials", "unheard", "lists", "list_bytes",
 	"news_sent", "news_sent_bytes", "news_borne", "news_borne_bytes", "view_sent", "view_sent_bytes", "view_borne", "view_borne_bytes"}
 
-// tally counts one machine's part.
+// counters holds the counters of one machine.
 type counters [counterCount]atomic.Int64
 
-// server is a hollow pin server.
+// server is a simulated pin server.
 type server struct {
 	*lab.ServerModel
 	number      int
 	zone        int
-	incarnation atomic.Int64 // moves with each start
-	down        atomic.Bool  // no process: connections are refused
-	unreachable atomic.Bool  // no machine: nothing answers
-	received    counters     // probes, attempts and connections
+	incarnation atomic.Int64 // changes with each start, which resets connections
+	down        atomic.Bool  // the process is stopped, connections are refused
+	unreachable atomic.Bool  // the machine is lost, packets are dropped
+	received    counters     // load probes, attempts and connections
 }
 
-// network is what lies between all of them. Its faults are of machines, zones and regions.
+// network is the simulated network between sidecars, servers and discovery. It delays messages, and drops them for lost
+// machines and between partitioned regions.
 type network struct {
 	spec    *Spec
 	servers []*server
-	agents  []*discoveryAgent // one a region
+	agents  []*discoveryAgent // one per region
 
-	partitioned atomic.Bool // the regions
+	partitioned atomic.Bool // the regions are cut off from each other
 
-	// Tests have them do wrong on purpose; else nil.
+	// Tests set these to inject faults; otherwise they are nil.
 	wrapRoundTrip func(roundTripFunc) roundTripFunc
 	wrapDiscovery func(sidecar int, agent http.Handler) http.Handler
 
 	sockets       map[netip.AddrPort]*datagramSocket
-	socketsByZone [][]*datagramSocket // stations by zone
+	socketsByZone [][]*datagramSocket // by zone of the sidecar
 }
 
-// agent is discovery's, of one region.
+// discoveryAgent is the discovery agent of one region.
 type discoveryAgent struct {
 	zone     int
-	handlers []*lab.FakeDiscovery // one for all servers, or one a service
-	received counters             // lists
+	handlers []*lab.FakeDiscovery // one for all servers, or one per service
+	received counters             // calls and bytes of lists
 }
 
-// firstPort is the first server's: discovery tells each caller its own address of every server, so that the port alone
-// tells one from the other.
+// firstPort is the port of the first server. Discovery gives each caller a different address for a server, so only the port
+// identifies the server.
 const firstPort = 10000
 
+// serverAt returns the server with the port of the address, or nil.
 func (n *network) serverAt(address string) *server {
 	_, port, _ := strings.Cut(address, ":")
 	number, err := strconv.Atoi(port)
@@ -93,12 +95,12 @@
 	return n.servers[number]
 }
 
-// cut says whether nothing passes between two zones.
+// isPartitioned reports whether two zones cannot reach each other.
 func (n *network) isPartitioned(a, b int) bool {
 	return n.partitioned.Load() && n.spec.regionOf(a) != n.spec.regionOf(b)
 }
 
-// client is one sidecar's side of the network.
+// client is the network as one sidecar uses it.
 type client struct {
 	*network
 	zone     int
@@ -110,7 +112,7 @@
 	errReset   = errors.New("connection reset")
 )
 
-// Dial opens a connection to a server.
+// Dial opens a connection to the server at the address. If the server is unreachable, it fails when ctx ends.
 func (c *client) Dial(ctx context.Context, address string) (upstream.SimulatedConnection, error) {
 	s := c.serverAt(address)
 	if s == nil {
@@ -132,7 +134,7 @@
 	return &connection{client: c, server: s, incarnation: s.incarnation.Load(), isNew: true}, nil
 }
 
-// wait lets a time pass, unless ctx ends first.
+// wait sleeps for a duration. It returns false if ctx ended first.
 func wait(ctx context.Context, d time.Duration) bool {
 	if ctx.Done() == nil {
 		time.Sleep(d)
@@ -148,23 +150,24 @@
 	}
 }
 
+// connection is a simulated connection of a sidecar to a server.
 type connection struct {
 	*client
 	server      *server
-	incarnation int64
-	isNew       bool
+	incarnation int64 // of the server when it was opened
+	isNew       bool  // no request was sent on it yet
 	closed      atomic.Bool
 }
 
-// IsOpen says whether neither side closed the connection.
+// IsOpen reports whether neither side closed the connection.
 func (c *connection) IsOpen() bool {
 	return !c.closed.Load() && c.incarnation == c.server.incarnation.Load() && !c.server.down.Load()
 }
 
-// Close closes it.
+// Close closes the connection.
 func (c *connection) Close() { c.closed.Store(true) }
 
-// Do sends a request and brings the answer.
+// Do sends a request and returns the response. An empty id marks a load probe.
 func (c *connection) Do(ctx context.Context, path, id string) (int, http.Header, []byte, error) {
 	requestCounter, connCounter := attempts, attemptConns
 	if id == "" {
@@ -182,10 +185,10 @@
 	return c.roundTrip(ctx, requestCounter, id)
 }
 
-// carrying brings a request to a server and its answer back.
-type roundTripFunc func(ctx context.Context, message counter, id string) (int, http.Header, []byte, error)
+// roundTripFunc sends a request to a server and returns the response. requestCounter is probes or attempts.
+type roundTripFunc func(ctx context.Context, requestCounter counter, id string) (int, http.Header, []byte, error)
 
-// carry is the network's part of Do, and the server's.
+// roundTrip simulates the network and the server for Do.
 func (c *connection) roundTrip(ctx context.Context, requestCounter counter, id string) (int, http.Header, []byte, error) {
 	s := c.server
 	awaitCancel := func() (int, http.Header, []byte, error) {
@@ -238,14 +241,14 @@
 	return code, header, body, nil
 }
 
-// caller is a sidecar's process's way to discovery.
+// discoveryTransport is the HTTP transport of a sidecar's process to the discovery agent of its region.
 type discoveryTransport struct {
 	*client
 	agent   *discoveryAgent
 	handler http.Handler
 }
 
-// RoundTrip calls the agent's own handler.
+// RoundTrip calls the handler with the delay of the network before and after.
 func (c *discoveryTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	ctx := r.Context()
 	c.counters[listCalls].Add(1)
@@ -265,39 +268,41 @@
 	return &http.Response{StatusCode: w.code, Status: http.StatusText(w.code), Header: w.header, Body: io.NopCloser(&w.body), Request: r}, nil
 }
 
-// recorder keeps an answer.
+// responseRecorder is an http.ResponseWriter that keeps the response.
 type responseRecorder struct {
 	code   int
 	header http.Header
 	body   bytes.Buffer
 }
 
+// Header, WriteHeader and Write implement http.ResponseWriter.
 func (w *responseRecorder) Header() http.Header         { return w.header }
 func (w *responseRecorder) WriteHeader(code int)        { w.code = code }
 func (w *responseRecorder) Write(p []byte) (int, error) { return w.body.Write(p) }
 
-// station is one sidecar's place for datagrams.
+// datagramSocket is the simulated datagram socket of one sidecar.
 type datagramSocket struct {
 	zone      int
 	address   netip.AddrPort
 	counters  *counters
-	transport atomic.Pointer[datagram.Transport] // nil while it does not run
+	transport atomic.Pointer[datagram.Transport] // nil while the sidecar is stopped
 }
 
-// hub reaches all stations.
+// broadcastAddress is the address of all sockets. It stands for the relay that copies a datagram to all sidecars.
 var broadcastAddress = netip.MustParseAddrPort("10.255.255.255:7946")
 
+// socketAddress returns the address of sidecar i.
 func socketAddress(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7946)
 }
 
-// send carries one datagram from a station.
+// send delivers one datagram to a socket, or to all of them.
 func (n *network) send(from *datagramSocket, data []byte, to netip.AddrPort) error {
 	messages, payload := viewSent, viewSentBytes
 	if datagram.Channel(data[0]) == datagram.ChannelGossip {
 		messages, payload = gossipSent, gossipSentBytes
 	}
-	from.counters[messages].Add(1) // to the hub too it is one
+	from.counters[messages].Add(1) // one datagram is sent even if the address is broadcastAddress
 	from.counters[payload].Add(int64(len(data)))
 	target := n.sockets[to]
 	if to == broadcastAddress {
@@ -310,7 +315,7 @@
 	return nil
 }
 
-// carry brings a datagram to stations of one zone.
+// deliver delivers a datagram to sockets of one zone after the delay of the network, except to the sender itself.
 func (n *network) deliver(from *datagramSocket, zone int, to []*datagramSocket, data []byte) {
 	if n.isPartitioned(from.zone, zone) || len(to) == 0 {
 		return
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -13,15 +13,15 @@
 	"bramblestand/internal/sidecar"
 )
 
-// BudgetBytes is what a sidecar may spend on control, in bytes a second.
+// BudgetBytesPerSecond is the limit of a sidecar's control traffic, in bytes per second.
 const BudgetBytesPerSecond = 3000
 
-// Table is the ladder for people: a line a phase.
+// Table returns the result as a text table, with one line per phase.
 func (l *SweepResult) Table() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s: %.0f s\nB/s of control on the wire a sidecar, sent and borne; mean/p99 of 10 s windows\n", l.Command, l.Seconds)
-	fmt.Fprintf(&b, "%-22s %-9s %5s | %15s %15s %15s | %13s %13s | %12s | %8s %s\n", "rung", "phase", "s", "all B/s", "probe B/s", "discovery B/s",
-		"probes/s", "borne by a srv", "agents B/s", "settled", "calls")
+	fmt.Fprintf(&b, "%s: %.0f s\ncontrol traffic of a sidecar on the wire in B/s, sent and received; mean/p99 of 10 s windows\n", l.Command, l.Seconds)
+	fmt.Fprintf(&b, "%-22s %-9s %5s | %15s %15s %15s | %13s %13s | %12s | %8s %s\n", "run", "phase", "s", "all B/s", "probe B/s", "discovery B/s",
+		"probes/s", "received/srv", "agents B/s", "settled", "calls")
 	rate := func(r Rate) string { return fmt.Sprintf("%.0f/%.0f", r.Mean, r.P99) }
 	fine := func(r Rate) string { return fmt.Sprintf("%.2f/%.1f", r.Mean, r.P99) }
 	for _, r := range l.Runs {
@@ -34,7 +34,7 @@
 				rate(p.Bytes["discovery"]), fine(p.Sidecar["probes"]), fine(p.Server["probes"]), p.Agent["list_bytes"], settled, p.Outcomes)
 		}
 	}
-	fmt.Fprintf(&b, "%-22s %10s %10s | microseconds of the module an event (hollow)\n", "rung", "heap KB", "rung CPU s")
+	fmt.Fprintf(&b, "%-22s %10s %10s | microseconds of the decision module per event (hollow)\n", "run", "heap KB", "run CPU s")
 	for _, r := range l.Runs {
 		fmt.Fprintf(&b, "%-22s %10.0f %10.0f |", r.Spec.Name, r.HeapKB, r.CPUSeconds)
 		for _, name := range sidecar.EventKindNames {
@@ -50,10 +50,10 @@
 	return b.String()
 }
 
-// Plot draws the control bytes a second of a sidecar over the fleet's size, the budget as a line, as a PNG file.
+// Plot writes a PNG file that shows the control traffic of a sidecar over the size of the fleet, with the budget as a line.
 func (l *SweepResult) Plot(path string) error {
 	p := plot.New()
-	p.Title.Text = "control of one sidecar: bytes a second, sent and borne"
+	p.Title.Text = "control traffic of one sidecar: bytes per second, sent and received"
 	p.X.Label.Text = "pin servers and sidecars (log)"
 	p.Y.Label.Text = "bytes/s (log), p99 of 10 s windows"
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
@@ -83,8 +83,8 @@
 		{"all listed, ten changes in a minute", "rest", "changes", 0, color.RGBA{R: 200, G: 120, A: 255}},
 		{"6 listed, at rest", "rest", "steady", 1, color.RGBA{G: 140, A: 255}},
 		{"5 processes of 6 listed, at rest", "rest", "steady", 5, color.RGBA{R: 90, G: 90, B: 90, A: 255}},
-		{"with news to all, at rest", "news", "steady", 0, color.RGBA{R: 160, B: 160, A: 255}},
-		{"with the view, at rest", "view", "steady", 0, color.RGBA{R: 120, G: 60, A: 255}},
+		{"with gossip to all, at rest", "news", "steady", 0, color.RGBA{R: 160, B: 160, A: 255}},
+		{"with the membership view, at rest", "view", "steady", 0, color.RGBA{R: 120, G: 60, A: 255}},
 	} {
 		var points plotter.XYs
 		for i := range l.Runs {
@@ -108,7 +108,7 @@
 		p.Legend.Add(line.label, segments, marks)
 	}
 	if maxServers == 0 {
-		return nil // nothing was played that is drawn
+		return nil // no run belongs to any of the lines
 	}
 	budget, err := plotter.NewLine(plotter.XYs{{X: minServers, Y: BudgetBytesPerSecond}, {X: math.Max(maxServers, minServers*1.01), Y: BudgetBytesPerSecond}})
 	if err != nil {
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -6,67 +6,67 @@
 	"time"
 )
 
-// Costs are bytes on the wire of what a hollow sidecar does not send: TCP, UDP
-// and IP headers and HTTP heads, both ways together. They are measured on real
-// processes (Source).
+// Costs are the bytes on the wire that a hollow sidecar does not send: TCP, UDP and IP headers and HTTP messages, both
+// directions together. They are measured on real processes, as Source says.
 type Costs struct {
-	Probe         float64 `json:"probe"`     // request, answer and what acknowledges them
-	Conn          float64 `json:"conn"`      // a connection's begin and end
-	FailedDial    float64 `json:"dead_dial"` // what a connection that does not come up sends
-	DiscoveryCall float64 `json:"list"`      // a call of discovery without its answer's body
-	DiscoveryByte float64 `json:"list_byte"` // for each byte of a body
-	Datagram      float64 `json:"datagram"`  // headers of one
-	Source        string  `json:"source"`
+	Probe         float64 `json:"probe"`     // request, response and their acknowledgements
+	Conn          float64 `json:"conn"`      // opening and closing a connection
+	FailedDial    float64 `json:"dead_dial"` // an attempt to connect that fails
+	DiscoveryCall float64 `json:"list"`      // a call of discovery without the response body
+	DiscoveryByte float64 `json:"list_byte"` // per byte of a response body
+	Datagram      float64 `json:"datagram"`  // headers of a datagram
+	Source        string  `json:"source"`    // how the values were obtained
 }
 
-// Rate is a figure a second: the mean, and the 99th of 100 of all machines' windows of 10 s.
+// Rate is a rate per second: the mean and the 99th percentile over the windows of 10 s of all machines.
 type Rate struct {
 	Mean float64 `json:"mean"`
 	P99  float64 `json:"p99"`
 }
 
-// Phase is a time of a rung. A machine's rates are by the name of what is counted.
+// Phase is a part of a run. The rates of machines are by the name of the counter.
 type Phase struct {
 	Name    string             `json:"name"`
-	From    float64            `json:"from_s"`
+	From    float64            `json:"from_s"` // since the start of the run
 	To      float64            `json:"to_s"`
-	Sidecar map[string]Rate    `json:"sidecar"` // a second, of one sidecar
-	Server  map[string]Rate    `json:"server"`  // a second, borne by one pin server
-	Agent   map[string]float64 `json:"agent"`   // a second, borne by discovery's agents together
-	// Bytes of control on the wire a second that a sidecar sends and bears, by kind, by Costs.
+	Sidecar map[string]Rate    `json:"sidecar"` // per second and sidecar
+	Server  map[string]Rate    `json:"server"`  // per second and pin server, received
+	Agent   map[string]float64 `json:"agent"`   // per second, received by all discovery agents together
+	// Bytes is the control traffic on the wire that a sidecar sends and receives per second, by kind of traffic, calculated with
+	// Costs.
 	Bytes           map[string]Rate  `json:"bytes"`
-	Outcomes        map[string]int64 `json:"outcomes"` // of calls sent in it
-	CPUSeconds      float64          `json:"cpu_s"`    // of the hollow fleet, network and load
+	Outcomes        map[string]int64 `json:"outcomes"` // of the calls sent in the phase
+	CPUSeconds      float64          `json:"cpu_s"`    // processor time of the fleet, the network and the load
 	Note            string           `json:"note,omitempty"`
-	SettledSeconds  float64          `json:"settled_s,omitempty"`   // from when discovery had it until all sidecars held the right list; -1 for not
-	WrongProcesses  int              `json:"wrong,omitempty"`       // processes that did not
-	RecoverySeconds float64          `json:"recovered_s,omitempty"` // from the event until under 1 call in 100 of a second was refused, failed or late
+	SettledSeconds  float64          `json:"settled_s,omitempty"`   // from the change in discovery until all sidecars had the right targets; -1 if some never had
+	WrongProcesses  int              `json:"wrong,omitempty"`       // processes that never had the right targets
+	RecoverySeconds float64          `json:"recovered_s,omitempty"` // until, in every second, under 1 call in 100 was refused, failed or late
 }
 
-// Result is a rung as played.
+// Result is the result of a run.
 type Result struct {
 	Spec         Spec             `json:"spec"`
 	Phases       []Phase          `json:"phases"`
 	Calls        map[string]int64 `json:"calls"`
-	FailedChecks []string         `json:"broken"` // checks that did not hold
-	// HeapKB is the heap and stacks of one sidecar, with its part of what the hollow keeps for it.
+	FailedChecks []string         `json:"broken"` // consistency checks that failed
+	// HeapKB is the heap and stacks of one sidecar, with its share of the simulation's own state.
 	HeapKB float64 `json:"heap_kb"`
-	// Module is the processor time of the module's events up to the end of the steady phase, the hollow's own: no
-	// socket, no HTTP and none of the loop's around it.
+	// EventCosts is the processor time of the decision module's events up to the end of the steady phase. It leaves out sockets,
+	// HTTP and the event loop around the module.
 	EventCosts  map[string]EventCost `json:"module"`
 	CPUSeconds  float64              `json:"cpu_s"`
-	WallSeconds float64              `json:"wall_s"`
-	PeakMB      float64              `json:"peak_mb"`
+	WallSeconds float64              `json:"wall_s"`  // real time
+	PeakMB      float64              `json:"peak_mb"` // peak resident memory of the process
 	Costs       Costs                `json:"costs"`
 }
 
-// Effort is the module's on events of one kind.
+// EventCost is the processor time that the decision module spent on events of one kind.
 type EventCost struct {
 	Events     int64   `json:"events"`
-	MicrosEach float64 `json:"us_each"`
+	MicrosEach float64 `json:"us_each"` // microseconds per event
 }
 
-// Phase finds a phase by its name; nil for none.
+// Phase returns the phase with a name, or nil.
 func (r *Result) Phase(name string) *Phase {
 	for i := range r.Phases {
 		if r.Phases[i].Name == name {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// wire is the control bytes of counts, by kind.
+// wireBytes returns the control traffic on the wire, in bytes, for counter values, by kind of traffic.
 func (c *Costs) wireBytes(n [counterCount]int64) map[string]float64 {
 	count := func(k counter) float64 { return float64(n[k]) }
 	bytes := map[string]float64{
@@ -89,6 +89,7 @@
 	return bytes
 }
 
+// subtract returns the differences a - b of counter values.
 func subtract(a, b [counterCount]int64) (d [counterCount]int64) {
 	for k := range a {
 		d[k] = a[k] - b[k]
@@ -96,7 +97,7 @@
 	return d
 }
 
-// p99 is the 99th of 100, by rank; the largest of few.
+// p99 returns the 99th percentile by nearest rank, which is the largest of fewer than 100 values, and 0 for none. It sorts v.
 func p99(v []float64) float64 {
 	if len(v) == 0 {
 		return 0
@@ -105,6 +106,7 @@
 	return v[int(math.Ceil(0.99*float64(len(v))))-1]
 }
 
+// mean returns the mean of values, and 0 for none.
 func mean(v []float64) float64 {
 	sum := 0.0
 	for _, x := range v {
@@ -113,7 +115,7 @@
 	return sum / float64(max(1, len(v)))
 }
 
-// reckon gives a phase from its frames.
+// summarize returns a phase from the snapshots at its beginning, after each window and at its end.
 func (f *fleet) summarize(name string, snapshots []snapshot) Phase {
 	first, last := snapshots[0], snapshots[len(snapshots)-1]
 	p := Phase{Name: name, From: first.at.Seconds(), To: last.at.Seconds(), Sidecar: map[string]Rate{}, Server: map[string]Rate{},
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -8,16 +8,16 @@
 	"bramblestand/internal/sidecar"
 )
 
-// Events' own figures.
+// Constants of the events.
 const (
-	machinesPerRack   = 30
-	lossDetectionTime = 10 * time.Second // machines lost without a word: the platform's time to take them off the list
-	partitionDuration = time.Hour
-	eventDuration     = 60 * time.Second // after an event
-	settleTimeout     = 60 * time.Second
+	machinesPerRack   = 30               // a rack's machines are in one zone
+	lossDetectionTime = 10 * time.Second // time until the platform takes machines that crashed off the list
+	partitionDuration = time.Hour        // between regions
+	eventDuration     = 60 * time.Second // length of the phases of other events
+	settleTimeout     = 60 * time.Second // for sidecars to have the right targets after a change
 )
 
-// Play plays one rung on the clock that holds: a program's is virtual (see Child).
+// Run carries out a run on the clock of the caller: the real one, or the virtual one of a synctest bubble (see RunVirtual).
 func Run(spec Spec, costs Costs) (*Result, error) {
 	if err := spec.Validate(); err != nil {
 		return nil, err
@@ -27,6 +27,8 @@
 	return f.run()
 }
 
+// run carries out the phases of the run: start, steady, and those of the event. Consistency checks that fail are in the
+// result.
 func (f *fleet) run() (*Result, error) {
 	spec, costs := *f.spec, f.costs
 	r := &Result{Spec: spec, Calls: map[string]int64{}, FailedChecks: []string{}, Costs: costs}
@@ -61,7 +63,7 @@
 		ready[j] = true
 	}
 	if _, wrong := f.awaitTargets(ready, time.Second); wrong > 0 {
-		r.FailedChecks = append(r.FailedChecks, fmt.Sprintf("%d processes do not hold the list at the end of the steady phase", wrong))
+		r.FailedChecks = append(r.FailedChecks, fmt.Sprintf("%d processes have other targets than the ready servers at the end of the steady phase", wrong))
 	}
 	f.runEvent(r, ready)
 	f.shutDown()
@@ -75,7 +77,7 @@
 	return r, nil
 }
 
-// effort asks all sidecars what the module's events took.
+// collectEventCosts adds the processor time of the decision module's events, by kind, over all sidecars.
 func (f *fleet) collectEventCosts(r *Result) error {
 	r.EventCosts = map[string]EventCost{}
 	var elapsed [len(sidecar.EventKindNames)]time.Duration
@@ -97,18 +99,18 @@
 	return nil
 }
 
-// close ends all and waits for it.
+// shutDown stops all sidecars and waits for their goroutines.
 func (f *fleet) shutDown() {
 	for i := range f.sidecars {
 		f.stopSidecar(i)
 	}
 	f.running.Wait()
-	time.Sleep(time.Minute) // timers run out, and what is on its way arrives
+	time.Sleep(time.Minute) // lets outstanding timers expire and messages in flight arrive
 }
 
-// check says which promises of the counts do not hold, once all has ended: what is sent is borne, or known to be lost,
-// and each call has one outcome.
-func (f *fleet) failedChecks() (broken []string) {
+// failedChecks returns the consistency checks of the counters that fail. It must be called after shutDown. Every request that
+// was sent must have been received or counted as undelivered, and each call must have one outcome.
+func (f *fleet) failedChecks() (failures []string) {
 	var sent, received [counterCount]int64
 	for _, m := range f.sidecars {
 		for k, n := range counterValues(&m.counters) {
@@ -126,11 +128,11 @@
 		}
 	}
 	if a, b := sent[probes]+sent[attempts], received[probes]+received[attempts]+sent[undelivered]; a != b {
-		broken = append(broken, fmt.Sprintf("%d probes and attempts were sent, %d were borne or lost", a, b))
+		failures = append(failures, fmt.Sprintf("%d probes and attempts were sent, %d were received or lost", a, b))
 	}
 	for _, k := range []counter{probeConns, attemptConns, listBytes} {
 		if sent[k] != received[k] {
-			broken = append(broken, fmt.Sprintf("%s: %d on the sidecars' side, %d on the other", counterNames[k], sent[k], received[k]))
+			failures = append(failures, fmt.Sprintf("%s: the sidecars counted %d, their peers %d", counterNames[k], sent[k], received[k]))
 		}
 	}
 	ended := int64(0)
@@ -140,12 +142,12 @@
 		}
 	}
 	if callsSent := f.callsSent.Load(); callsSent != ended {
-		broken = append(broken, fmt.Sprintf("%d calls, %d outcomes", callsSent, ended))
+		failures = append(failures, fmt.Sprintf("%d calls, %d outcomes", callsSent, ended))
 	}
-	return broken
+	return failures
 }
 
-// machines is what an event acts on: the servers of these numbers, and the sidecars beside them.
+// loseMachines makes machines unreachable without notice: the servers of these numbers, and the sidecars beside them.
 func (f *fleet) loseMachines(machines []int) {
 	for _, i := range machines {
 		f.stopSidecar(i)
@@ -153,7 +155,7 @@
 	}
 }
 
-// back starts machines again, cold.
+// restoreMachines starts the servers and sidecars of machines again. The servers start cold.
 func (f *fleet) restoreMachines(machines []int, r *Result) {
 	for _, i := range machines {
 		s := f.net.servers[i]
@@ -168,7 +170,8 @@
 	}
 }
 
-// restart takes machines through a planned restart: told as terminating, gone a second later, back after down more.
+// restartMachines restarts machines as planned: they are announced as terminating, stop a second later and start again after
+// downtime.
 func (f *fleet) restartMachines(machines []int, downtime time.Duration, ready []bool, r *Result) {
 	for _, i := range machines {
 		f.announce(i, "Terminating", 1)
@@ -187,7 +190,7 @@
 	}
 }
 
-// event plays what happens after the steady phase.
+// runEvent runs the phases of the event that follows the steady phase, if there is one.
 func (f *fleet) runEvent(r *Result, ready []bool) {
 	selectMachines := func(include func(i int) bool) (selected []int) {
 		for i := range f.sidecars {
@@ -197,7 +200,7 @@
 		}
 		return selected
 	}
-	// during plays acts beside a phase and adds what they came to.
+	// runDuring runs action during a phase of the given length, and adds what it observed to the phase.
 	runDuring := func(name string, length time.Duration, action func(p *Phase)) {
 		from := time.Since(f.started)
 		var observed Phase
@@ -209,6 +212,7 @@
 		p.RecoverySeconds = f.secondsUntilRecovered(from, time.Since(f.started))
 		r.Phases = append(r.Phases, p)
 	}
+	// awaitSettled waits until all sidecars have the right targets.
 	awaitSettled := func(p *Phase) {
 		seconds, wrong := f.awaitTargets(ready, settleTimeout)
 		if p.WrongProcesses += wrong; wrong > 0 {
@@ -217,6 +221,7 @@
 			p.SettledSeconds = max(p.SettledSeconds, seconds)
 		}
 	}
+	// loseAndRestore makes machines unreachable, takes them off the list after detectionTime, and restores them after outage.
 	loseAndRestore := func(selected []int, detectionTime time.Duration, outage time.Duration) {
 		runDuring("lost", outage, func(p *Phase) {
 			f.loseMachines(selected)
@@ -280,8 +285,8 @@
 	}
 }
 
-// recovered gives the seconds from an instant until the last second with 1 call in 100 or more refused, failed or late
-// had passed, before another instant.
+// secondsUntilRecovered returns the time between from and the end of the last second before to in which 1 call in 100 or more
+// was refused, failed or late; 0 if there is no such second.
 func (f *fleet) secondsUntilRecovered(from, to time.Duration) float64 {
 	last := from
 	for s := int(from / time.Second); s < int(to/time.Second); s++ {
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -15,7 +15,7 @@
 	"bramblestand/internal/lab"
 )
 
-// quick is a small rung: ten seconds of start, ten of rest.
+// smallSpec returns a short run at low load: the phases start and steady of 10 seconds each.
 func smallSpec(n int) Spec {
 	s := NewSpec(n)
 	s.Rate = 2
@@ -23,7 +23,7 @@
 	return s
 }
 
-// played plays a rung on a virtual clock.
+// mustRun carries out a run on a virtual clock.
 func mustRun(t *testing.T, s Spec) *Result {
 	t.Helper()
 	var r *Result
@@ -36,8 +36,9 @@
 	return r
 }
 
-// What is sent is borne, each call has one outcome, and after each change all sidecars hold the list, at two sizes; a
-// list costs each sidecar no more than its own length.
+// At two sizes, the consistency checks of the counters hold, after each change all sidecars have the right targets, and a new
+// list costs each sidecar about one load probe per server. Fails if the simulation loses messages or calls, or if sidecars
+// probe more than new servers at the start and one per second later.
 func TestSmallFleets(t *testing.T) {
 	for _, n := range []int{12, 24} {
 		s := smallSpec(n)
@@ -53,26 +54,26 @@
 		if r.Calls["served"] < int64(n)*100 || r.Calls["served"] < 99*(r.Calls["refused"]+r.Calls["failed"]+r.Calls["late"]) {
 			t.Errorf("%d machines: calls %v", n, r.Calls)
 		}
-		// All that is new is probed at the first list, and about once a second afterwards.
+		// Each server is probed when it is first listed. Afterwards there is about one load probe per second.
 		if got := r.Phase("start").Sidecar["probes"].Mean * 10; got < float64(n) || got > float64(n)+15 {
-			t.Errorf("%d machines: %.1f probes a sidecar in the first 10 s", n, got)
+			t.Errorf("%d machines: %.1f probes per sidecar in the first 10 s", n, got)
 		}
 		if got := r.Phase("steady").Sidecar["probes"].Mean; got < 0.5 || got > 1.5 {
-			t.Errorf("%d machines: %.2f probes a second afterwards", n, got)
+			t.Errorf("%d machines: %.2f probes per second afterwards", n, got)
 		}
 	}
 }
 
-// The checks of a rung find what is wrong: a transport that repeats some requests by itself, one that answers calls it
-// never carried, and an agent that leaves a sidecar's changes out.
+// The checks of a run detect faults of the simulation: a network that repeats some requests, one that answers load probes
+// without a server, and a discovery agent that withholds changes from a sidecar.
 func TestChecksDetectFaults(t *testing.T) {
 	var messages atomic.Int64
 	for name, c := range map[string]struct {
 		inject    func(n *network)
-		wantCheck string // in Broken
-		wantWrong int    // processes with a wrong list
+		wantCheck string // part of FailedChecks; empty if all hold
+		wantWrong int    // processes with wrong targets; only whether it is 0 counts
 	}{
-		"right": {func(*network) {}, "", 0},
+		"no fault": {func(*network) {}, "", 0},
 		"repeats a request by itself": {func(n *network) {
 			n.wrapRoundTrip = func(roundTrip roundTripFunc) roundTripFunc {
 				return func(ctx context.Context, requestCounter counter, id string) (int, http.Header, []byte, error) {
@@ -82,7 +83,7 @@
 					return roundTrip(ctx, requestCounter, id)
 				}
 			}
-		}, "were borne or lost", 0},
+		}, "were received or lost", 0},
 		"answers probes without a server": {func(n *network) {
 			n.wrapRoundTrip = func(roundTrip roundTripFunc) roundTripFunc {
 				return func(ctx context.Context, requestCounter counter, id string) (int, http.Header, []byte, error) {
@@ -92,7 +93,7 @@
 					return roundTrip(ctx, requestCounter, id)
 				}
 			}
-		}, "were borne or lost", 0},
+		}, "were received or lost", 0},
 		"leaves out changes": {func(n *network) {
 			n.wrapDiscovery = func(i int, agent http.Handler) http.Handler {
 				return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -118,16 +119,17 @@
 					t.Fatal(err)
 				}
 				if broken := strings.Join(r.FailedChecks, "; "); broken != "" != (c.wantCheck != "") || !strings.Contains(broken, c.wantCheck) {
-					t.Errorf("broken %q, want %q", broken, c.wantCheck)
+					t.Errorf("failed checks %q, want %q", broken, c.wantCheck)
 				}
 				if wantWrong := r.Phase("changes").WrongProcesses; wantWrong > 0 != (c.wantWrong > 0) {
-					t.Errorf("%d processes with a wrong list, want %d", wantWrong, c.wantWrong)
+					t.Errorf("%d processes with wrong targets, want %d", wantWrong, c.wantWrong)
 				}
 			})
 		})
 	}
 }
 
+// The error of an invalid spec begins with the name of the field.
 func TestBadSpecNamesTheField(t *testing.T) {
 	for field, invalidate := range map[string]func(*Spec){
 		"sidecars": func(s *Spec) { s.Sidecars = 0 },
--- a/internal/lab/scale/spec.go
+++ b/internal/lab/scale/spec.go
@@ -1,8 +1,9 @@
-// Package scale plays fleets of hollow sidecars: the real decision module, list
-// and watch handling, pool of connections and fleet packages of many sidecars in
-// one process, on a network in memory and, as a program plays them, on a virtual
-// clock. Sockets, HTTP and the kernel are left out; what they cost is measured
-// on real processes and added as stated constants. See docs/design-scale.md.
+// Package scale simulates fleets of hollow sidecars. Many sidecars run in one
+// process, each with the real decision module, list and watch handling,
+// connection pool and fleet packages. The network is simulated in memory, and
+// programs use a virtual clock. Sockets, HTTP and the kernel are left out; their
+// cost is measured on real processes and added from constants. See
+// docs/design-scale.md.
 package scale
 
 import (
@@ -13,46 +14,46 @@
 	"bramblestand/internal/lab"
 )
 
-// ServiceSize is the servers of a service.
+// ServiceSize is the number of servers of a service.
 const ServiceSize = 6
 
-// MachinesMost is the most sidecars or servers of a rung.
+// MaxMachines is the largest number of sidecars, and of servers, of a run.
 const MaxMachines = 1920
 
-// Spec is one rung: a fleet, what is asked of it, and what happens to it. Times
-// are virtual. Server and sidecar of one number are on one machine.
+// Spec describes a run: the fleet, its load and the event that happens to it. Times are virtual. The server and the sidecar of
+// the same number share a machine.
 type Spec struct {
 	Name     string `json:"name"`
 	Seed     uint64 `json:"seed"`
 	Sidecars int    `json:"sidecars"`
 	Servers  int    `json:"servers"`
-	// Scope is the services that a sidecar lists, in a process each, of ServiceSize servers; 0 for one process that
-	// lists all servers.
+	// ServicesPerSidecar is the number of services, of ServiceSize servers each, that a sidecar lists. It has a process for each
+	// service. 0 means one process that lists all servers.
 	ServicesPerSidecar int          `json:"scope"`
-	Zones              int          `json:"zones"`     // machines are dealt to them in turn
-	Regions            int          `json:"regions"`   // zones are dealt to them in blocks
-	SameZoneDelay      lab.Duration `json:"near"`      // one way, within a zone
-	SameRegionDelay    lab.Duration `json:"far"`       // between zones of a region
-	CrossRegionDelay   lab.Duration `json:"distant"`   // between regions
-	Rate               float64      `json:"rate"`      // calls a second of a sidecar, over its processes
-	LoadFrom           lab.Duration `json:"load_from"` // when calls begin
-	Deadline           lab.Duration `json:"deadline"`
-	// ProbePrice is the settings' prices.probe, in requests' worth; 0 for 1.
+	Zones              int          `json:"zones"`     // machines are assigned to them in turn
+	Regions            int          `json:"regions"`   // contiguous blocks of zones
+	SameZoneDelay      lab.Duration `json:"near"`      // network delay within a zone, one way
+	SameRegionDelay    lab.Duration `json:"far"`       // between zones of a region, one way
+	CrossRegionDelay   lab.Duration `json:"distant"`   // between regions, one way
+	Rate               float64      `json:"rate"`      // calls per second of a sidecar, over all its processes
+	LoadFrom           lab.Duration `json:"load_from"` // when calls begin, after the start of the run
+	Deadline           lab.Duration `json:"deadline"`  // of a call
+	// ProbePrice is prices.probe of the settings: the cost of a load probe as a multiple of that of a request. 0 means 1.
 	ProbePrice     float64      `json:"probe_price,omitempty"`
 	Server         lab.Server   `json:"server"`
-	Peers          bool         `json:"peers"`  // news of probes' answers, to all
-	View           bool         `json:"view"`   // the fleet's view of itself
-	StartSpread    lab.Duration `json:"spread"` // the sidecars start within it
-	StartDuration  lab.Duration `json:"start"`  // the phase "start", from the first start on
-	WarmUp         lab.Duration `json:"warm"`   // "steady" begins
-	SteadyDuration lab.Duration `json:"for"`    // and lasts
-	Event          string       `json:"event,omitempty"`
+	Peers          bool         `json:"peers"`           // load reports are shared with all sidecars by gossip
+	View           bool         `json:"view"`            // the fleet keeps a membership view
+	StartSpread    lab.Duration `json:"spread"`          // the sidecars start at random times within it
+	StartDuration  lab.Duration `json:"start"`           // length of the phase "start", from the start of the run
+	WarmUp         lab.Duration `json:"warm"`            // when the phase "steady" begins
+	SteadyDuration lab.Duration `json:"for"`             // length of the phase "steady"
+	Event          string       `json:"event,omitempty"` // one of Events
 }
 
-// Events are what can happen after a rung's steady phase.
+// Events are the events that can follow the steady phase; "" means none.
 var Events = map[string]bool{"": true, "changes": true, "restarts": true, "tenth": true, "rack": true, "zone": true, "apart": true}
 
-// NewSpec is a rung of n machines in seven zones of two regions, at rest.
+// NewSpec returns a run of n machines in seven zones of two regions, without load.
 func NewSpec(n int) Spec {
 	d := func(d time.Duration) lab.Duration { return lab.Duration{Duration: d} }
 	return Spec{Seed: 30, Sidecars: n, Servers: n, Zones: 7, Regions: 2, SameZoneDelay: d(100 * time.Microsecond), SameRegionDelay: d(400 * time.Microsecond),
@@ -61,7 +62,7 @@
 		StartSpread: d(time.Second), StartDuration: d(10 * time.Second), WarmUp: d(30 * time.Second), SteadyDuration: d(60 * time.Second)}
 }
 
-// Validate names the first field that cannot be.
+// Validate returns an error that begins with the JSON name of the first invalid field.
 func (s *Spec) Validate() error {
 	for _, c := range []struct {
 		invalid       bool
@@ -69,7 +70,7 @@
 	}{
 		{s.Sidecars < 1 || s.Sidecars > MaxMachines, "sidecars", fmt.Sprintf("%d is not within 1 to %d", s.Sidecars, MaxMachines)},
 		{s.Servers < 1 || s.Servers > MaxMachines, "servers", fmt.Sprintf("%d is not within 1 to %d", s.Servers, MaxMachines)},
-		{s.ServicesPerSidecar < 0 || s.ServicesPerSidecar > 0 && s.ServicesPerSidecar*ServiceSize > s.Servers, "scope", fmt.Sprintf("%d services of %d servers are not among %d", s.ServicesPerSidecar, ServiceSize, s.Servers)},
+		{s.ServicesPerSidecar < 0 || s.ServicesPerSidecar > 0 && s.ServicesPerSidecar*ServiceSize > s.Servers, "scope", fmt.Sprintf("%d services of %d servers need more than %d servers", s.ServicesPerSidecar, ServiceSize, s.Servers)},
 		{s.Zones < 1 || s.Zones > 200, "zones", fmt.Sprintf("%d is not within 1 to 200", s.Zones)},
 		{s.Regions < 1 || s.Regions > s.Zones, "regions", fmt.Sprintf("%d is not within 1 to zones", s.Regions)},
 		{s.Rate < 0 || s.Rate > 1000, "rate", fmt.Sprintf("%v is not within 0 to 1000", s.Rate)},
@@ -80,10 +81,10 @@
 		{s.StartDuration.Duration <= 0, "start", "is not positive"},
 		{s.WarmUp.Duration < s.StartDuration.Duration, "warm", "is before start's end"},
 		{s.SteadyDuration.Duration <= 0, "for", "is not positive"},
-		{!Events[s.Event], "event", fmt.Sprintf("%q is none that is known", s.Event)},
+		{!Events[s.Event], "event", fmt.Sprintf("%q is not a known event", s.Event)},
 		{s.Event != "" && s.Sidecars != s.Servers, "event", "needs as many sidecars as servers"},
-		{s.Event == "apart" && s.Regions < 2, "event", "apart needs two regions"},
-		{s.Event == "rack" && s.Sidecars < machinesPerRack*s.Zones, "event", fmt.Sprintf("rack needs %d machines a zone", machinesPerRack)},
+		{s.Event == "apart" && s.Regions < 2, "event", "apart needs at least two regions"},
+		{s.Event == "rack" && s.Sidecars < machinesPerRack*s.Zones, "event", fmt.Sprintf("rack needs %d machines per zone", machinesPerRack)},
 	} {
 		if c.invalid {
 			return fmt.Errorf("%s: %s", c.field, c.reason)
@@ -92,15 +93,16 @@
 	return nil
 }
 
-// zone is a machine's; region is a zone's.
+// zoneOf returns the zone of a machine.
 func (s *Spec) zoneOf(machine int) int { return machine % s.Zones }
 
+// regionOf returns the region of a zone.
 func (s *Spec) regionOf(zone int) int {
-	first := (s.Zones + s.Regions - 1) / s.Regions // the first regions are the larger
+	first := (s.Zones + s.Regions - 1) / s.Regions // zones per region, rounded up; the last regions are smaller
 	return min(zone/first, s.Regions-1)
 }
 
-// delay is one way between zones.
+// delay returns the one-way network delay between two zones.
 func (s *Spec) delay(a, b int) time.Duration {
 	switch {
 	case a == b:
@@ -112,7 +114,7 @@
 	}
 }
 
-// services gives the numbers of the services that a sidecar lists; nil for all in one.
+// servicesOf returns the numbers of the services that a sidecar lists; nil if it lists all servers in one process.
 func (s *Spec) servicesOf(sidecar int) []int {
 	var list []int
 	all := s.Servers / ServiceSize
@@ -120,7 +122,7 @@
 		list = append(list, (sidecar/ServiceSize+1+k*k+k*(sidecar%ServiceSize))%all)
 	}
 	seen := map[int]bool{}
-	for k, v := range list { // none twice
+	for k, v := range list { // no service twice
 		for seen[v] {
 			v = (v + 1) % all
 		}
@@ -129,7 +131,7 @@
 	return list
 }
 
-// experiment is the lab's form of the settings that every sidecar has.
+// experiment returns the experiment from which the lab derives the settings of every sidecar.
 func (s *Spec) experiment() *lab.Experiment {
 	e := &lab.Experiment{Name: s.Name, Seed: s.Seed, Server: s.Server, Load: lab.Load{Rate: s.Rate, Deadline: s.Deadline},
 		Fleet: lab.Fleet{Sidecars: s.Sidecars, Servers: s.Servers, Peers: s.Peers, View: s.View, ProbePrice: s.ProbePrice}}
@@ -139,12 +141,13 @@
 	return e
 }
 
+// zoneName returns the name of a zone.
 func zoneName(z int) string { return fmt.Sprintf("z%d", z) }
 
-// ErrToolchain says that the program was built without a virtual clock.
+// ErrNoVirtualClock reports that the program was built by a toolchain without a virtual clock.
 var ErrNoVirtualClock = errors.New("hollow sidecars need a program built by Go 1.25 or later, for its virtual clock (testing/synctest)")
 
-// Order is what a process that plays one rung is told.
+// RunRequest is the input of a child process that carries out one run.
 type RunRequest struct {
 	Spec  Spec  `json:"spec"`
 	Costs Costs `json:"costs"`
--- a/internal/lab/scale/sweep.go
+++ b/internal/lab/scale/sweep.go
@@ -24,14 +24,15 @@
 	NotRun  []string `json:"not_run"` // names of runs with the reason
 }
 
-// MinProbePrice is the lowest prices.probe of the operators' deployments, in the price of a request; the lab's own is 1.
+// MinProbePrice is the lowest prices.probe of the operators' deployments, as a multiple of the cost of a request. The lab's
+// default is 1.
 const MinProbePrice = 0.0014
 
-// MaxMemoryMB is what runs at the same time may take, by memoryNeededMB.
+// MaxMemoryMB is the limit of memoryNeededMB over all runs that are in progress.
 const MaxMemoryMB = 10_000
 
-// memoryNeededMB returns the memory that a run is expected to take: 2 KB of heap, and as much for the collector, for each server that a
-// sidecar lists.
+// memoryNeededMB returns the memory that a run is expected to take, in MB. Most is 2 KB of heap, and as much for the garbage
+// collector, for each server that a sidecar lists.
 func (s *Spec) memoryNeededMB() float64 {
 	listed := s.Servers
 	if s.ServicesPerSidecar > 0 {
@@ -67,8 +68,8 @@
 	return c
 }
 
-// SweepSpecs returns the runs of a sweep over these sizes. Sizes up to half of the target are run at rest, at load and with changes;
-// from 960 on with the other events, too; over 960 at rest and with changes, with a quarter of the sidecars.
+// SweepSpecs returns the runs of a sweep over these sizes. Sizes up to half of the target are run at rest, under load and with
+// changes. Size 960 is run with the other events, too. Sizes over 960 are run at rest only, with a quarter of the sidecars.
 func SweepSpecs(sizes []int) (list []Spec) {
 	add := func(name string, n int, change func(s *Spec)) {
 		s := NewSpec(n)
@@ -96,7 +97,7 @@
 			load := func(s *Spec) {
 				s.ServicesPerSidecar, s.Rate = scope, 47
 				s.LoadFrom.Duration, s.WarmUp.Duration, s.SteadyDuration.Duration = 12*time.Second, 17*time.Second, 10*time.Second
-				if n > 120 { // a call takes the longer, the more are listed
+				if n > 120 { // calls take more processor time the more servers are listed
 					s.WarmUp.Duration, s.SteadyDuration.Duration = 14*time.Second, 4*time.Second
 				}
 				if n > 480 {
@@ -114,7 +115,7 @@
 					s.LoadFrom.Duration, s.SteadyDuration.Duration = 20*time.Second, 20*time.Second
 				})
 			}
-			if scope != 5 { // five processes are five times one
+			if scope != 5 { // five processes cost five times as much as one
 				add("apart", n, func(s *Spec) {
 					s.ServicesPerSidecar, s.Event, s.SteadyDuration.Duration = scope, "apart", 20*time.Second
 				})
@@ -130,13 +131,13 @@
 	return list
 }
 
-// neverRun is what no sweep runs, with the reason.
+// neverRun lists what no sweep runs, with the reason.
 var neverRun = []string{
-	"news over 480: at 960 the hub makes 921,600 copies a second, beyond the time",
-	"view over 240: beyond the time",
-	"apart with five processes of six: five times one",
-	"over 960: all but rest and its changes, and of the sidecars a quarter, for memory",
-	"a change of settings or a ban told to a running fleet, control machines, operators: there is no mechanism to play",
+	"news over 480: at 960 the broadcast makes 921,600 copies per second, which takes too long",
+	"view over 240: takes too long",
+	"apart with five processes of six servers each: costs five times as much as one process",
+	"over 960: all but rest and its changes, and those with a quarter of the sidecars, for lack of memory",
+	"a change of settings or a ban sent to a running fleet, control machines, operators: there is no mechanism to simulate",
 }
 
 // sweep is a sweep in progress: runs in processes of their own, limited by their number and by memory.
@@ -213,7 +214,7 @@
 	s.freeMB += spec.memoryNeededMB()
 	switch {
 	case err != nil && s.ctx.Err() != nil:
-		s.result.NotRun = append(s.result.NotRun, spec.Name+": the time was up")
+		s.result.NotRun = append(s.result.NotRun, spec.Name+": cancelled")
 	case err != nil:
 		s.errs = append(s.errs, fmt.Errorf("%s: %w", spec.Name, err))
 		s.result.NotRun = append(s.result.NotRun, spec.Name+": "+err.Error())
@@ -232,7 +233,7 @@
 	}
 }
 
-// RunInProcess carries out one run in a process of its own.
+// RunInProcess carries out one run in a child process, which writes its result to file.
 func RunInProcess(ctx context.Context, program string, order RunRequest, file string) (*Result, error) {
 	if err := order.Spec.Validate(); err != nil {
 		return nil, err
@@ -245,7 +246,7 @@
 		return nil, err
 	}
 	cmd := exec.CommandContext(ctx, program, "scale-rung", file)
-	cmd.Env = append(os.Environ(), "GOMAXPROCS=1") // one waits for the other at every instant of a virtual clock
+	cmd.Env = append(os.Environ(), "GOMAXPROCS=1") // with a virtual clock, threads would wait for each other at every instant
 	cmd.Stdin = bytes.NewReader(in)
 	if text, err := cmd.CombinedOutput(); err != nil {
 		return nil, fmt.Errorf("%w: %s", err, bytes.TrimSpace(text[:min(len(text), 2000)]))
--- a/internal/lab/scale/virtual.go
+++ b/internal/lab/scale/virtual.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// Virtual plays a rung on a virtual clock. It needs a program of its own: testing's machinery gives the clock, ends the
-// program, and tells by its code whether all went well. What the rung came to is handed to take.
+// RunVirtual carries out a run on a virtual clock and passes the result to handle. It needs a process of its own: package
+// testing, which provides the clock, ends the process with an exit code that reports success or failure.
 func RunVirtual(spec Spec, costs Costs, handle func(*Result, error)) error {
 	testing.Init()
-	flag.Parse() // what stands before the program's subcommand: nothing
+	flag.Parse() // testing needs parsed flags; no flags precede the subcommand
 	began := time.Now()
 	matchAll := func(string, string) (bool, error) { return true, nil }
 	testing.Main(matchAll, []testing.InternalTest{{Name: spec.Name, F: func(t *testing.T) {
--- a/internal/lab/scale/virtual_old.go
+++ b/internal/lab/scale/virtual_old.go
@@ -2,5 +2,5 @@
 
 package scale
 
-// RunVirtual cannot be: this toolchain has no virtual clock.
+// RunVirtual returns ErrNoVirtualClock: toolchains before Go 1.25 have no virtual clock.
 func RunVirtual(Spec, Costs, func(*Result, error)) error { return ErrNoVirtualClock }
