--- a/internal/lab/scale/chain.go
+++ b/internal/lab/scale/chain.go
@@ -104,8 +104,10 @@
 	MeanTimeLeftMs float64 `json:"time_left_ms"`
 }
 
+// chainPhaseCount is the number of phases of a chain's run.
 const chainPhaseCount = 3
 
+// chainPhaseNames are the names of the phases in results.
 var chainPhaseNames = [chainPhaseCount]string{"warm", "early", "late"}
 
 // chainRun is the state of a chain's run. Counters are by phase of the call from the edge.
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -65,6 +65,7 @@
 	outcomeCount
 )
 
+// outcomeNames are the names of outcomes in results.
 var outcomeNames = [outcomeCount]string{"served", "late", "refused", "failed", "cut"}
 
 // maxSeconds is the longest duration of a run, in virtual seconds.
--- a/internal/lab/scale/network.go
+++ b/internal/lab/scale/network.go
@@ -40,6 +40,7 @@
 	counterCount
 )
 
+// counterNames are the names of counters in results.
 var counterNames = [counterCount]string{"probes", "probe_conns", "attempts", "attempt_conns", "dead_dials", "unheard", "lists", "list_bytes",
 	"news_sent", "news_sent_bytes", "news_borne", "news_borne_bytes", "view_sent", "view_sent_bytes", "view_borne", "view_borne_bytes"}
 
