--- a/internal/lab/scale/agree.go
+++ b/internal/lab/scale/agree.go
@@ -323,8 +323,8 @@
 // the same runs.
 var (
 	MeasuredCosts = Costs{Probe: 447, Conn: 351, FailedDial: 104, DiscoveryCall: 454, DiscoveryByte: 1.05, Datagram: 28,
-		Source: "probe and conn: least squares over the loopback bytes of the 18 runs of 10 sidecars with 6, 60 and 240 servers at 0.1 and 5 calls/s " +
-			"(scale-agreement.json); list: payload of those runs, 4 packets; dead_dial, list_byte, datagram: calculated from headers (2 packets of 52, " +
-			"a header and half an acknowledgement per 1448 bytes, IP and UDP)"}
+		Source: "probe and conn: least squares over loopback's bytes in the 18 plays of 10 sidecars with 6, 60 and 240 servers at 0.1 and 5 calls/s " +
+			"(scale-agreement.json); list: payload of those plays, 4 packets; dead_dial, list_byte, datagram: reckoned from headers (2 packets of 52, " +
+			"a head and half an acknowledgement in 1448, IP and UDP)"}
 	measuredHTTPBytes = httpBytes{Probe: 239, Attempt: 351, DiscoveryCall: 246, ApplicationCall: 1012}
 )
--- a/internal/lab/scale/sweep.go
+++ b/internal/lab/scale/sweep.go
@@ -133,11 +133,11 @@
 
 // neverRun lists what no sweep runs, with the reason.
 var neverRun = []string{
-	"news over 480: at 960 the broadcast makes 921,600 copies per second, which takes too long",
-	"view over 240: takes too long",
-	"apart with five processes of six servers each: costs five times as much as one process",
-	"over 960: all but rest and its changes, and those with a quarter of the sidecars, for lack of memory",
-	"a change of settings or a ban sent to a running fleet, control machines, operators: there is no mechanism to simulate",
+	"news over 480: at 960 the hub makes 921,600 copies a second, beyond the time",
+	"view over 240: beyond the time",
+	"apart with five processes of six: five times one",
+	"over 960: all but rest and its changes, and of the sidecars a quarter, for memory",
+	"a change of settings or a ban told to a running fleet, control machines, operators: there is no mechanism to play",
 }
 
 // sweep is a sweep in progress: runs in processes of their own, limited by their number and by memory.
@@ -214,7 +214,7 @@
 	s.freeMB += spec.memoryNeededMB()
 	switch {
 	case err != nil && s.ctx.Err() != nil:
-		s.result.NotRun = append(s.result.NotRun, spec.Name+": cancelled")
+		s.result.NotRun = append(s.result.NotRun, spec.Name+": the time was up")
 	case err != nil:
 		s.errs = append(s.errs, fmt.Errorf("%s: %w", spec.Name, err))
 		s.result.NotRun = append(s.result.NotRun, spec.Name+": "+err.Error())
