--- a/internal/datagram/doc.go
+++ b/internal/datagram/doc.go
@@ -1,12 +1,13 @@
-// Package datagram is the path between the sidecars of a fleet: UDP datagrams
-// of at most MaxSize bytes that may be lost, duplicated or reordered (see
-// PROTOCOL, "Between sidecars").
+// Package datagram is the transport between the sidecars of a fleet. It carries
+// UDP datagrams of at most MaxSize bytes, which may be lost, duplicated or
+// reordered (see PROTOCOL, "Between sidecars").
 //
 // The first byte of a datagram is its Channel. A Transport sends datagrams,
-// hands received ones to the handler of their channel, counts both, and limits
-// the rate of everything but gossip. Streams adds reliable byte streams (KCP)
-// on two of the channels.
+// passes each received one to the handler of its channel, counts both, and
+// limits the sending rate of all channels except gossip. Streams adds reliable
+// byte streams (KCP) on two of the channels.
 //
-// The package knows nothing of what the datagrams carry: internal/fleet wires
-// the gossip channel to the balancer, internal/membership uses the others.
+// The package does not interpret the content of the datagrams: internal/fleet
+// connects the gossip channel to the balancer, and internal/membership uses the
+// other channels.
 package datagram
--- a/internal/datagram/golden_test.go
+++ b/internal/datagram/golden_test.go
@@ -66,7 +66,7 @@
 		return nil
 	}, Options{MaxRate: 1000})
 	for _, p := range payloads {
-		if err := out.Send(there, append([]byte{byte(p.channel)}, p.payload...)); err != nil {
+		if err := out.Send(addressB, append([]byte{byte(p.channel)}, p.payload...)); err != nil {
 			t.Fatal(p.name, err)
 		}
 	}
@@ -75,9 +75,9 @@
 		var got []byte
 		in.Handle(g.Channel, func(from netip.AddrPort, data []byte) bool {
 			got = data
-			return from == here
+			return from == addressA
 		})
-		in.Deliver(here, g.bytes(t))
+		in.Deliver(addressA, g.bytes(t))
 		if len(got) == 0 || !bytes.Equal(got[1:], payloads[i].payload) {
 			t.Errorf("%s: received as %x", g.Name, got)
 		}
@@ -150,29 +150,29 @@
 				}
 			}
 		}
-		dialed, err := dialer.add(streamKey{there, goldenConversation, true})
+		dialed, err := dialer.add(streamKey{addressB, goldenConversation, true})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := dialed.Write(question); err != nil {
 			t.Fatal(err)
 		}
-		forward("question", dialer, listener, here)
+		forward("question", dialer, listener, addressA)
 		accepted := <-listener.Accepted()
 		got := make([]byte, len(question))
 		if _, err := io.ReadFull(accepted, got); err != nil || !bytes.Equal(got, question) {
 			t.Fatalf("the question was read as %q, %v", got, err)
 		}
-		forward("acknowledgement of the question", listener, dialer, there)
+		forward("acknowledgement of the question", listener, dialer, addressB)
 		if _, err := accepted.Write(answer); err != nil {
 			t.Fatal(err)
 		}
-		forward("answer", listener, dialer, there)
+		forward("answer", listener, dialer, addressB)
 		got = make([]byte, len(answer))
 		if _, err := io.ReadFull(dialed, got); err != nil || !bytes.Equal(got, answer) {
 			t.Fatalf("the answer was read as %q, %v", got, err)
 		}
-		forward("acknowledgement of the answer", dialer, nil, here)
+		forward("acknowledgement of the answer", dialer, nil, addressA)
 
 		replay := replayQuestion(t, question, compareGolden(t, all, "stream.json"))
 		for _, side := range []*goldenSide{dialer, listener, replay} {
@@ -191,7 +191,7 @@
 	for _, g := range segments {
 		switch g.Name {
 		case "question":
-			replay.transport.Deliver(here, g.bytes(t))
+			replay.transport.Deliver(addressA, g.bytes(t))
 		case "acknowledgement of the question":
 			acknowledged = append(acknowledged, g.Hex)
 		}
--- a/internal/datagram/stream.go
+++ b/internal/datagram/stream.go
@@ -14,23 +14,24 @@
 
 // Settings and limits of one stream.
 const (
-	maxSegmentSize      = MaxSize - 1                        // bytes of a datagram after the channel byte
-	maxSegmentData      = maxSegmentSize - segmentHeaderSize // bytes of one segment's payload
-	windowSegments      = 32                                 // segments in flight, and accepted out of order
-	fastResendAcks      = 2                                  // acknowledgements of later segments after which one is retransmitted at once
+	maxSegmentSize      = MaxSize - 1                        // bytes of a datagram after the channel byte; KCP's MTU
+	maxSegmentData      = maxSegmentSize - segmentHeaderSize // payload bytes of one segment
+	windowSegments      = 32                                 // KCP's send and receive window: segments in flight, and segments accepted out of order
+	fastResendAcks      = 2                                  // a segment is retransmitted without waiting for its timeout after so many acknowledgements of later segments
 	flushIntervalMillis = 20
 	flushInterval       = flushIntervalMillis * time.Millisecond
-	maxQueuedBytes      = 1 << 20          // written and not acknowledged; also received and not read
-	maxStreamLifetime   = 30 * time.Second // ends a stream that nobody closes
-	drainPeriod         = 2 * time.Second  // a closed stream acknowledges so long, so that no late segment opens it anew
-	maxDrainPeriod      = 10 * time.Second // and so long while its own data is not acknowledged
+	maxQueuedBytes      = 1 << 20          // limit on bytes written but not acknowledged, and on bytes received but not read
+	maxStreamLifetime   = 30 * time.Second // after this a stream that was not closed is terminated
+	drainPeriod         = 2 * time.Second  // a closed stream keeps acknowledging for this long, so that a late segment does not open it again
+	maxDrainPeriod      = 10 * time.Second // limit on draining while the stream's own data is not acknowledged
 )
 
-// errQueueFull is returned by Write when the stream holds too much that is not acknowledged.
-var errQueueFull = errors.New("too many bytes not acknowledged")
+// errQueueFull is returned by Write when accepting the data would exceed the limit on unacknowledged bytes.
+var errQueueFull = errors.New("send queue full: too many unacknowledged bytes")
 
-// stream is one KCP conversation as a net.Conn. Two timers drive it: flushTimer
-// while anything is due, lifetimeTimer until its end.
+// stream is a net.Conn on one KCP conversation. It is driven by two timers:
+// flushTimer runs while there is data or an acknowledgement to send, and
+// lifetimeTimer runs until the stream ends.
 type stream struct {
 	streams *Streams
 	key     streamKey
@@ -39,23 +40,23 @@
 	kcp              *kcp.KCP
 	flushTimer       *time.Timer
 	flushScheduled   bool
-	remainingFlushes int         // still due when all is acknowledged: KCP sends its acknowledgements in them
+	remainingFlushes int         // flushes to run even if all sent data is acknowledged: KCP sends its own acknowledgements in them
 	lifetimeTimer    *time.Timer // calls expire
-	unread           []byte      // received and not read
-	closed           bool        // by its user, or terminated
+	unread           []byte      // received but not read
+	closed           bool        // closed by its user, or terminated
 	closedAt         time.Time
 	endErr           error // why the stream was terminated; nil until then
 	deadline         time.Time
-	readable         chan struct{} // closed when a waiting Read should check again
+	readable         chan struct{} // closed to wake up waiting Reads, then replaced
 }
 
-// notifyReaders makes waiting Reads check again. The caller holds stateMu.
+// notifyReaders wakes up waiting Reads, so that they check the stream's state again. The caller holds stateMu.
 func (st *stream) notifyReaders() {
 	close(st.readable)
 	st.readable = make(chan struct{})
 }
 
-// input takes received segments; false means that they are rejected.
+// input passes received segments to KCP and appends the data to unread. It returns false for rejected segments.
 func (st *stream) input(segments []byte) bool {
 	st.stateMu.Lock()
 	defer st.stateMu.Unlock()
@@ -77,7 +78,8 @@
 	return true
 }
 
-// scheduleFlush has flush run twice: KCP sends at most once per interval. The caller holds stateMu.
+// scheduleFlush schedules two runs of flush. One might not send anything, because KCP sends at most once per interval.
+// The caller holds stateMu.
 func (st *stream) scheduleFlush() {
 	st.remainingFlushes = 2
 	if !st.flushScheduled {
@@ -86,7 +88,8 @@
 	}
 }
 
-// flush sends what is due, and runs again while anything is not acknowledged. It is the flush timer's function.
+// flush lets KCP send pending segments and acknowledgements. It schedules itself again while sent data is not
+// acknowledged. It is called by flushTimer.
 func (st *stream) flush() {
 	st.stateMu.Lock()
 	defer st.stateMu.Unlock()
@@ -102,8 +105,9 @@
 	}
 }
 
-// expire terminates the stream, unless it is closed and still has data to
-// deliver. It is the lifetime timer's function.
+// expire terminates the stream and removes it. If the stream is closed and has
+// unacknowledged data, it first drains for up to maxDrainPeriod after the close.
+// It is called by lifetimeTimer.
 func (st *stream) expire() {
 	st.stateMu.Lock()
 	isDraining := st.closed && st.endErr == nil && st.kcp.WaitSnd() > 0 && time.Since(st.closedAt) < maxDrainPeriod
@@ -118,7 +122,7 @@
 	st.streams.remove(st.key)
 }
 
-// terminate ends the stream at once; Read and Write return err from then on.
+// terminate ends the stream immediately. Write then returns err, and so does Read once all received data has been read.
 func (st *stream) terminate(err error) {
 	st.stateMu.Lock()
 	defer st.stateMu.Unlock()
@@ -131,12 +135,13 @@
 	st.notifyReaders()
 	if !st.closed {
 		st.closed = true
-		st.streams.releaseOpen()
+		st.streams.decrementOpenCount()
 	}
 }
 
-// Read reads received data, and waits for some until the deadline. Data that
-// came before the stream ended is still read.
+// Read returns received data. Without any it waits until data arrives, the
+// stream ends or the deadline passes. Data received before the stream ended can
+// still be read.
 func (st *stream) Read(b []byte) (int, error) {
 	for {
 		n, wait, err := st.readNow(b)
@@ -149,13 +154,13 @@
 	}
 }
 
-// readWait is what a Read without data waits for.
+// readWait holds what a Read waits for when there is no data.
 type readWait struct {
 	readable <-chan struct{}
-	deadline time.Time // zero for none
+	deadline time.Time // zero for no deadline
 }
 
-// await returns nil when there may be data, and os.ErrDeadlineExceeded at the deadline.
+// await waits until the stream's state changed, and then returns nil. At the deadline it returns os.ErrDeadlineExceeded.
 func (w *readWait) await() error {
 	var expired <-chan time.Time
 	if !w.deadline.IsZero() {
@@ -175,7 +180,8 @@
 	}
 }
 
-// readNow reads what is there. With neither data nor an end it returns what to wait for before the next call.
+// readNow reads without waiting. If there is no data and the stream has not ended, it returns a readWait to wait on
+// before the next call.
 func (st *stream) readNow(b []byte) (int, *readWait, error) {
 	st.stateMu.Lock()
 	defer st.stateMu.Unlock()
@@ -193,7 +199,7 @@
 	return 0, &readWait{st.readable, st.deadline}, nil
 }
 
-// Write queues all of b, or fails; it never waits.
+// Write queues b for sending. It never waits: if b does not fit the queue, it returns an error.
 func (st *stream) Write(b []byte) (int, error) {
 	st.stateMu.Lock()
 	defer st.stateMu.Unlock()
@@ -216,7 +222,7 @@
 	return len(b), nil
 }
 
-// Close ends the stream for its user. What is not acknowledged is sent for a while longer.
+// Close closes the stream for reading and writing. Unacknowledged data is still sent for up to maxDrainPeriod.
 func (st *stream) Close() error {
 	st.stateMu.Lock()
 	defer st.stateMu.Unlock()
@@ -226,17 +232,17 @@
 	st.closed, st.closedAt = true, time.Now()
 	st.notifyReaders()
 	st.lifetimeTimer.Reset(drainPeriod)
-	st.streams.releaseOpen()
+	st.streams.decrementOpenCount()
 	return nil
 }
 
-// LocalAddr returns an address without a value: the transport may have no socket.
+// LocalAddr returns a placeholder, since the transport may have no socket.
 func (st *stream) LocalAddr() net.Addr { return streamAddress{} }
 
 // RemoteAddr returns the peer's address.
 func (st *stream) RemoteAddr() net.Addr { return streamAddress{st.key.peer} }
 
-// SetDeadline limits Reads; Writes never wait.
+// SetDeadline sets the deadline of Reads; zero means none. Writes never wait.
 func (st *stream) SetDeadline(deadline time.Time) error {
 	st.stateMu.Lock()
 	defer st.stateMu.Unlock()
@@ -245,19 +251,19 @@
 	return nil
 }
 
-// SetReadDeadline limits Reads.
+// SetReadDeadline sets the deadline of Reads; zero means none.
 func (st *stream) SetReadDeadline(deadline time.Time) error { return st.SetDeadline(deadline) }
 
 // SetWriteDeadline does nothing: Writes never wait.
 func (st *stream) SetWriteDeadline(time.Time) error { return nil }
 
-// streamAddress is a net.Addr.
+// streamAddress is the net.Addr of a stream's peer; its zero value stands for the local side.
 type streamAddress struct{ netip.AddrPort }
 
-// Network returns "udp", which carries the streams.
+// Network returns "udp", the network that carries the streams.
 func (a streamAddress) Network() string { return "udp" }
 
-// String returns the address, "peers" for the local one.
+// String returns the address, or "peers" for the local side.
 func (a streamAddress) String() string {
 	if !a.IsValid() {
 		return "peers"
--- a/internal/datagram/streams.go
+++ b/internal/datagram/streams.go
@@ -14,29 +14,30 @@
 )
 
 func init() {
-	// kcp-go starts goroutines for its own sockets when it is imported. The streams here drive its state machine
-	// with timers of their own, and a sidecar without streams must not pay for any goroutine.
+	// kcp-go starts goroutines for its own sockets when it is imported. This package drives KCP's state machine with
+	// timers of its own, and a sidecar without streams must not run goroutines that it does not need.
 	kcp.SystemTimedSched.Close()
 }
 
 // Limits of the streams of one transport.
 const (
-	maxOpenStreams = 64                 // dialed and accepted, not counting closed ones that still drain
-	maxStreams     = 4 * maxOpenStreams // counting those
+	maxOpenStreams = 64                 // dialed and accepted streams, not counting closed ones that still drain
+	maxStreams     = 4 * maxOpenStreams // all streams, draining ones included
 )
 
-// The fields of a KCP segment's header that are read here.
+// Size and field offsets of a KCP segment's header, in bytes.
 const (
 	segmentHeaderSize     = kcp.IKCP_OVERHEAD
 	segmentCommandOffset  = 4
 	segmentSequenceOffset = 12
 )
 
-// ErrTooManyStreams is returned by Dial when the limit of open streams is reached.
-var ErrTooManyStreams = fmt.Errorf("more than %d streams", maxOpenStreams)
+// ErrTooManyStreams is returned by Dial when the limit of open streams, or of all streams including draining ones, is
+// reached.
+var ErrTooManyStreams = fmt.Errorf("too many streams (at most %d open)", maxOpenStreams)
 
 // errStreamExists is returned by add for a key that is in use.
-var errStreamExists = errors.New("stream exists")
+var errStreamExists = errors.New("stream key is in use")
 
 // streamKey identifies a stream: the peer's address, KCP's conversation number, and whether this side dialed.
 type streamKey struct {
@@ -45,23 +46,25 @@
 	dialed       bool
 }
 
-// Streams are reliable byte streams (KCP) on a transport's two stream
+// Streams manages reliable byte streams (KCP) on a transport's two stream
 // channels. There is no handshake: a stream begins with its first segment.
 //
-// Streams are safe for concurrent use and have no goroutine: they run on
-// Deliver's caller and on timers that end with each stream.
+// Streams is safe for concurrent use and starts no goroutine. Its code runs in
+// the goroutine that calls Transport.Deliver and in timers, which stop when
+// their stream ends.
 type Streams struct {
 	transport *Transport
 	accepted  chan net.Conn
 
-	// streamsMu guards the fields below. It may be taken while a stream's stateMu is held, never the other way round.
+	// streamsMu guards the fields below. It may be locked while a stream's stateMu is held, but stateMu must not be
+	// locked while streamsMu is held.
 	streamsMu sync.Mutex
-	streams   map[streamKey]*stream // by key, closed ones that still drain included
-	openCount int                   // streams that their user has not closed
+	streams   map[streamKey]*stream // closed ones that still drain included
+	openCount int                   // streams that are neither closed nor terminated
 	closed    bool
 }
 
-// NewStreams sets the handlers of the transport's stream channels.
+// NewStreams returns the streams of a transport. It sets the handlers of the two stream channels.
 func NewStreams(t *Transport) *Streams {
 	s := &Streams{transport: t, accepted: make(chan net.Conn, maxOpenStreams), streams: map[streamKey]*stream{}}
 	t.Handle(ChannelToListener, func(from netip.AddrPort, data []byte) bool {
@@ -73,10 +76,10 @@
 	return s
 }
 
-// Accepted returns the channel of streams that peers opened.
+// Accepted returns the channel that delivers the streams opened by peers.
 func (s *Streams) Accepted() <-chan net.Conn { return s.accepted }
 
-// Close ends all streams at once; what they have not sent is lost.
+// Close terminates all streams immediately. Data that they have not sent is lost. No stream can be opened afterwards.
 func (s *Streams) Close() {
 	s.streamsMu.Lock()
 	s.closed = true
@@ -88,8 +91,8 @@
 	}
 }
 
-// Dial opens a stream to a peer. Nothing is sent before the first Write. Its
-// error is ErrTooManyStreams, or net.ErrClosed after Close.
+// Dial opens a stream to a peer. Nothing is sent before the first Write. It
+// returns ErrTooManyStreams when a limit is reached, and net.ErrClosed after Close.
 func (s *Streams) Dial(to netip.AddrPort) (net.Conn, error) {
 	for {
 		st, err := s.add(streamKey{to, rand.Uint32(), true})
@@ -102,7 +105,7 @@
 	}
 }
 
-// add registers a new stream. Its error is net.ErrClosed, errStreamExists or ErrTooManyStreams.
+// add creates and registers a stream. It returns net.ErrClosed, errStreamExists or ErrTooManyStreams if it cannot.
 func (s *Streams) add(key streamKey) (*stream, error) {
 	s.streamsMu.Lock()
 	defer s.streamsMu.Unlock()
@@ -120,22 +123,25 @@
 	return st, nil
 }
 
-// remove forgets a stream: a segment of it that comes later is rejected.
+// remove unregisters a stream. Segments that arrive for it later are rejected, unless one of them opens it again
+// (see beginsStream).
 func (s *Streams) remove(key streamKey) {
 	s.streamsMu.Lock()
 	defer s.streamsMu.Unlock()
 	delete(s.streams, key)
 }
 
-// releaseOpen makes room for another open stream. It may be called with a stream's stateMu held.
-func (s *Streams) releaseOpen() {
+// decrementOpenCount makes room for another open stream. It may be called with a stream's stateMu held.
+func (s *Streams) decrementOpenCount() {
 	s.streamsMu.Lock()
 	defer s.streamsMu.Unlock()
 	s.openCount--
 }
 
-// deliver takes the segments of one datagram. A segment that begins a stream
-// opens it. It returns false for segments that are rejected.
+// deliver passes the segments of one datagram to their stream. If the stream is
+// not known and the first segment begins one, deliver opens and accepts it.
+// dialed says whether this side dialed the stream. It returns false for rejected
+// segments.
 func (s *Streams) deliver(from netip.AddrPort, segments []byte, dialed bool) bool {
 	if len(segments) < segmentHeaderSize {
 		return false
@@ -157,37 +163,38 @@
 	select {
 	case s.accepted <- st:
 		return st.input(segments)
-	default: // nobody accepts
+	default: // the queue of accepted streams is full
 		st.terminate(net.ErrClosed)
 		s.remove(key)
 		return false
 	}
 }
 
-// beginsStream reports whether the first segment has data from a stream's
-// first window. Others are late segments of a stream that is forgotten.
+// beginsStream reports whether the first segment carries data from a stream's
+// first window. Any other segment is a late one of a stream that was removed.
 func beginsStream(segments []byte) bool {
 	return segments[segmentCommandOffset] == kcp.IKCP_CMD_PUSH &&
 		binary.LittleEndian.Uint32(segments[segmentSequenceOffset:]) < windowSegments
 }
 
-// writeSegments returns KCP's output for one stream: it puts the channel byte before the segments and sends them.
-// KCP calls it under the stream's stateMu.
+// writeSegments returns KCP's output function for one stream. It sends the segments in a datagram, after the channel
+// byte. KCP calls it with the stream's stateMu held.
 func (s *Streams) writeSegments(key streamKey) func(segments []byte, size int) {
 	buffer := [MaxSize]byte{byte(ChannelToListener)}
 	if !key.dialed {
 		buffer[0] = byte(ChannelToDialer)
 	}
 	return func(segments []byte, size int) {
-		if size > maxSegmentSize || size < segmentHeaderSize { // KCP also flushes nothing
+		if size > maxSegmentSize || size < segmentHeaderSize { // KCP also calls it with nothing to send
 			return
 		}
 		length := 1 + copy(buffer[1:], segments[:size])
-		s.transport.Send(key.peer, buffer[:length]) // a datagram that is not sent is retransmitted
+		s.transport.Send(key.peer, buffer[:length]) // KCP retransmits the segments if sending fails
 	}
 }
 
-// newStream makes a stream that ends after maxStreamLifetime at the latest.
+// newStream returns a stream that is not registered yet. It is terminated after maxStreamLifetime unless it is closed
+// before.
 func newStream(s *Streams, key streamKey) *stream {
 	st := &stream{streams: s, key: key, readable: make(chan struct{})}
 	st.kcp = kcp.NewKCP(key.conversation, s.writeSegments(key))
--- a/internal/datagram/transport.go
+++ b/internal/datagram/transport.go
@@ -14,45 +14,46 @@
 	"golang.org/x/time/rate"
 )
 
-// MaxSize is the protocol's limit on a datagram, in bytes, its channel byte included.
+// MaxSize is the protocol's maximum size of a datagram in bytes, including the channel byte.
 const MaxSize = 256
 
 // Channel is the first byte of a datagram. It says which part of the sidecar the datagram is for.
 type Channel byte
 
-// The channels. The version of a gossip message is its first byte, so that
-// gossip looks on the wire as it did before there were other channels.
+// The channels. ChannelGossip equals the version that is the first byte of a
+// gossip message, so that gossip has the same form on the wire as before the
+// other channels were added.
 const (
-	ChannelGossip     Channel = 1 // the balancer's messages
+	ChannelGossip     Channel = 1 // the balancer's gossip messages
 	ChannelPackets    Channel = 2 // memberlist packets
 	ChannelToListener Channel = 3 // stream segments to the side that accepted the stream
-	ChannelToDialer   Channel = 4 // stream segments to the side that dialed it
+	ChannelToDialer   Channel = 4 // stream segments to the side that dialed the stream
 
-	channelCount = 5 // channel 0 is not used
+	channelCount = 5 // length of arrays indexed by channel; channel 0 is not used
 )
 
 const (
-	sendTimeout    = 10 * time.Millisecond  // a datagram that the socket does not take in this time counts as lost
-	readErrorPause = 100 * time.Millisecond // keeps a failing socket from filling the log
-	burstDuration  = 4 * time.Second        // of the rate limit, which a start or a healed partition may spend at once
+	sendTimeout    = 10 * time.Millisecond  // a datagram that the socket does not accept in this time is dropped
+	readErrorPause = 100 * time.Millisecond // after a read error, so that a failing socket does not fill the log
+	burstDuration  = 4 * time.Second        // the rate limit's burst is this long at the full rate, for the traffic after a start or a healed partition
 )
 
-// ErrRateLimited is returned by Send for a datagram over the rate limit.
-var ErrRateLimited = errors.New("over the rate limit of datagrams")
+// ErrRateLimited is returned by Send for a datagram that exceeds the rate limit.
+var ErrRateLimited = errors.New("datagram rate limit exceeded")
 
-// ErrInvalidDatagram is wrapped by Send's error for a datagram that is empty, too long or of no known channel.
+// ErrInvalidDatagram is wrapped by Send's error for a datagram that is empty, too long or on an unknown channel.
 var ErrInvalidDatagram = errors.New("invalid datagram")
 
-// ChannelCounts counts the datagrams of one channel since the start. Bytes are
-// payload: UDP and IP headers are not counted.
+// ChannelCounts counts the datagrams of one channel since the start. Bytes do
+// not include UDP and IP headers.
 type ChannelCounts struct {
 	SentDatagrams, SentBytes         uint64
 	ReceivedDatagrams, ReceivedBytes uint64
 	RateLimited                      uint64 // not sent because of the rate limit
-	Rejected                         uint64 // received, and not accepted by the channel's handler
+	Rejected                         uint64 // received, but rejected by the channel's handler
 }
 
-// channelCounters is ChannelCounts while they are counted.
+// channelCounters holds the counters behind ChannelCounts.
 type channelCounters struct {
 	sent, sentBytes, received, receivedBytes, rateLimited, rejected atomic.Uint64
 }
@@ -68,43 +69,45 @@
 	}
 }
 
-// Options of a Transport. The zero value is usable.
+// Options configures a Transport. The zero value is usable.
 type Options struct {
-	// MaxRate limits all channels but ChannelGossip, in datagrams per second:
-	// half for packets, half for streams. 0 means no limit.
+	// MaxRate limits the sending rate of all channels except ChannelGossip, in
+	// datagrams per second: half of it is for packets, half for streams. 0 means
+	// no limit.
 	MaxRate float64
-	// ControlSocket sets options of the socket before it is bound; nil for none.
+	// ControlSocket sets socket options before the socket is bound; nil for none.
 	ControlSocket func(network, address string, raw syscall.RawConn) error
-	Logger        *slog.Logger // nil discards
+	Logger        *slog.Logger // nil discards log lines
 }
 
-// SendFunc carries one datagram to an address. It must not keep data.
+// SendFunc sends one datagram to an address. It must not retain data.
 type SendFunc func(data []byte, to netip.AddrPort) error
 
-// Handler takes a received datagram, channel byte included. It may keep data,
-// and returns false for a datagram that it rejects.
+// Handler handles a received datagram, channel byte included. It may retain
+// data, and returns false for a datagram that it rejects.
 type Handler func(from netip.AddrPort, data []byte) bool
 
-// Transport is one sidecar's end of the path. All methods but Handle are safe for concurrent use.
+// Transport sends and receives one sidecar's datagrams. All methods except Handle are safe for concurrent use.
 type Transport struct {
 	send             SendFunc
-	limiters         [channelCount]*rate.Limiter // nil for no limit
+	limiters         [channelCount]*rate.Limiter // nil for no limit; the two stream channels share one
 	counters         [channelCount]channelCounters
 	unknownDatagrams atomic.Uint64         // received with an invalid size or no handler for the channel
-	handlers         [channelCount]Handler // written by Handle, before the first Deliver
+	handlers         [channelCount]Handler // set by Handle before the first Deliver
 	logger           *slog.Logger
 	conn             *net.UDPConn // nil for a transport made by New
 }
 
-// New returns a transport without a socket: send carries its datagrams, and
-// its owner hands received ones to Deliver.
+// New returns a transport without a socket. It sends datagrams by calling send,
+// and its owner passes received ones to Deliver.
 func New(send SendFunc, o Options) *Transport {
 	t := &Transport{send: send, logger: o.Logger}
 	if t.logger == nil {
 		t.logger = slog.New(slog.DiscardHandler)
 	}
 	if o.MaxRate > 0 {
-		// Two limiters, so that membership lists sent to many members leave room for answering pings.
+		// Packets and streams have separate limiters, so that sending the membership list to many members does not
+		// prevent answers to pings.
 		t.limiters[ChannelPackets] = newLimiter(o.MaxRate / 2)
 		streams := newLimiter(o.MaxRate / 2)
 		t.limiters[ChannelToListener] = streams
@@ -113,7 +116,7 @@
 	return t
 }
 
-// newLimiter allows perSecond datagrams per second, with a burst of burstDuration.
+// newLimiter returns a limiter of perSecond datagrams per second, whose burst is the number of datagrams in burstDuration.
 func newLimiter(perSecond float64) *rate.Limiter {
 	burst := max(1, int(perSecond*burstDuration.Seconds()))
 	return rate.NewLimiter(rate.Limit(perSecond), burst)
@@ -138,16 +141,16 @@
 	return t, nil
 }
 
-// Conn returns the transport's socket, nil for a transport made by New.
+// Conn returns the transport's socket, or nil for a transport made by New.
 func (t *Transport) Conn() *net.UDPConn { return t.conn }
 
-// Handle sets the handler of a channel. It is called before Serve and before the first Deliver.
+// Handle sets the handler of a channel. It must be called before Serve and before the first Deliver.
 func (t *Transport) Handle(channel Channel, handler Handler) { t.handlers[channel] = handler }
 
 // Serve reads datagrams from the socket and delivers them until the socket is
-// closed. It runs in a goroutine of the transport's owner.
+// closed. The transport's owner runs it in a goroutine.
 func (t *Transport) Serve() {
-	buffer := make([]byte, MaxSize+1) // one byte more shows that a datagram is too long
+	buffer := make([]byte, MaxSize+1) // the extra byte reveals a datagram that is too long
 	for {
 		size, from, err := t.conn.ReadFromUDPAddrPort(buffer)
 		switch {
@@ -178,20 +181,21 @@
 	}
 }
 
-// isValid reports whether data has the size of a datagram and a known channel.
+// isValid reports whether data has a valid size and a known channel.
 func isValid(data []byte) bool {
 	return len(data) > 0 && len(data) <= MaxSize && data[0] < channelCount
 }
 
-// countDropped counts a received datagram that was dropped, and logs the 1st, 2nd, 4th, 8th ... of its counter.
+// countDropped counts a received datagram that was dropped. It logs the 1st, 2nd, 4th, 8th and so on of each counter.
 func (t *Transport) countDropped(count *atomic.Uint64, from netip.AddrPort, data []byte) {
 	if n := count.Add(1); n&(n-1) == 0 {
 		t.logger.Warn("datagram dropped", "from", from, "bytes", len(data), "dropped", n)
 	}
 }
 
-// Send sends one datagram, channel byte included. Its error is ErrRateLimited,
-// wraps ErrInvalidDatagram, or is the socket's; callers may treat each as a lost datagram.
+// Send sends one datagram, channel byte included. It returns ErrRateLimited, an
+// error that wraps ErrInvalidDatagram, or the error of the SendFunc. Callers may
+// treat each of them as a lost datagram.
 func (t *Transport) Send(to netip.AddrPort, data []byte) error {
 	if !isValid(data) {
 		return fmt.Errorf("send %d bytes to %v: %w", len(data), to, ErrInvalidDatagram)
@@ -211,7 +215,7 @@
 }
 
 // Counts returns the counts of each channel, and the number of received
-// datagrams that were empty, too long or of a channel without a handler.
+// datagrams that were empty, too long or on a channel without a handler.
 func (t *Transport) Counts() (byChannel map[Channel]ChannelCounts, unknown uint64) {
 	byChannel = map[Channel]ChannelCounts{}
 	for channel := ChannelGossip; channel < channelCount; channel++ {
--- a/internal/datagram/transport_test.go
+++ b/internal/datagram/transport_test.go
@@ -15,14 +15,14 @@
 )
 
 // Addresses of the two transports of a pair.
-var here, there = netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1")
+var addressA, addressB = netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1")
 
 // newPair connects two transports by a network that loses, duplicates and reorders; oversized counts datagrams over MaxSize.
 func newPair(seed uint64, loss float64, delay time.Duration, o Options) (a, b *Transport, oversized *int) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var randomMu sync.Mutex
 	oversized = new(int)
-	carry := func(from netip.AddrPort, to **Transport) SendFunc {
+	transmit := func(from netip.AddrPort, to **Transport) SendFunc {
 		return func(data []byte, _ netip.AddrPort) error {
 			randomMu.Lock()
 			defer randomMu.Unlock()
@@ -40,7 +40,7 @@
 			return nil
 		}
 	}
-	a, b = New(carry(here, &b), o), New(carry(there, &a), o)
+	a, b = New(transmit(addressA, &b), o), New(transmit(addressB, &a), o)
 	return a, b, oversized
 }
 
@@ -62,7 +62,7 @@
 				question[i] = byte(i * 7 >> 3)
 			}
 			copy(answer, question[1000:])
-			conn, err := dialer.Dial(there)
+			conn, err := dialer.Dial(addressB)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -98,17 +98,17 @@
 		dialer := NewStreams(a)
 		NewStreams(b)
 		for range maxOpenStreams {
-			conn, err := dialer.Dial(there)
+			conn, err := dialer.Dial(addressB)
 			if err != nil {
 				t.Fatal(err)
 			}
 			conn.Write([]byte("a"))
 		}
-		if _, err := dialer.Dial(there); !errors.Is(err, ErrTooManyStreams) {
+		if _, err := dialer.Dial(addressB); !errors.Is(err, ErrTooManyStreams) {
 			t.Errorf("a stream over the limit: %v", err)
 		}
 		time.Sleep(maxStreamLifetime + maxDrainPeriod)
-		conn, err := dialer.Dial(there)
+		conn, err := dialer.Dial(addressB)
 		if err != nil || dialer.streamCount() != 1 {
 			t.Errorf("%d streams outlive their lifetime, %v", dialer.streamCount()-1, err)
 		}
@@ -129,8 +129,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		a, _, _ := newPair(1, 0, 0, Options{MaxRate: 10})
 		for range 100 {
-			a.Send(there, []byte{byte(ChannelPackets), 1})
-			a.Send(there, []byte{byte(ChannelGossip), 1})
+			a.Send(addressB, []byte{byte(ChannelPackets), 1})
+			a.Send(addressB, []byte{byte(ChannelGossip), 1})
 		}
 		counts, _ := a.Counts()
 		packets, gossip := counts[ChannelPackets], counts[ChannelGossip]
@@ -138,11 +138,11 @@
 			t.Errorf("a burst of 4 s at half of 10 per second: packets %+v, gossip %+v", packets, gossip)
 		}
 		time.Sleep(time.Second)
-		if err := a.Send(there, []byte{byte(ChannelPackets)}); err != nil {
+		if err := a.Send(addressB, []byte{byte(ChannelPackets)}); err != nil {
 			t.Errorf("limited a second later: %v", err)
 		}
 		for _, data := range [][]byte{make([]byte, MaxSize+1), nil, {channelCount}} {
-			if err := a.Send(there, data); !errors.Is(err, ErrInvalidDatagram) {
+			if err := a.Send(addressB, data); !errors.Is(err, ErrInvalidDatagram) {
 				t.Errorf("a datagram of %d bytes: %v", len(data), err)
 			}
 		}
@@ -159,7 +159,7 @@
 		return nil
 	}, Options{})
 	streams := NewStreams(transport)
-	conn, err := streams.Dial(there)
+	conn, err := streams.Dial(addressB)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -170,7 +170,7 @@
 	f.Add([]byte{1, 2, 3})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if len(data) > 0 {
-			transport.Deliver(there, data)
+			transport.Deliver(addressB, data)
 		}
 		for len(streams.accepted) > 0 {
 			(<-streams.accepted).Close()
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -14,39 +14,41 @@
 	"bramblestand/internal/membership"
 )
 
-// Version is the program's, as members tell it to each other.
+// Version is the version of this program, which members announce to each other.
 const Version = "21.0"
 
-// Options of a Fleet.
+// Options configures a Fleet.
 type Options struct {
 	Settings
 	Name, Zone      string
-	PersistentState bool             // this sidecar persists its state on a disk
-	Listen          netip.AddrPort   // where datagrams are received
-	Peers           []netip.AddrPort // all sidecars of the tier, by their numbers: gossip is accepted from them alone, and they are the membership's seeds
-	PeerIndex       int              // the own number among Peers
-	PeerBroadcast   netip.AddrPort   // reaches all peers
-	Snapshot        json.RawMessage  // of an earlier process; nil for none
-
-	// Transport carries the datagrams in place of a socket: its owner delivers to it and ends it. nil for a socket.
+	PersistentState bool             // whether this sidecar persists its state on a disk
+	Listen          netip.AddrPort   // address on which datagrams are received
+	Peers           []netip.AddrPort // all sidecars of the tier, by index: gossip is accepted only from them, and they are the membership's seeds
+	PeerIndex       int              // this sidecar's index in Peers
+	PeerBroadcast   netip.AddrPort   // address that reaches all peers
+	Snapshot        json.RawMessage  // membership snapshot of an earlier process; nil for none
+
+	// Transport is used instead of a socket. Its owner delivers received datagrams to it and closes it. nil means that
+	// the Fleet opens a socket.
 	Transport *datagram.Transport
-	// ControlSocket sets options of the socket before it is bound, OnSocket gets the bound one. nil for neither.
+	// ControlSocket sets socket options before the socket is bound, and OnSocket is called with the bound socket. Either
+	// may be nil.
 	ControlSocket func(network, address string, raw syscall.RawConn) error
 	OnSocket      func(socket syscall.Conn)
 
-	// OnGossip takes a peer's gossip, in the goroutine that receives; nil where gossip is not used.
+	// OnGossip is called with each gossip message of a peer, in the receiving goroutine. nil if gossip is not used.
 	OnGossip func(data []byte)
-	// OnMemberCount gets the number of sidecars with each new stable view, while this one is not isolated. It is called
-	// by the membership's goroutine and must not wait for the Fleet. nil for none.
+	// OnMemberCount is called with the number of members whenever the stable view changes, unless this sidecar is
+	// isolated. It runs in the membership's goroutine and must not wait for the Fleet. nil for none.
 	OnMemberCount func(members int)
 
 	Logger *slog.Logger
 }
 
-// advertisedAddress returns the own address as the others know it.
+// advertisedAddress returns the address at which the other sidecars reach this one.
 func (o *Options) advertisedAddress() netip.AddrPort {
 	if o.Advertise != "" {
-		return netip.MustParseAddrPort(o.Advertise) // ParseSettings validated it
+		return netip.MustParseAddrPort(o.Advertise) // ParseSettings has validated it
 	}
 	if o.PeerIndex >= 0 && o.PeerIndex < len(o.Peers) {
 		return o.Peers[o.PeerIndex]
@@ -54,8 +56,8 @@
 	return o.Listen
 }
 
-// Self returns what this sidecar tells the others of itself. Its error is a
-// membership.InvalidMemberError.
+// Self returns this sidecar's description of itself, which it announces to the
+// others. The error is a membership.InvalidMemberError.
 func (o *Options) Self() (membership.Member, error) {
 	m := membership.Member{
 		Name:      o.Name,
@@ -73,23 +75,24 @@
 	return m, m.Validate()
 }
 
-// Fleet is one process's part in the fleet. It is safe for concurrent use.
+// Fleet connects one process to the fleet. It is safe for concurrent use.
 //
-// It owns two goroutines: one receives from the socket until that is closed,
-// one samples the traffic until Close. The membership agent has its own.
+// It owns up to two goroutines: one reads the socket, if there is one, until the
+// socket is closed, and one samples the traffic of an enabled membership until
+// Close. The membership agent has goroutines of its own.
 type Fleet struct {
 	options      Options
 	transport    *datagram.Transport
-	agent        *membership.Agent // nil where the membership is disabled
+	agent        *membership.Agent // nil if the membership is disabled
 	stopSampling context.CancelFunc
 
 	samplesMu sync.Mutex // guards samples
 	samples   [2]trafficSample
 }
 
-// Open opens the socket and, where it is enabled, joins the membership, which
-// Close ends. The socket is closed when ctx ends: gossip goes on until then,
-// also after a Close with a leave.
+// Open opens the socket and, if the membership is enabled, starts its agent,
+// which Close stops. The socket is closed when ctx ends. Until then gossip
+// continues, even after Close(true).
 func Open(ctx context.Context, o Options) (*Fleet, error) {
 	f := &Fleet{options: o, stopSampling: func() {}}
 	if err := f.openTransport(ctx); err != nil {
@@ -110,7 +113,7 @@
 	return f, nil
 }
 
-// openTransport takes the options' transport, or binds a socket.
+// openTransport uses the transport of the options, or binds a socket if there is none.
 func (f *Fleet) openTransport(ctx context.Context) error {
 	o := &f.options
 	if o.Transport != nil {
@@ -132,7 +135,8 @@
 	return nil
 }
 
-// gossipHandler passes on the gossip of the other peers, and rejects anybody else's.
+// gossipHandler returns the handler of the gossip channel. It passes the gossip of the other peers to OnGossip and
+// rejects datagrams from any other address.
 func (f *Fleet) gossipHandler() datagram.Handler {
 	o := &f.options
 	isPeer := map[netip.AddrPort]bool{}
@@ -148,7 +152,7 @@
 	}
 }
 
-// openMembership starts the agent and the sampling of traffic.
+// openMembership starts the membership agent and the sampling of traffic.
 func (f *Fleet) openMembership(ctx context.Context) error {
 	o := &f.options
 	self, err := o.Self()
@@ -175,14 +179,15 @@
 	return nil
 }
 
-// onStableView passes on the number of members.
+// onStableView passes the number of members to OnMemberCount, unless this sidecar is isolated.
 func (f *Fleet) onStableView(view membership.StableView) {
 	if f.options.OnMemberCount != nil && !view.Isolated {
 		f.options.OnMemberCount(len(view.Names))
 	}
 }
 
-// decodeSnapshot returns an earlier process's view, an empty one where it cannot be read.
+// decodeSnapshot returns the snapshot of an earlier process. It returns an empty one if there is none or it cannot be
+// decoded.
 func (o *Options) decodeSnapshot() membership.Snapshot {
 	if len(o.Snapshot) == 0 {
 		return membership.Snapshot{}
@@ -195,16 +200,17 @@
 	return snapshot
 }
 
-// closeSocket closes the socket, if it is the Fleet's own.
+// closeSocket closes the socket, unless the transport belongs to the caller of Open.
 func (f *Fleet) closeSocket() {
 	if f.options.Transport == nil {
 		f.transport.Conn().Close()
 	}
 }
 
-// Close ends the membership: with a leave, or without one where another process
-// of this sidecar goes on as the same member. Then the socket is closed, too,
-// so that the other process receives everything.
+// Close stops the membership. With leave, this sidecar announces that it leaves
+// the fleet, and the socket stays open until the context of Open ends. Without
+// leave, another process of this sidecar continues as the same member. The
+// socket is then closed, so that the other process receives all datagrams.
 func (f *Fleet) Close(leave bool) {
 	f.stopSampling()
 	if f.agent != nil {
@@ -215,27 +221,27 @@
 	}
 }
 
-// SendGossip sends the balancer's gossip to all peers. An error counts as a loss on the way.
+// SendGossip sends the balancer's gossip to all peers. Errors are only logged: gossip may be lost on the network anyway.
 func (f *Fleet) SendGossip(data []byte) {
 	if err := f.transport.Send(f.options.PeerBroadcast, data); err != nil {
 		f.options.Logger.Debug("gossip not sent", "error", err)
 	}
 }
 
-// Counts returns the datagrams of each channel since the start.
+// Counts returns the datagram counts of each channel since the start.
 func (f *Fleet) Counts() map[datagram.Channel]datagram.ChannelCounts {
 	counts, _ := f.transport.Counts()
 	return counts
 }
 
-// Snapshot returns what the next process of this sidecar should be given; nil
-// where the membership is disabled.
+// Snapshot returns the membership snapshot to pass to the next process of this
+// sidecar, or nil if the membership is disabled.
 func (f *Fleet) Snapshot() json.RawMessage {
 	if f.agent == nil {
 		return nil
 	}
 	data, err := json.Marshal(f.agent.Snapshot())
-	if err != nil { // strings, numbers and addresses have no error
+	if err != nil { // cannot happen: strings, numbers and addresses can always be encoded
 		return nil
 	}
 	return data
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -7,28 +7,28 @@
 	"net/netip"
 )
 
-// Settings are the configuration's table "fleet".
+// Settings holds the table "fleet" of the configuration.
 type Settings struct {
 	Enabled               bool    `json:"on"`              // take part in the membership; default false
-	Advertise             string  `json:"advertise"`       // IPv4 address:port at which the others reach this sidecar; by default its entry in peers, else peer_listen
-	StabilizationSeconds  float64 `json:"quiet_s"`         // how long a change of members must last, and the least time between views; default 1
-	ProbeIntervalMillis   float64 `json:"probe_ms"`        // of the failure detector; default 400
-	MaxMembers            int     `json:"members"`         // known at once, failed and left ones included; default 1000
-	MaxDatagramsPerSecond float64 `json:"datagrams_per_s"` // of the membership, with a burst of 4 s; default 100
+	Advertise             string  `json:"advertise"`       // IPv4 address:port at which other sidecars reach this one; default its entry in peers, or peer_listen without one
+	StabilizationSeconds  float64 `json:"quiet_s"`         // how long a change of members must last to enter the stable view, and minimum time between stable views; default 1
+	ProbeIntervalMillis   float64 `json:"probe_ms"`        // probe interval of the failure detector; default 400
+	MaxMembers            int     `json:"members"`         // limit on known members, including failed and left ones; default 1000
+	MaxDatagramsPerSecond float64 `json:"datagrams_per_s"` // sending rate limit of the membership, with a burst of 4 s; default 100
 }
 
-// SettingError says which key of the table is not valid, and why.
+// SettingError reports an invalid value in the table.
 type SettingError struct {
 	Key    string
 	Reason string
 }
 
-// Error names the key and the reason.
+// Error returns the key and the reason.
 func (e *SettingError) Error() string { return e.Key + ": " + e.Reason }
 
-// ParseSettings reads the table from JSON; without one, or with null, all
-// settings have their defaults. Its error is a SettingError, or the JSON
-// decoder's, which names the key, too.
+// ParseSettings decodes the table from JSON. If the table is empty or null, all
+// settings have their defaults. The error is a SettingError, or the JSON
+// decoder's error, which names the key as well.
 func ParseSettings(table json.RawMessage) (Settings, error) {
 	s := Settings{StabilizationSeconds: 1, ProbeIntervalMillis: 400, MaxMembers: 1000, MaxDatagramsPerSecond: 100}
 	if len(table) == 0 {
@@ -45,7 +45,7 @@
 	return s, s.validateAdvertise()
 }
 
-// validateRanges checks the numbers.
+// validateRanges checks that each number is within its range.
 func (s *Settings) validateRanges() error {
 	for _, setting := range []struct {
 		key      string
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -11,21 +11,21 @@
 	"bramblestand/internal/membership"
 )
 
-// Status is what operators see of the membership. Its JSON keys are theirs.
+// Status describes the membership to operators. The JSON keys are part of the operators' interface.
 type Status struct {
 	Name          string    `json:"name"`
-	Epoch         uint64    `json:"epoch"`         // of this sidecar; changes when the set of members does
-	Digest        string    `json:"digest"`        // the same at two sidecars with the same members
+	Epoch         uint64    `json:"epoch"`         // of this sidecar's stable view; changes whenever the set of members does
+	Digest        string    `json:"digest"`        // equal at two sidecars that have the same members
 	StableSince   time.Time `json:"settled_since"` // when the set of members last changed
-	Isolated      bool      `json:"cut_off"`       // it hears almost nobody, and continues with what it knew
-	StableMembers []string  `json:"settled"`       // sorted
+	Isolated      bool      `json:"cut_off"`       // this sidecar receives from too few members and keeps its last view
+	StableMembers []string  `json:"settled"`       // names of the stable view, sorted
 
 	Members  []MemberStatus     `json:"members,omitempty"`
 	Traffic  map[string]Traffic `json:"traffic,omitempty"` // by channel
 	Counters map[string]uint64  `json:"counts,omitempty"`
 }
 
-// MemberStatus is one member as operators see it.
+// MemberStatus describes one member to operators.
 type MemberStatus struct {
 	Name              string    `json:"name"`
 	State             string    `json:"state"` // alive, failed, left
@@ -35,10 +35,10 @@
 	Features          []string  `json:"features"`
 	Address           string    `json:"address"`
 	StartTime         time.Time `json:"start"`
-	LastContactMillis float64   `json:"heard_ms"` // since its last datagram; -1 for never, and for oneself
+	LastContactMillis float64   `json:"heard_ms"` // time since its last datagram; -1 if there was none, and for this sidecar itself
 }
 
-// Traffic is that of one channel: rates over the last 5 to 10 s, and counts since the start.
+// Traffic holds the traffic of one channel: rates over the last 5 to 10 s, and counts since the start.
 type Traffic struct {
 	SentPerSecond          float64 `json:"sent_per_s"`
 	SentBytesPerSecond     float64 `json:"sent_bytes_per_s"`
@@ -48,10 +48,10 @@
 	SentBytes              uint64  `json:"sent_bytes"`
 	Received               uint64  `json:"received"`
 	RateLimited            uint64  `json:"held_back"` // not sent because of the rate limit
-	Rejected               uint64  `json:"refused"`   // received and not accepted
+	Rejected               uint64  `json:"refused"`   // received, but rejected by the channel's handler
 }
 
-// channelNames are the operators' names of the channels.
+// channelNames holds the names of the channels in the status.
 var channelNames = map[datagram.Channel]string{
 	datagram.ChannelGossip:     "news",
 	datagram.ChannelPackets:    "packets",
@@ -59,8 +59,8 @@
 	datagram.ChannelToDialer:   "streams_in",
 }
 
-// Status returns the membership's status, false where it is disabled. A brief
-// one has neither members nor traffic nor counters.
+// Status returns the membership's status, or false if the membership is
+// disabled. A brief status omits members, traffic and counters.
 func (f *Fleet) Status(isBrief bool) (Status, bool) {
 	if f.agent == nil {
 		return Status{}, false
@@ -87,7 +87,7 @@
 	return s, true
 }
 
-// memberStatus returns the operators' form of a member.
+// memberStatus converts a member's status to the form shown to operators.
 func memberStatus(m membership.MemberStatus, now time.Time) MemberStatus {
 	lastContactMillis := -1.0
 	if !m.LastContact.IsZero() {
@@ -106,7 +106,7 @@
 	}
 }
 
-// counterNames returns the counters by the operators' names.
+// counterNames returns the counters by their names in the status.
 func counterNames(c membership.Counters, unknownDatagrams uint64) map[string]uint64 {
 	return map[string]uint64{
 		"name_conflicts":    c.NameConflicts,
@@ -117,7 +117,7 @@
 	}
 }
 
-// trafficSample is the transport's counts at one moment.
+// trafficSample holds the transport's counts at one time.
 type trafficSample struct {
 	at     time.Time
 	counts map[datagram.Channel]datagram.ChannelCounts
@@ -125,7 +125,7 @@
 
 const (
 	sampleInterval = 5 * time.Second
-	minRatePeriod  = 1e-3 // seconds
+	minRatePeriod  = 1e-3 // seconds; keeps the rates finite right after a sample
 )
 
 // sampleTraffic takes a sample every sampleInterval until ctx ends.
@@ -142,7 +142,7 @@
 	}
 }
 
-// takeSample adds a sample, and drops the one before the last.
+// takeSample adds a sample and drops the older of the two previous ones.
 func (f *Fleet) takeSample() {
 	counts, _ := f.transport.Counts()
 	f.samplesMu.Lock()
@@ -151,7 +151,7 @@
 	f.samples[1] = trafficSample{time.Now(), counts}
 }
 
-// oldestSample returns the older of the two samples, or the only one.
+// oldestSample returns the older of the two samples, or the only sample if there is just one.
 func (f *Fleet) oldestSample() trafficSample {
 	f.samplesMu.Lock()
 	defer f.samplesMu.Unlock()
@@ -161,7 +161,7 @@
 	return f.samples[0]
 }
 
-// traffic returns the counts at now by the operators' names, with the rates since the oldest sample.
+// traffic returns the counts at now by channel name, with the rates since the oldest sample.
 func (f *Fleet) traffic(now time.Time, counts map[datagram.Channel]datagram.ChannelCounts) map[string]Traffic {
 	oldest := f.oldestSample()
 	seconds := max(now.Sub(oldest.at).Seconds(), minRatePeriod)
@@ -186,7 +186,7 @@
 	return byName
 }
 
-// Text returns the status for people: a line of the view, then one per member.
+// Text returns the status as text: one line for the stable view, then one line per member.
 func (s Status) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s: %d members, epoch %d, digest %s, settled since %s",
