--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -19,49 +19,49 @@
 	"bramblestand/internal/datagram"
 )
 
-// Settings of the failure detector. A crash is known to all members after about
-// one probe interval, the suspicion (suspicionMultiplier x log10(members) x
-// interval) and a few rounds of gossip.
+// Settings of the failure detector. All members know of a crash after about one
+// probe interval, the suspicion timeout (suspicionMultiplier x log10(members) x
+// probe interval) and a few rounds of gossip.
 const (
-	probeTimeoutDivisor = 2 // of the probe interval: then other members are asked to ping
+	probeTimeoutDivisor = 2 // probe interval / probe timeout; after the timeout other members are asked to ping
 	gossipInterval      = 100 * time.Millisecond
-	gossipNodes         = 3 // members gossiped to per interval
+	gossipNodes         = 3 // members gossiped to per gossip interval
 	suspicionMultiplier = 2
-	pushPullProbes      = 75               // probe intervals between exchanges of the full list (more beyond 32 members)
-	gossipToDeadPeriod  = 30 * time.Second // after a death, so that a living member can refute it
+	pushPullIntervals   = 75               // probe intervals between exchanges of the full list (more in fleets of over 32 members)
+	gossipToDeadPeriod  = 30 * time.Second // how long a member declared dead still gets gossip, so that it can refute this if it is alive
 	streamTimeout       = 5 * time.Second
 	maxPacketSize       = datagram.MaxSize - 1 - crcHeaderSize
 	leaveTimeout        = 500 * time.Millisecond
 
-	isolationProbes = 6  // probe intervals without a datagram from any member: isolated
-	unprobedProbes  = 10 // probe intervals without a probe by any member: the others do not know this sidecar
+	isolationIntervals = 6  // this sidecar is isolated after so many probe intervals without a datagram from any member
+	unprobedIntervals  = 10 // after so many probe intervals without a probe by any member, the others do not know this sidecar
 
-	lostMemberRetention = time.Hour // a failed or left member is remembered, and a failed one looked for, so long
+	lostMemberRetention = time.Hour // how long a failed or left member is listed, and a failed one looked for
 )
 
-// Options of an Agent.
+// Options configures an Agent.
 type Options struct {
 	Self                Member
-	Seeds               []netip.AddrPort // where other sidecars may be; may contain the own address
-	Snapshot            Snapshot         // of an earlier process; zero for none
-	StabilizationPeriod time.Duration    // how long a change must last, and the least time between stable views
-	ProbeInterval       time.Duration    // of the failure detector
-	MaxMembers          int              // known at once, failed and left ones included
-	// OnChange is called with each new stable view and each change of Isolated, by the agent's goroutine. It must not
-	// wait for the Agent. nil for none.
+	Seeds               []netip.AddrPort // addresses at which other sidecars may be reached; may include this sidecar's address
+	Snapshot            Snapshot         // snapshot of an earlier process; zero for none
+	StabilizationPeriod time.Duration    // how long a change must last to enter the stable view, and minimum time between stable views
+	ProbeInterval       time.Duration    // probe interval of the failure detector
+	MaxMembers          int              // limit on known members, including failed and left ones
+	// OnChange is called with each new stable view, and when Isolated changes. It runs in the agent's goroutine and must
+	// not wait for the Agent. nil for none.
 	OnChange func(StableView)
-	Logger   *slog.Logger // nil discards
+	Logger   *slog.Logger // nil discards log lines
 
-	rejoinDisabled bool // for tests: lost members are never looked for
+	rejoinDisabled bool // for tests: do not look for lost members
 }
 
-// StableView is a view of the fleet that settings and decisions may depend on.
+// StableView is the debounced view of the fleet, for settings and decisions that must not follow short-lived changes.
 type StableView struct {
-	Epoch     uint64    // of this sidecar; changes exactly when the set of names does
-	Digest    uint64    // the same at any two sidecars with the same names
-	Names     []string  // of the members, sorted, the own name included
+	Epoch     uint64    // local to this sidecar; changes exactly when the set of names does
+	Digest    uint64    // equal at any two sidecars with the same names
+	Names     []string  // names of the members, sorted, this sidecar's included
 	ChangedAt time.Time // when the set of names last changed
-	Isolated  bool      // this sidecar hears almost nobody; the view is what it last believed
+	Isolated  bool      // this sidecar receives from too few members; names are those of the last view
 }
 
 // State is a member's state.
@@ -69,40 +69,40 @@
 
 // The states of a member.
 const (
-	StateAlive  State = "alive" // or suspected, and not yet declared dead
+	StateAlive  State = "alive" // includes suspected members that are not declared dead yet
 	StateFailed State = "failed"
-	StateLeft   State = "left" // gracefully
+	StateLeft   State = "left" // left gracefully
 )
 
-// MemberStatus is a member and what this sidecar knows of it.
+// MemberStatus is a member and its state as this sidecar knows it.
 type MemberStatus struct {
 	Member
 	State       State
-	StateSince  time.Time // when it came into this state at this sidecar
-	LastContact time.Time // when the last datagram came from its address; zero for never
+	StateSince  time.Time // when this sidecar last changed State
+	LastContact time.Time // when the last datagram from its address was received; zero for never
 }
 
-// Counters count what an operator should look into. They start at 0 with the process.
+// Counters counts events that an operator should investigate. They start at 0 with the process.
 type Counters struct {
-	NameConflicts    uint64 // reports of a second member with the name of another
-	RejectedMembers  uint64 // not added because of Options.MaxMembers
-	RejectedMessages uint64 // packets and streams that no member can have sent
-	DroppedPackets   uint64 // valid, but too many at once
+	NameConflicts    uint64 // reports of a second member with a name that is in use
+	RejectedMembers  uint64 // members not added because of Options.MaxMembers
+	RejectedMessages uint64 // packets and streams that cannot come from a valid member
+	DroppedPackets   uint64 // valid packets that were dropped because the queue was full
 }
 
 // Agent takes part in the fleet's membership for one process. It is safe for concurrent use.
 //
-// One goroutine (run) owns the stabilizer. Short ones verify failures and look
-// for lost members; Close waits for all of them. memberlist's goroutines call
-// the agent's delegate and end in Close, too.
+// One goroutine (run) owns the stabilizer. Short-lived ones verify failures and
+// look for lost members. Close waits for all of them. memberlist's goroutines
+// call the agent's delegate; Close ends them as well.
 type Agent struct {
 	options    Options
 	transport  *transport
 	memberlist *memberlist.Memberlist
 
-	wakeup      chan struct{} // a member's state changed
+	wakeup      chan struct{} // signals run that a member's state changed
 	stopping    chan struct{} // closed by Close
-	stopped     chan struct{} // closed at run's end
+	stopped     chan struct{} // closed when run returns
 	background  sync.WaitGroup
 	verifySlots chan struct{} // holds one token per running verification
 
@@ -110,30 +110,30 @@
 
 	membersMu      sync.Mutex // guards the fields below
 	members        map[string]*MemberStatus
-	contacts       map[netip.AddrPort]contact // of the addresses of members
-	reports        map[string]statusReport    // what members were last reported to be
-	lastContact    time.Time                  // with any member
+	contacts       map[netip.AddrPort]contact // one entry per address of a member
+	reports        map[string]statusReport    // latest report of each member, by name
+	lastContact    time.Time                  // when any member's address last sent a valid packet
 	lastProbed     time.Time                  // when any member last probed this sidecar by its name
 	rejoinAttempts map[netip.AddrPort]*rejoinAttempt
-	closing        bool // no goroutine is to be added to background
+	closing        bool // no goroutine may be added to background any more
 
 	nameConflicts, rejectedMembers, rejectedMessages atomic.Uint64
 }
 
-// contact is when datagrams last came from an address.
+// contact holds the times at which packets were last received from an address.
 type contact struct {
-	last    time.Time // of any kind
-	lastAck time.Time // an answer to a ping
+	last    time.Time // any packet
+	lastAck time.Time // an ack, which answers a ping
 }
 
-// statusReport is the latest incarnation that was reported of a member, and whether it left in it.
+// statusReport holds the highest incarnation reported for a member, and whether the member left in that incarnation.
 type statusReport struct {
 	incarnation uint32
 	left        bool
 }
 
-// Open starts an agent on t, whose packet and stream channels it takes. From
-// then on it can be found by others and looks for them, until Close.
+// Open starts an agent on t. It sets the handlers of t's packet and stream
+// channels. Until Close, other sidecars can find it and it looks for them.
 func Open(t *datagram.Transport, o Options) (*Agent, error) {
 	if err := o.Self.Validate(); err != nil {
 		return nil, err
@@ -173,7 +173,7 @@
 	return a, nil
 }
 
-// memberlistConfig returns the library's settings.
+// memberlistConfig returns the configuration of memberlist.
 func (a *Agent) memberlistConfig() *memberlist.Config {
 	o := a.options
 	c := memberlist.DefaultLANConfig()
@@ -185,15 +185,15 @@
 	c.ProbeInterval, c.ProbeTimeout = o.ProbeInterval, o.ProbeInterval/probeTimeoutDivisor
 	c.SuspicionMult = suspicionMultiplier
 	c.GossipInterval, c.GossipNodes, c.GossipToTheDeadTime = gossipInterval, gossipNodes, gossipToDeadPeriod
-	c.PushPullInterval, c.TCPTimeout = pushPullProbes*o.ProbeInterval, streamTimeout
-	c.DeadNodeReclaimTime = 1 // ns: a dead member may come back at another address at once
+	c.PushPullInterval, c.TCPTimeout = pushPullIntervals*o.ProbeInterval, streamTimeout
+	c.DeadNodeReclaimTime = 1 // ns, the minimum: a dead member may return at another address immediately
 	d := delegate{a}
 	c.Events, c.Alive, c.Conflict, c.Delegate = d, d, d, d
 	return c
 }
 
-// Close ends the agent: with a graceful leave where the sidecar ends, without
-// one where another process goes on as the same member.
+// Close stops the agent. With leave, it announces that this sidecar leaves the
+// fleet. Without leave, another process may continue as the same member.
 func (a *Agent) Close(leave bool) {
 	a.membersMu.Lock()
 	a.closing = true
@@ -212,7 +212,7 @@
 // StableView returns the current stable view.
 func (a *Agent) StableView() StableView { return *a.stableView.Load() }
 
-// Members returns all members that are known, by name: the living and, for a while, the failed and left ones.
+// Members returns all known members, sorted by name. Failed and left ones are included for up to lostMemberRetention.
 func (a *Agent) Members() []MemberStatus {
 	a.membersMu.Lock()
 	defer a.membersMu.Unlock()
@@ -225,7 +225,7 @@
 	return list
 }
 
-// Counters returns the counters.
+// Counters returns the current values of the counters.
 func (a *Agent) Counters() Counters {
 	return Counters{
 		NameConflicts:    a.nameConflicts.Load(),
@@ -235,14 +235,14 @@
 	}
 }
 
-// run steps the stabilizer and looks for lost members until Close.
+// run updates the stable view and starts rounds of rejoining until Close.
 func (a *Agent) run(s *stabilizer) {
 	defer close(a.stopped)
 	step := time.NewTimer(0)
 	defer step.Stop()
 	rejoin := time.NewTimer(0)
 	defer rejoin.Stop()
-	rejoining := make(chan struct{}, 1) // holds a token while a round runs
+	rejoining := make(chan struct{}, 1) // holds a token while a round of rejoining runs
 
 	for {
 		select {
@@ -261,7 +261,7 @@
 	}
 }
 
-// startRejoin starts a round of rejoining in the background, unless one runs.
+// startRejoin starts a round of rejoining in the background, unless one is running.
 func (a *Agent) startRejoin(rejoining chan struct{}) {
 	select {
 	case rejoining <- struct{}{}:
@@ -276,8 +276,9 @@
 	}()
 }
 
-// updateStableView steps the stabilizer with the members' states, reports a
-// new view, and returns the time to the next step.
+// updateStableView steps the stabilizer with the members' current states. If the
+// stable view changed, it publishes and reports the new one. It returns the time
+// until the next step.
 func (a *Agent) updateStableView(s *stabilizer) time.Duration {
 	changed, next := s.step(a.observe(time.Now()))
 	if changed {
@@ -290,24 +291,25 @@
 	return max(next, time.Millisecond)
 }
 
-// observe returns which members live at now, and forgets those that are gone for longer than lostMemberRetention.
+// observe returns which members are alive and which have left at now. It removes members that have been failed or left
+// for longer than lostMemberRetention.
 func (a *Agent) observe(now time.Time) observation {
 	a.membersMu.Lock()
 	defer a.membersMu.Unlock()
-	o := observation{now: now, living: map[string]bool{a.options.Self.Name: true}, left: map[string]bool{}}
+	o := observation{now: now, alive: map[string]bool{a.options.Self.Name: true}, left: map[string]bool{}}
 	for name, m := range a.members {
 		o.left[name] = m.State == StateLeft
 		if m.State == StateAlive || a.answeredSinceFailure(m) {
-			o.living[name] = true
+			o.alive[name] = true
 		} else if now.Sub(m.StateSince) > lostMemberRetention {
 			a.forget(m)
 		}
 	}
-	o.hasContact = now.Sub(a.lastContact) < isolationProbes*a.options.ProbeInterval
+	o.hasContact = now.Sub(a.lastContact) < isolationIntervals*a.options.ProbeInterval
 	return o
 }
 
-// publish makes the stabilizer's state the current stable view.
+// publish stores the stabilizer's state as the current stable view.
 func (a *Agent) publish(s *stabilizer) {
 	names := s.sortedNames()
 	a.stableView.Store(&StableView{
@@ -319,13 +321,13 @@
 	})
 }
 
-// forget removes a member. The caller holds membersMu.
+// forget removes a member and its contact times. The caller holds membersMu.
 func (a *Agent) forget(m *MemberStatus) {
 	delete(a.members, m.Name)
 	delete(a.contacts, m.Address)
 }
 
-// isAliveAt reports whether a living member has the address. The caller holds membersMu.
+// isAliveAt reports whether an alive member has the address. The caller holds membersMu.
 func (a *Agent) isAliveAt(address netip.AddrPort) bool {
 	for _, m := range a.members {
 		if m.State == StateAlive && m.Address == address {
@@ -335,7 +337,8 @@
 	return false
 }
 
-// onReport takes what a message reports of a member, before memberlist does: memberlist does not pass on who left.
+// onReport records what a message reports of a member, before memberlist processes the message: memberlist's events do
+// not tell whether a member left or failed.
 func (a *Agent) onReport(r memberReport) {
 	a.membersMu.Lock()
 	defer a.membersMu.Unlock()
@@ -348,7 +351,7 @@
 	}
 }
 
-// onContact notes that a valid packet came from an address.
+// onContact records that a valid packet was received from an address.
 func (a *Agent) onContact(from netip.AddrPort, contents packetContents) {
 	now := time.Now()
 	a.membersMu.Lock()
@@ -368,7 +371,7 @@
 	a.lastContact = now
 }
 
-// onRejected counts a message that no member can have sent, and logs the 1st, 2nd, 4th ...
+// onRejected counts a message that failed the checks. It logs the 1st, 2nd, 4th, 8th and so on.
 func (a *Agent) onRejected(from net.Addr, err error) {
 	if n := a.rejectedMessages.Add(1); n&(n-1) == 0 {
 		a.options.Logger.Warn("membership message rejected", "from", from, "error", err, "rejected", n)
--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -11,27 +11,27 @@
 )
 
 // errTooManyMembers makes memberlist ignore a member beyond Options.MaxMembers.
-var errTooManyMembers = errors.New("more members than fleet.members")
+var errTooManyMembers = errors.New("the limit fleet.members is reached")
 
-// delegate takes memberlist's events and answers its questions: it is its
-// EventDelegate, AliveDelegate, ConflictDelegate and Delegate. memberlist calls
-// it from its own goroutines, the first two under its lock.
+// delegate implements memberlist's EventDelegate, AliveDelegate, ConflictDelegate
+// and Delegate. memberlist calls them from its own goroutines, and the first two
+// with its lock held.
 type delegate struct{ agent *Agent }
 
-// NotifyJoin takes a member that joined.
+// NotifyJoin is called when a member joined.
 func (d delegate) NotifyJoin(n *memberlist.Node) { d.setState(n, StateAlive) }
 
-// NotifyUpdate takes a member with a changed address or metadata.
+// NotifyUpdate is called when a member's address or metadata changed.
 func (d delegate) NotifyUpdate(n *memberlist.Node) { d.setState(n, StateAlive) }
 
-// NotifyLeave takes a member that left or was declared dead.
+// NotifyLeave is called when a member left or was declared dead; updateMember tells which.
 func (d delegate) NotifyLeave(n *memberlist.Node) { d.setState(n, StateFailed) }
 
-// setState notes a member's state, has a failure verified and the stable view updated.
+// setState records a member's state and wakes up the agent to update the stable view.
 func (d delegate) setState(n *memberlist.Node, state State) {
 	a := d.agent
 	m, err := decodeMember(n.Name, n.Addr, n.Port, n.Meta)
-	if err != nil { // the message checks let no such member through
+	if err != nil { // cannot happen: the message checks reject such members
 		a.options.Logger.Error("member not valid", "member", n.Name, "error", err)
 		return
 	}
@@ -40,11 +40,12 @@
 	a.membersMu.Unlock()
 	select {
 	case a.wakeup <- struct{}{}:
-	default: // the agent is to wake up already
+	default: // a wakeup is already pending
 	}
 }
 
-// updateMember notes a member and its state. The caller holds membersMu.
+// updateMember records a member and its state. A member that failed is marked as left if it reported so itself;
+// otherwise its failure is verified in the background. The caller holds membersMu.
 func (a *Agent) updateMember(m Member, state State) {
 	status := a.members[m.Name]
 	if status == nil {
@@ -69,7 +70,8 @@
 	}
 }
 
-// NotifyAlive rejects a member beyond the limit.
+// NotifyAlive is called before memberlist processes an alive message. It rejects a new member beyond Options.MaxMembers,
+// unless a failed or left one can be removed for it.
 func (d delegate) NotifyAlive(n *memberlist.Node) error {
 	a := d.agent
 	a.membersMu.Lock()
@@ -88,9 +90,11 @@
 	return errTooManyMembers
 }
 
-// pingSoonIfFailed has a failed member pinged soon that somebody reports to
-// live. If it does and the report is no news to memberlist, it must hear that
-// it counts as dead here, to refute that. The caller holds membersMu.
+// pingSoonIfFailed schedules an early ping of a member that is reported alive
+// and has been failed here for longer than aliveReportDelay. memberlist ignores such a report if its incarnation
+// is not newer than the death. A member that is in fact alive must then learn
+// that it counts as dead here, so that it can refute this. The caller holds
+// membersMu.
 func (a *Agent) pingSoonIfFailed(m *MemberStatus) {
 	if m.State != StateFailed || time.Since(m.StateSince) <= aliveReportDelay {
 		return
@@ -101,8 +105,8 @@
 	}
 }
 
-// evictOldest forgets the member that is failed or left for the longest time,
-// and reports whether there was one. The caller holds membersMu.
+// evictOldest removes the member that has been failed or left for the longest
+// time, and reports whether there was one. The caller holds membersMu.
 func (a *Agent) evictOldest() bool {
 	var oldest *MemberStatus
 	for _, m := range a.members {
@@ -117,7 +121,7 @@
 	return true
 }
 
-// NotifyConflict counts a second member with the name of another; the first one stays.
+// NotifyConflict counts a second member with a name that is in use. The existing member stays.
 func (d delegate) NotifyConflict(existing, other *memberlist.Node) {
 	a := d.agent
 	if n := a.nameConflicts.Add(1); n&(n-1) == 0 {
@@ -129,23 +133,24 @@
 // NodeMeta returns this sidecar's metadata.
 func (d delegate) NodeMeta(int) []byte { return d.agent.options.Self.encodeMeta() }
 
-// NotifyMsg is not used: the message checks let no user message through.
+// NotifyMsg does nothing: the message checks reject user messages.
 func (d delegate) NotifyMsg([]byte) {}
 
-// GetBroadcasts returns nothing: there are no user messages.
+// GetBroadcasts returns nil: there are no user messages.
 func (d delegate) GetBroadcasts(int, int) [][]byte { return nil }
 
-// LocalState returns nothing: there is no user state.
+// LocalState returns nil: there is no user state.
 func (d delegate) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState is not used: there is no user state.
+// MergeRemoteState does nothing: there is no user state.
 func (d delegate) MergeRemoteState(_ []byte, _ bool) {}
 
-// logWriter takes memberlist's log lines: its errors become warnings, the rest
-// debug lines, since what it calls information is none for operators.
+// logWriter forwards memberlist's log lines. Errors are logged at level Warn and
+// all other lines at level Debug, since memberlist's informational lines are of
+// no use to operators.
 type logWriter struct{ logger *slog.Logger }
 
-// Write logs one line.
+// Write logs line.
 func (w logWriter) Write(line []byte) (int, error) {
 	text := strings.TrimSpace(string(line))
 	if strings.HasPrefix(text, "[ERR]") {
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -289,7 +289,7 @@
 		s.setNetwork(nil, s.impairment)
 
 		stranger := &simulatedNode{simulation: s, number: -1, address: netip.MustParseAddrPort("10.7.7.7:7")}
-		stranger.transport = datagram.New(func(data []byte, to netip.AddrPort) error { return s.carry(stranger, data, to) }, datagram.Options{})
+		stranger.transport = datagram.New(func(data []byte, to netip.AddrPort) error { return s.transmit(stranger, data, to) }, datagram.Options{})
 		strangersStreams := datagram.NewStreams(stranger.transport)
 		s.networkMu.Lock()
 		s.transports[stranger.address] = stranger.transport
--- a/internal/membership/measurement_test.go
+++ b/internal/membership/measurement_test.go
@@ -14,36 +14,36 @@
 )
 
 var (
-	measureTo    = flag.String("measure", "", "write the figures of simulated fleets, as distributions over seeds, to this JSON file")
+	measureFile  = flag.String("measure", "", "write the figures of simulated fleets, as distributions over seeds, to this JSON file")
 	measureSeeds = flag.Int("seeds", 30, "seeds a figure, with -measure")
-	measureOnly  = flag.Int("size", 0, "members of the fleets, with -measure; 0 for 5, 50 and 300")
+	measureSize  = flag.Int("size", 0, "members of the fleets, with -measure; 0 for 5, 50 and 300")
 )
 
-// figures are values over seeds, by name.
-type figures struct {
+// measurements are values over seeds, by name.
+type measurements struct {
 	valuesMu sync.Mutex
 	values   map[string][]float64
 }
 
-func (f *figures) add(name string, v float64) {
+func (f *measurements) add(name string, v float64) {
 	f.valuesMu.Lock()
 	defer f.valuesMu.Unlock()
 	f.values[name] = append(f.values[name], v)
 }
 
-// spread is a figure's distribution.
-type spread struct {
+// distribution is a figure's distribution.
+type distribution struct {
 	P50  float64 `json:"p50"`
 	P99  float64 `json:"p99"` // of fewer than 100 values the largest
 	Max  float64 `json:"max"`
 	Runs int     `json:"runs"`
 }
 
-func (f *figures) spreads() map[string]spread {
-	all := map[string]spread{}
+func (f *measurements) distributions() map[string]distribution {
+	all := map[string]distribution{}
 	for name, v := range f.values {
 		slices.Sort(v)
-		all[name] = spread{v[len(v)/2], v[min(len(v)-1, len(v)*99/100)], v[len(v)-1], len(v)}
+		all[name] = distribution{v[len(v)/2], v[min(len(v)-1, len(v)*99/100)], v[len(v)-1], len(v)}
 	}
 	return all
 }
@@ -69,11 +69,11 @@
 
 // measure runs one seed: cold start, calm, a crash, a return, a partition of a
 // minute, healed. Losses are on from the start.
-func measure(s *simulation, f *figures, name string) {
+func measure(s *simulation, f *measurements, name string) {
 	n := len(s.nodes)
-	took := func(what string, d time.Duration) { f.add(name+" "+what+"_s", d.Seconds()) }
+	record := func(what string, d time.Duration) { f.add(name+" "+what+"_s", d.Seconds()) }
 	s.startAll()
-	took("cold_start", s.awaitStable("cold start", s.runningNodes(nil), measureTimeout))
+	record("cold_start", s.awaitStable("cold start", s.runningNodes(nil), measureTimeout))
 	time.Sleep(30 * time.Second) // gossip of the start ends
 	before := s.sent()
 	time.Sleep(time.Minute)
@@ -82,23 +82,23 @@
 	f.add(name+" calm_bytes_per_s", (after.bytes-before.bytes)/float64(n)/60)
 	last := s.nodes[n-1]
 	last.stop(false)
-	took("crash_known", s.awaitStable("crash", s.runningNodes(nil), measureTimeout))
+	record("crash_known", s.awaitStable("crash", s.runningNodes(nil), measureTimeout))
 	last.start(Options{})
-	took("return", s.awaitStable("return", s.runningNodes(nil), measureTimeout))
+	record("return", s.awaitStable("return", s.runningNodes(nil), measureTimeout))
 	if n > 5 {
 		s.setNetwork(func(a, b int) bool { return a < n/2 != (b < n/2) }, s.impairment)
 		both := s.awaitStable("half", s.runningNodes(func(i int) bool { return i < n/2 }), measureTimeout)
 		both += s.awaitStable("other half", s.runningNodes(func(i int) bool { return i >= n/2 }), measureTimeout)
-		took("split", both)
+		record("split", both)
 		time.Sleep(max(0, time.Minute-both))
 		s.setNetwork(nil, s.impairment)
-		took("healed", s.awaitStable("healed", s.runningNodes(nil), measureTimeout))
+		record("healed", s.awaitStable("healed", s.runningNodes(nil), measureTimeout))
 	}
 	f.add(name+" held_back_datagrams_per_member", s.sent().rateLimited/float64(n))
 }
 
-// falseRemovals counts the removals of living members from stable views within a duration, at a loss and delays to 200 ms.
-func falseRemovals(s *simulation, f *figures, name string, loss float64, duration time.Duration) {
+// measureFalseRemovals counts the removals of living members from stable views within a duration, at a loss and delays to 200 ms.
+func measureFalseRemovals(s *simulation, f *measurements, name string, loss float64, duration time.Duration) {
 	s.impairment = impairment{loss: loss, delay: 200 * time.Millisecond}
 	s.startAll()
 	s.awaitStable("cold start", s.runningNodes(nil), measureTimeout)
@@ -118,14 +118,14 @@
 
 // TestMeasure records distributions over seeds; it only requires that fleets become stable.
 func TestMeasure(t *testing.T) {
-	if *measureTo == "" {
+	if *measureFile == "" {
 		t.Skip("without -measure")
 	}
-	f := &figures{values: map[string][]float64{}}
+	f := &measurements{values: map[string][]float64{}}
 	t.Run("all", func(t *testing.T) {
 		for seed := range uint64(*measureSeeds) {
 			for _, n := range []int{5, 50, 300} {
-				if *measureOnly > 0 && n != *measureOnly {
+				if *measureSize > 0 && n != *measureSize {
 					continue
 				}
 				for _, loss := range []float64{0, 0.01, 0.05, 0.2} {
@@ -143,22 +143,22 @@
 				}
 			}
 			for _, loss := range []float64{0.05, 0.2} {
-				if *measureOnly > 0 && *measureOnly != 50 {
+				if *measureSize > 0 && *measureSize != 50 {
 					continue
 				}
 				name := fmt.Sprintf("50 members, loss %v, delays to 200ms:", loss)
 				t.Run(fmt.Sprint(name, seed), func(t *testing.T) {
 					t.Parallel()
-					inSimulation(t, seed, 50, func(s *simulation) { falseRemovals(s, f, name, loss, 5*time.Minute) })
+					inSimulation(t, seed, 50, func(s *simulation) { measureFalseRemovals(s, f, name, loss, 5*time.Minute) })
 				})
 			}
 		}
 	})
-	text, err := json.MarshalIndent(f.spreads(), "", " ")
+	text, err := json.MarshalIndent(f.distributions(), "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(*measureTo, append(text, '\n'), 0o644); err != nil {
+	if err := os.WriteFile(*measureFile, append(text, '\n'), 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -12,15 +12,15 @@
 	"unicode/utf8"
 )
 
-// Limits on what a member tells of itself, in bytes: with all of them reached
-// the longest message still fits one datagram.
+// Limits on a member's description of itself, in bytes. Even if all are reached,
+// the longest message fits one datagram.
 const (
 	MaxNameLength    = 63
 	MaxZoneLength    = 16
 	MaxVersionLength = 16
 )
 
-// Features has a bit for each optional part that a member has switched on. The bits are on the wire.
+// Features has one bit for each optional feature that a member has enabled. The bits are part of the wire format.
 type Features uint64
 
 // The features.
@@ -29,10 +29,10 @@
 	FeaturePersistentState                      // persists its state on a disk
 )
 
-// featureNames are the names that operators see, by bit.
+// featureNames holds the names shown to operators, by bit.
 var featureNames = []string{"news", "state"}
 
-// Names returns the features' names; bits that this version does not know are one name, in hex.
+// Names returns the features' names. All bits that this version does not know are combined to one name, in hex.
 func (f Features) Names() []string {
 	names := []string{}
 	for bit, name := range featureNames {
@@ -50,20 +50,20 @@
 type Member struct {
 	Name      string
 	Zone      string
-	Version   string // of its program
+	Version   string // version of its program
 	StartTime time.Time
 	Features  Features
-	Address   netip.AddrPort // where the others reach it
+	Address   netip.AddrPort // at which the others reach it
 }
 
-// InvalidMemberError says which field of a member is not valid.
+// InvalidMemberError reports an invalid field of a member.
 type InvalidMemberError struct {
-	Field  string // in lower case: "name", "zone", "version", "address"
+	Field  string // one of "name", "zone", "version", "address"
 	Value  string
 	Reason error
 }
 
-// Error names the field, its value and the reason.
+// Error returns the field, its value and the reason.
 func (e *InvalidMemberError) Error() string {
 	return fmt.Sprintf("%s: %q %v", e.Field, e.Value, e.Reason)
 }
@@ -76,7 +76,7 @@
 	errNotIPv4      = errors.New("is not an IPv4 address and port")
 )
 
-// Validate returns an InvalidMemberError for the first field that cannot be told to others.
+// Validate returns an InvalidMemberError for the first invalid field, or nil if all are valid.
 func (m Member) Validate() error {
 	for _, text := range []struct {
 		field, value string
@@ -97,7 +97,8 @@
 	return nil
 }
 
-// validateText checks a text's length, in bytes, and that it can be logged and stand in a path.
+// validateText checks that a text's length in bytes is within the limits, and that the text can be used in log lines
+// and URL paths.
 func validateText(text string, minLength, maxLength int) error {
 	isForbidden := func(r rune) bool { return !unicode.IsPrint(r) || r == '/' }
 	switch {
@@ -109,25 +110,25 @@
 	return nil
 }
 
-// The form of a member's metadata: the form's version (1 byte), the start time
-// in Unix milliseconds and the features as varints, then zone and program
-// version, each after its length (1 byte). What follows is of a later version
-// and ignored.
+// The format of a member's metadata: the format's version (1 byte), the start
+// time in Unix milliseconds and the features as varints, then zone and program
+// version, each preceded by its length (1 byte). Any bytes after these come from
+// a later program version and are ignored.
 const (
 	metaVersion     = 1
 	maxMetaSize     = 64
 	maxStartMillis  = 1 << 52
 	errMetaTooShort = metaError("truncated")
-	errMetaStart    = metaError("the start time is out of range")
+	errMetaStart    = metaError("start time is out of range")
 )
 
-// metaError says why metadata cannot be decoded.
+// metaError is the reason why metadata cannot be decoded.
 type metaError string
 
-// Error returns the reason after the subject.
+// Error returns the reason, prefixed with "member metadata: ".
 func (e metaError) Error() string { return "member metadata: " + string(e) }
 
-// encodeMeta returns what a member tells beside its name and address.
+// encodeMeta returns the member's metadata: all fields except name and address.
 func (m Member) encodeMeta() []byte {
 	meta := []byte{metaVersion}
 	meta = binary.AppendUvarint(meta, uint64(max(0, m.StartTime.UnixMilli())))
@@ -139,14 +140,14 @@
 	return meta
 }
 
-// decodeMember returns the valid member of a name, address and metadata. Its
-// error is an InvalidMemberError or a metaError.
+// decodeMember returns the member with a name, address and metadata, and
+// validates it. The error is an InvalidMemberError or a metaError.
 func decodeMember(name string, ip net.IP, port uint16, meta []byte) (Member, error) {
 	m := Member{Name: name}
 	address, _ := netip.AddrFromSlice(ip)
 	m.Address = netip.AddrPortFrom(address.Unmap(), port)
 	if len(meta) == 0 || len(meta) > maxMetaSize || meta[0] != metaVersion {
-		return m, metaError(fmt.Sprintf("%d bytes are not of version %d", len(meta), metaVersion))
+		return m, metaError(fmt.Sprintf("%d bytes have an invalid size or are not of version %d", len(meta), metaVersion))
 	}
 	reader := metaReader{meta[1:]}
 	startMillis := reader.number()
@@ -165,10 +166,10 @@
 	return m, m.Validate()
 }
 
-// metaReader reads metadata from its front.
+// metaReader reads metadata field by field.
 type metaReader struct{ remaining []byte }
 
-// number reads a varint; after a malformed one nothing remains.
+// number reads a varint. If it is malformed, number returns 0 and drops the remaining metadata.
 func (r *metaReader) number() uint64 {
 	value, size := binary.Uvarint(r.remaining)
 	if size <= 0 {
@@ -179,7 +180,7 @@
 	return value
 }
 
-// text reads a text after its length; false where too little remains.
+// text reads a text that is preceded by its length. It returns false if the metadata is too short.
 func (r *metaReader) text() (string, bool) {
 	if len(r.remaining) == 0 {
 		return "", false
--- a/internal/membership/message_check.go
+++ b/internal/membership/message_check.go
@@ -12,9 +12,10 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// Messages are checked before memberlist gets them: it allocates by a count
-// that it was sent, indexes versions unchecked, and rejects a whole list for
-// one member of an unknown version. The forms are those of memberlist v0.5
+// Message types. Messages are checked before memberlist processes them, for
+// three reasons: memberlist allocates memory by a count in the message, indexes
+// the versions without a bounds check, and rejects a whole list because of one
+// member with an unknown version. The format is that of memberlist v0.5
 // (net.go): one type byte, then msgpack.
 const (
 	msgPing byte = iota
@@ -31,18 +32,18 @@
 	msgErr    byte = 13
 )
 
-// Parts of the messages.
+// Sizes and values in the messages; sizes are in bytes.
 const (
 	crcHeaderSize      = 5 // type byte and checksum
 	compoundHeaderSize = 2 // type byte and number of parts
 	partLengthSize     = 2 // of each part of a compound
-	versionCount       = 6 // of protocol and delegate: minimum, maximum, spoken
-	protocolVersion    = 2 // which all sidecars speak
-	stateLeft          = 3 // the largest state of a member in a push/pull
+	versionCount       = 6 // minimum, maximum and current version, of the protocol and of the delegate
+	protocolVersion    = 2 // protocol version used by all sidecars
+	stateLeft          = 3 // state of a member that left; the largest state in a push/pull
 )
 
-// wireMessage has the fields of all messages, with the names that memberlist
-// encodes; each kind has some of them.
+// wireMessage has the fields of all message types, with the names that
+// memberlist encodes. Each type uses some of them.
 type wireMessage struct {
 	SeqNo       uint32
 	Node        string
@@ -62,23 +63,24 @@
 	Nack        bool
 }
 
-// memberReport is what a message reports of a member and memberlist does not pass on.
+// memberReport is what a message reports of a member. memberlist's events do not include it.
 type memberReport struct {
 	name        string
 	incarnation uint32
 	left        bool // gracefully
 }
 
-// reportFunc takes the reports of valid messages.
+// reportFunc is called with each report in a valid message.
 type reportFunc func(memberReport)
 
-// packetContents is what a packet's messages are for.
+// packetContents tells which kinds of messages a packet contains.
 type packetContents struct {
 	hasAck   bool
 	hasProbe bool // a ping of a member by its name
 }
 
-// checkPacket returns an error for a packet that no memberlist can have sent, else what it contains.
+// checkPacket checks a packet, passes the reports in it to report and returns what it contains. It returns an error for
+// a packet that memberlist would not send.
 func checkPacket(data []byte, report reportFunc) (packetContents, error) {
 	var contents packetContents
 	data, err := checkCRC(data)
@@ -100,7 +102,7 @@
 	return contents, parts.err
 }
 
-// checkCRC returns what follows a checksum that matches; a packet may have none.
+// checkCRC verifies a packet's checksum, if it has one, and returns the content after it.
 func checkCRC(data []byte) ([]byte, error) {
 	if len(data) < crcHeaderSize || data[0] != msgHasCRC {
 		return data, nil
@@ -114,14 +116,14 @@
 
 var errCompoundTooShort = errors.New("compound: truncated")
 
-// compoundParts reads the messages of a compound one after the other.
+// compoundParts iterates over the messages of a compound message.
 type compoundParts struct {
 	lengths []byte
 	data    []byte
 	err     error
 }
 
-// splitCompound reads the head of a compound: the number of parts, then their lengths.
+// splitCompound reads the header of a compound message, which has the number of parts and their lengths.
 func splitCompound(data []byte) (*compoundParts, error) {
 	end := compoundHeaderSize + partLengthSize*int(data[1])
 	if len(data) < end {
@@ -130,7 +132,7 @@
 	return &compoundParts{lengths: data[compoundHeaderSize:end], data: data[end:]}, nil
 }
 
-// next returns the next part; false at the end, or with err set where a part is truncated.
+// next returns the next part. It returns false at the end, and also sets err if a part is truncated.
 func (p *compoundParts) next() ([]byte, bool) {
 	if len(p.lengths) == 0 {
 		return nil, false
@@ -145,7 +147,7 @@
 	return part, true
 }
 
-// checkMessage checks one message, reports the members in it and adds to contents.
+// checkMessage checks one message, reports the members in it and updates contents.
 func checkMessage(data []byte, report reportFunc, contents *packetContents) error {
 	if len(data) == 0 {
 		return errors.New("empty message")
@@ -168,9 +170,9 @@
 		}
 	case msgNack:
 	case msgSuspect:
-		return checkAccusation(m)
+		return checkSuspectOrDead(m)
 	case msgDead:
-		if err := checkAccusation(m); err != nil {
+		if err := checkSuspectOrDead(m); err != nil {
 			return err
 		}
 		if m.Node == m.From { // a member that leaves declares itself dead
@@ -188,18 +190,19 @@
 	return codec.NewDecoder(r, &codec.MsgpackHandle{}).Decode(into)
 }
 
-// checkPing checks what direct and indirect pings have in common.
+// checkPing checks the fields that direct and indirect pings have in common.
 func checkPing(m wireMessage) error {
 	return errors.Join(checkName("Node", m.Node, 0), checkName("SourceNode", m.SourceNode, 0),
 		checkIP("SourceAddr", m.SourceAddr, true))
 }
 
-// checkAccusation checks what names a member (Node) and who suspects it or declares it dead (From).
-func checkAccusation(m wireMessage) error {
+// checkSuspectOrDead checks a suspect or dead message: it names a member (Node) and the member that suspects it or
+// declares it dead (From).
+func checkSuspectOrDead(m wireMessage) error {
 	return errors.Join(checkName("Node", m.Node, 1), checkName("From", m.From, 1))
 }
 
-// checkMemberState checks and reports a member of an alive message, or of a push/pull.
+// checkMemberState checks and reports one member, from an alive message or a push/pull.
 func checkMemberState(m wireMessage, name string, report reportFunc) error {
 	if _, err := decodeMember(name, net.IP(m.Addr), m.Port, m.Meta); err != nil {
 		return err
@@ -208,22 +211,23 @@
 		return err
 	}
 	if m.State < 0 || m.State > stateLeft {
-		return fmt.Errorf("State: %d is not a member's", m.State)
+		return fmt.Errorf("State: %d is not a member state", m.State)
 	}
 	report(memberReport{name: name, incarnation: m.Incarnation, left: m.State == stateLeft})
 	return nil
 }
 
-// checkVersions checks the versions of the protocol (minimum, maximum, spoken) and of the delegate (the same; all unused).
+// checkVersions checks the protocol versions (minimum, maximum, current) and the delegate versions (the same three,
+// which are not used).
 func checkVersions(versions []byte) error {
 	if len(versions) != versionCount {
-		return fmt.Errorf("Vsn: %d versions are not %d", len(versions), versionCount)
+		return fmt.Errorf("Vsn: has %d versions, want %d", len(versions), versionCount)
 	}
-	minimum, maximum, spoken := versions[0], versions[1], versions[2]
-	isSpoken := minimum >= 1 && minimum <= protocolVersion && maximum >= protocolVersion &&
-		spoken >= minimum && spoken <= maximum
-	if !isSpoken || versions[3] != 0 || versions[5] != 0 {
-		return fmt.Errorf("Vsn: %v does not include protocol %d", versions, protocolVersion)
+	minimum, maximum, current := versions[0], versions[1], versions[2]
+	isCompatible := minimum >= 1 && minimum <= protocolVersion && maximum >= protocolVersion &&
+		current >= minimum && current <= maximum
+	if !isCompatible || versions[3] != 0 || versions[5] != 0 {
+		return fmt.Errorf("Vsn: %v is not compatible with protocol version %d", versions, protocolVersion)
 	}
 	return nil
 }
--- a/internal/membership/rejoin.go
+++ b/internal/membership/rejoin.go
@@ -8,35 +8,35 @@
 	"time"
 )
 
-// Pace of looking for lost members.
+// Intervals and limits of looking for lost members.
 const (
-	rejoinInterval   = 500 * time.Millisecond // on average
+	rejoinInterval   = 500 * time.Millisecond // between rounds of rejoining, on average
 	maxRejoinPings   = 4                      // addresses pinged per round
-	minRejoinBackoff = rejoinInterval         // between two pings of one address, doubled up to
-	maxMemberBackoff = 4 * time.Second        // for an address that was a member's, or
-	maxSeedBackoff   = 16 * time.Second       // for others, which may run without membership
-	lostMemberDelay  = 2 * time.Second        // from a member's loss to the first ping
-	aliveReportDelay = 5 * time.Second        // after a member's loss: then a report that it lives has it pinged soon
-	aliasBackoff     = time.Minute            // after joining an address that is no member's: an alias, perhaps the own
+	minRejoinBackoff = rejoinInterval         // between the first two pings of an address; doubles with each ping up to
+	maxMemberBackoff = 4 * time.Second        // this for the address of a failed member, or
+	maxSeedBackoff   = 16 * time.Second       // this for any other address, whose sidecar may run without membership
+	lostMemberDelay  = 2 * time.Second        // minimum time from a member's failure to the first ping
+	aliveReportDelay = 5 * time.Second        // from this long after a member's failure, a report that it is alive causes an early ping
+	aliasBackoff     = time.Minute            // average backoff after joining an address that then is no member's: an alias, perhaps of this sidecar
 )
 
-// rejoinAttempt is when an address is pinged next, and how long after it not again.
+// rejoinAttempt holds the time of the next ping of an address, and the backoff after that ping.
 type rejoinAttempt struct {
 	next    time.Time
 	backoff time.Duration
 }
 
-// rejoinPlan is what one round of rejoining does.
+// rejoinPlan holds the actions of one round of rejoining.
 type rejoinPlan struct {
-	ping []netip.AddrPort // join those that answer
-	// announceTo is a living member to join again, since no member probes this sidecar: it came back at another
-	// address before its death was known. Not valid for none.
+	ping []netip.AddrPort // addresses to ping; those that answer are joined
+	// announceTo is the address of an alive member to join again because no member probes this sidecar. This happens
+	// if it restarted at another address before the others knew of its death. Invalid if there is no need to join.
 	announceTo netip.AddrPort
 }
 
-// rejoin pings a few addresses at which other sidecars may be, and joins those
-// that answer: memberlist forgets the dead, so that after a start, a partition
-// or a pause nobody else would.
+// rejoin runs one round: it pings a few addresses at which other sidecars may be
+// and joins those that answer. memberlist forgets dead members, so nothing else
+// would find them after a start, a partition or a pause.
 func (a *Agent) rejoin() {
 	now := time.Now()
 	plan := a.planRejoin(now)
@@ -59,25 +59,25 @@
 	}
 }
 
-// planRejoin chooses the addresses of a round at now, and notes the attempts.
+// planRejoin chooses the addresses of a round at now, and records the attempts.
 func (a *Agent) planRejoin(now time.Time) rejoinPlan {
 	a.membersMu.Lock()
 	defer a.membersMu.Unlock()
-	living, failed := map[netip.AddrPort]bool{}, map[netip.AddrPort]bool{}
+	alive, failed := map[netip.AddrPort]bool{}, map[netip.AddrPort]bool{}
 	for _, m := range a.members {
 		if m.State == StateAlive {
-			living[m.Address] = true
+			alive[m.Address] = true
 		}
 		failed[m.Address] = m.State == StateFailed
 	}
-	candidates := a.rejoinCandidates(living)
+	candidates := a.rejoinCandidates(alive)
 	a.scheduleLostMembers()
 	plan := rejoinPlan{
 		ping:       a.chooseReady(candidates, now),
-		announceTo: a.chooseAnnounceTo(living, now),
+		announceTo: a.chooseAnnounceTo(alive, now),
 	}
 	for address := range a.rejoinAttempts {
-		if !slices.Contains(candidates, address) { // its member lives, or is forgotten
+		if !slices.Contains(candidates, address) { // its member is alive again or was removed
 			delete(a.rejoinAttempts, address)
 		}
 	}
@@ -86,17 +86,18 @@
 		if failed[address] {
 			maxBackoff = maxMemberBackoff
 		}
-		a.noteAttempt(address, now, maxBackoff)
+		a.recordAttempt(address, now, maxBackoff)
 	}
 	return plan
 }
 
-// rejoinCandidates returns where other sidecars may be, each address once,
-// without the own one and those of living members. The caller holds membersMu.
-func (a *Agent) rejoinCandidates(living map[netip.AddrPort]bool) []netip.AddrPort {
+// rejoinCandidates returns the addresses at which other sidecars may be: those
+// of the seeds, the snapshot and the failed members, each once. It excludes the
+// addresses of this sidecar and of alive members. The caller holds membersMu.
+func (a *Agent) rejoinCandidates(alive map[netip.AddrPort]bool) []netip.AddrPort {
 	var candidates []netip.AddrPort
 	add := func(address netip.AddrPort) {
-		if address.IsValid() && address != a.options.Self.Address && !living[address] && !slices.Contains(candidates, address) {
+		if address.IsValid() && address != a.options.Self.Address && !alive[address] && !slices.Contains(candidates, address) {
 			candidates = append(candidates, address)
 		}
 	}
@@ -114,8 +115,9 @@
 	return candidates
 }
 
-// scheduleLostMembers delays the first ping of members that failed just now:
-// gossip to the dead and verifyFailure come first. The caller holds membersMu.
+// scheduleLostMembers delays the first ping of members that have just failed, so
+// that gossip to the dead and verifyFailure can find them first. The caller holds
+// membersMu.
 func (a *Agent) scheduleLostMembers() {
 	for _, m := range a.members {
 		if m.State == StateFailed && a.rejoinAttempts[m.Address] == nil {
@@ -125,7 +127,8 @@
 	}
 }
 
-// chooseReady returns up to maxRejoinPings candidates that may be pinged at now, at random. The caller holds membersMu.
+// chooseReady returns up to maxRejoinPings candidates that may be pinged at now, chosen at random. The caller holds
+// membersMu.
 func (a *Agent) chooseReady(candidates []netip.AddrPort, now time.Time) []netip.AddrPort {
 	var ready []netip.AddrPort
 	for _, address := range candidates {
@@ -137,14 +140,15 @@
 	return ready[:min(len(ready), maxRejoinPings)]
 }
 
-// chooseAnnounceTo returns a living member to join again where no member has
-// probed this sidecar for long, else an invalid address. The caller holds membersMu.
-func (a *Agent) chooseAnnounceTo(living map[netip.AddrPort]bool, now time.Time) netip.AddrPort {
-	if now.Sub(a.lastProbed) <= unprobedProbes*a.options.ProbeInterval {
+// chooseAnnounceTo returns the address of an alive member to join again if no
+// member has probed this sidecar for unprobedIntervals probe intervals, otherwise
+// an invalid address. The caller holds membersMu.
+func (a *Agent) chooseAnnounceTo(alive map[netip.AddrPort]bool, now time.Time) netip.AddrPort {
+	if now.Sub(a.lastProbed) <= unprobedIntervals*a.options.ProbeInterval {
 		return netip.AddrPort{}
 	}
-	a.lastProbed = now // not again in each round
-	for address := range living {
+	a.lastProbed = now // wait as long again before the next announcement
+	for address := range alive {
 		if address != a.options.Self.Address {
 			return address
 		}
@@ -152,9 +156,10 @@
 	return netip.AddrPort{}
 }
 
-// noteAttempt sets when an address pinged at now is pinged next: after its
-// backoff, give or take a half, which then doubles. The caller holds membersMu.
-func (a *Agent) noteAttempt(address netip.AddrPort, now time.Time, maxBackoff time.Duration) {
+// recordAttempt sets the time of the next ping of an address that is pinged at
+// now: after 50% to 150% of its backoff, chosen at random. The backoff then
+// doubles, up to maxBackoff. The caller holds membersMu.
+func (a *Agent) recordAttempt(address netip.AddrPort, now time.Time, maxBackoff time.Duration) {
 	attempt := a.rejoinAttempts[address]
 	if attempt == nil {
 		attempt = &rejoinAttempt{backoff: minRejoinBackoff}
@@ -164,8 +169,8 @@
 	attempt.backoff = min(2*attempt.backoff, maxBackoff)
 }
 
-// joinAddress exchanges the full lists with the sidecar at an address that
-// answered, unless it has become a living member's meanwhile.
+// joinAddress exchanges the full member lists with the sidecar at an address that
+// answered, unless the address has become that of an alive member.
 func (a *Agent) joinAddress(address netip.AddrPort, now time.Time) {
 	a.membersMu.Lock()
 	isMember := a.isAliveAt(address)
@@ -184,11 +189,11 @@
 	}
 }
 
-// ping reports whether any sidecar answers at an address, within the probe
-// timeout or one probe interval later.
+// ping reports whether any sidecar answers at an address within the probe timeout
+// plus one probe interval.
 func (a *Agent) ping(address netip.AddrPort) bool {
 	start := time.Now()
-	// With an empty name whoever is there answers.
+	// A ping without a name is answered by any sidecar at the address.
 	if _, err := a.memberlist.Ping("", net.UDPAddrFromAddrPort(address)); err == nil {
 		return true
 	}
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -70,8 +70,8 @@
 	return s
 }
 
-// carry takes one datagram from a node's transport to another's, or loses it.
-func (s *simulation) carry(from *simulatedNode, data []byte, to netip.AddrPort) error {
+// transmit takes one datagram from a node's transport to another's, or loses it.
+func (s *simulation) transmit(from *simulatedNode, data []byte, to netip.AddrPort) error {
 	s.networkMu.Lock()
 	defer s.networkMu.Unlock()
 	if len(data) > datagram.MaxSize {
@@ -119,7 +119,7 @@
 // start starts a node's agent, as a new process does.
 func (n *simulatedNode) start(o Options) {
 	n.simulation.t.Helper()
-	n.transport = datagram.New(func(data []byte, to netip.AddrPort) error { return n.simulation.carry(n, data, to) }, datagram.Options{MaxRate: 100})
+	n.transport = datagram.New(func(data []byte, to netip.AddrPort) error { return n.simulation.transmit(n, data, to) }, datagram.Options{MaxRate: 100})
 	o.Self = Member{Name: n.simulation.nodeName(n.number), Zone: n.simulation.zone, Version: "sixteen letters!", StartTime: time.Now(), Address: n.address}
 	o.StabilizationPeriod, o.ProbeInterval, o.MaxMembers = testStabilizationPeriod, testProbeInterval, n.simulation.maxMembers
 	if o.Seeds == nil {
--- a/internal/membership/snapshot.go
+++ b/internal/membership/snapshot.go
@@ -6,19 +6,20 @@
 	"slices"
 )
 
-// Snapshot is what outlives a process: its last stable view. Its JSON form is stored.
+// Snapshot is the part of the membership that is persisted for the next process: the last stable view. Its JSON form is
+// the stored format.
 type Snapshot struct {
 	Epoch   uint64           `json:"epoch"`
 	Members []SnapshotMember `json:"members"`
 }
 
-// SnapshotMember is a member's name and address; the address is the zero value where none is known.
+// SnapshotMember is a member's name and address. The address is the zero value if it is not known.
 type SnapshotMember struct {
 	Name    string         `json:"name"`
 	Address netip.AddrPort `json:"addr"`
 }
 
-// withoutInvalid returns s without members whose name cannot be one.
+// withoutInvalid returns s without the members whose name is not valid, and logs those.
 func (s Snapshot) withoutInvalid(logger *slog.Logger) Snapshot {
 	s.Members = slices.DeleteFunc(slices.Clone(s.Members), func(m SnapshotMember) bool {
 		err := validateText(m.Name, 1, MaxNameLength)
@@ -38,7 +39,7 @@
 	return names
 }
 
-// address returns the address of a member, the zero value where it is not known.
+// address returns the address of a member, or the zero value if it is not known.
 func (s Snapshot) address(name string) netip.AddrPort {
 	i := slices.IndexFunc(s.Members, func(m SnapshotMember) bool { return m.Name == name })
 	if i < 0 {
@@ -47,7 +48,7 @@
 	return s.Members[i].Address
 }
 
-// Snapshot returns the stable view, with the addresses that are known of its members, for a next process.
+// Snapshot returns the stable view and the known addresses of its members, for the next process.
 func (a *Agent) Snapshot() Snapshot {
 	view := a.StableView()
 	s := Snapshot{Epoch: view.Epoch}
--- a/internal/membership/stabilizer.go
+++ b/internal/membership/stabilizer.go
@@ -9,60 +9,61 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rules of the stabilizer.
+// Limits of the stabilizer.
 const (
-	maxBatchPeriods   = 5                // stabilization periods that a settled change waits for others to settle
-	flapRetention     = time.Minute      // a failure is forgotten after so long
-	maxFlapPeriods    = 16               // stabilization periods that a member which fails again and again must live, at most
-	largestRetention  = 30 * time.Second // without a failure: then the fleet is as small as it looks
-	isolationDivisor  = 5                // hearing less than one member in so many of the largest view means isolated
-	minIsolationFleet = 3                // with fewer members none can say which one is gone
-	reconnectPeriods  = 3                // stabilization periods from the end of an isolation to the next change
+	maxBatchPeriods      = 5                // stabilization periods that a ready change waits for others to become ready, at most
+	flapRetention        = time.Minute      // a member's failures are forgotten if the last one is older than this
+	maxFlapPeriods       = 16               // stabilization periods that a member with repeated failures must be alive to be added again, at most
+	largestViewRetention = 30 * time.Second // time without a failure after which members that are gone no longer count as part of the fleet
+	isolationDivisor     = 5                // this sidecar is isolated if fewer than one in this many members of the largest view are alive
+	minIsolationFleet    = 3                // in a smaller fleet a member cannot tell whether it or the other one is isolated
+	reconnectPeriods     = 3                // stabilization periods from the end of an isolation until pending changes may be applied
 )
 
-// stabilizer turns the members that live at each moment into a view that
-// changes seldom. It is a state machine: it gets the time and what lives, and
-// has no clock, lock or goroutine.
+// stabilizer derives the stable view from the members that are alive at each
+// moment. It is a state machine: each step gets the time and the alive members,
+// and it uses no clock, lock or goroutine of its own.
 //
 // Invariants: names always contains self; epoch changes exactly when names
 // does; while isolated, names does not change.
 type stabilizer struct {
 	self   string
-	period time.Duration // that a change must last; also the least time between changes of names
+	period time.Duration // stabilization period: how long a change must last, and the minimum time between changes of names
 
-	names      map[string]bool // the stable view
-	epoch      uint64
-	changedAt  time.Time // when names last changed
-	isolated   bool
-	hasJoined  bool                     // another member was seen, or there is none to see
-	pending    map[string]pendingChange // members that live and are not in names, or the reverse
-	flaps      map[string]flap          // members that failed not long ago
-	largest    map[string]bool          // all names since nothing was pending last, without those that left
-	lastFailed time.Time                // when a member was last removed that had not left
+	names       map[string]bool // the stable view
+	epoch       uint64
+	changedAt   time.Time // when names last changed
+	isolated    bool
+	hasJoined   bool                     // another member was alive at some time, or none is known
+	pending     map[string]pendingChange // alive members that are not in names, and members in names that are not alive
+	flaps       map[string]flap          // recent failures, by member
+	largestView map[string]bool          // names of the stable view now and in the recent past, without members that left; see updateLargestView
+	lastFailed  time.Time                // when a member was last removed because it failed
 }
 
-// pendingChange is a join or loss that is not in the stable view yet.
+// pendingChange is the addition or removal of a member that the stable view does not include yet.
 type pendingChange struct {
-	since     time.Time
-	effective time.Time // when it has lasted long enough
+	since     time.Time // when the change was observed
+	effective time.Time // when it will have lasted long enough
 }
 
-// flap counts a member's failures.
+// flap counts a member's recent failures.
 type flap struct {
 	count int
 	last  time.Time
 }
 
-// observation is what the stabilizer gets at one moment.
+// observation is the stabilizer's input at one moment.
 type observation struct {
 	now        time.Time
-	living     map[string]bool // the own name among them
-	left       map[string]bool // gracefully
-	hasContact bool            // a datagram of any member came lately
+	alive      map[string]bool // names of alive members, this sidecar's included
+	left       map[string]bool // names of members that left gracefully
+	hasContact bool            // whether a datagram was recently received from any member
 }
 
-// newStabilizer begins with a snapshot's names and epoch; isAlone says that
-// there is nobody to join.
+// newStabilizer returns a stabilizer with a snapshot's names and epoch. isAlone
+// means that no address of another sidecar is known; without it, the stabilizer
+// is isolated until another member is alive.
 func newStabilizer(self string, period time.Duration, names []string, epoch uint64, isAlone bool, now time.Time) *stabilizer {
 	s := &stabilizer{
 		self:       self,
@@ -79,15 +80,15 @@
 	for _, name := range names {
 		s.names[name] = true
 	}
-	s.largest = maps.Clone(s.names)
+	s.largestView = maps.Clone(s.names)
 	return s
 }
 
-// step takes an observation. It returns whether the view or isolated changed,
-// and the time to the next step at the latest.
+// step processes an observation. It returns whether the stable view or isolated
+// changed, and the maximum time until the next step.
 func (s *stabilizer) step(o observation) (changed bool, next time.Duration) {
-	s.hasJoined = s.hasJoined || len(o.living) > 1
-	s.updateLargest(o)
+	s.hasJoined = s.hasJoined || len(o.alive) > 1
+	s.updateLargestView(o)
 	s.updatePending(o)
 	changed = s.updateIsolated(o)
 	if s.isolated {
@@ -100,63 +101,67 @@
 	return s.applyPending(o) || changed, next
 }
 
-// updateLargest removes members that left, and after a calm all that are not in the view.
-func (s *stabilizer) updateLargest(o observation) {
-	for name := range s.largest {
-		if !o.living[name] && o.left[name] {
-			delete(s.largest, name)
+// updateLargestView removes members that left. After largestViewRetention without a failure, it removes all that are not
+// in the stable view.
+func (s *stabilizer) updateLargestView(o observation) {
+	for name := range s.largestView {
+		if !o.alive[name] && o.left[name] {
+			delete(s.largestView, name)
 		}
 	}
-	isCalm := !s.isolated && o.now.Sub(s.lastFailed) > largestRetention
-	if isCalm && len(s.largest) > len(s.names) {
-		s.largest = maps.Clone(s.names)
+	hasNoRecentFailure := !s.isolated && o.now.Sub(s.lastFailed) > largestViewRetention
+	if hasNoRecentFailure && len(s.largestView) > len(s.names) {
+		s.largestView = maps.Clone(s.names)
 	}
 }
 
-// updatePending begins the period of members that differ from the view, and drops those that no longer do.
+// updatePending adds a pending change for each member whose state differs from the stable view, and drops the pending
+// changes of members whose state no longer does.
 func (s *stabilizer) updatePending(o observation) {
-	for name := range o.living {
-		s.observe(o.now, name, true)
+	for name := range o.alive {
+		s.addPending(o.now, name, true)
 	}
 	for name := range s.names {
-		s.observe(o.now, name, o.living[name])
+		s.addPending(o.now, name, o.alive[name])
 	}
 	for name := range s.pending {
-		if o.living[name] == s.names[name] {
+		if o.alive[name] == s.names[name] {
 			delete(s.pending, name)
 		}
 	}
 }
 
-// observe begins a member's period where it differs from the view. A member
-// that failed more than once must live the longer, the more often it failed.
-func (s *stabilizer) observe(now time.Time, name string, isLiving bool) {
-	if _, isPending := s.pending[name]; isPending || isLiving == s.names[name] {
+// addPending adds a pending change if a member's state differs from the stable
+// view and none is pending. A member that failed more than once must be alive
+// for longer to be added again: the wait doubles with each further failure, up to
+// maxFlapPeriods.
+func (s *stabilizer) addPending(now time.Time, name string, isAlive bool) {
+	if _, isPending := s.pending[name]; isPending || isAlive == s.names[name] {
 		return
 	}
 	wait := s.period
-	if failures := s.flaps[name].count; isLiving && failures > 1 {
+	if failures := s.flaps[name].count; isAlive && failures > 1 {
 		wait = s.period * time.Duration(min(maxFlapPeriods, 1<<min(failures-1, 10)))
 	}
 	s.pending[name] = pendingChange{now, now.Add(wait)}
 }
 
-// updateIsolated notes the beginning and end of an isolation, and reports whether either is now.
+// updateIsolated detects the beginning and the end of an isolation. It reports whether isolated changed.
 func (s *stabilizer) updateIsolated(o observation) bool {
-	isolated := s.isIsolated(len(o.living), o.hasContact)
+	isolated := s.isIsolated(len(o.alive), o.hasContact)
 	if isolated == s.isolated {
 		return false
 	}
 	s.isolated = isolated
 	if isolated {
-		// The failures since the last calm came of hearing too little: they are taken back.
-		if s.setNames(o.now, s.largest) {
+		// The recent removals were caused by the isolation of this sidecar: restore the largest view.
+		if s.setNames(o.now, s.largestView) {
 			clear(s.pending)
 		}
 		return true
 	}
 	wait := reconnectPeriods * s.period
-	if len(s.names) == 1 { // there is nobody to drop too early
+	if len(s.names) == 1 { // the view has only this sidecar: no member can be removed too early
 		wait = s.period
 	}
 	for name := range s.pending {
@@ -165,22 +170,24 @@
 	return true
 }
 
-// isIsolated reports whether this sidecar, rather than the rest of the fleet, is the one that is gone.
-func (s *stabilizer) isIsolated(living int, hasContact bool) bool {
+// isIsolated reports whether this sidecar is to be considered isolated, rather than the members that are not alive to be
+// considered failed. hasContact says whether a datagram was recently received from any member.
+func (s *stabilizer) isIsolated(aliveCount int, hasContact bool) bool {
 	if !s.hasJoined {
 		return true
 	}
-	fleet := len(s.largest)
+	fleet := len(s.largestView)
 	if fleet < minIsolationFleet {
 		return false
 	}
-	minLiving := max(2, (fleet+isolationDivisor-1)/isolationDivisor)
-	return !hasContact || living < minLiving
+	minAlive := max(2, (fleet+isolationDivisor-1)/isolationDivisor)
+	return !hasContact || aliveCount < minAlive
 }
 
-// nextChange reports whether the view is to change now, and when to look again.
-// A change that has lasted long enough waits for others that began within a period, so that
-// many changes become one, but not longer than maxBatchPeriods.
+// nextChange reports whether pending changes are to be applied now, and the time
+// until the next check. To batch changes, one that has lasted long enough waits
+// while others are pending that were observed less than a period ago. It waits
+// for at most maxBatchPeriods.
 func (s *stabilizer) nextChange(now time.Time) (isReady bool, next time.Duration) {
 	next = s.period
 	var firstReady time.Time
@@ -204,7 +211,7 @@
 	return true, next
 }
 
-// applyPending makes all changes that have lasted long enough, and reports whether names changed.
+// applyPending applies all changes that have lasted long enough, and reports whether names changed.
 func (s *stabilizer) applyPending(o observation) bool {
 	names := maps.Clone(s.names)
 	for name, change := range s.pending {
@@ -212,7 +219,7 @@
 			continue
 		}
 		delete(s.pending, name)
-		if o.living[name] {
+		if o.alive[name] {
 			names[name] = true
 			continue
 		}
@@ -224,7 +231,7 @@
 	return s.setNames(o.now, names)
 }
 
-// recordFailure notes that a member was removed without having left.
+// recordFailure counts a failure of a member, and drops the counts of members without a recent failure.
 func (s *stabilizer) recordFailure(now time.Time, name string) {
 	for other, f := range s.flaps {
 		if now.Sub(f.last) > flapRetention {
@@ -235,7 +242,7 @@
 	s.lastFailed = now
 }
 
-// setNames makes names the stable view, and reports whether it is another set.
+// setNames sets the names of the stable view, and reports whether they changed.
 func (s *stabilizer) setNames(now time.Time, names map[string]bool) bool {
 	if maps.Equal(names, s.names) {
 		return false
@@ -243,18 +250,19 @@
 	s.names = maps.Clone(names)
 	s.names[s.self] = true
 	for name := range s.names {
-		s.largest[name] = true
+		s.largestView[name] = true
 	}
 	s.epoch++
 	s.changedAt = now
 	return true
 }
 
-// sortedNames returns the stable view's names in order.
+// sortedNames returns the names of the stable view, sorted.
 func (s *stabilizer) sortedNames() []string { return slices.Sorted(maps.Keys(s.names)) }
 
-// Digest returns the same number for the same names in the same order: the
-// xxhash64 of each name after its length. It is compared between releases.
+// Digest returns a hash of a list of names, which depends on their order: the
+// xxhash64 of the names, each preceded by its length as a varint. Sidecars of
+// different releases compare their digests, so it must not change.
 func Digest(names []string) uint64 {
 	h := xxhash.New()
 	for _, name := range names {
--- a/internal/membership/stabilizer_test.go
+++ b/internal/membership/stabilizer_test.go
@@ -13,7 +13,7 @@
 func runScript(s *stabilizer, start time.Time, seconds []string) (views []string) {
 	left := map[string]bool{}
 	for i, line := range seconds {
-		o := observation{living: map[string]bool{s.self: true}, left: left, hasContact: true}
+		o := observation{alive: map[string]bool{s.self: true}, left: left, hasContact: true}
 		for _, word := range strings.Fields(line) {
 			switch name, hasLeft := strings.CutPrefix(word, "-"); {
 			case word == "silence":
@@ -21,7 +21,7 @@
 			case hasLeft:
 				left[name] = true
 			default:
-				o.living[name] = true
+				o.alive[name] = true
 			}
 		}
 		for tenth := range 10 {
--- a/internal/membership/stream_check.go
+++ b/internal/membership/stream_check.go
@@ -12,18 +12,19 @@
 // Limits of a push/pull, in bytes.
 const (
 	maxPushPullHeaderSize = 256 // before the members' states
-	maxStateSize          = 400 // of one member's state
+	maxStateSize          = 400 // one member's state
 )
 
-// pushPullHeader stands before the members' states, with the names that memberlist encodes.
+// pushPullHeader precedes the members' states. Its fields have the names that memberlist encodes.
 type pushPullHeader struct {
 	Nodes        int // number of states
-	UserStateLen int // bytes of user state after them
+	UserStateLen int // bytes of user state after the members' states
 	Join         bool
 }
 
-// readStreamMessage reads the one message of a stream, a push/pull of at most
-// maxMembers states or an error's text, checks it whole and returns its bytes.
+// readStreamMessage reads the only message of a stream, which is a push/pull of
+// at most maxMembers states or an error. It checks the whole message and returns
+// its bytes.
 func readStreamMessage(r io.Reader, maxMembers int, report reportFunc) ([]byte, error) {
 	var message bytes.Buffer
 	limited := io.LimitReader(r, int64(maxPushPullHeaderSize+maxMembers*maxStateSize))
@@ -44,12 +45,12 @@
 			return nil, fmt.Errorf("push/pull: %w", err)
 		}
 	default:
-		return nil, fmt.Errorf("stream: type %d is not a push/pull", kind)
+		return nil, fmt.Errorf("type %d is neither a push/pull nor an error", kind)
 	}
 	return message.Bytes(), nil
 }
 
-// checkPushPull checks the list of members that follows the type byte.
+// checkPushPull checks the header and the members' states, which follow the type byte.
 func checkPushPull(decoder *codec.Decoder, maxMembers int, report reportFunc) error {
 	var header pushPullHeader
 	if err := decoder.Decode(&header); err != nil {
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -15,28 +15,29 @@
 	"bramblestand/internal/datagram"
 )
 
-const maxQueuedPackets = 256 // received, and not yet taken by memberlist
+const maxQueuedPackets = 256 // received packets that memberlist has not processed yet
 
-// transportEvents are told what a transport receives. They are called by
-// Deliver's goroutine, and by those that read streams.
+// transportEvents is notified of what a transport receives. Its methods are
+// called by the goroutine that calls Deliver and by those that read streams.
 type transportEvents interface {
 	onReport(memberReport)
 	onContact(from netip.AddrPort, contents packetContents)
 	onRejected(from net.Addr, err error)
 }
 
-// transport is memberlist's NodeAwareTransport on a datagram transport: packets
-// as they are, streams by KCP, both checked. Its goroutine ends at Shutdown.
+// transport implements memberlist's NodeAwareTransport on a datagram transport.
+// Each packet is one datagram, and streams use KCP. Received packets and streams
+// are checked. Its goroutine ends at Shutdown.
 type transport struct {
 	datagrams  *datagram.Transport
 	streams    *datagram.Streams
-	address    netip.AddrPort // the own one, as the others know it
-	maxMembers int            // in a push/pull
+	address    netip.AddrPort // at which the others reach this sidecar
+	maxMembers int            // limit on members in a push/pull
 	events     transportEvents
 
 	packetQueue    chan *memberlist.Packet
 	streamQueue    chan net.Conn
-	droppedPackets atomic.Uint64 // valid ones, because packetQueue was full
+	droppedPackets atomic.Uint64 // valid packets dropped because packetQueue was full
 	shutdown       chan struct{}
 	shutdownOnce   sync.Once
 }
@@ -57,7 +58,7 @@
 	return t
 }
 
-// receivePacket checks a packet and queues it for memberlist; it is the channel's handler.
+// receivePacket checks a packet and queues it for memberlist. It is the handler of ChannelPackets.
 func (t *transport) receivePacket(from netip.AddrPort, data []byte) bool {
 	packet := data[1:]
 	sender := net.UDPAddrFromAddrPort(from)
@@ -76,7 +77,7 @@
 	return true
 }
 
-// acceptStreams hands accepted streams to memberlist until Shutdown.
+// acceptStreams passes accepted streams to memberlist until Shutdown.
 func (t *transport) acceptStreams() {
 	for {
 		select {
@@ -92,13 +93,13 @@
 	}
 }
 
-// FinalAdvertiseAddr returns the own address, whatever memberlist is configured with.
+// FinalAdvertiseAddr returns this sidecar's address and ignores memberlist's configuration.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	ip := t.address.Addr().As4()
 	return ip[:], int(t.address.Port()), nil
 }
 
-// WriteTo sends a packet. One over the rate limit counts as lost on the way.
+// WriteTo sends a packet. A packet over the rate limit is dropped without an error, as if lost on the network.
 func (t *transport) WriteTo(packet []byte, address string) (time.Time, error) {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -111,7 +112,7 @@
 	return time.Now(), err
 }
 
-// WriteToAddress is WriteTo; the address' name is not used.
+// WriteToAddress sends a packet as WriteTo does. The name in the address is not used.
 func (t *transport) WriteToAddress(packet []byte, address memberlist.Address) (time.Time, error) {
 	return t.WriteTo(packet, address.Addr)
 }
@@ -119,7 +120,7 @@
 // PacketCh returns the queue of checked packets.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packetQueue }
 
-// DialTimeout opens a stream, at once.
+// DialTimeout opens a stream. It needs no timeout, since it does not wait for the peer.
 func (t *transport) DialTimeout(address string, _ time.Duration) (net.Conn, error) {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -132,7 +133,7 @@
 	return &checkedStream{Conn: conn, transport: t}, nil
 }
 
-// DialAddressTimeout is DialTimeout; the address' name is not used.
+// DialAddressTimeout opens a stream as DialTimeout does. The name in the address is not used.
 func (t *transport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return t.DialTimeout(address.Addr, timeout)
 }
@@ -140,7 +141,7 @@
 // StreamCh returns the queue of accepted streams.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streamQueue }
 
-// Shutdown ends the streams and the transport's goroutine.
+// Shutdown terminates the streams and ends the transport's goroutine.
 func (t *transport) Shutdown() error {
 	t.shutdownOnce.Do(func() {
 		close(t.shutdown)
@@ -149,15 +150,15 @@
 	return nil
 }
 
-// checkedStream is a stream whose one message is read and checked whole before any of it is handed on.
+// checkedStream is a stream whose only message is read and checked completely before Read returns any of it.
 type checkedStream struct {
 	net.Conn
 	transport *transport
-	message   *bytes.Reader // nil until it is read
-	err       error         // why there is none
+	message   *bytes.Reader // nil until the message was read and is valid
+	err       error         // why the message could not be read or is not valid
 }
 
-// Read reads from the checked message. memberlist reads a stream in one goroutine.
+// Read reads from the checked message. It is not safe for concurrent use: memberlist reads a stream in one goroutine.
 func (s *checkedStream) Read(b []byte) (int, error) {
 	if s.message == nil && s.err == nil {
 		s.readMessage()
@@ -168,7 +169,7 @@
 	return s.message.Read(b)
 }
 
-// readMessage reads and checks the message.
+// readMessage reads and checks the message, and sets message or err.
 func (s *checkedStream) readMessage() {
 	events := s.transport.events
 	message, err := readStreamMessage(s.Conn, s.transport.maxMembers, events.onReport)
--- a/internal/membership/verify.go
+++ b/internal/membership/verify.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Limits of verifying failures.
+// Limits on the verification of failures.
 const (
-	maxVerifyPings   = 4  // to one member, over its stabilization period, until it answers
-	maxVerifications = 16 // members at a time
+	maxVerifyPings   = 4  // pings of one member, spread over the stabilization period, until it answers
+	maxVerifications = 16 // members verified at the same time; further ones are not verified
 )
 
-// verifyFailure pings a member that was declared dead, before the stable view
-// goes by it: on a lossy network its refutation may be late. It runs in a
-// goroutine that background counts.
+// verifyFailure pings a member that was declared dead, so that it stays in the
+// stable view if it answers: on a lossy network, its refutation may be late. It
+// runs in a goroutine that is counted in background.
 func (a *Agent) verifyFailure(m Member) {
 	defer a.background.Done()
 	select {
@@ -29,7 +29,7 @@
 		a.background.Add(1)
 		go func() {
 			defer a.background.Done()
-			a.memberlist.Ping(m.Name, net.UDPAddrFromAddrPort(m.Address)) // onContact notes the answer, also a late one
+			a.memberlist.Ping(m.Name, net.UDPAddrFromAddrPort(m.Address)) // onContact records the answer, even a late one
 		}()
 		select {
 		case <-time.After(a.options.StabilizationPeriod / (maxVerifyPings + 1)):
@@ -39,7 +39,7 @@
 	}
 }
 
-// needsVerification reports whether a member counts as failed and has not answered since.
+// needsVerification reports whether a member counts as failed and has not answered since it failed.
 func (a *Agent) needsVerification(name string) bool {
 	a.membersMu.Lock()
 	defer a.membersMu.Unlock()
@@ -48,13 +48,14 @@
 }
 
 // answeredSinceFailure reports whether a member that was declared dead has
-// answered since, and so lives: it will refute its death. The caller holds membersMu.
+// answered a ping since. It is then alive and expected to refute its death, so
+// the answer counts only for a limited time. The caller holds membersMu.
 func (a *Agent) answeredSinceFailure(m *MemberStatus) bool {
 	lastAck := a.contacts[m.Address].lastAck
 	if m.State != StateFailed || !lastAck.After(m.StateSince) {
 		return false
 	}
-	if a.isAliveAt(m.Address) { // the answer was that of another member, which has its address now
+	if a.isAliveAt(m.Address) { // the answer came from another member, which now has this address
 		return false
 	}
 	return time.Since(lastAck) < a.options.StabilizationPeriod+2*maxMemberBackoff
