--- a/internal/datagram/golden_test.go
+++ b/internal/datagram/golden_test.go
@@ -19,7 +19,7 @@
 	"bramblestand/internal/goldentest"
 )
 
-// goldenDatagram is one datagram as it is on the wire.
+// goldenDatagram is one datagram in its form on the wire.
 type goldenDatagram struct {
 	Name    string  `json:"name"`
 	Channel Channel `json:"channel"`
@@ -35,7 +35,7 @@
 	return data
 }
 
-// compareGolden compares datagrams with those of a golden file, byte for byte, and returns the file's.
+// compareGolden compares datagrams with a golden file, byte for byte, and returns those of the file.
 func compareGolden(t *testing.T, got []goldenDatagram, file string) []goldenDatagram {
 	t.Helper()
 	text := goldentest.EqualBytes(t, goldentest.JSON(t, got), filepath.Join("testdata", file))
@@ -46,7 +46,8 @@
 	return list
 }
 
-// Datagrams of every channel are sent as the golden file has them, and received as what they were.
+// Datagrams of every channel are sent as in the golden file, and the golden file's datagrams are received with their
+// original payload.
 func TestGoldenDatagrams(t *testing.T) {
 	payloads := []struct {
 		name    string
@@ -89,11 +90,12 @@
 
 const (
 	goldenConversation = 0x01020304
-	timestampOffset    = 8  // of a segment's header: the sender's clock
-	lengthOffset       = 20 // the length of its data
+	timestampOffset    = 8  // offset of the sender's clock in a segment's header
+	lengthOffset       = 20 // offset of the data's length in a segment's header
 )
 
-// withoutTimestamps zeroes the sender's clock in a datagram's segments; the rest has one form.
+// withoutTimestamps returns a copy of a datagram with the sender's clock set to zero in all segments. The remaining bytes
+// are deterministic.
 func withoutTimestamps(data []byte) []byte {
 	data = bytes.Clone(data)
 	for segment := data[1:]; len(segment) >= segmentHeaderSize; {
@@ -103,12 +105,12 @@
 	return data
 }
 
-// goldenSide is one side of a stream, which records its datagrams instead of sending them.
+// goldenSide is one side of a stream. It records its datagrams instead of sending them.
 type goldenSide struct {
 	*Streams
 	transport *Transport
 
-	sentMu sync.Mutex // a stream's timers send
+	sentMu sync.Mutex // guards sent: a stream's timers send concurrently
 	sent   [][]byte
 }
 
@@ -124,7 +126,7 @@
 	return s
 }
 
-// takeSent returns what the side sends within a few flush intervals.
+// takeSent returns the datagrams that the side sends within a few flush intervals.
 func (s *goldenSide) takeSent() [][]byte {
 	time.Sleep(3 * flushInterval)
 	synctest.Wait()
@@ -135,8 +137,8 @@
 	return sent
 }
 
-// A stream's first segments, their acknowledgements and the answer are on the wire as the golden file has them (but for
-// the sender's clock), and the golden file's segments are read and acknowledged.
+// A stream's first segments, the answer and their acknowledgements have the bytes of the golden file, except for the
+// sender's clock. A new listening side reads and acknowledges the golden file's segments.
 func TestGoldenStream(t *testing.T) {
 	question, answer := bytes.Repeat([]byte("question "), 60), []byte("answer")
 	synctest.Test(t, func(t *testing.T) {
@@ -182,8 +184,8 @@
 	})
 }
 
-// replayQuestion gives the golden file's question to a new listening side, which has to read it and to acknowledge it
-// with the same bytes.
+// replayQuestion delivers the golden file's question to a new listening side, which must read it and acknowledge it with
+// the same bytes as in the file.
 func replayQuestion(t *testing.T, question []byte, segments []goldenDatagram) *goldenSide {
 	t.Helper()
 	replay := newGoldenSide()
--- a/internal/datagram/transport_test.go
+++ b/internal/datagram/transport_test.go
@@ -17,7 +17,8 @@
 // Addresses of the two transports of a pair.
 var addressA, addressB = netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1")
 
-// newPair connects two transports by a network that loses, duplicates and reorders; oversized counts datagrams over MaxSize.
+// newPair returns two transports that are connected by a network with loss, duplication and reordering. oversized counts
+// datagrams over MaxSize.
 func newPair(seed uint64, loss float64, delay time.Duration, o Options) (a, b *Transport, oversized *int) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var randomMu sync.Mutex
@@ -31,7 +32,7 @@
 			}
 			copies := 1
 			if random.Float64() < loss {
-				copies = 2 * random.IntN(2) // lost, or duplicated
+				copies = 2 * random.IntN(2) // 0 or 2: lost or duplicated
 			}
 			for range copies {
 				received := bytes.Clone(data)
@@ -44,14 +45,15 @@
 	return a, b, oversized
 }
 
-// streamCount returns how many streams are registered, or counted as open where that is more.
+// streamCount returns the number of registered streams or the count of open ones, whichever is larger.
 func (s *Streams) streamCount() int {
 	s.streamsMu.Lock()
 	defer s.streamsMu.Unlock()
 	return max(len(s.streams), s.openCount)
 }
 
-// Written data arrives complete and in order, both ways, over a lossy network, also after its writer closed the stream.
+// Data arrives complete and in order in both directions over a lossy network, also if its writer has closed the stream.
+// No stream remains or is opened again afterwards.
 func TestStreamsDeliverInOrderOverLossyNetwork(t *testing.T) {
 	for _, loss := range []float64{0, 0.05, 0.2, 0.4} {
 		synctest.Test(t, func(t *testing.T) {
@@ -76,7 +78,7 @@
 				t.Fatalf("loss %v: the question is not what was written, %v", loss, err)
 			}
 			accepted.Write(answer)
-			accepted.Close() // what is not acknowledged is still sent
+			accepted.Close() // unacknowledged data is still sent
 			got = make([]byte, len(answer))
 			conn.SetDeadline(time.Now().Add(20 * time.Second))
 			if _, err := io.ReadFull(conn, got); err != nil || !bytes.Equal(got, answer) {
@@ -91,7 +93,8 @@
 	}
 }
 
-// Streams that nobody answers or reads end after their lifetime, and their number is limited.
+// The number of open streams is limited, and streams that are not closed end after their lifetime. A read without data
+// fails at its deadline, and a write larger than the queue fails.
 func TestStreamsExpireAndAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b, _ := newPair(1, 0, 0, Options{})
@@ -105,7 +108,7 @@
 			conn.Write([]byte("a"))
 		}
 		if _, err := dialer.Dial(addressB); !errors.Is(err, ErrTooManyStreams) {
-			t.Errorf("a stream over the limit: %v", err)
+			t.Errorf("dial of a stream over the limit: %v", err)
 		}
 		time.Sleep(maxStreamLifetime + maxDrainPeriod)
 		conn, err := dialer.Dial(addressB)
@@ -124,7 +127,8 @@
 	})
 }
 
-// Datagrams over the rate limit are not sent and counted, except gossip; datagrams of an invalid size are not sent.
+// Datagrams over the rate limit are counted and not sent, except gossip. Datagrams with an invalid size or channel are not
+// sent.
 func TestRateLimitExceptsGossip(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, _, _ := newPair(1, 0, 0, Options{MaxRate: 10})
@@ -139,18 +143,18 @@
 		}
 		time.Sleep(time.Second)
 		if err := a.Send(addressB, []byte{byte(ChannelPackets)}); err != nil {
-			t.Errorf("limited a second later: %v", err)
+			t.Errorf("a datagram a second later: %v", err)
 		}
 		for _, data := range [][]byte{make([]byte, MaxSize+1), nil, {channelCount}} {
 			if err := a.Send(addressB, data); !errors.Is(err, ErrInvalidDatagram) {
 				t.Errorf("a datagram of %d bytes: %v", len(data), err)
 			}
 		}
-		time.Sleep(time.Second) // the last ones arrive
+		time.Sleep(time.Second) // until the last datagrams have arrived
 	})
 }
 
-// FuzzDeliver: nothing that a stranger sends harms a transport and its streams.
+// FuzzDeliver checks that a transport and its streams do not panic on any received datagram.
 func FuzzDeliver(f *testing.F) {
 	var once sync.Once
 	first := make(chan []byte, 1)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -12,7 +12,7 @@
 	"bramblestand/internal/datagram"
 )
 
-// listenUDP returns a socket on a free port, closed at the test's end.
+// listenUDP returns a socket on a free port. It is closed when the test ends.
 func listenUDP(t *testing.T) *net.UDPConn {
 	t.Helper()
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -25,8 +25,8 @@
 
 func addressOf(conn *net.UDPConn) netip.AddrPort { return conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// Gossip of peers is passed on unchanged; that of strangers, datagrams over the size limit and of other channels are not,
-// and with the membership disabled there is no other channel.
+// Gossip of peers is passed on unchanged. Gossip from other addresses, datagrams over the size limit and datagrams on other
+// channels are dropped and counted. With the membership disabled, no other channel has a handler.
 func TestGossipIsAcceptedFromPeersAlone(t *testing.T) {
 	peer, stranger := listenUDP(t), listenUDP(t)
 	free := listenUDP(t)
@@ -50,27 +50,27 @@
 	send(peer, bytes.Repeat([]byte{1}, datagram.MaxSize+1))
 	send(peer, []byte("\x02packet"))
 	send(peer, []byte("\x09later"))
-	send(peer, []byte("\x01news")) // loopback keeps the order
+	send(peer, []byte("\x01news")) // the loopback interface keeps the order, so the datagrams before were dropped
 	if data := <-received; string(data) != "\x01news" {
-		t.Errorf("%d bytes received, %.10q", len(data), data)
+		t.Errorf("received %d bytes: %.10q", len(data), data)
 	}
 	f.SendGossip([]byte("\x01ours"))
 	buf := make([]byte, 10)
 	if n, from, err := peer.ReadFromUDPAddrPort(buf); err != nil || string(buf[:n]) != "\x01ours" || from != own {
-		t.Errorf("%q from %v, %v", buf[:n], from, err)
+		t.Errorf("the peer received %q from %v, %v", buf[:n], from, err)
 	}
 	if len(received) != 0 {
 		t.Errorf("%d more datagrams received", len(received))
 	}
 	if counts, unknown := f.transport.Counts(); unknown != 3 || counts[datagram.ChannelGossip].Rejected != 1 || counts[datagram.ChannelGossip].SentDatagrams != 1 {
-		t.Errorf("counts %v, %d unknown", counts, unknown)
+		t.Errorf("counts are %v, %d unknown", counts, unknown)
 	}
 	if _, isEnabled := f.Status(false); isEnabled || f.Snapshot() != nil {
 		t.Error("a disabled membership has a status or a snapshot")
 	}
 }
 
-// Errors of the settings name the key.
+// The error for an invalid setting names its key.
 func TestSettingsErrorsNameTheKey(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"on":true,"quiet_s":0}`: "quiet_s",
@@ -87,6 +87,6 @@
 		}
 	}
 	if s, err := ParseSettings(nil); err != nil || s.Enabled || s.StabilizationSeconds != 1 || s.MaxMembers != 1000 {
-		t.Errorf("defaults %+v, %v", s, err)
+		t.Errorf("the defaults are %+v, %v", s, err)
 	}
 }
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -15,7 +15,7 @@
 	"bramblestand/internal/membership"
 )
 
-// compareGolden compares text with a golden file, byte for byte, and returns the file's.
+// compareGolden compares text with a golden file, byte for byte, and returns the file's content.
 func compareGolden(t *testing.T, text []byte, file string) []byte {
 	t.Helper()
 	return goldentest.EqualBytes(t, text, filepath.Join("testdata", file))
@@ -39,7 +39,7 @@
 	}
 }
 
-// The status has the form of the golden files: full, brief and as text.
+// The status, full and brief, has the form of the golden files, as JSON and as text.
 func TestGoldenStatus(t *testing.T) {
 	status := goldenStatus()
 	text := compareGolden(t, goldentest.JSON(t, status), "status.json")
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	if again := goldentest.JSON(t, read); !bytes.Equal(again, text) {
-		t.Errorf("read and written again it is\n%s", again)
+		t.Errorf("the status decoded and encoded again is\n%s", again)
 	}
 	compareGolden(t, []byte(status.Text()), "status.txt")
 	status.Members, status.Traffic, status.Counters = nil, nil, nil
@@ -57,8 +57,8 @@
 	compareGolden(t, []byte(status.Text()), "status_brief.txt")
 }
 
-// A sidecar that starts alone with a snapshot has a status with the golden file's keys and values (but for its clock's),
-// and the same snapshot again.
+// A sidecar that starts alone with a snapshot has a status with the keys and values of the golden file, except for values
+// that depend on the clock. Its snapshot is the one that it started with.
 func TestGoldenSnapshotAndStatus(t *testing.T) {
 	snapshot := json.RawMessage(`{"epoch":41,"members":[{"name":"s0","addr":"10.0.0.1:7946"},{"name":"s1","addr":"10.0.0.2:7946"},{"name":"s2","addr":""}]}`)
 	discard := func([]byte, netip.AddrPort) error { return nil }
@@ -81,17 +81,17 @@
 	for i := range status.Members {
 		status.Members[i].Since, status.Members[i].StartTime = goldenTime, goldenTime
 	}
-	for channel, traffic := range status.Traffic { // what it has sent by now depends on its clock
+	for channel, traffic := range status.Traffic { // the amount of traffic sent depends on the clock
 		traffic.SentPerSecond, traffic.SentBytesPerSecond, traffic.Sent, traffic.SentBytes = 0, 0, 0, 0
 		status.Traffic[channel] = traffic
 	}
 	compareGolden(t, goldentest.JSON(t, status), "status_alone.json")
 	if text := compareGolden(t, append(f.Snapshot(), '\n'), "kept.json"); !bytes.Equal(text, append(snapshot, '\n')) {
-		t.Errorf("the snapshot is %s, started with %s", text, snapshot)
+		t.Errorf("the snapshot is %s, want %s", text, snapshot)
 	}
 }
 
-// The settings are read and written as the golden file has them.
+// The settings are read and written as in the golden files.
 func TestGoldenSettings(t *testing.T) {
 	all := Settings{Enabled: true, Advertise: "10.0.0.1:7946", StabilizationSeconds: 2.5, ProbeIntervalMillis: 300, MaxMembers: 50, MaxDatagramsPerSecond: 80}
 	text := compareGolden(t, goldentest.JSON(t, all), "settings.json")
--- a/internal/membership/agent_test.go
+++ b/internal/membership/agent_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-// expectUnchanged fails the test if a stable view of the nodes changes within a duration.
+// expectUnchanged fails the test if the stable view of any of the nodes changes within a duration.
 func (s *simulation) expectUnchanged(situation string, nodes []*simulatedNode, duration time.Duration) {
 	s.t.Helper()
 	before := map[int]uint64{}
@@ -33,9 +33,10 @@
 
 const stableTimeout = 30 * time.Second
 
-// joinAll has each node exchange the full list with the first one twice: at the second time the first knows all. By the
-// first round alone the later nodes reach the earlier ones by gossip, which is sent a limited number of times to members
-// drawn at random, and what it missed is repaired by the library's exchange of full lists, after half a minute and more.
+// joinAll makes each node exchange the full list with the first node, in two rounds. In the second round the first node
+// knows all others. After one round, the earlier nodes would know the later ones only by gossip, which is sent a limited
+// number of times to randomly chosen members. What gossip misses is repaired by memberlist's own exchange of full lists,
+// but only after half a minute or more.
 func (s *simulation) joinAll() {
 	s.t.Helper()
 	for range 2 {
@@ -52,12 +53,12 @@
 	}
 }
 
-// A fleet joins by one seed, distinguishes a crash from a leave, and readmits a member that returns without a snapshot,
-// also at another address and where its former address is now another member's.
+// A fleet forms from a single seed and distinguishes a crash from a leave. It readmits a member that returns without a
+// snapshot, also at another address, and also if its former address now belongs to another member.
 func TestMembersJoinFailLeaveAndReturn(t *testing.T) {
 	inSimulation(t, 1, 12, func(s *simulation) {
 		for _, n := range s.nodes {
-			n.start(Options{Seeds: []netip.AddrPort{s.nodes[0].address}}) // nobody lists the others
+			n.start(Options{Seeds: []netip.AddrPort{s.nodes[0].address}}) // the seeds include no other node
 		}
 		s.awaitStable("by one seed", s.runningNodes(nil), stableTimeout)
 		stateAt := func(node int, name string) State {
@@ -98,8 +99,9 @@
 	})
 }
 
-// Both halves of a partitioned fleet become stable, and the whole fleet does after it, be the partition shorter or longer
-// than memberlist gossips to the dead. Without rejoining the halves never meet.
+// Both halves of a partitioned fleet become stable, and so does the whole fleet after the partition has healed, whether
+// the partition is shorter or longer than the time for which memberlist gossips to the dead (gossipToDeadPeriod). After a
+// longer partition, the halves do not find each other without rejoining.
 func TestPartitionHealsByRejoining(t *testing.T) {
 	for _, duration := range []time.Duration{10 * time.Second, 3 * time.Minute} {
 		for _, rejoinDisabled := range []bool{false, true} {
@@ -108,7 +110,7 @@
 					n.start(Options{rejoinDisabled: rejoinDisabled})
 				}
 				inFirstHalf := func(i int) bool { return i < 5 }
-				if rejoinDisabled { // no member would find another
+				if rejoinDisabled { // otherwise no member would find another
 					s.joinAll()
 				}
 				s.awaitStable("start", s.runningNodes(nil), stableTimeout)
@@ -133,8 +135,8 @@
 	}
 }
 
-// No member is removed because a link between two is cut, in both directions or in one, while the others reach both; nor
-// on a network that duplicates, reorders and loses.
+// No member is removed because the link between two members is cut, in one direction or both, while the others reach
+// both of them. Nor is one removed on a network that loses, duplicates and reorders datagrams.
 func TestLinkFaultsRemoveNobody(t *testing.T) {
 	for name, c := range map[string]struct {
 		isCut      func(a, b int) bool
@@ -154,8 +156,8 @@
 	}
 }
 
-// An isolated sidecar says so and keeps its view for however long; afterwards its old lists bring back no member that
-// is gone, and the others' views change for nothing else.
+// An isolated sidecar reports that it is isolated and keeps its view, however long the isolation lasts. Its outdated
+// member list does not bring back a member that crashed meanwhile.
 func TestIsolatedSidecarKeepsItsView(t *testing.T) {
 	inSimulation(t, 4, 9, func(s *simulation) {
 		s.startAll()
@@ -165,10 +167,10 @@
 		s.setNetwork(func(a, b int) bool { return a == 4 || b == 4 }, s.impairment)
 		s.expectUnchanged("isolated", []*simulatedNode{isolated}, 5*time.Minute)
 		if !isolated.agent.StableView().Isolated {
-			t.Error("it does not say that it is isolated")
+			t.Error("the isolated sidecar does not report that it is isolated")
 		}
 		s.awaitStable("the others", others, stableTimeout)
-		s.nodes[8].stop(false) // which the isolated one does not learn
+		s.nodes[8].stop(false) // the isolated sidecar does not learn of this crash
 		others = others[:len(others)-1]
 		s.awaitStable("the others, one fewer", others, stableTimeout)
 		s.setNetwork(nil, s.impairment)
@@ -176,7 +178,7 @@
 	})
 }
 
-// After all crash, those with a snapshot find each other by it, without any other seed, and continue their epochs.
+// After all sidecars crash, they find each other by the addresses in their snapshots alone, and continue their epochs.
 func TestSnapshotIsUsedAsViewAndSeeds(t *testing.T) {
 	inSimulation(t, 5, 6, func(s *simulation) {
 		s.startAll()
@@ -189,14 +191,14 @@
 		for i, n := range s.nodes {
 			n.start(Options{Snapshot: snapshots[i], Seeds: []netip.AddrPort{n.address}})
 			if view := n.agent.StableView(); len(view.Names) != 6 || view.Epoch != snapshots[i].Epoch || !view.Isolated {
-				t.Errorf("it starts with %+v, snapshot %+v", view, snapshots[i])
+				t.Errorf("the first view is %+v, with snapshot %+v", view, snapshots[i])
 			}
 		}
 		s.awaitStable("again", s.runningNodes(nil), stableTimeout)
 	})
 }
 
-// All restart at once, and in waves, without snapshots: one view follows.
+// All sidecars restart without snapshots, first at the same time and then in batches: afterwards all have the same view.
 func TestRestartOfAllEndsInOneView(t *testing.T) {
 	inSimulation(t, 9, 20, func(s *simulation) {
 		s.startAll()
@@ -216,7 +218,8 @@
 	})
 }
 
-// Of two sidecars with one name the first stays; the conflict is counted, and the views of the others do not change.
+// If two sidecars have the same name, the first one stays a member. The conflict is counted, and the views of the others
+// do not change.
 func TestNameConflictIsCounted(t *testing.T) {
 	inSimulation(t, 6, 6, func(s *simulation) {
 		for _, n := range s.nodes[:5] {
@@ -234,7 +237,8 @@
 	})
 }
 
-// The longest names, zones and versions fit the datagrams; members beyond the limit are rejected and counted.
+// Messages with the longest names, zones and versions fit the datagrams. Members beyond the limit are rejected and
+// counted, and a new member is admitted after one has left.
 func TestMembersAreLimited(t *testing.T) {
 	inSimulation(t, 7, 8, func(s *simulation) {
 		s.maxMembers = 6
@@ -254,7 +258,7 @@
 	})
 }
 
-// Truncated and changed datagrams of strangers are rejected and counted, and the views do not change.
+// Truncated and modified datagrams from an unknown address are rejected and counted, and the views do not change.
 func TestForgedDatagramsAreRejected(t *testing.T) {
 	inSimulation(t, 8, 4, func(s *simulation) {
 		s.startAll()
@@ -262,7 +266,7 @@
 		random := rand.New(rand.NewPCG(8, 8))
 		time.Sleep(5 * time.Second)
 		s.networkMu.Lock()
-		s.forge = func(data []byte) []byte { // a truncated and changed copy
+		s.forge = func(data []byte) []byte { // a truncated and modified copy
 			forged := slices.Clone(data[:1+random.IntN(len(data))])
 			for range 1 + random.IntN(3) {
 				forged[random.IntN(len(forged))] = byte(random.Uint32())
@@ -277,7 +281,8 @@
 	})
 }
 
-// After any joins, leaves, crashes, cuts and losses one view follows once they end.
+// After any sequence of starts, leaves, crashes, cut links and datagram loss, all sidecars have the same view once the
+// faults have ended.
 func TestAnyFaultsEndInOneView(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(2, 9).Draw(rt, "sidecars")
@@ -324,7 +329,7 @@
 			failed = t.Failed()
 		})
 		if failed {
-			rt.Fatal("the fleet has no one view")
+			rt.Fatal("the sidecars do not have the same view")
 		}
 	})
 }
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -65,7 +65,7 @@
 	Hex      string   `json:"hex"`
 }
 
-// Members' metadata is encoded and decoded as the golden file has it.
+// Members' metadata is encoded as in the golden file, and the golden file's metadata is decoded to the same members.
 func TestGoldenMeta(t *testing.T) {
 	var list []goldenMeta
 	for _, m := range goldenMembers {
@@ -75,7 +75,7 @@
 	readGolden(t, "meta.json", &list)
 	for i, g := range list {
 		m := goldenMembers[i]
-		for _, later := range []string{"", "0102"} { // a later version's fields are ignored
+		for _, later := range []string{"", "0102"} { // bytes of fields that a later version adds are ignored
 			ip := m.Address.Addr().As4()
 			got, err := decodeMember(m.Name, ip[:], m.Address.Port(), unhex(t, g.Hex+later))
 			if err != nil || got != m {
@@ -85,14 +85,14 @@
 	}
 }
 
-const goldenMaxMembers = 5 // in a push/pull
+const goldenMaxMembers = 5 // limit on members in a push/pull
 
-// checkResult is a message and what the checks make of it; the text of an error is no part of it.
+// checkResult is a message and the result of its check. It does not include the text of an error.
 type checkResult struct {
 	Name     string   `json:"name"`
 	Hex      string   `json:"hex"`
 	Accepted bool     `json:"accepted"`
-	Reports  []string `json:"says,omitempty"` // name, incarnation and whether it left
+	Reports  []string `json:"says,omitempty"` // name, incarnation and whether the member left
 	Ack      bool     `json:"ack,omitempty"`
 	Probe    bool     `json:"probe,omitempty"`
 }
@@ -112,7 +112,7 @@
 	return result
 }
 
-// recheckGolden checks a golden file's messages again: each result has to be the file's.
+// recheckGolden checks a golden file's messages: each result must equal the one in the file.
 func recheckGolden(t *testing.T, file string, isStream bool) []checkResult {
 	t.Helper()
 	var list []checkResult
@@ -130,13 +130,13 @@
 
 type fields = map[string]any
 
-// namedMessage is a message to check.
+// namedMessage is a message to check, with the name of its case.
 type namedMessage struct {
 	name string
 	data []byte
 }
 
-// goldenPackets returns packets of every kind, valid and invalid ones.
+// goldenPackets returns valid and invalid packets of every type.
 func goldenPackets() []namedMessage {
 	dead := encodeMessage(msgDead, fields{"Incarnation": 4, "Node": "s1", "From": "s1"})
 	ack := encodeMessage(msgAck, fields{"SeqNo": 7})
@@ -201,8 +201,8 @@
 	}
 }
 
-// Messages of every kind, valid and invalid ones, are checked as the golden file has them. Msgpack writes their fields in
-// any order, so that the bytes are made once.
+// The checks of valid and invalid packets of every type have the results in the golden file. The packets are encoded only
+// when the file is updated, because msgpack writes the fields in random order.
 func TestGoldenPackets(t *testing.T) {
 	if goldentest.Updating() {
 		var list []checkResult
@@ -214,7 +214,7 @@
 	recheckGolden(t, "packets.json", false)
 }
 
-// Messages of streams are checked, with goldenMaxMembers members at most, as the golden file has them.
+// The checks of stream messages, with a limit of goldenMaxMembers members, have the results in the golden file.
 func TestGoldenStreams(t *testing.T) {
 	if goldentest.Updating() {
 		var list []checkResult
@@ -246,7 +246,7 @@
 	recheckGolden(t, "streams.json", true)
 }
 
-// composition names the type of a packet and of its parts.
+// composition returns the type of a packet and, for a compound, the types of its parts.
 func composition(packet []byte) string {
 	if packet[0] == msgHasCRC {
 		packet = packet[crcHeaderSize:]
@@ -265,12 +265,13 @@
 	return name
 }
 
-// recordFleet returns what members of a simulated fleet send: the first two packets of each composition, and a push/pull.
+// recordFleet returns messages that members of a simulated fleet send: the first two packets of each composition, and a
+// push/pull.
 func recordFleet(t *testing.T) (packets, streams []checkResult) {
 	t.Helper()
 	seen := map[string]int{}
 	inSimulation(t, 33, 5, func(s *simulation) {
-		s.forge = func(data []byte) []byte { // called under networkMu
+		s.forge = func(data []byte) []byte { // called with networkMu held
 			if data[0] == byte(datagram.ChannelPackets) {
 				kind := composition(data[1:])
 				if seen[kind]++; seen[kind] <= 2 {
@@ -306,7 +307,7 @@
 	return packets, streams
 }
 
-// What members of a simulated fleet sent, as recorded, is accepted with the same reports.
+// The recorded messages of a simulated fleet's members are accepted, with the same reports as in the golden files.
 func TestGoldenFleet(t *testing.T) {
 	if goldentest.Updating() {
 		packets, streams := recordFleet(t)
@@ -315,12 +316,12 @@
 	}
 	for _, g := range slices.Concat(recheckGolden(t, "fleet_packets.json", false), recheckGolden(t, "fleet_streams.json", true)) {
 		if !g.Accepted {
-			t.Errorf("%s: a member's message is rejected", g.Name)
+			t.Errorf("%s: a message of a member is rejected", g.Name)
 		}
 	}
 }
 
-// A snapshot is written and read as the golden file has it, and is an agent's first view.
+// A snapshot is written and read as in the golden file, and an agent that starts with it has it as its first view.
 func TestGoldenSnapshot(t *testing.T) {
 	snapshot := Snapshot{Epoch: 1 << 40, Members: []SnapshotMember{{"s0", netip.MustParseAddrPort("10.0.0.1:7946")}, {"s1", netip.AddrPort{}},
 		{"Zürich", netip.MustParseAddrPort("10.0.0.3:1")}}}
--- a/internal/membership/measurement_test.go
+++ b/internal/membership/measurement_test.go
@@ -14,12 +14,12 @@
 )
 
 var (
-	measureFile  = flag.String("measure", "", "write the figures of simulated fleets, as distributions over seeds, to this JSON file")
-	measureSeeds = flag.Int("seeds", 30, "seeds a figure, with -measure")
-	measureSize  = flag.Int("size", 0, "members of the fleets, with -measure; 0 for 5, 50 and 300")
+	measureFile  = flag.String("measure", "", "write measurements of simulated fleets, as distributions over seeds, to this JSON file")
+	measureSeeds = flag.Int("seeds", 30, "seeds per measurement, with -measure")
+	measureSize  = flag.Int("size", 0, "members per fleet, with -measure; 0 for 5, 50 and 300")
 )
 
-// measurements are values over seeds, by name.
+// measurements holds the values of each measurement, one per seed, by name.
 type measurements struct {
 	valuesMu sync.Mutex
 	values   map[string][]float64
@@ -31,10 +31,10 @@
 	f.values[name] = append(f.values[name], v)
 }
 
-// distribution is a figure's distribution.
+// distribution summarizes the values of one measurement.
 type distribution struct {
 	P50  float64 `json:"p50"`
-	P99  float64 `json:"p99"` // of fewer than 100 values the largest
+	P99  float64 `json:"p99"` // the largest value if there are at most 100
 	Max  float64 `json:"max"`
 	Runs int     `json:"runs"`
 }
@@ -48,10 +48,10 @@
 	return all
 }
 
-// traffic is what transports sent and did not send, over all channels.
+// traffic is the number of datagrams and bytes sent, and of datagrams not sent because of the rate limit.
 type traffic struct{ datagrams, bytes, rateLimited float64 }
 
-// sent returns what the running nodes' transports sent.
+// sent returns the traffic of all running nodes, over all channels.
 func (s *simulation) sent() traffic {
 	var sum traffic
 	for _, n := range s.runningNodes(nil) {
@@ -67,14 +67,15 @@
 
 const measureTimeout = 10 * time.Minute
 
-// measure runs one seed: cold start, calm, a crash, a return, a partition of a
-// minute, healed. Losses are on from the start.
+// measure runs one seed: cold start, a minute without changes, a crash, the
+// return of the crashed node and, in fleets of more than 5, a partition of at
+// least a minute that then heals. The loss rate applies from the start.
 func measure(s *simulation, f *measurements, name string) {
 	n := len(s.nodes)
 	record := func(what string, d time.Duration) { f.add(name+" "+what+"_s", d.Seconds()) }
 	s.startAll()
 	record("cold_start", s.awaitStable("cold start", s.runningNodes(nil), measureTimeout))
-	time.Sleep(30 * time.Second) // gossip of the start ends
+	time.Sleep(30 * time.Second) // until the gossip of the start has ended
 	before := s.sent()
 	time.Sleep(time.Minute)
 	after := s.sent()
@@ -97,7 +98,8 @@
 	f.add(name+" held_back_datagrams_per_member", s.sent().rateLimited/float64(n))
 }
 
-// measureFalseRemovals counts the removals of living members from stable views within a duration, at a loss and delays to 200 ms.
+// measureFalseRemovals records how often stable views change within a duration while no member stops, on a network with a
+// loss rate and delays of up to 200 ms. Each change is due to the removal of an alive member or its return.
 func measureFalseRemovals(s *simulation, f *measurements, name string, loss float64, duration time.Duration) {
 	s.impairment = impairment{loss: loss, delay: 200 * time.Millisecond}
 	s.startAll()
@@ -116,10 +118,10 @@
 	f.add(name+" member_minutes", float64(len(s.nodes))*duration.Minutes())
 }
 
-// TestMeasure records distributions over seeds; it only requires that fleets become stable.
+// TestMeasure writes distributions over seeds to a file. It fails only if a fleet does not become stable.
 func TestMeasure(t *testing.T) {
 	if *measureFile == "" {
-		t.Skip("without -measure")
+		t.Skip("runs only with -measure")
 	}
 	f := &measurements{values: map[string][]float64{}}
 	t.Run("all", func(t *testing.T) {
--- a/internal/membership/message_check_test.go
+++ b/internal/membership/message_check_test.go
@@ -11,7 +11,7 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// encodeMessage returns one of memberlist's messages.
+// encodeMessage returns a message in memberlist's format.
 func encodeMessage(kind byte, fields map[string]any) []byte {
 	var b bytes.Buffer
 	b.WriteByte(kind)
@@ -31,7 +31,8 @@
 
 var validMeta = Member{StartTime: time.Unix(1, 0)}.encodeMeta()
 
-// memberState returns a member's fields as alive messages (by Node) and push/pulls (by Name) have them, one of them changed.
+// memberState returns a valid member's fields for an alive message (with its name in Node) or a push/pull (with its name
+// in Name). If field is not empty, it is set to value.
 func memberState(field string, value any) map[string]any {
 	m := map[string]any{"Incarnation": 3, "Node": "s1", "Name": "s1", "Addr": []byte{10, 0, 0, 1}, "Port": 7946, "Meta": validMeta,
 		"Vsn": []byte{1, 5, 2, 0, 0, 0}, "State": 0}
@@ -88,7 +89,7 @@
 	}
 }
 
-// encodePushPull returns a push/pull with these states, whose header says how many there are.
+// encodePushPull returns a push/pull with these states and a header that gives their number as count.
 func encodePushPull(count int, states ...map[string]any) []byte {
 	b := encodeMessage(msgPushPull, map[string]any{"Nodes": count, "UserStateLen": 0, "Join": true})
 	for _, s := range states {
@@ -118,7 +119,8 @@
 	}
 }
 
-// FuzzMessageChecks: nothing that a stranger sends harms the checks, and accepted metadata can be encoded again.
+// FuzzMessageChecks checks that the message checks do not panic on any input, report only valid names, and that accepted
+// metadata is the same after it is encoded and decoded again.
 func FuzzMessageChecks(f *testing.F) {
 	f.Add(encodeMessage(msgAlive, memberState("", nil)))
 	f.Add(encodeCompound(encodeMessage(msgPing, map[string]any{"SeqNo": 1, "Node": "s1"}), encodeMessage(msgAck, map[string]any{"SeqNo": 1})))
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -15,8 +15,8 @@
 	"bramblestand/internal/datagram"
 )
 
-// simulation is a fleet of agents in one process on a seeded network of its own, under synctest's clock: minutes pass as
-// fast as they are computed, and a busy machine changes nothing.
+// simulation is a fleet of agents in one process, on a simulated network with seeded random faults. It runs under
+// synctest's clock: simulated minutes take only the time to compute them, and the load of the machine has no influence.
 type simulation struct {
 	t          testing.TB
 	nodes      []*simulatedNode
@@ -27,25 +27,25 @@
 	networkMu  sync.Mutex // guards the fields below
 	random     *rand.Rand
 	transports map[netip.AddrPort]*datagram.Transport
-	isCut      func(from, to int) bool // nil for nothing
+	isCut      func(from, to int) bool // nil if no link is cut
 	impairment impairment
-	oversized  int                      // datagrams over the size limit
-	forge      func(data []byte) []byte // what a stranger sends to the receiver of data; nil for nothing
+	oversized  int                      // number of datagrams over the size limit
+	forge      func(data []byte) []byte // returns a datagram that an unknown address sends to the receiver of data; nil for none
 }
 
-// impairment is what the network does to all datagrams.
+// impairment describes the network's faults, which apply to all datagrams.
 type impairment struct {
-	loss, duplicate float64
-	delay           time.Duration // at most, drawn evenly, so that datagrams overtake each other
+	loss, duplicate float64       // probabilities
+	delay           time.Duration // maximum; uniformly distributed, so that datagrams are reordered
 }
 
-// simulatedNode is one sidecar, whose process may stop and start again.
+// simulatedNode is one sidecar, which may stop and start again.
 type simulatedNode struct {
 	simulation *simulation
 	number     int
 	address    netip.AddrPort
 	transport  *datagram.Transport
-	agent      *Agent // nil while it does not run
+	agent      *Agent // nil while the node is stopped
 }
 
 const (
@@ -70,7 +70,7 @@
 	return s
 }
 
-// transmit takes one datagram from a node's transport to another's, or loses it.
+// transmit delivers one datagram from a node's transport to the transport at an address, with the network's faults.
 func (s *simulation) transmit(from *simulatedNode, data []byte, to netip.AddrPort) error {
 	s.networkMu.Lock()
 	defer s.networkMu.Unlock()
@@ -91,32 +91,32 @@
 		}
 		received := append([]byte(nil), data...)
 		delay := time.Duration(s.random.Int64N(int64(s.impairment.delay) + 1))
-		source := from.address // networkMu is held now, and not when the datagram arrives
+		source := from.address // read now, since networkMu is not held when the datagram arrives
 		time.AfterFunc(delay, func() { receiver.Deliver(source, received) })
 	}
 	return nil
 }
 
-// number returns the number of the node at an address, -1 where there is none.
+// number returns the number of the node at an address, or -1 if there is none.
 func (s *simulation) number(address netip.AddrPort) int {
 	return slices.IndexFunc(s.nodes, func(n *simulatedNode) bool { return n.address == address })
 }
 
-// setAddress moves a node that does not run.
+// setAddress changes the address of a stopped node.
 func (s *simulation) setAddress(n *simulatedNode, address netip.AddrPort) {
 	s.networkMu.Lock()
 	defer s.networkMu.Unlock()
 	n.address = address
 }
 
-// setNetwork changes the network's faults.
+// setNetwork sets the cut links and the network's faults.
 func (s *simulation) setNetwork(isCut func(from, to int) bool, impairment impairment) {
 	s.networkMu.Lock()
 	defer s.networkMu.Unlock()
 	s.isCut, s.impairment = isCut, impairment
 }
 
-// start starts a node's agent, as a new process does.
+// start starts a node's agent, as a new process would.
 func (n *simulatedNode) start(o Options) {
 	n.simulation.t.Helper()
 	n.transport = datagram.New(func(data []byte, to netip.AddrPort) error { return n.simulation.transmit(n, data, to) }, datagram.Options{MaxRate: 100})
@@ -137,7 +137,7 @@
 	n.simulation.networkMu.Unlock()
 }
 
-// stop ends a node: with a graceful leave, or as a crash does.
+// stop stops a node: with a graceful leave, or without one, as if the process crashed.
 func (n *simulatedNode) stop(leave bool) {
 	if !leave {
 		n.simulation.networkMu.Lock()
@@ -157,17 +157,17 @@
 	}
 }
 
-// close stops all nodes, so that no goroutine remains.
+// close stops all nodes and waits until no goroutine remains.
 func (s *simulation) close() {
 	for _, n := range s.nodes {
 		if n.agent != nil {
 			n.stop(false)
 		}
 	}
-	time.Sleep(time.Minute) // timers of the library run out
+	time.Sleep(time.Minute) // memberlist's timers expire
 }
 
-// runningNodes returns the running nodes that include accepts, all for nil.
+// runningNodes returns the running nodes for which include returns true, or all if include is nil.
 func (s *simulation) runningNodes(include func(i int) bool) []*simulatedNode {
 	var list []*simulatedNode
 	for _, n := range s.nodes {
@@ -178,8 +178,8 @@
 	return list
 }
 
-// awaitStable waits until each node's stable view has exactly these nodes, and returns how long that took. After timeout
-// it fails the test.
+// awaitStable waits until the stable view of each of the nodes has exactly these nodes, and returns how long that took. It
+// fails the test after timeout.
 func (s *simulation) awaitStable(situation string, nodes []*simulatedNode, timeout time.Duration) time.Duration {
 	s.t.Helper()
 	var names []string
@@ -206,7 +206,8 @@
 	}
 }
 
-// inSimulation runs f with a seeded fleet of n nodes that are not started.
+// inSimulation runs f with a simulation of n nodes that are not started. It fails the test if a datagram exceeds the size
+// limit.
 func inSimulation(t *testing.T, seed uint64, n int, f func(s *simulation)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/membership/stabilizer_test.go
+++ b/internal/membership/stabilizer_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// runScript steps a stabilizer through seconds, ten steps each, and returns its views: "b c" live beside the sidecar
-// itself, "-c" has left from then on, "silence" means that no member is heard.
+// runScript steps a stabilizer through seconds, with ten steps each, and returns its distinct consecutive views. A script
+// line lists the members that are alive besides the sidecar itself. "-c" means that c has left, from this second on, and
+// "silence" that no datagram was recently received from any member.
 func runScript(s *stabilizer, start time.Time, seconds []string) (views []string) {
 	left := map[string]bool{}
 	for i, line := range seconds {
@@ -68,7 +69,7 @@
 	}
 }
 
-// The digest distinguishes lists that are the same when joined, and does not change from release to release.
+// The digest differs for lists whose names are equal when concatenated, and does not change between releases.
 func TestDigest(t *testing.T) {
 	if Digest([]string{"ab", "c"}) == Digest([]string{"a", "bc"}) || Digest(nil) == Digest([]string{""}) {
 		t.Error("two lists have the same digest")
