--- a/internal/datagram/stream.go
+++ b/internal/datagram/stream.go
@@ -78,8 +78,8 @@
 	return true
 }
 
-// scheduleFlush schedules two runs of flush. One might not send anything, because KCP sends at most once per interval.
-// The caller holds stateMu.
+// scheduleFlush schedules two runs of flush: the first may be too early to send, because KCP sends at most once per
+// interval. The caller holds stateMu.
 func (st *stream) scheduleFlush() {
 	st.remainingFlushes = 2
 	if !st.flushScheduled {
--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -34,7 +34,7 @@
 	leaveTimeout        = 500 * time.Millisecond
 
 	isolationIntervals = 6  // this sidecar is isolated after so many probe intervals without a datagram from any member
-	unprobedIntervals  = 10 // after so many probe intervals without a probe by any member, the others do not know this sidecar
+	unprobedIntervals  = 10 // this sidecar assumes that the others do not know it after so many probe intervals without a probe by any member
 
 	lostMemberRetention = time.Hour // how long a failed or left member is listed, and a failed one looked for
 )
--- a/internal/membership/rejoin.go
+++ b/internal/membership/rejoin.go
@@ -12,12 +12,12 @@
 const (
 	rejoinInterval   = 500 * time.Millisecond // between rounds of rejoining, on average
 	maxRejoinPings   = 4                      // addresses pinged per round
-	minRejoinBackoff = rejoinInterval         // between the first two pings of an address; doubles with each ping up to
-	maxMemberBackoff = 4 * time.Second        // this for the address of a failed member, or
-	maxSeedBackoff   = 16 * time.Second       // this for any other address, whose sidecar may run without membership
+	minRejoinBackoff = rejoinInterval         // average time between the first two pings of an address; doubles with each ping
+	maxMemberBackoff = 4 * time.Second        // maximum of this backoff for the address of a failed member
+	maxSeedBackoff   = 16 * time.Second       // maximum for other addresses, whose sidecar may run without membership
 	lostMemberDelay  = 2 * time.Second        // minimum time from a member's failure to the first ping
 	aliveReportDelay = 5 * time.Second        // from this long after a member's failure, a report that it is alive causes an early ping
-	aliasBackoff     = time.Minute            // average backoff after joining an address that then is no member's: an alias, perhaps of this sidecar
+	aliasBackoff     = time.Minute            // average backoff after joining an address that is no alive member's afterwards: an alias, perhaps of this sidecar
 )
 
 // rejoinAttempt holds the time of the next ping of an address, and the backoff after that ping.
