--- a/internal/sidecar/client_conn_eviction.go
+++ b/internal/sidecar/client_conn_eviction.go
@@ -12,49 +12,49 @@
 	"bramblestand/internal/socket"
 )
 
-// This file decides which connection is evicted when another one needs its place. The registry proposes connections by class and
-// age, at a cost that does not grow with their number; the connection itself has the last word, under the lock that its reads hold:
-// it is evicted only if no client is owed anything on it.
+// This file decides which connection is evicted when the registry is full and a client connects. The registry selects candidates
+// by class and age, at a cost that does not grow with the number of connections. The candidate itself then checks, under the lock
+// that its reads hold, that no response to its client is outstanding. Only then is it evicted.
 
 const (
 	// minIdleBeforeEviction is how long a connection must have been idle before it may be evicted.
 	minIdleBeforeEviction = 2 * time.Second
-	// minUnprovenAge is how long a new connection may take to send its first bytes, and a request to become complete, before the
-	// connection may be evicted: a client needs a moment between its connecting and its request.
+	// minUnprovenAge is how long a connection must have been silent, and then how long it must have been unproven, before it may
+	// be evicted: a client needs some time to send its request after connecting.
 	minUnprovenAge = 50 * time.Millisecond
-	// minChunkedStall is how long nothing must have arrived of a body in chunks before it counts as incomplete.
+	// minChunkedStall is how long no part of a chunked body must have arrived before the body counts as incomplete.
 	minChunkedStall = 100 * time.Millisecond
 	// maxAcknowledgeDelay is how long a client's system may take to acknowledge a response that it has received.
 	maxAcknowledgeDelay = 100 * time.Millisecond
-	// endOfOutput is how much the end of a connection's sending side counts among the bytes that are not acknowledged.
-	endOfOutput = 1
-	// maxEvictionWait limits how long a new connection waits for others to become evictable.
+	// finLength is what a FIN adds to the number of unacknowledged bytes: it occupies one TCP sequence number.
+	finLength = 1
+	// maxEvictionWait is the maximum time for which a new connection waits for another one to become evictable.
 	maxEvictionWait = time.Second
-	// evictionRetryInterval is the time between attempts to evict one.
+	// evictionRetryInterval is the time between attempts to evict a connection.
 	evictionRetryInterval = time.Millisecond
-	// maxEvictionCandidates is how many connections of a class one attempt looks at.
+	// maxEvictionCandidates is the maximum number of connections of each class that one attempt considers.
 	maxEvictionCandidates = 16
 )
 
-// evictionClass is what an eviction has to know of a connection. A lower class is evicted first.
+// evictionClass ranks connections for eviction. Connections of a lower class are evicted first.
 type evictionClass uint8
 
 const (
-	classDraining evictionClass = iota // closed, and only drained
-	classSilent                        // open, and nothing was read on it
-	classUnproven                      // something was read, but no valid request yet
-	classIdle                          // between two requests, of which one was valid
-	classBusy                          // a valid request was read on it and is being served; never evicted
+	classDraining evictionClass = iota // closed; its remaining input is being drained
+	classSilent                        // open; no input was read yet
+	classUnproven                      // input was read, but no valid request yet
+	classIdle                          // between requests, after at least one valid request
+	classBusy                          // serving a request, after at least one valid request was read; never evicted
 
-	evictableClasses = classBusy // how many classes may be evicted
+	evictableClasses = classBusy // number of classes that may be evicted
 )
 
-// String returns the class as the log names it.
+// String returns the name of the class in the log.
 func (c evictionClass) String() string {
 	return [...]string{"draining", "silent", "unproven", "idle", "busy"}[c]
 }
 
-// evictionClass returns the class of a connection in this state.
+// evictionClass returns the class of a connection with state s.
 func (s *clientConnState) evictionClass() evictionClass {
 	switch {
 	case s.httpState == http.StateClosed:
@@ -69,28 +69,28 @@
 	return classBusy
 }
 
-// evictionQueues hold the connections of each class in the order in which they came into it. They are guarded by the registry's
-// lock.
+// evictionQueues holds a queue of connections for each class, in the order in which they entered the class. It is guarded by the
+// registry's lock.
 type evictionQueues [evictableClasses]list.List
 
-// evictionPlace is a connection's place in the queues.
-type evictionPlace struct {
+// evictionQueueEntry is a connection's entry in the queue of its class.
+type evictionQueueEntry struct {
 	class    evictionClass
 	element  *list.Element // nil in classBusy
-	queuedAt time.Time
+	queuedAt time.Time     // when the connection entered the class
 }
 
-// enqueue appends a connection to the queue of its class, in which it has been since queuedAt.
-func (q *evictionQueues) enqueue(conn *clientConn, class evictionClass, queuedAt time.Time) evictionPlace {
-	place := evictionPlace{class: class, queuedAt: queuedAt}
+// enqueue appends a connection to the queue of its class. queuedAt is when it entered the class.
+func (q *evictionQueues) enqueue(conn *clientConn, class evictionClass, queuedAt time.Time) evictionQueueEntry {
+	place := evictionQueueEntry{class: class, queuedAt: queuedAt}
 	if class < evictableClasses {
 		place.element = q[class].PushBack(conn)
 	}
 	return place
 }
 
-// remove takes a connection out of its queue.
-func (q *evictionQueues) remove(place evictionPlace) {
+// remove removes an entry from its queue, if it is in one.
+func (q *evictionQueues) remove(place evictionQueueEntry) {
 	if place.element != nil {
 		q[place.class].Remove(place.element)
 	}
@@ -100,14 +100,14 @@
 type evictionResult uint8
 
 const (
-	evictedNone  evictionResult = iota // none may be evicted
-	evictedLater                       // none may be evicted yet, but new connections will soon have been served or prove incomplete
-	evictedOne
+	evictedNone  evictionResult = iota // no connection may be evicted
+	evictedLater                       // no connection may be evicted yet, but one is likely to become evictable soon: see evictionCandidate
+	evictedOne                         // one connection was evicted
 )
 
-// makeRoom evicts a connection if there is no place for another one. Without it, clients that send nothing would leave no
-// descriptor to accept others with. It may wait while the connections that hold the places are too new to be judged; the system
-// queues other clients meanwhile. If none can be evicted, the next connection is beyond the limit, and its request is rejected.
+// makeRoom evicts a connection if the registry is full. Without it, clients that send nothing would use up the descriptors that
+// are needed to accept others. If the connections are too new to decide which one to evict, makeRoom waits; the system queues
+// other clients meanwhile. If none can be evicted, the next connection exceeds the limit, and its request is rejected.
 func (c *clientConns) makeRoom() {
 	deadline := time.Now().Add(maxEvictionWait)
 	for c.available() <= 0 && c.evictOne() == evictedLater && time.Now().Before(deadline) {
@@ -115,12 +115,14 @@
 	}
 }
 
-// evictOne evicts one connection: of the lowest class that has an evictable one, the first in its queue.
+// evictOne evicts one connection. It takes the lowest class that has an evictable connection, and the first such connection in the
+// queue of that class.
 func (c *clientConns) evictOne() evictionResult {
 	result := evictedNone
 	for class := range evictableClasses {
 		if class >= classUnproven && result == evictedLater {
-			break // requests on their way, and the connections of clients that sent valid ones, are worth the wait
+			// Rather wait for a lower class: these connections carry incomplete requests, or their clients have sent valid ones.
+			break
 		}
 		switch c.evictOneOf(class) {
 		case evictedOne:
@@ -132,7 +134,7 @@
 	return result
 }
 
-// evictOneOf evicts one connection of a class.
+// evictOneOf evicts one connection of the given class.
 func (c *clientConns) evictOneOf(class evictionClass) evictionResult {
 	result := evictedNone
 	for range maxEvictionCandidates {
@@ -151,14 +153,14 @@
 	return result
 }
 
-// evictionCandidate is a connection that may be evicted if it agrees.
+// evictionCandidate is a connection that is old enough to be evicted. Its evict method has still to check whether it may be.
 type evictionCandidate struct {
-	conn        *clientConn // nil if the class has none that is old enough
-	isUndecided bool        // what the connection holds will soon be known, or delivered
+	conn        *clientConn // nil if no connection of the class is old enough
+	isUndecided bool        // the class's first connection, if not evictable now, is likely to reach the minimum age or be acknowledged soon
 }
 
-// evictionCandidate returns the first connection of a class, if it is old enough. It moves it to the back of its queue, so that
-// the next attempt looks at others.
+// evictionCandidate returns the first connection of a class, if it is old enough, and moves it to the back of the queue, so that
+// the next attempt considers others.
 func (c *clientConns) evictionCandidate(class evictionClass) evictionCandidate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -177,7 +179,7 @@
 	return evictionCandidate{conn, isUndecided}
 }
 
-// minAge returns how long a connection must have been in its class before it may be evicted. The caller holds c.mu.
+// minAge returns the minimum time in a class before a connection may be evicted. The caller holds c.mu.
 func (c *clientConns) minAge(class evictionClass) time.Duration {
 	switch class {
 	case classDraining:
@@ -189,15 +191,15 @@
 	}
 }
 
-// countEviction counts an eviction for the status log.
+// countEviction adds one to the evictions of a class, which the status line reports.
 func (c *clientConns) countEviction(class evictionClass) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.evicted[class]++
 }
 
-// connectedFor returns how long ago the client has connected, if it has sent nothing since: the connection may have waited for its
-// accept. It is 0 where the system does not know.
+// connectedFor returns the time since the client connected or last sent something. It includes the time for which the connection
+// waited to be accepted. It returns 0 if the system does not report it.
 func (c *clientConn) connectedFor() (duration time.Duration) {
 	c.rawConn.Control(func(fd uintptr) {
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
@@ -207,13 +209,14 @@
 	return duration
 }
 
-// evict closes the connection at once, unless its client is owed a response or has to receive one, and reports whether it did.
+// evict closes the connection at once, unless a response to its client is outstanding or not acknowledged, and reports whether it
+// did.
 func (c *clientConn) evict() bool {
 	return c.closeAtOnceIf(c.isEvictableLocked)
 }
 
-// closeAtOnceIf closes the connection without draining it if the condition holds, which is called under c.mu, and reports
-// whether it did.
+// closeAtOnceIf closes the connection without draining it if the condition holds, and reports whether it did. It calls condition
+// with c.mu held.
 func (c *clientConn) closeAtOnceIf(condition func() bool) bool {
 	c.mu.Lock()
 	isClosed := condition()
@@ -228,8 +231,11 @@
 	return isClosed
 }
 
-// isEvictableLocked reports whether nothing is owed to the client: no request was read in full, or may wait unread, that has no
-// response, and all of the last response has reached the client's machine. The caller holds c.mu.
+// isEvictableLocked reports whether no response to the client is outstanding. The caller holds c.mu.
+//
+//   - An open connection is evictable if no input is unread and every request that may have been read in full has its response.
+//     After a valid request, part of the next request keeps it as well.
+//   - A closing connection is evictable once the client's system has acknowledged all output.
 func (c *clientConn) isEvictableLocked() bool {
 	switch {
 	case mutant.EvictsRequests:
@@ -243,30 +249,30 @@
 	}
 }
 
-// mayHoldRequestLocked reports whether a request was read in full, or may have been, that has no response yet. The caller holds
-// c.mu.
+// mayHoldRequestLocked reports whether a request without a response was, or may have been, read in full. The caller holds c.mu.
 func (c *clientConn) mayHoldRequestLocked() bool {
 	switch unanswered := c.framing.headsRead - c.requestsFinished; {
 	case unanswered == 0:
 		return false
 	case unanswered > 1 || c.framing.isInHead:
-		return true // what follows a body stands behind its end
-	case c.framing.isDone: // the body is in chunks, whose end framing does not see
+		return true // a further head was read, so that the request before it is complete
+	case c.framing.isDone: // the body is chunked, and framing does not find its end
 		return time.Since(c.lastRead) < minChunkedStall
 	default:
 		return c.framing.bodyRemaining == 0
 	}
 }
 
-// isResponseDelivered discards what was received on a closing connection, and reports whether the client's system has
-// acknowledged all that was sent. If so, no reset by a close of the socket can overtake the response.
+// isResponseDelivered discards the available input of a closing connection, and reports whether the client's system has
+// acknowledged all output. If so, a reset that the close of the socket may cause cannot overtake the response. The FIN need not be
+// acknowledged.
 func (c *clientConn) isResponseDelivered() (isDelivered bool) {
-	c.rawConn.Control(func(fd uintptr) { // not Read: it would wait for drainBeforeClose
+	c.rawConn.Control(func(fd uintptr) { // not rawConn.Read, which would wait for the read of drainBeforeClose
 		buffer := bodybuffer.Get()
 		defer bodybuffer.Put(buffer)
 		readNonblocking(fd, buffer[:])
 		unacknowledged, err := unix.IoctlGetInt(int(fd), unix.SIOCOUTQ)
-		isDelivered = unacknowledged <= endOfOutput || err != nil
+		isDelivered = unacknowledged <= finLength || err != nil
 	})
 	return isDelivered
 }
--- a/internal/sidecar/disconnect_watch.go
+++ b/internal/sidecar/disconnect_watch.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// disconnectPollInterval is the time between polls for clients that disconnected while nobody reads from them.
+// disconnectPollInterval is the time between polls of watched connections.
 const disconnectPollInterval = 20 * time.Millisecond
 
-// disconnectWatch polls connections whose clients' disconnecting no read would notice. A timer's goroutine polls while any
-// connection is watched.
+// disconnectWatch polls connections on which no read is in progress that would notice the client's disconnect. A timer runs as
+// long as any connection is watched.
 type disconnectWatch struct {
 	mu              sync.Mutex // guards the fields below; held over checkDisconnected, which takes no lock
 	conns           map[*clientConn]struct{}
 	isPollScheduled bool
 }
 
-// add starts polling a connection, until remove.
+// add starts polling a connection.
 func (w *disconnectWatch) add(conn *clientConn) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -29,13 +29,14 @@
 	}
 }
 
-// remove ends the polling of a connection, if it was polled.
+// remove stops polling a connection, if it is polled.
 func (w *disconnectWatch) remove(conn *clientConn) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.conns, conn)
 }
 
+// poll checks all watched connections once, and schedules the next poll if there are any.
 func (w *disconnectWatch) poll() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -48,7 +49,7 @@
 	}
 }
 
-// schedulePoll is called under mu.
+// schedulePoll runs poll after disconnectPollInterval. The caller holds mu.
 func (w *disconnectWatch) schedulePoll() {
 	w.isPollScheduled = true
 	time.AfterFunc(disconnectPollInterval, w.poll)
--- a/internal/sidecar/rejections.go
+++ b/internal/sidecar/rejections.go
@@ -6,11 +6,11 @@
 	"sync"
 )
 
-// Reasons of rejections beside those of balancer.RejectReason.
+// Reasons for which the sidecar itself rejects requests, in addition to those of balancer.RejectReason.
 const (
-	rejectedConnections  = "too_many_connections"
-	rejectedMemory       = "no_memory"
-	rejectedShuttingDown = "shutting_down"
+	rejectedConnections  = "too_many_connections" // more client connections than allowed
+	rejectedMemory       = "no_memory"            // no memory left for the request's body and response
+	rejectedShuttingDown = "shutting_down"        // the process is shutting down
 )
 
 // rejectionCounts counts rejected requests by reason. Its methods may be called from any goroutine.
@@ -19,7 +19,7 @@
 	counts map[string]int
 }
 
-// add counts a rejection.
+// add counts a rejection for a reason.
 func (r *rejectionCounts) add(reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -29,7 +29,7 @@
 	r.counts[reason]++
 }
 
-// attributes returns the counts since the start for a log line, with a key for each reason that there was.
+// attributes returns the counts since the start as log attributes, with one key for each reason that occurred.
 func (r *rejectionCounts) attributes() (attributes []any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/sidecar/request_framing.go
+++ b/internal/sidecar/request_framing.go
@@ -2,32 +2,33 @@
 
 import "bytes"
 
-// maxHeaderLineKept is how many bytes of a header line are kept: enough for the name and value of the headers of framing.
+// maxHeaderLineKept is how many bytes of each header line are kept: enough for the name and value of Content-Length, and for the
+// name of Transfer-Encoding.
 const maxHeaderLineKept = 64
 
-// unknownContentLength is the length of a body whose head has not given one yet.
+// unknownContentLength is the content length of a head in which no Content-Length was read yet.
 const unknownContentLength = -1
 
-// requestFraming follows in a client's byte stream where its requests begin and end, to see what net/http does not tell: a
-// head with both a Content-Length and a Transfer-Encoding, of which net/http drops the length. Another server may take what
-// this one took for one request to be two, or the other way round (RFC 9112, section 6.3: request smuggling).
+// requestFraming finds the beginning and end of each request in a client's byte stream. It detects heads with both a
+// Content-Length and a Transfer-Encoding, which net/http does not report: it drops the length. Another server may read such input
+// as two requests where this one reads a single request, or the other way round (RFC 9112, section 6.3: request smuggling).
 //
-// It is not safe for concurrent use.
+// A requestFraming is not safe for concurrent use.
 type requestFraming struct {
-	headsRead       int  // complete heads
-	conflictingHead int  // number of the head with both headers, counted from 1; 0 for none
-	isDone          bool // no further request is taken on the connection: what follows is not looked at
-	isInHead        bool // part of a head was read
+	headsRead       int  // number of complete heads
+	conflictingHead int  // number of the head with both headers, counted from 1; 0 if there is none
+	isDone          bool // the current request is the last one on the connection; further input is ignored
+	isInHead        bool // part of a head was read, but not its end
 
-	line              []byte // what is kept of the line that is being read
-	hasTransferCoding bool   // the head that is being read has a Transfer-Encoding
-	contentLength     int64  // of the head that is being read, in bytes
+	line              []byte // the current line of a head, up to maxHeaderLineKept bytes
+	hasTransferCoding bool   // the current head has a Transfer-Encoding
+	contentLength     int64  // Content-Length of the current head in bytes, or unknownContentLength
 	bodyRemaining     int64  // bytes of the current body that were not read yet
 }
 
 func newRequestFraming() requestFraming { return requestFraming{contentLength: unknownContentLength} }
 
-// observe follows what was read next, however it is cut.
+// observe processes the next bytes of the stream. They may begin and end anywhere in a request.
 func (f *requestFraming) observe(data []byte) {
 	for len(data) > 0 && !f.isDone {
 		if f.bodyRemaining > 0 {
@@ -48,7 +49,7 @@
 	}
 }
 
-// observeLine follows one line of a head. An empty line ends the head.
+// observeLine processes one line of a head. An empty line ends the head.
 func (f *requestFraming) observeLine(line []byte) {
 	if len(line) == 0 {
 		f.endHead()
@@ -63,8 +64,8 @@
 	}
 }
 
-// observeContentLength follows the value of a Content-Length. On one that is malformed or too large, the server rejects the
-// request and closes the connection.
+// observeContentLength parses the value of a Content-Length. A value that is malformed or too large ends the framing: the server
+// rejects the request and closes the connection.
 func (f *requestFraming) observeContentLength(value []byte) {
 	f.contentLength = 0
 	for _, digit := range value {
@@ -76,14 +77,14 @@
 	}
 }
 
-// endHead completes a head and starts on its body.
+// endHead ends the current head and begins its body.
 func (f *requestFraming) endHead() {
 	f.headsRead++
 	f.isInHead = false
 	if f.hasTransferCoding && f.contentLength >= 0 {
 		f.conflictingHead = f.headsRead
 	}
-	// A request with a transfer coding is the last that is taken on its connection.
+	// The server closes the connection after a request with a transfer coding.
 	f.isDone = f.hasTransferCoding
 	f.bodyRemaining, f.contentLength = max(0, f.contentLength), unknownContentLength
 }
--- a/internal/sidecar/request_handler.go
+++ b/internal/sidecar/request_handler.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	maxRequestTimeout  = time.Minute           // of a request
-	writeTimeout       = 2 * time.Second       // of a buffered response, from its first byte on
-	overloadRetryAfter = time.Second           // for clients that find too many connections or too little memory
-	shutdownRetryAfter = 50 * time.Millisecond // for clients of a process that is shutting down
-	clientIdleTimeout  = 10 * time.Second      // between a client's requests
+	maxRequestTimeout  = time.Minute           // maximum timeout of a request
+	writeTimeout       = 2 * time.Second       // for writing a buffered response, from its first byte on
+	overloadRetryAfter = time.Second           // Retry-After if there are too many connections or too little memory
+	shutdownRetryAfter = 50 * time.Millisecond // Retry-After if the process is shutting down
+	clientIdleTimeout  = 10 * time.Second      // after which an idle client connection is closed
 )
 
-// readinessPath is the path of readiness checks. All other paths are the application's.
+// readinessPath is the path of readiness checks. Requests to all other paths are forwarded.
 const readinessPath = "/health/ready"
 
-// requestHandler serves the requests of the application: it reads them, hands them to the event loop, and writes the one final
-// response to each. net/http calls ServeHTTP in a goroutine for each request.
+// requestHandler serves the application's requests. It reads each request, passes it to the event loop and writes the final
+// response. net/http calls ServeHTTP on a goroutine for each connection.
 type requestHandler struct {
 	loop    *eventLoop
 	log     *slog.Logger
@@ -30,7 +30,7 @@
 	bodies  requestBodies
 	parser  requestParser
 
-	isDraining func() bool // clients are to go elsewhere: each response ends its connection
+	isDraining func() bool // reports whether each response is to end its connection, so that clients use another process
 }
 
 func newRequestHandler(l *eventLoop, clients *clientConns, isDraining func() bool) *requestHandler {
@@ -43,7 +43,7 @@
 		Handler:           h, // not a ServeMux, which would redirect paths that endpoints are to see unchanged
 		ReadHeaderTimeout: transferGracePeriod,
 		WriteTimeout:      maxRequestTimeout + writeTimeout,
-		// Without IdleTimeout: clientConns closes idle connections.
+		// IdleTimeout is not set: clientConns closes idle connections.
 		MaxHeaderBytes: upstream.MaxHeaderBytes,
 		ErrorLog:       slog.NewLogLogger(h.log.Handler(), slog.LevelWarn),
 		ConnState:      h.clients.connState,
@@ -65,8 +65,8 @@
 	}
 }
 
-// serveReadiness answers a readiness check, and ends its connection: anyone may ask, and a connection that stays would take an
-// application's place.
+// serveReadiness answers a readiness check, and ends its connection. Checks may come from any client, and connections that they
+// left open would count towards the limit and keep out the application's.
 func (h *requestHandler) serveReadiness(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	if h.isDraining() || !h.loop.hasEndpoints.Load() {
@@ -74,7 +74,7 @@
 	}
 }
 
-// clientExchange is one request of the application and its response. One goroutine uses it.
+// clientExchange is one request of the application and its response. Only one goroutine uses it.
 type clientExchange struct {
 	*requestHandler
 	writer     http.ResponseWriter
@@ -84,16 +84,16 @@
 	arrived    balancer.Micros
 }
 
-// serve reads the request and writes its one final response. It panics with http.ErrAbortHandler where the client must not take
-// what it was sent for a complete response.
+// serve reads the request and writes its final response. It panics with http.ErrAbortHandler, which makes net/http close the
+// connection, if the client must not take the output, or its absence, for a complete response.
 func (e *clientExchange) serve() {
 	if e.clients.isOverLimit() {
-		// With more connections the process would run out of descriptors, and could neither accept nor send.
+		// With more connections the process would run out of descriptors, and could neither accept clients nor connect to endpoints.
 		e.reject(overloadRetryAfter, rejectedConnections)
 		return
 	}
 	if len(e.in.TransferEncoding) > 0 {
-		e.closeConnection() // requestFraming does not look at what follows such a request
+		e.closeConnection() // requestFraming ignores the input that follows such a request
 	}
 	body := &requestBody{reader: e.in.Body, controller: e.controller, contentLength: e.in.ContentLength}
 	if retryAfter, reason, ok := e.bodies.add(body); !ok {
@@ -115,7 +115,7 @@
 	}
 }
 
-// read reads the request with as much of its body as is buffered.
+// read parses the request and reads the part of its body that is buffered. The result's Deadline is in the loop's time.
 func (e *clientExchange) read(body *requestBody) (balancer.Request, *upstream.Request, *invalidRequest) {
 	request, err := e.parser.parse(e.in)
 	if err != nil {
@@ -132,15 +132,15 @@
 	if !isComplete {
 		outgoing.Upload, request.IsUploading = unbufferedBody{body}, true
 	}
-	request.Deadline += e.loop.clock.now() // the client's time runs from the request's last byte
+	request.Deadline += e.loop.clock.now() // the client's timeout starts with the last byte of the request
 	return request, outgoing, nil
 }
 
-// awaitResponse hands the request to the event loop and writes the response that comes, unless the client disconnects first.
+// awaitResponse passes the request to the event loop and writes its response, unless the client disconnects first.
 func (e *clientExchange) awaitResponse(in balancer.Request, outgoing *upstream.Request, body *requestBody) {
 	isUploading := outgoing.Upload != nil
 	if isUploading {
-		// Else net/http would read the rest of the body before it writes an early response.
+		// Without full duplex, net/http would read the rest of the body before it writes an early response.
 		if err := e.controller.EnableFullDuplex(); err != nil {
 			panic(http.ErrAbortHandler) // the connection is closed
 		}
@@ -159,7 +159,7 @@
 	case <-e.conn.disconnected.Done():
 		e.logNotServed(finalResponse{statusCode: statusDisconnected})
 		e.loop.post(func(now balancer.Micros) { e.loop.clientDisconnected(now, r) })
-		// A client that only closed its sending side must not read an empty response that no endpoint gave.
+		// The client may have closed only its sending side. It must not receive an empty response that no endpoint sent.
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -169,7 +169,7 @@
 	if response.statusCode != http.StatusOK {
 		e.logNotServed(response)
 	}
-	// What is not read of a body stands before the connection's next request.
+	// An unread rest of the body would precede the next request on the connection.
 	if e.isDraining() || body.hasUnread() {
 		e.closeConnection()
 	}
@@ -177,14 +177,15 @@
 		e.writeStream(response)
 		return
 	}
-	e.controller.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails on a closed connection, as does the write
+	e.controller.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection, on which the write fails as well
 	e.writeBuffered(response)
 	if body.hasUnread() {
 		e.flushAndClose()
 	}
 }
 
-// writeStream forwards a response while it arrives. If that fails, the client can tell that the response is incomplete.
+// writeStream forwards a response while it arrives. If that fails, it closes the connection before the end of the response, by
+// which the client recognises that the response is incomplete.
 func (e *clientExchange) writeStream(response finalResponse) {
 	upstream.CopyEndToEndHeaders(e.writer.Header(), response.header)
 	if response.stream.ContentLength >= 0 {
@@ -198,7 +199,7 @@
 	}
 }
 
-// writeBuffered writes a response that is complete.
+// writeBuffered writes a response whose body is buffered in full.
 func (e *clientExchange) writeBuffered(response finalResponse) {
 	header := e.writer.Header()
 	upstream.CopyEndToEndHeaders(header, response.header)
@@ -210,7 +211,7 @@
 	e.writer.Write(response.body) // a failure means that the client has disconnected
 }
 
-// reject answers 503 and ends the connection.
+// reject answers 503 and ends the connection. reason is for the log and the rejection counts.
 func (e *clientExchange) reject(retryAfter time.Duration, reason string) {
 	e.closeConnection()
 	e.loop.rejections.add(reason)
@@ -219,8 +220,8 @@
 	e.writeBuffered(response)
 }
 
-// rejectUnread rejects a request whose body was not read: there is no memory for it, or the process is shutting down and might
-// be killed before the request is answered. The client's retry reaches another process.
+// rejectUnread rejects a request whose body was not read to its end: there is no memory for it, or the process is shutting down
+// and might be killed before it answers the request. During a shutdown, the client's retry reaches another process.
 func (e *clientExchange) rejectUnread(retryAfter time.Duration, reason string) {
 	e.reject(retryAfter, reason)
 	if e.in.ContentLength != 0 {
@@ -228,7 +229,7 @@
 	}
 }
 
-// rejectInvalid answers an invalid request, and ends its connection: clients with valid requests need its place.
+// rejectInvalid answers an invalid request, and ends its connection to make room for clients with valid requests.
 func (e *clientExchange) rejectInvalid(err *invalidRequest) {
 	e.logRequest("invalid request", "error", err)
 	e.closeConnection()
@@ -238,18 +239,18 @@
 // closeConnection makes the response the last one on its connection.
 func (e *clientExchange) closeConnection() { e.writer.Header().Set("Connection", "close") }
 
-// flushAndClose sends the response and ends the connection, although the request's body was not read: net/http would read it
-// first.
+// flushAndClose sends the response and ends the connection without reading the rest of the request's body, which net/http would
+// read first.
 func (e *clientExchange) flushAndClose() {
 	if e.controller.Flush() == nil {
 		e.conn.Close()
 	}
 }
 
-// statusDisconnected stands in the log for a request whose client disconnected before its response.
+// statusDisconnected is the status that is logged for a request whose client disconnected before the response.
 const statusDisconnected = 0
 
-// logNotServed logs a request that was not served, and for a rejection why, and when the client is to come again.
+// logNotServed logs a request that was not served. For a rejection it logs the reason and the Retry-After as well.
 func (e *clientExchange) logNotServed(response finalResponse) {
 	duration := time.Duration(e.loop.clock.now()-e.arrived) * time.Microsecond
 	attributes := []any{"status", response.statusCode, "duration", duration}
@@ -259,7 +260,7 @@
 	e.logRequest("request not served", attributes...)
 }
 
-// logRequest logs an event of the request, with its id, its connection and how its body is framed.
+// logRequest logs an event of the request, with the request's id, the client's address, and the framing of the body.
 func (e *clientExchange) logRequest(message string, args ...any) {
 	e.log.With("request_id", e.in.Header.Get(requestIDHeader), "client", e.in.RemoteAddr, "protocol", e.in.Proto,
 		"content_length", e.in.ContentLength, "transfer_coding", e.in.TransferEncoding).Info(message, args...)
--- a/internal/sidecar/response_stream.go
+++ b/internal/sidecar/response_stream.go
@@ -9,7 +9,8 @@
 	"bramblestand/internal/upstream"
 )
 
-// timedWriter writes to a client and flushes. It fails with a *upstream.ClientError if the client is too slow or has disconnected.
+// timedWriter writes to a client and flushes each write. It fails with a *upstream.ClientError if the client is too slow or has
+// disconnected.
 type timedWriter struct {
 	writer     io.Writer
 	controller *http.ResponseController
@@ -32,8 +33,9 @@
 	return len(data), nil
 }
 
-// forwardResponse writes the buffered start of a body and then the remainder while it arrives. It returns nil once the client
-// was sent everything, a *upstream.ClientError if the client's side failed, and else the endpoint's error.
+// forwardResponse writes the buffered start of a body, and then the remainder while it arrives from the endpoint. It returns nil
+// once the whole body was written, a *upstream.ClientError if writing to the client failed, and otherwise the error of reading
+// from the endpoint.
 func forwardResponse(w http.ResponseWriter, controller *http.ResponseController, buffered []byte, stream *upstream.ResponseStream) error {
 	client := &timedWriter{writer: w, controller: controller}
 	if _, err := client.Write(buffered); err != nil {
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -17,23 +17,23 @@
 	"bramblestand/internal/state"
 )
 
-// Times of accepting and shutting down.
+// Durations of starting, accepting and shutting down.
 const (
-	acceptAfterShutdown   = 600 * time.Millisecond  // after SIGTERM or a drain, since clients go on connecting for 0.4 s
-	acceptAfterHandover   = time.Millisecond        // after SIGTERM, if another process accepts clients
-	endpointListWait      = 1500 * time.Millisecond // of a process beside another, for discovery: it has to be ready in 6 s
+	acceptAfterShutdown   = 600 * time.Millisecond  // how long to accept after SIGTERM or a drain: clients go on connecting for 0.4 s
+	acceptAfterHandover   = time.Millisecond        // how long to accept after SIGTERM if another process accepts clients
+	endpointListWait      = 1500 * time.Millisecond // how long to wait for discovery while another process serves, to be ready in 6 s
 	drainedCheckInterval  = 100 * time.Millisecond  // between checks for idle connections while drained
 	shutdownCheckInterval = 10 * time.Millisecond   // between checks for idle connections while shutting down
-	maxShutdownTime       = time.Minute             // for responses that go on after accepting has ended
+	maxShutdownTime       = time.Minute             // how long responses may go on after accepting has ended
 )
 
-// Parts of the platform's limits.
+// Divisors of the platform's limits.
 const (
-	bodiesHeapDivisor        = 2 // bodies may take one part in so many of the heap
-	clientsDescriptorDivisor = 3 // clients of one of two processes may take one part in so many of the descriptors
+	bodiesHeapDivisor        = 2 // request bodies may take the heap divided by this
+	clientsDescriptorDivisor = 3 // while two processes run, the clients of each may take the descriptors divided by this
 )
 
-// server is the sidecar's process: it accepts clients and shuts down gracefully.
+// server accepts clients, serves their requests and shuts down gracefully. There is one in each sidecar process.
 type server struct {
 	loop     *eventLoop
 	clients  *clientConns
@@ -41,14 +41,14 @@
 	http     *http.Server
 
 	isListening    atomic.Bool // clients are accepted
-	isShuttingDown atomic.Bool // after SIGTERM
-	isDrained      atomic.Bool // by an operator
+	isShuttingDown atomic.Bool // SIGTERM was received
+	isDrained      atomic.Bool // an operator has drained the process
 
-	acceptDuration time.Duration // after SIGTERM or a drain; acceptAfterShutdown, which tests change
+	acceptDuration time.Duration // how long accepting goes on after SIGTERM or a drain: acceptAfterShutdown, unless a test changes it
 
-	handover        *handover.Store // nil without operators
-	applyMu         sync.Mutex      // guards the three below, and the order in which settings are applied
-	appliedRevision uint64          // of the operators' settings in force
+	handover        *handover.Store // nil without an admin address
+	applyMu         sync.Mutex      // guards the three fields below, and the order in which settings are applied
+	appliedRevision uint64          // revision of the operators' settings in force
 	hasOtherProcess bool            // another process of this sidecar runs
 	limitsSplit     bool            // splitLimits was called
 }
@@ -60,10 +60,10 @@
 	return s
 }
 
-// Run serves clients until ctx ends, then shuts down gracefully and returns. A configuration from reloads changes the address of
-// discovery; what else it says takes effect at the next start.
+// Run serves clients until ctx ends, then shuts down gracefully and returns. Of a configuration from reloads, only the address of
+// discovery takes effect; its other changes take effect at the next start.
 func Run(ctx context.Context, cfg *config.Config, reloads <-chan *config.Config, log *slog.Logger) error {
-	// The loop outlives ctx: requests in flight need it.
+	// The loop has a context of its own: requests in flight need it after ctx has ended.
 	loopCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	s, err := newProcess(loopCtx, cfg, log)
@@ -90,7 +90,7 @@
 	if cfg.Fleet.Enabled {
 		go s.runMembership(ctx)
 	}
-	if hasOtherProcess && !s.awaitEndpointList(ctx) { // until then the other process serves
+	if hasOtherProcess && !s.awaitEndpointList(ctx) { // the other process serves meanwhile
 		return nil
 	}
 	listener, err := s.listenForClients(hasOtherProcess)
@@ -100,8 +100,8 @@
 	return s.serve(ctx, listener)
 }
 
-// newProcess returns a server with its event loop, which is not started, and what an earlier process persisted. loopCtx ends the
-// loop.
+// newProcess returns a server with its event loop, which is not started, and loads the state that an earlier process persisted.
+// The loop ends with loopCtx.
 func newProcess(loopCtx context.Context, cfg *config.Config, log *slog.Logger) (*server, error) {
 	l, err := newEventLoop(loopCtx, cfg, log)
 	if err != nil {
@@ -120,7 +120,7 @@
 	return s, nil
 }
 
-// startWithOperators starts the event loop, applies the operators' settings, and then answers the operators' calls.
+// startWithOperators starts the event loop, applies the operators' settings, and only then starts to answer operators' calls.
 func (s *server) startWithOperators(loopCtx context.Context, adminListener net.Listener, hasOtherProcess bool) error {
 	go s.loop.run()
 	if err := s.applySettings(time.Now().Add(urgentTimeout), s.handover.Load(), hasOtherProcess); err != nil {
@@ -131,8 +131,8 @@
 	return nil
 }
 
-// listenForClients opens the application's address. If another process of this sidecar listens there, new connections come to this
-// one from here on.
+// listenForClients opens the clients' address. If another process of this sidecar listens on it, new connections reach this
+// process from then on.
 func (s *server) listenForClients(hasOtherProcess bool) (net.Listener, error) {
 	listener, err := listen(s.loop.cfg)
 	if err != nil {
@@ -142,21 +142,21 @@
 		return listener, nil
 	}
 	if err := preferSocket(listener.(*net.TCPListener)); err != nil {
-		// The old process accepts what is queued all the same; a few connections may be refused as it closes.
+		// The old process still accepts the connections that are queued for it. A few may be refused when it closes its listener.
 		s.loop.log.Warn("new connections not directed to this process", "error", err)
 	}
 	return listener, nil
 }
 
-// awaitEndpointList waits until this process can serve from a list that discovery has confirmed, or, if discovery does not
-// answer, from the cached one. It returns false if ctx ends before.
+// awaitEndpointList waits until this process has endpoints: from a list that discovery has confirmed, or from the cached list if
+// discovery does not answer within endpointListWait. It returns false if ctx ends first.
 func (s *server) awaitEndpointList(ctx context.Context) bool {
 	confirmed, timer := s.loop.listReceived, time.NewTimer(endpointListWait)
 	defer timer.Stop()
 	for {
 		select {
 		case <-confirmed:
-			confirmed = nil // it stays closed
+			confirmed = nil // a closed channel, which would be selected again and again
 		case <-timer.C:
 			timer.Reset(endpointListWait)
 		case <-ctx.Done():
@@ -168,7 +168,7 @@
 	}
 }
 
-// serve accepts clients until ctx ends, and shuts down.
+// serve accepts clients until ctx ends, and then shuts down.
 func (s *server) serve(ctx context.Context, listener net.Listener) error {
 	go s.logStatusPeriodically(ctx)
 	go s.clients.closeIdlePeriodically(ctx)
@@ -177,27 +177,27 @@
 	s.isListening.Store(true)
 	select {
 	case err := <-served:
-		return fmt.Errorf("serve: %w", err)
+		return fmt.Errorf("accept clients: %w", err)
 	case <-ctx.Done():
 	}
 	return s.shutDown(listener, served)
 }
 
-// isServing reports whether this process serves clients, drained or not.
+// isServing reports whether this process serves clients, whether or not it is drained.
 func (s *server) isServing() bool {
 	return s.isListening.Load() && s.loop.hasEndpoints.Load() && !s.isShuttingDown.Load()
 }
 
-// isDraining reports whether clients are to go elsewhere: each response ends its connection.
+// isDraining reports whether each response ends its connection, so that clients use another process.
 func (s *server) isDraining() bool { return s.isShuttingDown.Load() || s.isDrained.Load() }
 
-// setDrained drains the process, or ends that.
+// setDrained starts a drain of the process, or ends it.
 func (s *server) setDrained(on bool) {
 	if !s.isDrained.CompareAndSwap(!on, on) || !on {
 		return
 	}
 	go func() {
-		// By then most connections were used once more, and ended by the response; and clients no longer connect.
+		// After this time clients no longer connect, and most connections have been ended by the response to one more request.
 		time.Sleep(s.acceptDuration)
 		for s.isDrained.Load() && !s.isShuttingDown.Load() {
 			s.clients.closeIdle(0)
@@ -206,23 +206,23 @@
 	}()
 }
 
-// shutDown ends the service without losing a request. Each response from here on ends its connection; idle connections are
-// closed once clients no longer connect. served receives once no further connection will be registered.
+// shutDown ends serving without losing a request. From here on each response ends its connection, and idle connections are closed
+// once clients no longer connect. served receives a value once no further connection will be registered.
 func (s *server) shutDown(listener net.Listener, served <-chan error) error {
 	s.isShuttingDown.Store(true)
 	s.loop.log.Info("shutting down", "clients", s.clients.count())
 	if l, ok := listener.(*net.TCPListener); ok && s.handover != nil && s.handover.HasOtherProcess() {
-		l.SetDeadline(time.Now().Add(acceptAfterHandover)) // new clients reach the other process
+		l.SetDeadline(time.Now().Add(acceptAfterHandover)) // new clients already reach the other process
 	}
 	time.Sleep(s.acceptDuration)
 	listener.Close()
 	if mutant.EndsEarly {
 		return s.http.Close()
 	}
-	<-served // else a connection that was just accepted could be missing from the count below
+	<-served // a connection that was just accepted could otherwise be missing from the count below
 	s.requests.bodies.abort()
-	// Not http.Server.Shutdown: it closes idle connections on which part of a request has arrived. A response may take longer than
-	// any deadline; its transfer rate limits it, and the platform decides when to kill the process.
+	// http.Server.Shutdown is not used, because it closes idle connections on which part of a request has arrived. A response may
+	// take longer than any request's deadline: only its transfer rate limits it, and the platform decides when to kill the process.
 	for deadline := time.Now().Add(maxShutdownTime); time.Now().Before(deadline); time.Sleep(shutdownCheckInterval) {
 		s.clients.closeIdle(0)
 		if s.clients.count() == 0 {
@@ -231,7 +231,7 @@
 	}
 	s.loop.log.Info("shut down", "clients", s.clients.count())
 	if err := s.http.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-		return fmt.Errorf("close: %w", err)
+		return fmt.Errorf("close the HTTP server: %w", err)
 	}
 	return nil
 }
