--- a/internal/sidecar/client_conn_eviction.go
+++ b/internal/sidecar/client_conn_eviction.go
@@ -100,9 +100,9 @@
 type evictionResult uint8
 
 const (
-	evictedNone  evictionResult = iota // no connection may be evicted
-	evictedLater                       // no connection may be evicted yet, but one is likely to become evictable soon: see evictionCandidate
-	evictedOne                         // one connection was evicted
+	evictionImpossible evictionResult = iota // no connection may be evicted
+	evictionPending                          // no connection may be evicted yet, but one is likely to become evictable soon: see evictionCandidate
+	evictionDone                             // one connection was evicted
 )
 
 // makeRoom evicts a connection if the registry is full. Without it, clients that send nothing would use up the descriptors that
@@ -110,7 +110,7 @@
 // other clients meanwhile. If none can be evicted, the next connection exceeds the limit, and its request is rejected.
 func (c *clientConns) makeRoom() {
 	deadline := time.Now().Add(maxEvictionWait)
-	for c.available() <= 0 && c.evictOne() == evictedLater && time.Now().Before(deadline) {
+	for c.available() <= 0 && c.evictOne() == evictionPending && time.Now().Before(deadline) {
 		time.Sleep(evictionRetryInterval)
 	}
 }
@@ -118,17 +118,17 @@
 // evictOne evicts one connection. It takes the lowest class that has an evictable connection, and the first such connection in the
 // queue of that class.
 func (c *clientConns) evictOne() evictionResult {
-	result := evictedNone
+	result := evictionImpossible
 	for class := range evictableClasses {
-		if class >= classUnproven && result == evictedLater {
+		if class >= classUnproven && result == evictionPending {
 			// Rather wait for a lower class: these connections carry incomplete requests, or their clients have sent valid ones.
 			break
 		}
 		switch c.evictOneOf(class) {
-		case evictedOne:
-			return evictedOne
-		case evictedLater:
-			result = evictedLater
+		case evictionDone:
+			return evictionDone
+		case evictionPending:
+			result = evictionPending
 		}
 	}
 	return result
@@ -136,18 +136,18 @@
 
 // evictOneOf evicts one connection of the given class.
 func (c *clientConns) evictOneOf(class evictionClass) evictionResult {
-	result := evictedNone
+	result := evictionImpossible
 	for range maxEvictionCandidates {
 		candidate := c.evictionCandidate(class)
-		if candidate.isUndecided {
-			result = evictedLater
+		if candidate.mayBeEvictableSoon {
+			result = evictionPending
 		}
 		if candidate.conn == nil {
 			break
 		}
 		if candidate.conn.evict() {
 			c.countEviction(class)
-			return evictedOne
+			return evictionDone
 		}
 	}
 	return result
@@ -155,8 +155,8 @@
 
 // evictionCandidate is a connection that is old enough to be evicted. Its evict method has still to check whether it may be.
 type evictionCandidate struct {
-	conn        *clientConn // nil if no connection of the class is old enough
-	isUndecided bool        // the class's first connection, if not evictable now, is likely to reach the minimum age or be acknowledged soon
+	conn               *clientConn // nil if no connection of the class is old enough
+	mayBeEvictableSoon bool        // the class's first connection, if not evictable now, is likely to reach the minimum age or be acknowledged soon
 }
 
 // evictionCandidate returns the first connection of a class, if it is old enough, and moves it to the back of the queue, so that
@@ -170,13 +170,13 @@
 		return evictionCandidate{}
 	}
 	conn := first.Value.(*clientConn)
-	age := time.Since(c.conns[conn].place.queuedAt)
-	isUndecided := class == classSilent || class == classUnproven || class == classDraining && age < maxAcknowledgeDelay
+	age := time.Since(c.conns[conn].queueEntry.queuedAt)
+	mayBeEvictableSoon := class == classSilent || class == classUnproven || class == classDraining && age < maxAcknowledgeDelay
 	if age < c.minAge(class) {
-		return evictionCandidate{isUndecided: isUndecided}
+		return evictionCandidate{mayBeEvictableSoon: mayBeEvictableSoon}
 	}
 	queue.MoveToBack(first)
-	return evictionCandidate{conn, isUndecided}
+	return evictionCandidate{conn, mayBeEvictableSoon}
 }
 
 // minAge returns the minimum time in a class before a connection may be evicted. The caller holds c.mu.
--- a/internal/sidecar/client_conn_eviction_test.go
+++ b/internal/sidecar/client_conn_eviction_test.go
@@ -70,7 +70,7 @@
 // whether that succeeded.
 func (c *registeredConn) isEvicted() bool {
 	for deadline := time.Now().Add(2 * minUnprovenAge); time.Now().Before(deadline); time.Sleep(evictionRetryInterval) {
-		if c.clients.evictOne() == evictedOne {
+		if c.clients.evictOne() == evictionDone {
 			return true
 		}
 	}
@@ -133,7 +133,7 @@
 		t.Error("a body that was just read from counts as incomplete")
 	}
 	conn.mu.Unlock()
-	await(t, "the stalled body's connection to be evicted", func() bool { return conn.clients.evictOne() == evictedOne })
+	await(t, "the stalled body's connection to be evicted", func() bool { return conn.clients.evictOne() == evictionDone })
 }
 
 // fillOutput writes until the system takes no more, and returns how many bytes that were.
@@ -343,7 +343,7 @@
 		t.Fatal(err)
 	}
 	clients.connState(conn, http.StateNew)
-	if clients.evictOne() != evictedOne {
+	if clients.evictOne() != evictionDone {
 		t.Error("a connection that was silent before its accept is not evicted")
 	}
 }
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -94,7 +94,7 @@
 		w.connect().roundTrip() // used once
 	}
 	time.Sleep(minFirstByteWait) // after which an unused connection counts as idle
-	w.await("all to be idle", func() bool { counts := w.server.clients.counts(); return counts.idle == 20 && counts.fresh == 20 })
+	w.await("all to be idle", func() bool { counts := w.server.clients.counts(); return counts.idle == 20 && counts.unused == 20 })
 	start := time.Now()
 	w.stop()
 	w.expectCleanEnd()
--- a/internal/sidecar/status_log.go
+++ b/internal/sidecar/status_log.go
@@ -37,7 +37,7 @@
 	clients := s.clients.counts()
 	open, idle := s.loop.upstream.ConnectionCounts()
 	attributes := []any{"requests_taken", s.loop.lastRequestID, "requests", len(s.loop.requests),
-		"clients_accepted", clients.accepted, "clients_new", clients.fresh, "clients_active", clients.active,
+		"clients_accepted", clients.accepted, "clients_new", clients.unused, "clients_active", clients.active,
 		"clients_idle", clients.idle, "upstream_open", open, "upstream_idle", idle,
 		"events", len(s.loop.events), "goroutines", runtime.NumGoroutine()}
 	for class, count := range clients.evicted {
