--- a/internal/sidecar/body_pattern_test.go
+++ b/internal/sidecar/body_pattern_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// pattern is a body of end bytes in which no two places look alike.
+// pattern reads a body of end bytes whose pattern does not repeat at short distances, so that lost or reordered parts are noticed.
 type pattern struct{ at, end int64 }
 
 func (p *pattern) Read(b []byte) (int, error) {
@@ -24,7 +24,7 @@
 	return len(b), nil
 }
 
-// sum returns a body's digest and length.
+// sum returns a text with the digest and the length of the rest of r, and the error that ended reading.
 func sum(t *testing.T, r io.Reader) string {
 	t.Helper()
 	h := sha256.New()
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("%x of %d bytes, %v", h.Sum(nil)[:4], n, err)
 }
 
-// slowly reads in small pieces with pauses, so that the writer has to wait.
+// slowly reads in small pieces and with pauses, so that the writer has to wait.
 type slowly struct {
 	io.Reader
 	reads int
@@ -45,4 +45,5 @@
 	return s.Reader.Read(p[:min(len(p), 8<<10)])
 }
 
+// long is the length in bytes of a body that is not buffered in full.
 const long = 8 << 20
--- a/internal/sidecar/client_conn_eviction.go
+++ b/internal/sidecar/client_conn_eviction.go
@@ -82,17 +82,17 @@
 
 // enqueue appends a connection to the queue of its class. queuedAt is when it entered the class.
 func (q *evictionQueues) enqueue(conn *clientConn, class evictionClass, queuedAt time.Time) evictionQueueEntry {
-	place := evictionQueueEntry{class: class, queuedAt: queuedAt}
+	entry := evictionQueueEntry{class: class, queuedAt: queuedAt}
 	if class < evictableClasses {
-		place.element = q[class].PushBack(conn)
+		entry.element = q[class].PushBack(conn)
 	}
-	return place
+	return entry
 }
 
 // remove removes an entry from its queue, if it is in one.
-func (q *evictionQueues) remove(place evictionQueueEntry) {
-	if place.element != nil {
-		q[place.class].Remove(place.element)
+func (q *evictionQueues) remove(entry evictionQueueEntry) {
+	if entry.element != nil {
+		q[entry.class].Remove(entry.element)
 	}
 }
 
--- a/internal/sidecar/client_conn_eviction_test.go
+++ b/internal/sidecar/client_conn_eviction_test.go
@@ -16,12 +16,12 @@
 	"bramblestand/internal/socket"
 )
 
-// registeredConn is a connection in a registry that has no place for another one.
+// registeredConn is the only connection in a registry with a limit of one connection.
 type registeredConn struct {
 	*clientConn
 	t       *testing.T
 	clients *clientConns
-	near    net.Conn // the client's end
+	near    net.Conn // the client's end of the connection
 }
 
 func newRegisteredConn(t *testing.T) *registeredConn {
@@ -37,13 +37,13 @@
 	return &registeredConn{conn, t, clients, near}
 }
 
-// send writes as the client, and waits until the bytes have arrived.
+// send writes as the client, and waits until input has arrived at the server's end, where it stays unread.
 func (c *registeredConn) send(text string) {
 	io.WriteString(c.near, text)
 	await(c.t, "the bytes to arrive", func() bool { return !socket.IsQuiet(c.Conn) })
 }
 
-// receive writes as the client and reads as the server.
+// receive writes as the client, and reads the same bytes as the server.
 func (c *registeredConn) receive(text string) {
 	c.t.Helper()
 	io.WriteString(c.near, text)
@@ -52,7 +52,7 @@
 	}
 }
 
-// serve reads a valid request, and answers it if isAnswered.
+// serve reads a valid request, and records it as answered if isAnswered.
 func (c *registeredConn) serve(isAnswered bool) {
 	c.t.Helper()
 	c.receive("GET /a HTTP/1.1\r\n\r\n")
@@ -66,8 +66,7 @@
 	}
 }
 
-// isEvicted tries to evict the connection until it has been in its class for longer than any is spared for its age, and reports
-// whether that succeeded.
+// isEvicted tries to evict the connection for twice minUnprovenAge, and reports whether that succeeded.
 func (c *registeredConn) isEvicted() bool {
 	for deadline := time.Now().Add(2 * minUnprovenAge); time.Now().Before(deadline); time.Sleep(evictionRetryInterval) {
 		if c.clients.evictOne() == evictionDone {
@@ -77,8 +76,8 @@
 	return false
 }
 
-// A connection is evicted if its client is owed nothing on it. Guards against the eviction of a connection on which a request was
-// read, or waits to be read, which is then lost.
+// A connection is evicted only if no response to its client is outstanding. Guards against the eviction of a connection on which
+// a request was read, or has arrived unread: the request would be lost.
 func TestEvictionSparesATakenRequest(t *testing.T) {
 	const post = "POST /a HTTP/1.1\r\nContent-Length: 4\r\n\r\n"
 	for name, c := range map[string]struct {
@@ -103,7 +102,7 @@
 		"answered, the next taken": {func(c *registeredConn) {
 			c.serve(true)
 			c.receive("GET /b HTTP/1.1\r\n\r\n")
-			c.takeRequest() // the registry still finds it idle
+			c.takeRequest() // the registry still has the connection as idle
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -123,7 +122,7 @@
 	}
 }
 
-// A body in chunks, whose end the connection does not see, counts as incomplete once nothing of it arrives any more.
+// A chunked body, whose end requestFraming does not find, counts as incomplete once no more of it has arrived for minChunkedStall.
 func TestEvictionOfABodyInChunks(t *testing.T) {
 	conn := newRegisteredConn(t)
 	conn.receive("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -136,7 +135,7 @@
 	await(t, "the stalled body's connection to be evicted", func() bool { return conn.clients.evictOne() == evictionDone })
 }
 
-// fillOutput writes until the system takes no more, and returns how many bytes that were.
+// fillOutput writes until the socket's buffers are full, and returns the number of bytes written.
 func (c *registeredConn) fillOutput() (written int) {
 	for n := 1; n > 0 || written == 0; written += n {
 		c.SetWriteDeadline(time.Now().Add(100 * time.Millisecond))
@@ -146,7 +145,8 @@
 	return written
 }
 
-// A closed connection is not evicted before its client's system has the whole response: a reset could overtake it.
+// A closed connection is not evicted before its client's system has acknowledged the whole response. Guards against a reset that
+// overtakes the response.
 func TestEvictionSparesAResponseOnItsWay(t *testing.T) {
 	conn := newRegisteredConn(t)
 	written := conn.fillOutput()
@@ -167,7 +167,7 @@
 	}
 }
 
-// A place that young connections hold is waited for, until one of them may be evicted.
+// If all connections are too new to be evicted, makeRoom waits until one of them may be.
 func TestMakeRoomWaitsForYoungConnections(t *testing.T) {
 	conn := newRegisteredConn(t)
 	start := time.Now()
@@ -177,7 +177,7 @@
 	}
 }
 
-// flood opens connections until the test ends, maxConns at a time, and has each used by the client.
+// flood opens connections until the test ends, and calls client with each. About two times maxConns are open at a time.
 func (s *testSidecar) flood(client func(net.Conn)) {
 	var wait sync.WaitGroup
 	stop := make(chan struct{})
@@ -216,7 +216,8 @@
 	})
 }
 
-// A flood of one kind neither keeps other clients out nor costs them a request, and each valid request of a flood gets a response.
+// A flood of connections of one kind does not keep out other clients or make their requests fail, and each valid request of a flood
+// gets a response.
 func TestFloodOfOneKind(t *testing.T) {
 	invalid := "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 	for name, sent := range map[string]string{
@@ -269,7 +270,7 @@
 	})
 }
 
-// BenchmarkMakeRoom measures one connection's place in a full registry.
+// BenchmarkMakeRoom measures the registration of a connection in a full registry, which evicts another one.
 func BenchmarkMakeRoom(b *testing.B) {
 	for _, registered := range []int{200, 800} {
 		b.Run(fmt.Sprint(registered), func(b *testing.B) {
@@ -319,8 +320,9 @@
 	}
 }
 
-// The time that a connection waited for its accept counts as its age: accepting must not stay behind a flood of connections that
-// have already shown that they are silent. Guards against requests that are still queued when the process stops accepting.
+// The time for which a connection waited to be accepted counts as part of its age, so that accepting keeps up with a flood of
+// connections that were silent for long enough before. Guards against connections with requests that are still queued in the system
+// when the process stops accepting.
 func TestTimeBeforeTheAcceptCounts(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -348,8 +350,8 @@
 	}
 }
 
-// A request in part is spared while there are silent connections, however young. Guards against a flood of connections that costs
-// clients their requests in pieces.
+// A connection on which part of a request was read is not evicted while there are silent connections, however new these are.
+// Guards against a flood of connections that evicts clients whose requests arrive in pieces.
 func TestSilentConnectionsAreEvictedBeforeRequestsInPart(t *testing.T) {
 	clients := newClientConns(2)
 	var conns []*clientConn
@@ -365,7 +367,7 @@
 			if _, err := io.ReadFull(conn, make([]byte, 3)); err != nil {
 				t.Fatal(err)
 			}
-			time.Sleep(2 * minUnprovenAge) // so that the request in part may be evicted, and the silent connection not yet
+			time.Sleep(2 * minUnprovenAge) // by now the partial request may be evicted, but the next connection not yet
 		}
 		conns = append(conns, conn)
 	}
--- a/internal/sidecar/client_conn_idle_test.go
+++ b/internal/sidecar/client_conn_idle_test.go
@@ -9,8 +9,8 @@
 	"bramblestand/internal/endpointtest"
 )
 
-// An idle connection that is found for closing, or for eviction, may carry a request by the time it is closed. Guards against a
-// close under the handler of that request, whose client then gets no response.
+// A request may arrive on an idle connection after it was selected for closing or eviction and before it is closed. Guards against
+// closing the connection while a handler serves that request, whose client would get no response.
 func TestIdleCloseSparesARequestInFlight(t *testing.T) {
 	for name, closeFound := range map[string]func(*clientConn){
 		"idle check": func(conn *clientConn) { conn.closeIdle() },
@@ -36,8 +36,8 @@
 	}
 }
 
-// Requests begin on idle connections while these are closed, as in a drain or a shutdown beside a crowd. Guards against a request
-// that was read and forwarded and gets no response; one that was never read is sent again by its client.
+// Requests begin on many idle connections while these are being closed, as in a drain or a shutdown. Guards against a request that
+// was read and forwarded but gets no response. A request that was never read is sent again by its client.
 func TestClosingIdleConnectionsLosesNoReadRequest(t *testing.T) {
 	const connections, rounds = 60, 20
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
--- a/internal/sidecar/client_conn_test.go
+++ b/internal/sidecar/client_conn_test.go
@@ -16,7 +16,7 @@
 	"bramblestand/internal/upstream"
 )
 
-// only returns the sidecar's end of the only connection there is.
+// only waits until there is exactly one connection, and returns the sidecar's end of it.
 func (s *testSidecar) only() *clientConn {
 	s.t.Helper()
 	var found *clientConn
@@ -39,8 +39,8 @@
 	return conn
 }
 
-// A response that ends its connection reaches a client that has sent more than was read: the bytes are read and discarded, or
-// the system would reset the connection, and the response would be lost.
+// A response that ends its connection reaches a client that has sent more than the sidecar reads as requests. Guards against a close
+// with unread input, for which the system resets the connection, so that the response is lost.
 func TestResponseReachesAClientThatSentMore(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
 	head := "POST /pay HTTP/1.1\r\nHost: x\r\nX-Service-Class: pay\r\nX-Time-Left-Ms: 9000\r\nIdempotency-Key: 1\r\n"
@@ -69,8 +69,8 @@
 	}
 }
 
-// A request that arrives between the check of an idle connection and its close is never read: its client sees the end, and
-// sends it again elsewhere.
+// A request that arrives between the check of an idle connection and its close is never read: its client sees the end of the
+// connection, and sends the request again elsewhere.
 func TestRequestAfterTheIdleCheckIsNeverRead(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
 	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
@@ -105,7 +105,7 @@
 	}
 }
 
-// Bytes of a request that were read before the check of an idle connection keep it open, however few.
+// An idle connection is not closed if part of a request was read before the check, even a single byte.
 func TestIdleCloseSparesARequestInProgress(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
 	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
@@ -130,7 +130,7 @@
 	}
 }
 
-// What arrives after a connection is closed is never read, also while the process ends.
+// Input that arrives after a connection is closed is never read as a request, even during a shutdown.
 func TestNothingIsReadAfterTheClose(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
 	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
@@ -153,8 +153,8 @@
 	}
 }
 
-// A connection ends whatever arrives while it is closed: the socket's close waits for a read in progress, and the read must not
-// wait for the close.
+// A close returns even if input or the client's disconnect arrives at the same time. Guards against a deadlock: the socket's close
+// waits for a read in progress, so the read must not wait for the close.
 func TestCloseDuringARead(t *testing.T) {
 	clients := newClientConns(1)
 	for i := range 300 {
@@ -182,7 +182,7 @@
 			close(closed)
 		}()
 		near.Write([]byte("zz"))
-		near.(*net.TCPConn).SetLinger(i % 3 * -1) // some reset
+		near.(*net.TCPConn).SetLinger(i % 3 * -1) // 0, for every third connection, resets it on close
 		near.Close()
 		for what, done := range map[string]chan struct{}{"read": read, "close": closed} {
 			select {
@@ -195,7 +195,7 @@
 	}
 }
 
-// Connections that are only drained are evicted first.
+// Connections that are closed and being drained are evicted before all others.
 func TestDrainingConnectionsAreEvictedFirst(t *testing.T) {
 	clients := newClientConns(3)
 	var conns []*clientConn
@@ -206,7 +206,7 @@
 			t.Fatal(err)
 		}
 		clients.connState(conn, http.StateNew)
-		if i > 0 { // the last one is closed, and its client does not close its side
+		if i > 0 { // the last of these is closed below, and its client does not close its side
 			clients.markValidRequest(conn)
 			clients.connState(conn, http.StateActive)
 		}
@@ -249,10 +249,10 @@
 			for {
 				n, err := k.conn.Write(junk)
 				if sent += n; err != nil {
-					done <- nil // the sidecar ended it
+					done <- nil // the sidecar disconnected the client
 					return
 				}
-				// What is discarded in maxDrainTime, and twice as much for the system's buffers.
+				// The bound is the input that is discarded in maxDrainTime, and twice as much for the system's buffers.
 				if maxDiscarded := int(maxDrainTime/discardInterval) * bodybuffer.Size; sent > 3*maxDiscarded {
 					done <- fmt.Errorf("%d bytes were read of it", sent)
 					return
@@ -279,7 +279,7 @@
 	w.await("their connections to be gone", func() bool { return w.server.clients.count() == 0 })
 }
 
-// With few descriptors, a flood of misbehaving connections of every kind leaves room for other clients.
+// With few descriptors, other clients are served during a flood of misbehaving connections of every kind.
 func TestConnectionFloodLeavesRoomForClients(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
 	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
@@ -301,7 +301,7 @@
 				if n%2 == 0 {
 					conn.(*net.TCPConn).SetLinger(0)
 				} else {
-					defer conn.Close() // stays until the end
+					defer conn.Close() // stays open until the goroutine ends
 				}
 				if n%2 == 0 {
 					conn.Close()
--- a/internal/sidecar/client_conns_test.go
+++ b/internal/sidecar/client_conns_test.go
@@ -11,7 +11,7 @@
 	"bramblestand/internal/endpointtest"
 )
 
-// Connections on which nothing is sent are evicted in favour of the application's, however many there are.
+// Silent connections, however many, are evicted to make room for the application's connections, which stay open.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
 	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
@@ -45,7 +45,7 @@
 	use()
 }
 
-// Beyond the limit of connections the sidecar rejects the request and closes its connection, if no other may be evicted.
+// If no connection may be evicted, the sidecar rejects a request on a connection beyond the limit and closes that connection.
 func TestClientConnectionsAreLimited(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
 	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
--- a/internal/sidecar/disconnect_burst_test.go
+++ b/internal/sidecar/disconnect_burst_test.go
@@ -16,10 +16,10 @@
 	"bramblestand/internal/endpointtest"
 )
 
-// maxDisconnectDelay is how long after a client's close an attempt may still start.
+// maxDisconnectDelay is the maximum time after a client's close in which an attempt for it may still start.
 const maxDisconnectDelay = 100 * time.Millisecond
 
-// measureTimerDelay returns by how much, at most, a timer of 5 ms was late until stop is closed.
+// measureTimerDelay runs timers of 5 ms until stop is closed, and then sends the maximum delay of a timer.
 func measureTimerDelay(stop <-chan struct{}) <-chan time.Duration {
 	result := make(chan time.Duration, 1)
 	go func() {
@@ -39,11 +39,11 @@
 	return result
 }
 
-// plainConns are connections whose far ends only wait for their end: they show how late the machine itself is with as many
-// disconnects.
+// plainConns holds connections without a sidecar, whose far ends only wait for the disconnect. They measure how late the machine
+// itself notices the same number of disconnects.
 type plainConns struct {
 	near    []net.Conn
-	endSeen []chan time.Time // when the far end saw the end
+	endSeen []chan time.Time // each receives the time at which the far end noticed the disconnect
 }
 
 func newPlainConns(t *testing.T, n int) *plainConns {
@@ -74,8 +74,8 @@
 	return p
 }
 
-// retransmissions returns how many of a connection's segments the system had to send again. What is lost, which happens on the
-// loopback of a busy machine, too, arrives 0.2 s later or more, and cannot be noticed before.
+// retransmissions returns the number of segments of a connection that the system had to send again. Segments may be lost even on
+// the loopback of a busy machine. A lost segment arrives 0.2 s later or more, so the sidecar cannot notice it earlier.
 func retransmissions(t *testing.T, conn net.Conn) uint32 {
 	t.Helper()
 	raw, err := conn.(*net.TCPConn).SyscallConn()
@@ -89,24 +89,27 @@
 	return info.Total_retrans
 }
 
-// disconnectBurst is a fleet of clients whose first attempts are all out, at endpoints that are about to reject them.
+// disconnectBurst is a set of clients whose first attempts are all in flight, at endpoints that reject them when the test says so.
 type disconnectBurst struct {
 	*testSidecar
-	conns   []net.Conn // the clients'; the first ones disconnect
-	noticed *disconnectLog
-	prefix  string // of the requests' ids
-	reject  func() // lets the endpoints reject the first attempts
+	conns   []net.Conn     // of the clients; the first burstDisconnecting of them disconnect
+	noticed *disconnectLog // when the sidecar noticed each disconnect
+	prefix  string         // of the requests' ids
+	reject  func()         // lets the endpoints reject the first attempts
 
 	mu       sync.Mutex
 	attempts map[string]int // by request id
 }
 
+// Numbers of clients that disconnect and that stay connected.
 const burstDisconnecting, burstStaying = 300, 20
 
-// Hundreds of clients disconnect at once, each with a first attempt out that then turns out never to have run: nothing is
-// retried for them, while the requests of those who stay are. Each disconnect is noticed in time, except for what the machine
-// itself is late by: its timers, and plain connections that end beside the clients'. A few ends that the system had to send again
-// are left out. It does not run beside other tests of this package.
+// Hundreds of clients disconnect at once, each with a first attempt in flight that the endpoint then rejects without having run it.
+// Their requests are not retried, while those of the clients that stay are.
+//
+// Each disconnect must be noticed in time. The bound allows for the delay of the machine itself, which is measured with timers and
+// with plain connections that end at the same time. A few disconnects that the system had to send again are not counted. The test
+// does not run in parallel with other tests of this package.
 func TestBurstOfDisconnectsIsNotRetried(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		for _, reset := range []bool{true, false} {
@@ -123,7 +126,7 @@
 	}
 }
 
-// startDisconnectBurst starts a sidecar and sends it the clients' requests, until all first attempts are out.
+// startDisconnectBurst starts a sidecar, sends it the clients' requests, and waits until all first attempts are in flight.
 func startDisconnectBurst(t *testing.T, prefix string, cancel bool) *disconnectBurst {
 	t.Helper()
 	const clients = burstDisconnecting + burstStaying
@@ -150,7 +153,7 @@
 	cfg := newTestConfig(t, b.registry.address, func(settings map[string]any) {
 		settings["limits"].(map[string]any)["cancel"] = cancel
 		read := settings["classes"].([]any)[0].(map[string]any)
-		read["target"], read["give-up"] = time.Minute.Microseconds(), time.Minute.Microseconds() // however busy the machine is
+		read["target"], read["give-up"] = time.Minute.Microseconds(), time.Minute.Microseconds() // long enough on a busy machine
 	}, endpoints...)
 	cfg.Limits.Sockets = 2048
 	b.launch(cfg)
@@ -173,7 +176,7 @@
 // requestID returns the id of a client's request.
 func (b *disconnectBurst) requestID(client int) string { return fmt.Sprint(b.prefix, client) }
 
-// countAttempt counts an attempt at a request, and returns how many there were.
+// countAttempt counts an attempt at a request, and returns the number of its attempts so far.
 func (b *disconnectBurst) countAttempt(requestID string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -181,8 +184,8 @@
 	return b.attempts[requestID]
 }
 
-// disconnect disconnects clients until all disconnects are noticed. It returns when each did, and by how much the machine itself
-// was late at most.
+// disconnect disconnects the first burstDisconnecting clients, and waits until all disconnects are noticed. It returns the time of
+// each, and the maximum delay of the machine itself.
 func (b *disconnectBurst) disconnect(reset bool) (disconnectedAt []time.Time, machineDelay time.Duration) {
 	b.t.Helper()
 	plain := newPlainConns(b.t, burstDisconnecting)
@@ -192,7 +195,7 @@
 		disconnectedAt = append(disconnectedAt, time.Now())
 		if reset {
 			disconnect(conn, reset)
-		} else if err := conn.(*net.TCPConn).CloseWrite(); err != nil { // sends what Close sends, and leaves a socket to ask
+		} else if err := conn.(*net.TCPConn).CloseWrite(); err != nil { // sends a FIN as Close does, and keeps the socket for retransmissions
 			b.t.Fatal(err)
 		}
 		plain.near[i].Close()
@@ -206,7 +209,7 @@
 	return disconnectedAt, machineDelay
 }
 
-// expectServed checks that the requests of clients are served.
+// expectServed checks that the requests of the given clients are served.
 func (b *disconnectBurst) expectServed(conns []net.Conn) {
 	b.t.Helper()
 	for _, conn := range conns {
@@ -218,7 +221,7 @@
 	}
 }
 
-// expectRetries checks that the requests of clients that stayed were tried twice, and those of the others once.
+// expectRetries checks that each request of a client that stayed had two attempts, and that no other request was retried.
 func (b *disconnectBurst) expectRetries() {
 	b.t.Helper()
 	b.mu.Lock()
@@ -238,7 +241,7 @@
 	}
 }
 
-// expectNoticedInTime checks how long after their disconnects the sidecar noticed them.
+// expectNoticedInTime checks how long after each disconnect the sidecar noticed it.
 func (b *disconnectBurst) expectNoticedInTime(disconnectedAt []time.Time, machineDelay time.Duration, reset bool) {
 	b.t.Helper()
 	var delays []time.Duration
--- a/internal/sidecar/disconnect_test.go
+++ b/internal/sidecar/disconnect_test.go
@@ -23,10 +23,10 @@
 	"bramblestand/internal/upstream"
 )
 
-// disconnectLog is a log handler that keeps when the sidecar noticed that clients had disconnected.
+// disconnectLog is a log handler that records when the sidecar noticed the disconnect of each client.
 type disconnectLog struct {
 	slog.Handler
-	requestID string // of the request that a logger was made for
+	requestID string // attribute of the logger that uses this handler; empty if it has none
 
 	mu        *sync.Mutex
 	noticedAt map[string]time.Time // by request id
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// delaysSince returns, sorted, how long after start the disconnects were noticed.
+// delaysSince returns how long after start each disconnect was noticed, in ascending order.
 func (d *disconnectLog) delaysSince(start time.Time) []time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -74,13 +74,14 @@
 	return delays
 }
 
+// count returns the number of disconnects that were noticed.
 func (d *disconnectLog) count() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.noticedAt)
 }
 
-// deferringBalancer defers requests until a test releases them.
+// deferringBalancer passes requests to its loadBalancer only when a test releases them.
 type deferringBalancer struct {
 	loadBalancer
 	mu           sync.Mutex
@@ -106,7 +107,7 @@
 	return len(h.deferred)
 }
 
-// release hands on the deferred requests, except those whose client it knows to have disconnected, as a balancer would.
+// release passes on the deferred requests. Like a balancer, it omits those whose clients are known to have disconnected.
 func (h *deferringBalancer) release(now balancer.Micros) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -118,7 +119,8 @@
 	h.deferred = nil
 }
 
-// countAwaitingResponse counts the connections whose request waits for its response.
+// countAwaitingResponse counts the connections whose request waits for its response, whether a poll or a read of net/http watches
+// for their disconnect.
 func countAwaitingResponse(c *clientConns) (n int) {
 	c.mu.Lock()
 	var all []*clientConn
@@ -139,7 +141,7 @@
 	return n
 }
 
-// disconnect closes a client's connection, with a reset or without.
+// disconnect closes a client's connection, with a RST if reset, and otherwise with a FIN.
 func disconnect(conn net.Conn, reset bool) {
 	if reset {
 		conn.(*net.TCPConn).SetLinger(0)
@@ -147,8 +149,8 @@
 	conn.Close()
 }
 
-// newForwardCounter starts an endpoint that counts the requests it receives the head of, if their id starts with prefix: its
-// port may have been another test's before.
+// newForwardCounter starts an endpoint that counts the request heads that it receives. It counts only ids that start with prefix,
+// because another test may have used its port before.
 func newForwardCounter(t *testing.T, prefix string) (address string, forwarded *atomic.Int64) {
 	t.Helper()
 	forwarded = new(atomic.Int64)
@@ -170,7 +172,7 @@
 	return server.Address, forwarded
 }
 
-// listOf returns a list of count endpoints at one address: so many that none is too busy for a request.
+// listOf returns a list of count endpoints at one address. With one for each request, no endpoint is too busy for a request.
 func listOf(count int, address string) []discovery.Endpoint {
 	var endpoints []discovery.Endpoint
 	for i := range count {
@@ -179,7 +181,7 @@
 	return endpoints
 }
 
-// holdDials makes dials to endpoints wait until release is called, and returns how many wait.
+// holdDials makes dials to endpoints wait until release is called. dialCount returns the number of dials so far.
 func (s *testSidecar) holdDials() (dialCount func() int, release func()) {
 	var dials atomic.Int64
 	hold := make(chan struct{})
@@ -201,7 +203,7 @@
 	})
 }
 
-// percentile returns a percentile of sorted durations, -1 of none.
+// percentile returns a percentile of sorted durations, given as a fraction of 1, or -1 if there are none.
 func percentile(sorted []time.Duration, fraction float64) time.Duration {
 	if len(sorted) == 0 {
 		return -1
@@ -219,7 +221,7 @@
 	waitForUncancellable waitKind = "a dial that may not be cancelled"
 )
 
-// unreadInput is what stands unread on a connection when its client disconnects.
+// unreadInput is the input that is unread, or still missing, on a connection when its client disconnects.
 type unreadInput string
 
 const (
@@ -230,9 +232,11 @@
 	partialChunks    unreadInput = "chunks on their way"
 )
 
-// A request whose client disconnects while it waits for its first attempt is not forwarded, whatever it waits for, however the
-// client disconnects, and whatever stands unread behind the request or of it. The disconnect is noticed within 50 ms (logged; a
-// busy machine may take longer), far under the 0.3 s that are allowed.
+// A request whose client disconnects while the request waits for its first attempt is not forwarded. The cases combine what the
+// request waits for, how the client disconnects, and which input is unread, of the request itself or after it.
+//
+// The test logs how long the sidecar took to notice the disconnects: usually at most 50 ms, far below the 0.3 s that are allowed.
+// It does not check the 50 ms, since a busy machine may take longer.
 func TestNothingIsForwardedForADisconnectedClient(t *testing.T) {
 	for _, wait := range []waitKind{waitForPick, waitForDial, waitForLoop, waitForUncancellable} {
 		for _, unread := range []unreadInput{nothingUnread, pipelinedRequest, floodBehind, partialBody, partialChunks} {
@@ -247,7 +251,8 @@
 	}
 }
 
-// expectNothingForwarded is one case of TestNothingIsForwardedForADisconnectedClient. Name is unique among the cases.
+// expectNothingForwarded is one case of TestNothingIsForwardedForADisconnectedClient. The name is unique among the cases, and is
+// the prefix of the requests' ids.
 func expectNothingForwarded(t *testing.T, name string, wait waitKind, unread unreadInput, reset bool) {
 	const clients = 20
 	address, forwarded := newForwardCounter(t, name)
@@ -275,7 +280,7 @@
 			conn.Write(bytes.Repeat([]byte("z"), 32<<10))
 		}
 	}
-	if wait == waitForLoop { // the goroutine that notices the disconnect has to wait as well
+	if wait == waitForLoop { // the goroutines that notice the disconnects cannot post them either
 		w.fillEventQueue()
 	}
 	start := time.Now()
@@ -295,7 +300,7 @@
 	}
 }
 
-// holdRequests makes requests wait until release is called, and returns how many wait.
+// holdRequests makes requests wait until release is called. waitingCount returns the number of requests that wait.
 func (s *testSidecar) holdRequests(wait waitKind) (waitingCount func() int, release func()) {
 	switch wait {
 	case waitForPick:
@@ -313,7 +318,7 @@
 	return s.holdDials()
 }
 
-// partialRequest encodes a request, without its end if that is to be unread.
+// partialRequest encodes a request, without the end of its body if unread is partialBody or partialChunks.
 func (s *testSidecar) partialRequest(id string, unread unreadInput) []byte {
 	r := s.request("pay", "x", time.Minute)
 	r.Header.Set(requestIDHeader, id)
@@ -324,14 +329,14 @@
 		r.ContentLength, r.Body = -1, io.NopCloser(&pattern{end: upstream.MaxBufferedBody + 4<<10})
 	}
 	var text bytes.Buffer
-	r.Write(&text) // fails at the end of a body that is too short, when all of it is written
+	r.Write(&text) // fails because the body is shorter than ContentLength, after all of it was written
 	if unread == partialChunks {
 		text.Truncate(text.Len() - len("0\r\n\r\n"))
 	}
 	return text.Bytes()
 }
 
-// fillEventQueue posts events until the queue of a held event loop is full. It must not wait, since others post as well.
+// fillEventQueue posts events until the queue of a held event loop is full. It must not block when other goroutines fill the queue.
 func (s *testSidecar) fillEventQueue() {
 	for {
 		select {
--- a/internal/sidecar/disconnect_unread_test.go
+++ b/internal/sidecar/disconnect_unread_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Clients disconnect while their attempts are dialled, and nobody has read the end of their connections when the dials succeed, as
-// on a machine whose readers wait for their turn: nothing is forwarded for them all the same.
+// Clients disconnect while connections for their attempts are dialled. When the dials succeed, no goroutine has read the end of the
+// clients' connections, as on a machine too busy to run the readers. Nothing must be forwarded for these clients.
 func TestNothingIsForwardedAlthoughTheDisconnectIsUnread(t *testing.T) {
 	const clients = 20
 	for _, reset := range []bool{false, true} {
@@ -48,7 +48,7 @@
 	}
 }
 
-// lockReads keeps the readers of all connections waiting until unlock is called.
+// lockReads blocks the readers of all connections until unlock is called.
 func lockReads(clients *clientConns) (unlock func()) {
 	conns := clients.filter(func(*clientConnState) bool { return true })
 	for _, conn := range conns {
--- a/internal/sidecar/rejections_test.go
+++ b/internal/sidecar/rejections_test.go
@@ -10,7 +10,7 @@
 	"bramblestand/internal/endpointtest"
 )
 
-// The log names the reason of each rejection and when the client is to come again, and counts rejections by reason.
+// The log names the reason and the Retry-After of each rejection, and counts rejections by reason.
 func TestLogNamesTheReasonOfARejection(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.RejectedResponse))
 	log := &endpointtest.LogBuffer{}
--- a/internal/sidecar/request_body_test.go
+++ b/internal/sidecar/request_body_test.go
@@ -19,7 +19,7 @@
 	"bramblestand/internal/upstream"
 )
 
-// Request bodies of every framing arrive byte for byte, and the attempt starts with their last byte.
+// Request bodies of every framing arrive byte for byte, and leave no connection or request behind.
 func TestLongRequestBodiesArriveByteForByte(t *testing.T) {
 	sums := make(chan string, 1)
 	e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
@@ -67,7 +67,8 @@
 	})
 }
 
-// A client that disconnects or stalls during a body: no endpoint receives a complete request, and it counts against none.
+// If a client disconnects or stalls during a body, no endpoint receives a complete request, and the attempt counts as cancelled, not
+// as a failure of the endpoint.
 func TestClientDisconnectDuringABodyIsNoFailure(t *testing.T) {
 	t.Parallel()
 	whole := make(chan bool, 2)
@@ -106,7 +107,8 @@
 	})
 }
 
-// Until part of a long body is consumed the request can be sent elsewhere; afterwards it is rejected, as it never ran.
+// A request with a long body can be sent to another endpoint until part of the body was consumed. After that it is not retried but
+// rejected, which tells the client that it never ran.
 func TestLongBodyIsSentOnce(t *testing.T) {
 	sums := make(chan string, 1)
 	good := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
@@ -142,7 +144,7 @@
 	w = startSidecar(t, nil, readyEndpoint("s-1", cuts.Address))
 	r := w.request("pay", "", time.Minute)
 	r.Body, r.ContentLength = io.NopCloser(&pattern{end: long}), long
-	if got := w.send(r); got.err == nil && got.statusCode != http.StatusServiceUnavailable { // or the client finds its connection ended
+	if got := w.send(r); got.err == nil && got.statusCode != http.StatusServiceUnavailable { // the client may also get an error because its connection ended
 		t.Errorf("reset during a body: %+v, want 503", got)
 	}
 	w.await("its outcome", func() bool { return len(w.recorder.statuses()) == 1 })
@@ -151,7 +153,7 @@
 	}
 }
 
-// A body that is too long is rejected by its Content-Length alone; one in chunks once it is found to be.
+// A body that is too long is rejected because of its Content-Length, and a chunked one as soon as its excess is read.
 func TestTooLongBodyIsRejected(t *testing.T) {
 	whole := make(chan bool, 1)
 	e := endpointtest.NewServer(t, endpointtest.ReadOne(whole))
@@ -176,7 +178,7 @@
 	}
 }
 
-// A long request that is rejected at once: the client receives the response although it first writes all of its body.
+// If a request with a long body is rejected early, the client receives the response although it first writes the whole body.
 func TestRejectionDuringABody(t *testing.T) {
 	w := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.ClosedAddress(t)))
 	for name, framing := range map[string]string{
@@ -204,7 +206,7 @@
 	}
 }
 
-// SIGTERM during a request's body, short or long: the client is told to retry elsewhere, and no endpoint has all of it.
+// On SIGTERM during a request's body, short or long, the client is told to retry elsewhere, and no endpoint receives the request.
 func TestTerminationDuringABody(t *testing.T) {
 	for name, length := range map[string]int{"kept": upstream.MaxBufferedBody, "passed on": long} {
 		e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
@@ -236,7 +238,8 @@
 	}
 }
 
-// Without memory for it a request is rejected before any of it is sent; it is accepted again once there is memory.
+// A request for which there is not enough memory is rejected before any of it is forwarded. Such requests are served again once
+// memory is free.
 func TestBodyBeyondMemoryIsRejected(t *testing.T) {
 	goOn := make(chan struct{})
 	e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
@@ -272,8 +275,8 @@
 	}
 }
 
-// Uploads one after the other share a connection to their endpoint. Guards against a connection that is closed after each upload
-// with a buffered response, which costs the endpoint a handshake for the next.
+// Consecutive uploads share a connection to their endpoint. Guards against closing the connection after each upload with a buffered
+// response, which would cost the endpoint a handshake for each upload.
 func TestConnectionOfAnUploadIsReused(t *testing.T) {
 	const uploads = 5
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
--- a/internal/sidecar/request_framing_test.go
+++ b/internal/sidecar/request_framing_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// requestFraming finds the same heads in whatever pieces the input arrives.
 func TestRequestHeadsAreFoundHoweverInputIsCut(t *testing.T) {
 	plain := "GET /a HTTP/1.1\r\nHost: x\r\n\r\n"
 	body := "POST /b HTTP/1.1\r\nContent-Length: 40\r\n\r\n" + "POST / HTTP/1.1\r\nTransfer-Encoding: x\r\n\r\n"[:40]
@@ -20,7 +21,7 @@
 		{plain + plain, 2, 0},
 		{body + plain + body, 3, 0},
 		{long + plain, 2, 0},
-		{chunked + "0\r\n\r\n" + plain, 1, 0}, // nothing that follows is looked at
+		{chunked + "0\r\n\r\n" + plain, 1, 0}, // input after a chunked request's head is ignored
 		{"POST /c HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 1, 1},
 		{body + plain + "POST /c HTTP/1.1\nTRANSFER-ENCODING:chunked\nContent-length:0\n\n0\r\n\r\n", 3, 3},
 		{"POST /c HTTP/1.1\r\nContent-Length: 4x\r\nTransfer-Encoding: chunked\r\n\r\n", 0, 0},
@@ -44,7 +45,8 @@
 	}
 }
 
-// A client may send its next request as soon as it has its response, before the server counts the connection as idle.
+// A client may send its next request as soon as it has the response, before net/http reports the connection as idle. The part of
+// that request that was read must keep the connection open.
 func TestRequestMayStartBeforeTheLastIsDone(t *testing.T) {
 	near, far := socketPair(t)
 	clients := newClientConns(1)
@@ -69,14 +71,14 @@
 	}
 	read("GET /b")
 	clients.connState(conn, http.StateNew)
-	clients.connState(conn, http.StateIdle) // only now
+	clients.connState(conn, http.StateIdle) // reported after the next request was begun
 	clients.closeIdle(0)
 	if clients.count() != 1 || conn.isClosing {
 		t.Error("the connection was closed amid a head")
 	}
 }
 
-// socketPair returns both ends of a connection over loopback.
+// socketPair returns both ends of a TCP connection over loopback, which are closed when the test ends.
 func socketPair(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/sidecar/request_handler_test.go
+++ b/internal/sidecar/request_handler_test.go
@@ -13,8 +13,8 @@
 	"bramblestand/internal/endpointtest"
 )
 
-// A client that sends no complete valid request gets an error or is disconnected in time. One that waits longer than that for its
-// response is not.
+// A client that sends no complete valid request gets an error or is disconnected in time. A client that has sent a valid request
+// and waits longer than that for its response is not disconnected.
 func TestIncompleteRequestsAreEnded(t *testing.T) {
 	t.Parallel()
 	respond := make(chan struct{})
@@ -76,7 +76,7 @@
 		conn := w.dial()
 		io.WriteString(conn, c.sent)
 		conn.SetReadDeadline(time.Now().Add(testTimeout))
-		// The end may be a reset, since what was not read is discarded.
+		// The connection may end with a reset, since it may be closed with unread input.
 		got, _ := io.ReadAll(conn)
 		if !strings.HasPrefix(string(got), "HTTP/1.1 "+c.statusCode) && !strings.HasPrefix(string(got), "HTTP/1.0 "+c.statusCode) ||
 			strings.Count(string(got), "HTTP/1.") != 1 {
@@ -94,7 +94,7 @@
 	}
 }
 
-// The connection of a readiness check is closed.
+// The sidecar closes the connection of a readiness check after its response.
 func TestReadinessCheckEndsItsConnection(t *testing.T) {
 	w := startSidecar(t, nil, readyEndpoint("s-1", "127.0.0.1:1"))
 	conn := w.dial()
--- a/internal/sidecar/request_parser_test.go
+++ b/internal/sidecar/request_parser_test.go
@@ -10,7 +10,7 @@
 	"bramblestand/internal/upstream"
 )
 
-// However short a client's timeout is, most of it is for the request: a fixed margin would leave nothing of 10 ms.
+// However short a client's timeout is, most of it is left for the request. A fixed margin would leave nothing of 10 ms.
 func TestResponseMarginIsAFractionOfShortTimeouts(t *testing.T) {
 	w := startSidecar(t, nil, readyEndpoint("s-1", "127.0.0.1:1"))
 	for timeout, want := range map[time.Duration]time.Duration{
@@ -26,7 +26,7 @@
 	}
 }
 
-// Invalid requests are answered with what is wrong, and are not forwarded.
+// The response to an invalid request names what is wrong, and the request is not forwarded.
 func TestInvalidRequestsAreRejectedWithTheReason(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
 	w := startSidecar(t, func(s map[string]any) {
--- a/internal/sidecar/response_stream_test.go
+++ b/internal/sidecar/response_stream_test.go
@@ -19,18 +19,18 @@
 	"bramblestand/internal/upstream"
 )
 
-// liveHeap returns the bytes that the last collection found in use. Garbage that waits for the next one is not counted: how
-// much that is depends on how busy the machine is.
+// liveHeap returns the number of bytes that the last garbage collection found in use. It does not include garbage that the next
+// collection will free, because the amount of that depends on how busy the machine is.
 func liveHeap() uint64 {
 	sample := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
 	metrics.Read(sample)
 	return sample[0].Value.Uint64()
 }
 
-// Many long responses at once are forwarded to slow readers byte for byte, in memory that does not depend on their length.
+// Many long responses are forwarded to slow readers at the same time, byte for byte, in memory that does not depend on their length.
 func TestLongResponsesUseLittleMemory(t *testing.T) {
-	// Together 384 MB, of which a twelfth is allowed: what is allocated while a collection runs counts as in use,
-	// and on a busy machine one runs long.
+	// The responses are 384 MB together. A twelfth of that is allowed, because memory that is allocated during a collection counts
+	// as in use, and on a busy machine a collection takes long.
 	const many, each, allowed = 12, 4 * long, 32 << 20
 	var hosts []discovery.Endpoint
 	for i := range many {
@@ -77,7 +77,7 @@
 	}
 }
 
-// The first bytes of a response that does not end at once are forwarded, and the end of every framing is forwarded as such.
+// The first bytes of a response are forwarded before the response ends, and its end is forwarded as an end for every framing.
 func TestResponsesOfUnknownLengthAreForwardedAtOnce(t *testing.T) {
 	const size = 3 * upstream.MaxBufferedBody
 	for name, head := range map[string]string{
@@ -97,7 +97,7 @@
 			data, _ := io.ReadAll(&pattern{end: size})
 			body.Write(data[:10])
 			if name == "in chunks" {
-				io.WriteString(conn, "00") // the start of the next chunk's head
+				io.WriteString(conn, "00") // the start of the next chunk's size
 			}
 			<-goOn
 			for _, b := range data[10:1000] {
@@ -127,7 +127,8 @@
 	}
 }
 
-// An endpoint that breaks off during a response: the client can tell, nothing is retried, and it counts as a failure.
+// If an endpoint closes its connection during a response, the client can tell that the response is incomplete, the request is not
+// retried, and the attempt counts as a failure.
 func TestBrokenResponseIsAFailure(t *testing.T) {
 	for name, head := range map[string]string{
 		"with a length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", long),
@@ -154,7 +155,7 @@
 	}
 }
 
-// A client that disconnects during a response ends the attempt, which is no failure of the endpoint.
+// If a client disconnects during a response, the attempt ends and does not count as a failure of the endpoint.
 func TestClientDisconnectDuringAResponseIsNoFailure(t *testing.T) {
 	ended := make(chan struct{})
 	e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
@@ -178,7 +179,7 @@
 	w.await("all resources to be freed", func() bool { open, _ := w.loop.upstream.ConnectionCounts(); return open == 0 })
 }
 
-// SIGTERM during a long response: it is forwarded to its end, however long after the classes' deadlines.
+// On SIGTERM during a long response, the response is still forwarded to its end, even long after the deadline of its class.
 func TestTerminationDuringALongResponse(t *testing.T) {
 	goOn := make(chan struct{})
 	e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -14,13 +14,13 @@
 	"bramblestand/internal/endpointtest"
 )
 
-// After SIGTERM requests in flight are served, idle connections are closed, new connections are accepted for a while, and the sidecar
-// ends without an error.
+// After SIGTERM requests in flight are served, new connections are accepted for some time, idle connections are then closed, and
+// the sidecar ends without an error.
 func TestShutdownServesWhatWasAccepted(t *testing.T) {
 	respond := make(chan struct{})
 	e := endpointtest.NewServer(t, endpointtest.HoldPath("/pay", respond))
 	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
-	w.server.acceptDuration = 3 * time.Second // a loaded machine may be slow to connect
+	w.server.acceptDuration = 3 * time.Second // long enough to connect on a busy machine
 	idle := w.dial()
 	w.request("read", "", time.Minute).Write(idle)
 	in := bufio.NewReader(idle)
@@ -53,8 +53,8 @@
 	w.expectCleanEnd()
 }
 
-// A request that is complete only after the shutdown has begun is rejected, not cut off: the process may be killed before an endpoint
-// responds.
+// A request that becomes complete only after accepting has ended gets a 503 rather than a closed connection. It is not forwarded,
+// because the process may be killed before an endpoint responds.
 func TestRequestCompletedDuringShutdownIsRejected(t *testing.T) {
 	w := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
 	w.server.acceptDuration = 0
@@ -74,7 +74,7 @@
 	})
 	w.stop()
 	w.awaitEndOfAccepting()
-	time.Sleep(10 * shutdownCheckInterval) // in which the connection might be closed
+	time.Sleep(10 * shutdownCheckInterval) // time in which a faulty idle check would close the connection
 	io.WriteString(client.conn, header.String()[10:])
 	if got, err := http.ReadResponse(client.in, nil); err != nil || got.StatusCode != http.StatusServiceUnavailable ||
 		!got.Close || got.Header.Get("Retry-After") == "" {
@@ -82,8 +82,8 @@
 	}
 }
 
-// Idle clients that keep their side of a closed connection open do not hold up the end of the process. Guards against a process
-// that a crowd keeps running until it is killed.
+// Idle clients that keep their side of a closed connection open do not delay the end of the process. Guards against a process that
+// many such clients keep running until it is killed.
 func TestIdleClientsDoNotDelayTheEnd(t *testing.T) {
 	const maxDelay = time.Second
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
@@ -103,7 +103,7 @@
 	}
 }
 
-// lateListener hands on what it accepted only some time after the listener was closed.
+// lateListener returns an accepted connection from Accept only some time after the listener was closed.
 type lateListener struct {
 	net.Listener
 	closeOnce sync.Once
@@ -124,8 +124,8 @@
 	return conn, err
 }
 
-// A request on a connection that was accepted just before the end of accepting gets a response, by then a rejection. Guards against a process that ends between the accept
-// and the connection's registration.
+// A request on a connection that was accepted just before the end of accepting gets a response, which by then is a rejection. Guards
+// against a process that ends between the accept and the registration of the connection.
 func TestShutdownAwaitsTheLastAccept(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
 	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
@@ -143,7 +143,7 @@
 	}
 	defer conn.Close()
 	w.request("read", "", time.Minute).Write(conn)
-	time.Sleep(20 * time.Millisecond) // in which the connection is accepted
+	time.Sleep(20 * time.Millisecond) // time for the connection to be accepted
 	stop()
 	conn.SetDeadline(time.Now().Add(testTimeout))
 	if got, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || got.StatusCode != http.StatusServiceUnavailable ||
--- a/internal/sidecar/test_sidecar_test.go
+++ b/internal/sidecar/test_sidecar_test.go
@@ -19,29 +19,30 @@
 	"bramblestand/internal/endpointtest"
 )
 
-// testTimeout is how long a test waits for what must come.
+// testTimeout is how long a test waits for an event that must happen.
 const testTimeout = endpointtest.Timeout
 
 // testSidecar is a running sidecar with the discovery service that it calls.
 type testSidecar struct {
 	t        *testing.T
-	url      string // of the application's address
+	url      string // of the address for clients
 	loop     *eventLoop
 	server   *server
 	recorder *eventRecorder
 	registry *fakeRegistry
 	stop     context.CancelFunc // does what SIGTERM does
-	ended    chan error         // receives what the server returns
+	ended    chan error         // receives the result of server.serve
 
-	adminAddress   string // once operate has opened it
-	handoverFolder string // once operate has made it
+	adminAddress   string // set by operate
+	handoverFolder string // set by operate
 
-	// Set before launch.
+	// A test may set these before launch.
 	log           slog.Handler     // nil discards the log
-	configureLoop func(*eventLoop) // called before the loop runs, unless nil
+	configureLoop func(*eventLoop) // if not nil, called before the loop runs
 }
 
-// newTestConfig returns a configuration whose known list has the given endpoints. alter changes the settings, unless it is nil.
+// newTestConfig returns a configuration whose list of known endpoints has the given ones. If alter is not nil, it changes the
+// settings.
 func newTestConfig(t *testing.T, discoveryAddress string, alter func(settings map[string]any), known ...discovery.Endpoint) *config.Config {
 	t.Helper()
 	var settings map[string]any
@@ -65,7 +66,7 @@
 	return cfg
 }
 
-// startSidecar runs a sidecar that knows these endpoints until the test ends, and waits until it is ready.
+// startSidecar runs a sidecar with the given endpoints until the test ends, and waits until it is ready.
 func startSidecar(t *testing.T, alter func(settings map[string]any), known ...discovery.Endpoint) *testSidecar {
 	t.Helper()
 	s := &testSidecar{t: t, registry: newFakeRegistry(t, known...)}
@@ -119,7 +120,7 @@
 	s.t.Cleanup(func() {
 		stop()
 		s.server.http.Close()
-		// Not by serve's end alone: until then the loop polls discovery, whose port may by then be another test's.
+		// Waiting for serve alone is not enough: the loop would go on polling discovery, whose port another test may use by then.
 		stopLoop()
 		select {
 		case <-loopEnded:
@@ -135,7 +136,7 @@
 	await(s.t, what, condition)
 }
 
-// expectCleanEnd checks that the sidecar ends, and without an error.
+// expectCleanEnd checks that the sidecar ends in time and without an error.
 func (s *testSidecar) expectCleanEnd() {
 	s.t.Helper()
 	select {
@@ -148,13 +149,13 @@
 	}
 }
 
-// await fails the test if the condition does not hold in time.
+// await waits until the condition holds, and fails the test if it does not hold in time.
 func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	endpointtest.WaitFor(t, what, condition)
 }
 
-// onLoop runs f on the loop's goroutine and waits for it.
+// onLoop runs f on the event loop's goroutine and waits until it returns.
 func (s *testSidecar) onLoop(f func()) {
 	s.t.Helper()
 	done := make(chan struct{})
@@ -165,7 +166,7 @@
 	<-done
 }
 
-// request returns a client's request of a class.
+// request returns a client's request of the given class, with the headers that the class requires.
 func (s *testSidecar) request(class, body string, timeLeft time.Duration) *http.Request {
 	s.t.Helper()
 	method := http.MethodPost
@@ -185,7 +186,7 @@
 	return r
 }
 
-// dial opens a connection to the application's address, which the test's end closes.
+// dial opens a connection to the address for clients. It is closed when the test ends.
 func (s *testSidecar) dial() net.Conn {
 	s.t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(s.url, "http://"))
@@ -196,7 +197,7 @@
 	return conn
 }
 
-// awaitEndOfAccepting waits until the application's address refuses connections.
+// awaitEndOfAccepting waits until the address for clients refuses connections.
 func (s *testSidecar) awaitEndOfAccepting() {
 	s.t.Helper()
 	s.await("the end of accepting", func() bool {
@@ -208,7 +209,7 @@
 	})
 }
 
-// clientResponse is the response as the client sees it, or the error in its place.
+// clientResponse is the response that a client received, or the error that it got instead.
 type clientResponse struct {
 	statusCode int
 	header     http.Header
@@ -216,12 +217,12 @@
 	err        error
 }
 
-// String returns the response for a test's message, with the text of the error rather than its address.
+// String returns the response for a test's message. Without it, %+v would print the address of the error instead of its text.
 func (r clientResponse) String() string {
 	return fmt.Sprintf("{status code %d, header %v, body %q, error %v}", r.statusCode, r.header, r.body, r.err)
 }
 
-// send sends a request on a connection of its own.
+// send sends a request on a new connection and returns the response.
 func (s *testSidecar) send(request *http.Request) clientResponse {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout}
 	response, err := client.Do(request)
--- a/internal/sidecar/transfer_rate_test.go
+++ b/internal/sidecar/transfer_rate_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// The next wait for a client grows with the bytes that it has transferred, up to maxClientStall, and shrinks with the time spent.
 func TestTransferRateBoundsTheWaitForAClient(t *testing.T) {
 	for _, c := range []struct {
 		p    transferRate
