--- a/internal/sidecar/client_conn_eviction.go
+++ b/internal/sidecar/client_conn_eviction.go
@@ -101,7 +101,7 @@
 
 const (
 	evictionImpossible evictionResult = iota // no connection may be evicted
-	evictionPending                          // no connection may be evicted yet, but one is likely to become evictable soon: see evictionCandidate
+	evictionPending                          // no connection may be evicted yet, but one is likely to become evictable soon
 	evictionDone                             // one connection was evicted
 )
 
@@ -156,7 +156,7 @@
 // evictionCandidate is a connection that is old enough to be evicted. Its evict method has still to check whether it may be.
 type evictionCandidate struct {
 	conn               *clientConn // nil if no connection of the class is old enough
-	mayBeEvictableSoon bool        // the class's first connection, if not evictable now, is likely to reach the minimum age or be acknowledged soon
+	mayBeEvictableSoon bool        // the first one, if not evictable now, is likely to reach the minimum age or be acknowledged soon
 }
 
 // evictionCandidate returns the first connection of a class, if it is old enough, and moves it to the back of the queue, so that
--- a/internal/sidecar/client_conn_eviction_test.go
+++ b/internal/sidecar/client_conn_eviction_test.go
@@ -19,34 +19,34 @@
 // registeredConn is the only connection in a registry with a limit of one connection.
 type registeredConn struct {
 	*clientConn
-	t       *testing.T
-	clients *clientConns
-	near    net.Conn // the client's end of the connection
+	t         *testing.T
+	clients   *clientConns
+	clientEnd net.Conn // the client's end of the connection
 }
 
 func newRegisteredConn(t *testing.T) *registeredConn {
 	t.Helper()
-	near, far := socketPair(t)
+	clientEnd, serverEnd := socketPair(t)
 	clients := newClientConns(1)
 	clients.minIdle = 0
-	conn, err := newClientConn(far, clients)
+	conn, err := newClientConn(serverEnd, clients)
 	if err != nil {
 		t.Fatal(err)
 	}
 	clients.connState(conn, http.StateNew)
-	return &registeredConn{conn, t, clients, near}
+	return &registeredConn{conn, t, clients, clientEnd}
 }
 
 // send writes as the client, and waits until input has arrived at the server's end, where it stays unread.
 func (c *registeredConn) send(text string) {
-	io.WriteString(c.near, text)
+	io.WriteString(c.clientEnd, text)
 	await(c.t, "the bytes to arrive", func() bool { return !socket.IsQuiet(c.Conn) })
 }
 
 // receive writes as the client, and reads the same bytes as the server.
 func (c *registeredConn) receive(text string) {
 	c.t.Helper()
-	io.WriteString(c.near, text)
+	io.WriteString(c.clientEnd, text)
 	if _, err := io.ReadFull(c.clientConn, make([]byte, len(text))); err != nil {
 		c.t.Fatal(err)
 	}
@@ -152,13 +152,13 @@
 	written := conn.fillOutput()
 	conn.Close()
 	conn.clients.connState(conn.clientConn, http.StateClosed)
-	io.WriteString(conn.near, "more, which a close over would reset")
+	io.WriteString(conn.clientEnd, "more, which a close over would reset")
 	if conn.isEvicted() {
 		t.Errorf("evicted with a response of %d bytes on its way", written)
 	}
 	received := make(chan int64)
 	go func() {
-		n, _ := io.Copy(io.Discard, conn.near)
+		n, _ := io.Copy(io.Discard, conn.clientEnd)
 		received <- n
 	}()
 	await(t, "the connection's eviction or end", func() bool { conn.clients.evictOne(); return conn.clients.count() == 0 })
@@ -281,18 +281,18 @@
 			defer listener.Close()
 			clients := newClientConns(registered)
 			clients.minUnproven = 0
-			var ends []net.Conn
+			var clientEnds []net.Conn
 			accept := func() *clientConn {
-				near, err := net.Dial("tcp", listener.Addr().String())
+				clientEnd, err := net.Dial("tcp", listener.Addr().String())
 				if err != nil {
 					b.Fatal(err)
 				}
-				ends = append(ends, near)
-				far, err := listener.Accept()
+				clientEnds = append(clientEnds, clientEnd)
+				serverEnd, err := listener.Accept()
 				if err != nil {
 					b.Fatal(err)
 				}
-				conn, err := newClientConn(far, clients)
+				conn, err := newClientConn(serverEnd, clients)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -308,12 +308,12 @@
 				b.StartTimer()
 				clients.connState(conn, http.StateNew)
 				b.StopTimer()
-				ends[0].Close() // the first one was evicted
-				ends = ends[1:]
+				clientEnds[0].Close() // the first one was evicted
+				clientEnds = clientEnds[1:]
 				b.StartTimer()
 			}
 			b.StopTimer()
-			for _, end := range ends {
+			for _, end := range clientEnds {
 				end.Close()
 			}
 		})
@@ -329,18 +329,18 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	near, err := net.Dial("tcp", listener.Addr().String())
+	clientEnd, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer near.Close()
+	defer clientEnd.Close()
 	time.Sleep(2 * minUnprovenAge)
-	far, err := listener.Accept()
+	serverEnd, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	clients := newClientConns(1)
-	conn, err := newClientConn(far, clients)
+	conn, err := newClientConn(serverEnd, clients)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -356,14 +356,14 @@
 	clients := newClientConns(2)
 	var conns []*clientConn
 	for range 2 {
-		near, far := socketPair(t)
-		conn, err := newClientConn(far, clients)
+		clientEnd, serverEnd := socketPair(t)
+		conn, err := newClientConn(serverEnd, clients)
 		if err != nil {
 			t.Fatal(err)
 		}
 		clients.connState(conn, http.StateNew)
 		if len(conns) == 0 {
-			io.WriteString(near, "GET")
+			io.WriteString(clientEnd, "GET")
 			if _, err := io.ReadFull(conn, make([]byte, 3)); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/sidecar/client_conn_idle_test.go
+++ b/internal/sidecar/client_conn_idle_test.go
@@ -12,7 +12,7 @@
 // A request may arrive on an idle connection after it was selected for closing or eviction and before it is closed. Guards against
 // closing the connection while a handler serves that request, whose client would get no response.
 func TestIdleCloseSparesARequestInFlight(t *testing.T) {
-	for name, closeFound := range map[string]func(*clientConn){
+	for name, closeSelected := range map[string]func(*clientConn){
 		"idle check": func(conn *clientConn) { conn.closeIdle() },
 		"eviction":   func(conn *clientConn) { conn.evict() },
 	} {
@@ -21,14 +21,14 @@
 			e := endpointtest.NewServer(t, endpointtest.HoldPath("/pay", release))
 			w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 			w.await("no connection", func() bool { return w.server.clients.count() == 0 })
-			k := w.connect()
-			k.roundTrip()
-			found := w.atRest()
-			w.request("pay", "x", time.Minute).Write(k.conn)
+			client := w.connect()
+			client.roundTrip()
+			selected := w.awaitIdleConn()
+			w.request("pay", "x", time.Minute).Write(client.conn)
 			w.await("the request at the endpoint", func() bool { n, _ := e.Counts(); return n == 2 })
-			closeFound(found)
+			closeSelected(selected)
 			close(release)
-			response, err := http.ReadResponse(k.in, nil)
+			response, err := http.ReadResponse(client.in, nil)
 			if err != nil || response.StatusCode != http.StatusOK {
 				t.Errorf("the request in flight: %v, %v; want 200", response, err)
 			}
--- a/internal/sidecar/client_conn_test.go
+++ b/internal/sidecar/client_conn_test.go
@@ -16,8 +16,8 @@
 	"bramblestand/internal/upstream"
 )
 
-// only waits until there is exactly one connection, and returns the sidecar's end of it.
-func (s *testSidecar) only() *clientConn {
+// awaitOnlyConn waits until there is exactly one connection, and returns the sidecar's end of it.
+func (s *testSidecar) awaitOnlyConn() *clientConn {
 	s.t.Helper()
 	var found *clientConn
 	s.await("one connection", func() bool {
@@ -31,10 +31,10 @@
 	return found
 }
 
-// atRest waits until the only connection is idle, and returns it.
-func (s *testSidecar) atRest() *clientConn {
+// awaitIdleConn waits until the only connection is idle, and returns it.
+func (s *testSidecar) awaitIdleConn() *clientConn {
 	s.t.Helper()
-	conn := s.only()
+	conn := s.awaitOnlyConn()
 	s.await("the connection to be idle", func() bool { return s.server.clients.counts().idle == 1 })
 	return conn
 }
@@ -57,11 +57,11 @@
 			t.Parallel()
 			w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 			w.await("no connection", func() bool { return w.server.clients.count() == 0 })
-			k := w.connect()
-			io.WriteString(k.conn, c.sent+strings.Repeat("z", 64<<10))
-			w.only()
+			client := w.connect()
+			io.WriteString(client.conn, c.sent+strings.Repeat("z", 64<<10))
+			w.awaitOnlyConn()
 			w.await("the connection's end", func() bool { return w.server.clients.count() == 0 })
-			got, err := io.ReadAll(k.in)
+			got, err := io.ReadAll(client.in)
 			if err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 "+c.code) {
 				t.Errorf("read %.40q, %v; want a response %s and a clean end", got, err, c.code)
 			}
@@ -75,25 +75,25 @@
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
 	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	w.await("no connection", func() bool { return w.server.clients.count() == 0 })
-	k := w.connect()
-	k.roundTrip()
-	conn := w.atRest()
+	client := w.connect()
+	client.roundTrip()
+	conn := w.awaitIdleConn()
 	conn.closeIf(func() bool {
 		if conn.hasRequestInProgressLocked() || !socket.IsQuiet(conn.Conn) {
 			t.Error("the connection is not idle")
 		}
-		w.request("read", "", time.Minute).Write(k.conn)
+		w.request("read", "", time.Minute).Write(client.conn)
 		w.await("the request in the socket's buffer", func() bool { return !socket.IsQuiet(conn.Conn) })
 		return true
 	})
-	if got, err := io.ReadAll(k.in); err != nil || len(got) > 0 {
+	if got, err := io.ReadAll(client.in); err != nil || len(got) > 0 {
 		t.Errorf("the client read %q, %v; want the end", got, err)
 	}
-	w.request("read", "", time.Minute).Write(k.conn)
+	w.request("read", "", time.Minute).Write(client.conn)
 	if n, err := conn.Read(make([]byte, 1)); n > 0 || err != io.EOF {
 		t.Errorf("after the close %d bytes are read (%v)", n, err)
 	}
-	k.conn.Close()
+	client.conn.Close()
 	w.await("the connection's end", func() bool { return w.server.clients.count() == 0 })
 	w.onLoop(func() {
 		if w.loop.lastRequestID != 1 {
@@ -110,19 +110,19 @@
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
 	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	w.await("no connection", func() bool { return w.server.clients.count() == 0 })
-	k := w.connect()
+	client := w.connect()
 	for n := range 4 {
-		k.roundTrip()
-		conn := w.atRest()
+		client.roundTrip()
+		conn := w.awaitIdleConn()
 		var head bytes.Buffer
 		w.request("read", "", time.Minute).Write(&head)
 		first := head.Next(n + 1)
-		k.conn.Write(first)
+		client.conn.Write(first)
 		conn.closeIdle() // whether they were read by now or not
 		w.await("the first bytes to be read", conn.hasRequestInProgress)
 		conn.closeIdle()
-		k.conn.Write(head.Bytes())
-		if got, err := http.ReadResponse(k.in, nil); err != nil || got.StatusCode != 200 {
+		client.conn.Write(head.Bytes())
+		if got, err := http.ReadResponse(client.in, nil); err != nil || got.StatusCode != 200 {
 			t.Fatalf("a request of which %d bytes had come: %v, %v", n+1, got, err)
 		} else {
 			io.Copy(io.Discard, got.Body)
@@ -136,17 +136,17 @@
 	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	w.await("no connection", func() bool { return w.server.clients.count() == 0 })
 	w.server.acceptDuration = 0
-	k := w.connect()
-	k.roundTrip()
-	w.atRest()
+	client := w.connect()
+	client.roundTrip()
+	w.awaitIdleConn()
 	w.stop()
-	if got, err := io.ReadAll(k.in); err != nil || len(got) > 0 {
+	if got, err := io.ReadAll(client.in); err != nil || len(got) > 0 {
 		t.Fatalf("the client read %q, %v; want the end", got, err)
 	}
 	for range 3 { // a client that goes on sending
-		w.request("read", "", time.Minute).Write(k.conn)
+		w.request("read", "", time.Minute).Write(client.conn)
 	}
-	k.conn.Close()
+	client.conn.Close()
 	w.expectCleanEnd()
 	if n, _ := e.Counts(); n != 1 {
 		t.Errorf("%d requests reached the endpoint, want 1", n)
@@ -158,8 +158,8 @@
 func TestCloseDuringARead(t *testing.T) {
 	clients := newClientConns(1)
 	for i := range 300 {
-		near, far := socketPair(t)
-		conn, err := newClientConn(far, clients)
+		clientEnd, serverEnd := socketPair(t)
+		conn, err := newClientConn(serverEnd, clients)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -181,9 +181,9 @@
 			}
 			close(closed)
 		}()
-		near.Write([]byte("zz"))
-		near.(*net.TCPConn).SetLinger(i % 3 * -1) // 0, for every third connection, resets it on close
-		near.Close()
+		clientEnd.Write([]byte("zz"))
+		clientEnd.(*net.TCPConn).SetLinger(i % 3 * -1) // 0, for every third connection, resets it on close
+		clientEnd.Close()
 		for what, done := range map[string]chan struct{}{"read": read, "close": closed} {
 			select {
 			case <-done:
@@ -200,8 +200,8 @@
 	clients := newClientConns(3)
 	var conns []*clientConn
 	for i := range 3 {
-		_, far := socketPair(t)
-		conn, err := newClientConn(far, clients)
+		_, serverEnd := socketPair(t)
+		conn, err := newClientConn(serverEnd, clients)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -232,22 +232,22 @@
 	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	var ended [3]chan error
 	for i, sends := range []string{"no request\r\n\r\n", "POST /pay HTTP/1.1\r\nHost: x\r\nContent-Length: 60000000\r\n\r\n", ""} {
-		k, done := w.connect(), make(chan error, 1)
+		client, done := w.connect(), make(chan error, 1)
 		ended[i] = done
 		if sends == "" {
-			k.roundTrip()
-			io.WriteString(k.conn, "GE")
+			client.roundTrip()
+			io.WriteString(client.conn, "GE")
 			go func() {
-				_, err := io.ReadAll(k.in)
+				_, err := io.ReadAll(client.in)
 				done <- err
 			}()
 			continue
 		}
-		io.WriteString(k.conn, sends)
+		io.WriteString(client.conn, sends)
 		go func() {
 			junk, sent := bytes.Repeat([]byte("z"), 64<<10), 0
 			for {
-				n, err := k.conn.Write(junk)
+				n, err := client.conn.Write(junk)
 				if sent += n; err != nil {
 					done <- nil // the sidecar disconnected the client
 					return
--- a/internal/sidecar/disconnect_burst_test.go
+++ b/internal/sidecar/disconnect_burst_test.go
@@ -39,37 +39,37 @@
 	return result
 }
 
-// plainConns holds connections without a sidecar, whose far ends only wait for the disconnect. They measure how late the machine
+// baselineConns holds connections without a sidecar, whose server ends only wait for the disconnect. They measure how late the machine
 // itself notices the same number of disconnects.
-type plainConns struct {
-	near    []net.Conn
-	endSeen []chan time.Time // each receives the time at which the far end noticed the disconnect
+type baselineConns struct {
+	clientEnds []net.Conn
+	endNoticed []chan time.Time // each receives the time at which the server end noticed the disconnect
 }
 
-func newPlainConns(t *testing.T, n int) *plainConns {
+func newBaselineConns(t *testing.T, n int) *baselineConns {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	p := &plainConns{}
+	p := &baselineConns{}
 	for range n {
-		near, err := net.Dial("tcp", l.Addr().String())
+		clientEnd, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		far, err := l.Accept()
+		serverEnd, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		seen := make(chan time.Time, 1)
 		go func() {
-			defer far.Close()
-			far.Read(make([]byte, 1))
+			defer serverEnd.Close()
+			serverEnd.Read(make([]byte, 1))
 			seen <- time.Now()
 		}()
-		p.near, p.endSeen = append(p.near, near), append(p.endSeen, seen)
+		p.clientEnds, p.endNoticed = append(p.clientEnds, clientEnd), append(p.endNoticed, seen)
 	}
 	return p
 }
@@ -148,7 +148,7 @@
 			}
 		}
 	})
-	endpoints := listOf(clients, server.Address)
+	endpoints := repeatEndpoint(clients, server.Address)
 	b.testSidecar = &testSidecar{t: t, registry: newFakeRegistry(t, endpoints...), log: b.noticed}
 	cfg := newTestConfig(t, b.registry.address, func(settings map[string]any) {
 		settings["limits"].(map[string]any)["cancel"] = cancel
@@ -188,7 +188,7 @@
 // each, and the maximum delay of the machine itself.
 func (b *disconnectBurst) disconnect(reset bool) (disconnectedAt []time.Time, machineDelay time.Duration) {
 	b.t.Helper()
-	plain := newPlainConns(b.t, burstDisconnecting)
+	baseline := newBaselineConns(b.t, burstDisconnecting)
 	stop := make(chan struct{})
 	timerDelay := measureTimerDelay(stop)
 	for i, conn := range b.conns[:burstDisconnecting] {
@@ -198,12 +198,12 @@
 		} else if err := conn.(*net.TCPConn).CloseWrite(); err != nil { // sends a FIN as Close does, and keeps the socket for retransmissions
 			b.t.Fatal(err)
 		}
-		plain.near[i].Close()
+		baseline.clientEnds[i].Close()
 	}
 	b.await("all disconnects to be noticed", func() bool { return b.noticed.count() >= burstDisconnecting })
 	close(stop)
 	machineDelay = <-timerDelay
-	for i, endSeen := range plain.endSeen {
+	for i, endSeen := range baseline.endNoticed {
 		machineDelay = max(machineDelay, (<-endSeen).Sub(disconnectedAt[i]))
 	}
 	return disconnectedAt, machineDelay
--- a/internal/sidecar/disconnect_test.go
+++ b/internal/sidecar/disconnect_test.go
@@ -172,8 +172,8 @@
 	return server.Address, forwarded
 }
 
-// listOf returns a list of count endpoints at one address. With one for each request, no endpoint is too busy for a request.
-func listOf(count int, address string) []discovery.Endpoint {
+// repeatEndpoint returns a list of count endpoints at one address. With one for each request, no endpoint is too busy for a request.
+func repeatEndpoint(count int, address string) []discovery.Endpoint {
 	var endpoints []discovery.Endpoint
 	for i := range count {
 		endpoints = append(endpoints, readyEndpoint(fmt.Sprint("s-", i), address))
@@ -256,7 +256,7 @@
 func expectNothingForwarded(t *testing.T, name string, wait waitKind, unread unreadInput, reset bool) {
 	const clients = 20
 	address, forwarded := newForwardCounter(t, name)
-	endpoints := listOf(clients, address)
+	endpoints := repeatEndpoint(clients, address)
 	noticed := newDisconnectLog()
 	w := &testSidecar{t: t, registry: newFakeRegistry(t, endpoints...), log: noticed}
 	w.launch(newTestConfig(t, w.registry.address, func(settings map[string]any) {
@@ -324,9 +324,9 @@
 	r.Header.Set(requestIDHeader, id)
 	switch unread {
 	case partialBody:
-		r.ContentLength, r.Body = long, io.NopCloser(&pattern{end: upstream.MaxBufferedBody + 4<<10})
+		r.ContentLength, r.Body = longBodyLength, io.NopCloser(&patternReader{end: upstream.MaxBufferedBody + 4<<10})
 	case partialChunks:
-		r.ContentLength, r.Body = -1, io.NopCloser(&pattern{end: upstream.MaxBufferedBody + 4<<10})
+		r.ContentLength, r.Body = -1, io.NopCloser(&patternReader{end: upstream.MaxBufferedBody + 4<<10})
 	}
 	var text bytes.Buffer
 	r.Write(&text) // fails because the body is shorter than ContentLength, after all of it was written
--- a/internal/sidecar/disconnect_unread_test.go
+++ b/internal/sidecar/disconnect_unread_test.go
@@ -17,7 +17,7 @@
 			t.Parallel()
 			prefix := fmt.Sprint("unread-", reset, "-")
 			address, forwarded := newForwardCounter(t, prefix)
-			endpoints := listOf(clients, address)
+			endpoints := repeatEndpoint(clients, address)
 			w := &testSidecar{t: t, registry: newFakeRegistry(t, endpoints...)}
 			w.launch(newTestConfig(t, w.registry.address, func(map[string]any) {}, endpoints...))
 			w.await("the list", func() bool { return w.loop.hasEndpoints.Load() })
--- a/internal/sidecar/request_body_test.go
+++ b/internal/sidecar/request_body_test.go
@@ -28,7 +28,7 @@
 			if err != nil {
 				return
 			}
-			sums <- sum(t, &slowly{Reader: r.Body})
+			sums <- digest(t, &slowReader{Reader: r.Body})
 			io.WriteString(conn, endpointtest.OKResponse)
 		}
 	})
@@ -37,25 +37,25 @@
 		length int64
 		alter  func(r *http.Request)
 	}{
-		"with a length":   {long, func(r *http.Request) { r.ContentLength = long }},
-		"in chunks":       {long, func(r *http.Request) { r.ContentLength = -1 }},
+		"with a length":   {longBodyLength, func(r *http.Request) { r.ContentLength = longBodyLength }},
+		"in chunks":       {longBodyLength, func(r *http.Request) { r.ContentLength = -1 }},
 		"just kept whole": {upstream.MaxBufferedBody, func(r *http.Request) { r.ContentLength = -1 }},
 		"a byte beyond":   {upstream.MaxBufferedBody + 1, func(r *http.Request) { r.ContentLength = -1 }},
-		"with a trailer": {long, func(r *http.Request) {
+		"with a trailer": {longBodyLength, func(r *http.Request) {
 			r.ContentLength, r.Trailer = -1, http.Header{"X-Sum": {"1"}}
 		}},
-		"when told to go on": {long, func(r *http.Request) {
-			r.ContentLength = long
+		"when told to go on": {longBodyLength, func(r *http.Request) {
+			r.ContentLength = longBodyLength
 			r.Header.Set("Expect", "100-continue")
 		}},
 	} {
 		r := w.request("pay", "", time.Minute)
-		r.Body = io.NopCloser(&pattern{end: c.length})
+		r.Body = io.NopCloser(&patternReader{end: c.length})
 		c.alter(r)
 		if got := w.send(r); got.statusCode != http.StatusOK || got.body != "done" {
 			t.Errorf("%s: %+v", name, got)
 		}
-		if got, want := <-sums, sum(t, &pattern{end: c.length}); got != want {
+		if got, want := <-sums, digest(t, &patternReader{end: c.length}); got != want {
 			t.Errorf("%s: the endpoint got %s, want %s", name, got, want)
 		}
 	}
@@ -71,8 +71,8 @@
 // as a failure of the endpoint.
 func TestClientDisconnectDuringABodyIsNoFailure(t *testing.T) {
 	t.Parallel()
-	whole := make(chan bool, 2)
-	e := endpointtest.NewServer(t, endpointtest.ReadOne(whole))
+	receivedWhole := make(chan bool, 2)
+	e := endpointtest.NewServer(t, endpointtest.ReadOne(receivedWhole))
 	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	for name, stops := range map[string]bool{"breaks off": false, "stops": true} {
 		conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
@@ -81,8 +81,8 @@
 		}
 		defer conn.Close()
 		fmt.Fprintf(conn, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\nX-Time-Left-Ms: 900\r\n"+
-			"Idempotency-Key: 1\r\nContent-Length: %d\r\n\r\n", long)
-		io.CopyN(conn, &pattern{end: long}, 2*upstream.MaxBufferedBody)
+			"Idempotency-Key: 1\r\nContent-Length: %d\r\n\r\n", longBodyLength)
+		io.CopyN(conn, &patternReader{end: longBodyLength}, 2*upstream.MaxBufferedBody)
 		if stops {
 			conn.SetReadDeadline(time.Now().Add(testTimeout))
 			if got, _ := io.ReadAll(conn); !bytes.HasPrefix(got, []byte("HTTP/1.1 408")) {
@@ -91,7 +91,7 @@
 		} else {
 			conn.Close()
 		}
-		if <-whole {
+		if <-receivedWhole {
 			t.Errorf("%s: the endpoint received a complete request", name)
 		}
 	}
@@ -117,16 +117,16 @@
 			if err != nil {
 				return
 			}
-			sums <- sum(t, r.Body)
+			sums <- digest(t, r.Body)
 			io.WriteString(conn, endpointtest.OKResponse)
 		}
 	})
 	dead := endpointtest.ClosedAddress(t)
 	w := startSidecar(t, nil, readyEndpoint("s-1", dead), readyEndpoint("s-2", good.Address))
-	want := sum(t, &pattern{end: long})
+	want := digest(t, &patternReader{end: longBodyLength})
 	for range 6 {
 		r := w.request("pay", "", time.Minute)
-		r.Body, r.ContentLength = io.NopCloser(&pattern{end: long}), long
+		r.Body, r.ContentLength = io.NopCloser(&patternReader{end: longBodyLength}), longBodyLength
 		if got := w.send(r); got.statusCode != http.StatusOK {
 			t.Fatalf("with an endpoint that refuses connections: %+v", got)
 		}
@@ -134,46 +134,46 @@
 			t.Errorf("the endpoint got %s, want %s", got, want)
 		}
 	}
-	var tries atomic.Int32
-	cuts := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
+	var attempts atomic.Int32
+	resetting := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
 		if r, err := http.ReadRequest(in); err == nil {
-			tries.Add(1)
+			attempts.Add(1)
 			io.CopyN(io.Discard, r.Body, 4*upstream.MaxBufferedBody)
 		}
 	})
-	w = startSidecar(t, nil, readyEndpoint("s-1", cuts.Address))
+	w = startSidecar(t, nil, readyEndpoint("s-1", resetting.Address))
 	r := w.request("pay", "", time.Minute)
-	r.Body, r.ContentLength = io.NopCloser(&pattern{end: long}), long
+	r.Body, r.ContentLength = io.NopCloser(&patternReader{end: longBodyLength}), longBodyLength
 	if got := w.send(r); got.err == nil && got.statusCode != http.StatusServiceUnavailable { // the client may also get an error because its connection ended
 		t.Errorf("reset during a body: %+v, want 503", got)
 	}
 	w.await("its outcome", func() bool { return len(w.recorder.statuses()) == 1 })
-	if got := w.recorder.statuses()[0]; got != balancer.ConnectFailed || tries.Load() != 1 {
-		t.Errorf("the attempt counts as %v, %d tries; want a failed connect and one", got, tries.Load())
+	if got := w.recorder.statuses()[0]; got != balancer.ConnectFailed || attempts.Load() != 1 {
+		t.Errorf("the attempt counts as %v, %d tries; want a failed connect and one", got, attempts.Load())
 	}
 }
 
 // A body that is too long is rejected because of its Content-Length, and a chunked one as soon as its excess is read.
 func TestTooLongBodyIsRejected(t *testing.T) {
-	whole := make(chan bool, 1)
-	e := endpointtest.NewServer(t, endpointtest.ReadOne(whole))
+	receivedWhole := make(chan bool, 1)
+	e := endpointtest.NewServer(t, endpointtest.ReadOne(receivedWhole))
 	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	for name, framing := range map[string]string{
 		"with a length": fmt.Sprintf("Content-Length: %d\r\n\r\n", maxRequestBody+1),
 		"in chunks":     fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", maxRequestBody+1),
 	} {
-		k := w.connect()
-		io.WriteString(k.conn, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\n"+
+		client := w.connect()
+		io.WriteString(client.conn, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\n"+
 			"X-Time-Left-Ms: 900\r\nIdempotency-Key: 1\r\n"+framing)
 		if name == "in chunks" {
-			go io.Copy(struct{ io.Writer }{k.conn}, &pattern{end: maxRequestBody + 1})
+			go io.Copy(struct{ io.Writer }{client.conn}, &patternReader{end: maxRequestBody + 1})
 		}
-		got, err := http.ReadResponse(k.in, nil)
+		got, err := http.ReadResponse(client.in, nil)
 		if err != nil || got.StatusCode != http.StatusRequestEntityTooLarge {
 			t.Errorf("%s: %v, %v; want 413", name, got, err)
 		}
 	}
-	if <-whole {
+	if <-receivedWhole {
 		t.Error("the endpoint received a complete request")
 	}
 }
@@ -182,25 +182,25 @@
 func TestRejectionDuringABody(t *testing.T) {
 	w := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.ClosedAddress(t)))
 	for name, framing := range map[string]string{
-		"with a length": fmt.Sprintf("Content-Length: %d\r\n\r\n", long),
+		"with a length": fmt.Sprintf("Content-Length: %d\r\n\r\n", longBodyLength),
 		"in chunks":     "Transfer-Encoding: chunked\r\n\r\n",
 	} {
-		k := w.connect()
-		io.WriteString(k.conn, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\n"+
+		client := w.connect()
+		io.WriteString(client.conn, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\n"+
 			"X-Time-Left-Ms: 9000\r\nIdempotency-Key: 1\r\n"+framing)
-		body := io.Writer(struct{ io.Writer }{k.conn})
+		body := io.Writer(struct{ io.Writer }{client.conn})
 		if name == "in chunks" {
-			body = httputil.NewChunkedWriter(k.conn)
+			body = httputil.NewChunkedWriter(client.conn)
 		}
-		io.CopyN(body, &pattern{end: long}, 2*upstream.MaxBufferedBody)
+		io.CopyN(body, &patternReader{end: longBodyLength}, 2*upstream.MaxBufferedBody)
 		w.await("the request to be ended", func() bool { var n int; w.onLoop(func() { n = len(w.loop.requests) }); return n == 0 })
-		if _, err := io.Copy(body, &pattern{at: 2 * upstream.MaxBufferedBody, end: long}); err != nil {
+		if _, err := io.Copy(body, &patternReader{at: 2 * upstream.MaxBufferedBody, end: longBodyLength}); err != nil {
 			t.Errorf("%s: writing the body: %v", name, err)
 		}
 		if name == "in chunks" {
-			io.WriteString(k.conn, "0\r\n\r\n")
+			io.WriteString(client.conn, "0\r\n\r\n")
 		}
-		if got, err := http.ReadResponse(k.in, nil); err != nil || got.StatusCode != http.StatusServiceUnavailable || !got.Close {
+		if got, err := http.ReadResponse(client.in, nil); err != nil || got.StatusCode != http.StatusServiceUnavailable || !got.Close {
 			t.Errorf("%s: %v, %v; want 503 and the end", name, got, err)
 		}
 	}
@@ -208,28 +208,28 @@
 
 // On SIGTERM during a request's body, short or long, the client is told to retry elsewhere, and no endpoint receives the request.
 func TestTerminationDuringABody(t *testing.T) {
-	for name, length := range map[string]int{"kept": upstream.MaxBufferedBody, "passed on": long} {
+	for name, length := range map[string]int{"kept": upstream.MaxBufferedBody, "passed on": longBodyLength} {
 		e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
 		w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 		w.server.acceptDuration = 0
-		k := w.connect()
-		fmt.Fprintf(k.conn, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\n"+
+		client := w.connect()
+		fmt.Fprintf(client.conn, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\n"+
 			"X-Time-Left-Ms: 9000\r\nIdempotency-Key: 1\r\nContent-Length: %d\r\n\r\n", length)
-		io.CopyN(k.conn, &pattern{end: long}, upstream.MaxBufferedBody/2)
+		io.CopyN(client.conn, &patternReader{end: longBodyLength}, upstream.MaxBufferedBody/2)
 		w.await("the body to be awaited", func() bool {
 			w.server.requests.bodies.mu.Lock()
 			defer w.server.requests.bodies.mu.Unlock()
 			return len(w.server.requests.bodies.incomplete) == 1
 		})
 		w.stop()
-		got, err := http.ReadResponse(k.in, nil)
+		got, err := http.ReadResponse(client.in, nil)
 		if err != nil || got.StatusCode != http.StatusServiceUnavailable || !got.Close || got.Header.Get("Retry-After") == "" {
 			t.Errorf("%s: %v, %v; want 503, Retry-After and the end", name, got, err)
 		}
 		if n, _ := e.Counts(); n != 0 {
 			t.Errorf("%s: the endpoint got the request", name)
 		}
-		k.conn.Close()
+		client.conn.Close()
 		select {
 		case <-w.ended:
 		case <-time.After(testTimeout):
@@ -241,10 +241,10 @@
 // A request for which there is not enough memory is rejected before any of it is forwarded. Such requests are served again once
 // memory is free.
 func TestBodyBeyondMemoryIsRejected(t *testing.T) {
-	goOn := make(chan struct{})
+	respond := make(chan struct{})
 	e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
 		for e.ReadRequest(in) != nil {
-			<-goOn
+			<-respond
 			io.WriteString(conn, endpointtest.OKResponse)
 		}
 	})
@@ -253,17 +253,17 @@
 	first := make(chan clientResponse)
 	go func() { first <- w.send(w.request("pay", strings.Repeat("x", upstream.MaxBufferedBody), time.Minute)) }()
 	w.await("the first to be in flight", func() bool { n, _ := e.Counts(); return n == 1 })
-	for _, length := range []int64{upstream.MaxBufferedBody, -1, long} {
+	for _, length := range []int64{upstream.MaxBufferedBody, -1, longBodyLength} {
 		r := w.request("pay", "", time.Minute)
-		r.Body, r.ContentLength = io.NopCloser(&pattern{end: upstream.MaxBufferedBody}), length
-		if length == long {
-			r.Body = io.NopCloser(&pattern{end: long})
+		r.Body, r.ContentLength = io.NopCloser(&patternReader{end: upstream.MaxBufferedBody}), length
+		if length == longBodyLength {
+			r.Body = io.NopCloser(&patternReader{end: longBodyLength})
 		}
 		if got := w.send(r); got.statusCode != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
 			t.Errorf("a body of %d without memory for it: %+v, want 503 and Retry-After", length, got)
 		}
 	}
-	close(goOn)
+	close(respond)
 	if got := <-first; got.statusCode != http.StatusOK {
 		t.Errorf("the first: %+v", got)
 	}
--- a/internal/sidecar/request_framing_test.go
+++ b/internal/sidecar/request_framing_test.go
@@ -48,15 +48,15 @@
 // A client may send its next request as soon as it has the response, before net/http reports the connection as idle. The part of
 // that request that was read must keep the connection open.
 func TestRequestMayStartBeforeTheLastIsDone(t *testing.T) {
-	near, far := socketPair(t)
+	clientEnd, serverEnd := socketPair(t)
 	clients := newClientConns(1)
-	conn, err := newClientConn(far, clients)
+	conn, err := newClientConn(serverEnd, clients)
 	if err != nil {
 		t.Fatal(err)
 	}
 	read := func(text string) {
 		t.Helper()
-		go io.WriteString(near, text)
+		go io.WriteString(clientEnd, text)
 		if _, err := io.ReadFull(conn, make([]byte, len(text))); err != nil {
 			t.Fatal(err)
 		}
@@ -79,20 +79,20 @@
 }
 
 // socketPair returns both ends of a TCP connection over loopback, which are closed when the test ends.
-func socketPair(t *testing.T) (near, far net.Conn) {
+func socketPair(t *testing.T) (clientEnd, serverEnd net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	if near, err = net.Dial("tcp", listener.Addr().String()); err != nil {
+	if clientEnd, err = net.Dial("tcp", listener.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { near.Close() })
-	if far, err = listener.Accept(); err != nil {
+	t.Cleanup(func() { clientEnd.Close() })
+	if serverEnd, err = listener.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { far.Close() })
-	return near, far
+	t.Cleanup(func() { serverEnd.Close() })
+	return clientEnd, serverEnd
 }
--- a/internal/sidecar/response_stream_test.go
+++ b/internal/sidecar/response_stream_test.go
@@ -31,19 +31,19 @@
 func TestLongResponsesUseLittleMemory(t *testing.T) {
 	// The responses are 384 MB together. A twelfth of that is allowed, because memory that is allocated during a collection counts
 	// as in use, and on a busy machine a collection takes long.
-	const many, each, allowed = 12, 4 * long, 32 << 20
+	const many, each, allowed = 12, 4 * longBodyLength, 32 << 20
 	var hosts []discovery.Endpoint
 	for i := range many {
 		e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
 			for e.ReadRequest(in) != nil {
 				fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", each)
-				io.CopyBuffer(struct{ io.Writer }{conn}, &pattern{end: each}, make([]byte, 16<<10))
+				io.CopyBuffer(struct{ io.Writer }{conn}, &patternReader{end: each}, make([]byte, 16<<10))
 			}
 		})
 		hosts = append(hosts, readyEndpoint(fmt.Sprint("s-", i), e.Address))
 	}
 	w := startSidecar(t, nil, hosts...)
-	want := sum(t, &pattern{end: each})
+	want := digest(t, &patternReader{end: each})
 	runtime.GC()
 	before := liveHeap()
 	results := make(chan string, many)
@@ -57,7 +57,7 @@
 				return
 			}
 			defer response.Body.Close()
-			results <- sum(t, &slowly{Reader: response.Body})
+			results <- digest(t, &slowReader{Reader: response.Body})
 		}()
 	}
 	var maxHeap uint64
@@ -84,7 +84,7 @@
 		"in chunks":     "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nTrailer: X-Sum\r\nTransfer-Encoding: chunked\r\n\r\n",
 		"until a close": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
 	} {
-		goOn := make(chan struct{})
+		sendRest := make(chan struct{})
 		e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
 			if e.ReadRequest(in) == nil {
 				return
@@ -94,12 +94,12 @@
 			if name == "in chunks" {
 				body, end = httputil.NewChunkedWriter(conn), "0\r\nX-Sum: 1\r\n\r\n"
 			}
-			data, _ := io.ReadAll(&pattern{end: size})
+			data, _ := io.ReadAll(&patternReader{end: size})
 			body.Write(data[:10])
 			if name == "in chunks" {
 				io.WriteString(conn, "00") // the start of the next chunk's size
 			}
-			<-goOn
+			<-sendRest
 			for _, b := range data[10:1000] {
 				body.Write([]byte{b})
 			}
@@ -115,8 +115,8 @@
 		if _, err := io.ReadFull(response.Body, first[:]); err != nil {
 			t.Errorf("%s: the first bytes: %v", name, err)
 		}
-		close(goOn)
-		if got, want := sum(t, io.MultiReader(bytes.NewReader(first[:]), response.Body)), sum(t, &pattern{end: size}); got != want {
+		close(sendRest)
+		if got, want := digest(t, io.MultiReader(bytes.NewReader(first[:]), response.Body)), digest(t, &patternReader{end: size}); got != want {
 			t.Errorf("%s: the client got %s, want %s", name, got, want)
 		}
 		response.Body.Close()
@@ -131,13 +131,13 @@
 // retried, and the attempt counts as a failure.
 func TestBrokenResponseIsAFailure(t *testing.T) {
 	for name, head := range map[string]string{
-		"with a length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", long),
-		"in chunks":     fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", long),
+		"with a length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", longBodyLength),
+		"in chunks":     fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", longBodyLength),
 	} {
 		e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
 			e.ReadRequest(in)
 			io.WriteString(conn, head)
-			io.CopyN(conn, &pattern{end: long}, 2*upstream.MaxBufferedBody)
+			io.CopyN(conn, &patternReader{end: longBodyLength}, 2*upstream.MaxBufferedBody)
 		})
 		w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 		response, err := http.DefaultClient.Do(w.request("read", "", time.Minute))
@@ -161,7 +161,7 @@
 	e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
 		e.ReadRequest(in)
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", int64(1)<<40)
-		io.Copy(struct{ io.Writer }{conn}, &pattern{end: 1 << 40})
+		io.Copy(struct{ io.Writer }{conn}, &patternReader{end: 1 << 40})
 		close(ended)
 	})
 	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
@@ -181,13 +181,13 @@
 
 // On SIGTERM during a long response, the response is still forwarded to its end, even long after the deadline of its class.
 func TestTerminationDuringALongResponse(t *testing.T) {
-	goOn := make(chan struct{})
+	sendRest := make(chan struct{})
 	e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
 		for e.ReadRequest(in) != nil {
-			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", long)
-			body := &pattern{end: long}
+			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", longBodyLength)
+			body := &patternReader{end: longBodyLength}
 			io.CopyN(conn, body, upstream.MaxBufferedBody)
-			<-goOn
+			<-sendRest
 			io.Copy(conn, body)
 		}
 	})
@@ -209,8 +209,8 @@
 		t.Fatalf("the sidecar ended during a response: %v", err)
 	case <-time.After(3 * giveUp):
 	}
-	close(goOn)
-	if got, want := sum(t, response.Body), sum(t, &pattern{end: long}); got != want {
+	close(sendRest)
+	if got, want := digest(t, response.Body), digest(t, &patternReader{end: longBodyLength}); got != want {
 		t.Errorf("the client got %s, want %s", got, want)
 	}
 	w.expectCleanEnd()
