--- a/internal/sidecar/client_conn_eviction_test.go
+++ b/internal/sidecar/client_conn_eviction_test.go
@@ -129,7 +129,7 @@
 	time.Sleep(minUnprovenAge)
 	conn.receive("4\r\nabcd\r\n")
 	if conn.mu.Lock(); !conn.mayHoldRequestLocked() {
-		t.Error("a body that was just read from counts as incomplete")
+		t.Error("a chunked body of which a part was just read counts as incomplete")
 	}
 	conn.mu.Unlock()
 	await(t, "the stalled body's connection to be evicted", func() bool { return conn.clients.evictOne() == evictionDone })
@@ -154,7 +154,7 @@
 	conn.clients.connState(conn.clientConn, http.StateClosed)
 	io.WriteString(conn.clientEnd, "more, which a close over would reset")
 	if conn.isEvicted() {
-		t.Errorf("evicted with a response of %d bytes on its way", written)
+		t.Errorf("evicted with a response of %d bytes in flight", written)
 	}
 	received := make(chan int64)
 	go func() {
--- a/internal/sidecar/disconnect_burst_test.go
+++ b/internal/sidecar/disconnect_burst_test.go
@@ -203,8 +203,8 @@
 	b.await("all disconnects to be noticed", func() bool { return b.noticed.count() >= burstDisconnecting })
 	close(stop)
 	machineDelay = <-timerDelay
-	for i, endSeen := range baseline.endNoticed {
-		machineDelay = max(machineDelay, (<-endSeen).Sub(disconnectedAt[i]))
+	for i, endNoticed := range baseline.endNoticed {
+		machineDelay = max(machineDelay, (<-endNoticed).Sub(disconnectedAt[i]))
 	}
 	return disconnectedAt, machineDelay
 }
--- a/internal/sidecar/disconnect_test.go
+++ b/internal/sidecar/disconnect_test.go
@@ -89,34 +89,34 @@
 	disconnected map[uint64]bool
 }
 
-func (h *deferringBalancer) RequestArrived(now balancer.Micros, in balancer.Request) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.deferred = append(h.deferred, in)
+func (d *deferringBalancer) RequestArrived(now balancer.Micros, in balancer.Request) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.deferred = append(d.deferred, in)
 }
 
-func (h *deferringBalancer) ClientDisconnected(now balancer.Micros, id uint64) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.disconnected[id] = true
+func (d *deferringBalancer) ClientDisconnected(now balancer.Micros, id uint64) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.disconnected[id] = true
 }
 
-func (h *deferringBalancer) deferredCount() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return len(h.deferred)
+func (d *deferringBalancer) deferredCount() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return len(d.deferred)
 }
 
 // release passes on the deferred requests. Like a balancer, it omits those whose clients are known to have disconnected.
-func (h *deferringBalancer) release(now balancer.Micros) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, in := range h.deferred {
-		if !h.disconnected[in.ID] {
-			h.loadBalancer.RequestArrived(now, in)
+func (d *deferringBalancer) release(now balancer.Micros) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, in := range d.deferred {
+		if !d.disconnected[in.ID] {
+			d.loadBalancer.RequestArrived(now, in)
 		}
 	}
-	h.deferred = nil
+	d.deferred = nil
 }
 
 // countAwaitingResponse counts the connections whose request waits for its response, whether a poll or a read of net/http watches
--- a/internal/sidecar/request_framing_test.go
+++ b/internal/sidecar/request_framing_test.go
@@ -63,7 +63,7 @@
 	}
 	read("GET /a HTTP/1.1\r\n\r\n")
 	if !conn.hasRequestInProgress() {
-		t.Error("a complete head that no handler took is not reported")
+		t.Error("a complete head that no handler has taken is not reported as in progress")
 	}
 	conn.takeRequest()
 	if conn.hasRequestInProgress() {
@@ -74,7 +74,7 @@
 	clients.connState(conn, http.StateIdle) // reported after the next request was begun
 	clients.closeIdle(0)
 	if clients.count() != 1 || conn.isClosing {
-		t.Error("the connection was closed amid a head")
+		t.Error("the connection was closed after part of a head was read")
 	}
 }
 
--- a/internal/sidecar/response_stream_test.go
+++ b/internal/sidecar/response_stream_test.go
@@ -31,23 +31,23 @@
 func TestLongResponsesUseLittleMemory(t *testing.T) {
 	// The responses are 384 MB together. A twelfth of that is allowed, because memory that is allocated during a collection counts
 	// as in use, and on a busy machine a collection takes long.
-	const many, each, allowed = 12, 4 * longBodyLength, 32 << 20
+	const count, length, maxGrowth = 12, 4 * longBodyLength, 32 << 20
 	var hosts []discovery.Endpoint
-	for i := range many {
+	for i := range count {
 		e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
 			for e.ReadRequest(in) != nil {
-				fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", each)
-				io.CopyBuffer(struct{ io.Writer }{conn}, &patternReader{end: each}, make([]byte, 16<<10))
+				fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", length)
+				io.CopyBuffer(struct{ io.Writer }{conn}, &patternReader{end: length}, make([]byte, 16<<10))
 			}
 		})
 		hosts = append(hosts, readyEndpoint(fmt.Sprint("s-", i), e.Address))
 	}
 	w := startSidecar(t, nil, hosts...)
-	want := digest(t, &patternReader{end: each})
+	want := digest(t, &patternReader{end: length})
 	runtime.GC()
 	before := liveHeap()
-	results := make(chan string, many)
-	for range many {
+	results := make(chan string, count)
+	for range count {
 		go func() {
 			r := w.request("read", "", time.Minute)
 			r.Close = true
@@ -61,7 +61,7 @@
 		}()
 	}
 	var maxHeap uint64
-	for got := 0; got < many; {
+	for got := 0; got < count; {
 		select {
 		case result := <-results:
 			got++
@@ -72,8 +72,8 @@
 			maxHeap = max(maxHeap, liveHeap())
 		}
 	}
-	if grown := int64(maxHeap) - int64(before); grown > allowed {
-		t.Errorf("%d MB of heap for %d responses of %d MB", grown>>20, many, each>>20)
+	if grown := int64(maxHeap) - int64(before); grown > maxGrowth {
+		t.Errorf("%d MB of heap for %d responses of %d MB", grown>>20, count, length>>20)
 	}
 }
 
@@ -191,10 +191,10 @@
 			io.Copy(conn, body)
 		}
 	})
-	const giveUp = 200 * time.Millisecond
+	const classDeadline = 200 * time.Millisecond
 	w := startSidecar(t, func(settings map[string]any) {
 		for _, c := range settings["classes"].([]any) {
-			c.(map[string]any)["give-up"], c.(map[string]any)["target"] = giveUp.Microseconds(), giveUp.Microseconds()
+			c.(map[string]any)["give-up"], c.(map[string]any)["target"] = classDeadline.Microseconds(), classDeadline.Microseconds()
 		}
 	}, readyEndpoint("s-1", e.Address))
 	w.server.acceptDuration = 0
@@ -207,7 +207,7 @@
 	select {
 	case err := <-w.ended:
 		t.Fatalf("the sidecar ended during a response: %v", err)
-	case <-time.After(3 * giveUp):
+	case <-time.After(3 * classDeadline):
 	}
 	close(sendRest)
 	if got, want := digest(t, response.Body), digest(t, &patternReader{end: longBodyLength}); got != want {
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -63,7 +63,7 @@
 // Run serves clients until ctx ends, then shuts down gracefully and returns. Of a configuration from reloads, only the address of
 // discovery takes effect; its other changes take effect at the next start.
 func Run(ctx context.Context, cfg *config.Config, reloads <-chan *config.Config, log *slog.Logger) error {
-	// The loop has a context of its own: requests in flight need it after ctx has ended.
+	// The loop has a context of its own, since requests in flight need the loop after ctx has ended.
 	loopCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	s, err := newProcess(loopCtx, cfg, log)
@@ -156,7 +156,7 @@
 	for {
 		select {
 		case <-confirmed:
-			confirmed = nil // a closed channel, which would be selected again and again
+			confirmed = nil // it is closed, so that the select would no longer wait
 		case <-timer.C:
 			timer.Reset(endpointListWait)
 		case <-ctx.Done():
--- a/internal/sidecar/transfer_rate_test.go
+++ b/internal/sidecar/transfer_rate_test.go
@@ -8,7 +8,7 @@
 // The next wait for a client grows with the bytes that it has transferred, up to maxClientStall, and shrinks with the time spent.
 func TestTransferRateBoundsTheWaitForAClient(t *testing.T) {
 	for _, c := range []struct {
-		p    transferRate
+		rate transferRate
 		want time.Duration
 	}{
 		{transferRate{}, transferGracePeriod},
@@ -17,8 +17,8 @@
 		{transferRate{bytes: 100 * minTransferRate}, maxClientStall},
 		{transferRate{bytes: 100 * minTransferRate, elapsed: 103 * time.Second}, transferGracePeriod - 3*time.Second},
 	} {
-		if got := c.p.remaining(); got != c.want {
-			t.Errorf("%+v has %v remaining, want %v", c.p, got, c.want)
+		if got := c.rate.remaining(); got != c.want {
+			t.Errorf("%+v has %v remaining, want %v", c.rate, got, c.want)
 		}
 	}
 }
