--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -1,33 +1,34 @@
 package balancer
 
-// Actions is what a balancer asks of its host. The methods are called within the methods of Balancer, in
-// the order in which they are to take effect, and must not call back.
+// Actions is the interface through which a balancer instructs its host. The balancer calls these methods
+// from within its own methods, in the order in which they take effect. They must not call the balancer.
 type Actions interface {
-	// StartAttempt sends a request to an endpoint. The attempts of a request count from 0. A timeout of 0
-	// means until the client's deadline.
+	// StartAttempt sends a request to an endpoint. The attempts of a request are numbered from 0. A timeout
+	// of 0 means that the attempt may last until the client's deadline.
 	StartAttempt(id uint64, endpoint uint32, timeout Micros)
-	// Reject answers a request, with the promise that a retry is harmless; retryAfter of 0 names no time.
-	// The reason is for logs.
+	// Reject answers a request with a rejection, which promises that a retry by the client is harmless.
+	// retryAfter is when the client may retry; 0 gives it no time. The reason is for logs.
 	Reject(id uint64, retryAfter Micros, reason RejectReason)
-	// Fail answers a request and promises nothing.
+	// Fail answers a request with a failure, which makes no promise about a retry.
 	Fail(id uint64)
 	// CancelAttempt stops waiting for an attempt. Its outcome is still reported.
 	CancelAttempt(id uint64, attempt int)
-	// SetTimer asks for Balancer.TimerFired with this token after a delay, which is positive.
+	// SetTimer schedules a call of Balancer.TimerFired with this token after a positive delay.
 	SetTimer(delay Micros, token uint32)
-	// SendLoadProbe asks an endpoint for a load report. Balancer.LoadProbeResult gets the answer.
+	// SendLoadProbe asks an endpoint for a load report. The host passes the answer to
+	// Balancer.LoadProbeResult.
 	SendLoadProbe(endpoint uint32)
-	// SendGossip sends a message to all other balancers of the tier; it may be lost. data is valid during
-	// the call only.
+	// SendGossip sends a message, which may be lost, to all other balancers of the tier. data is valid only
+	// during the call.
 	SendGossip(data []byte)
-	// WatchEndpoints subscribes to the endpoint list (on), or ends that. Balancer.UpdateEndpoints gets the
-	// answers.
+	// WatchEndpoints subscribes to the endpoint list if on is true, and ends the subscription otherwise. The
+	// host passes the answers to Balancer.UpdateEndpoints.
 	WatchEndpoints(on bool)
-	// Log records an event for the staff on call: a constant message and fields whose keys are stable.
+	// Log writes a log line for the operators: a constant message and fields with stable keys.
 	Log(message string, fields ...LogField)
 }
 
-// LogField is a value of a log line with its key.
+// LogField is a key and its value in a log line.
 type LogField struct {
 	Key   string
 	Value any
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -5,14 +5,14 @@
 // attempt is one attempt of a request at an endpoint.
 type attempt struct {
 	endpoint        *endpoint
-	zone            uint8 // of the endpoint at the start: an endpoint may move
+	zone            uint8 // of the endpoint when the attempt started: an endpoint may move
 	pod             uint16
 	startedAt       Micros
-	expectedLatency float64 // predicted at the start, without the latency trend, in microseconds
+	expectedLatency float64 // predicted at the start without the zone's slowdown, in microseconds
 	contendedWork   float64 // work times the contention estimated at the start
 	outstanding     bool    // no outcome yet
-	inFlight        bool    // counted as in flight at the endpoint: the request has been sent
-	mayHaveRun      bool    // the endpoint may have executed it, or may yet
+	inFlight        bool    // counted as in flight at the endpoint, as the request is fully sent
+	mayHaveRun      bool    // the endpoint may have executed it or may still do so
 }
 
 // lastAttempt returns the latest attempt of a request, or nil.
@@ -23,14 +23,14 @@
 	return &r.attempts[len(r.attempts)-1]
 }
 
-// hasTried reports whether the request was attempted at e.
+// hasTried reports whether the request has had an attempt at e.
 func (r *request) hasTried(e *endpoint) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.endpoint == e })
 }
 
-// pickAndStart picks an endpoint and starts an attempt there, unless nothing is available, the request
-// would be too late or the breakers drop it. It returns why no attempt was started, or notRejected; isFirst
-// means that the request has none yet.
+// pickAndStart picks an endpoint and starts an attempt there, unless no endpoint is available, the predicted
+// latency is over budget or the breakers drop the request. It returns the reason why no attempt was started,
+// or notRejected. isFirst means that the request has had no attempt yet.
 func (b *Balancer) pickAndStart(now Micros, r *request, isFirst bool) RejectReason {
 	r.priority = b.requestPriority(now, r)
 	if e := b.findReinstated(now, r); e != nil && b.breakerAllows(now, r, e) {
@@ -52,8 +52,8 @@
 	return b.startAttempt(now, r, e)
 }
 
-// pickOrRepeat picks an endpoint, or that of the last attempt if no other may be tried: a broken
-// connection is no sign of a broken endpoint.
+// pickOrRepeat picks an endpoint that the request has not tried. If there is none, it returns the endpoint
+// of the last attempt, because a broken connection does not mean that the endpoint is broken.
 func (b *Balancer) pickOrRepeat(now Micros, r *request) *endpoint {
 	if e := b.pick(now, r, nil); e != nil {
 		return e
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// startAttempt starts an attempt if the safety rules allow it, and else returns why not. Every attempt
-// leaves through it.
+// startAttempt starts an attempt if the safety rules allow it, and otherwise returns the reason. Every
+// attempt starts here.
 func (b *Balancer) startAttempt(now Micros, r *request, e *endpoint) RejectReason {
 	if !b.mayStartAttempt(now, r, e) {
 		return RejectNoEndpoint
@@ -85,7 +85,7 @@
 	})
 	r.outstanding++
 	e.reinstateAt = 0
-	if !r.IsUploading { // an endpoint begins to serve at the last byte
+	if !r.IsUploading { // an endpoint serves an upload from its last byte on
 		r.lastAttempt().markInFlight(now)
 	}
 	b.startedWork.add(now, r.work)
@@ -96,14 +96,14 @@
 	return notRejected
 }
 
-// markInFlight counts an attempt as in flight, from the instant at which its request has been sent.
+// markInFlight counts an attempt as in flight from the time at which its request was fully sent.
 func (a *attempt) markInFlight(at Micros) {
 	a.startedAt, a.inFlight = at, true
 	a.endpoint.addInFlight(at)
 }
 
-// AttemptFinished handles the end of an attempt: it settles the request, retries it or answers it. An
-// outcome of an unknown attempt, or a second one, is ignored.
+// AttemptFinished handles the end of an attempt: it finishes the request, retries it or answers it. An
+// outcome of an unknown attempt and a second outcome of the same attempt are ignored.
 func (b *Balancer) AttemptFinished(now Micros, o Outcome) {
 	r := b.requests[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || !r.attempts[o.Attempt].outstanding {
@@ -132,11 +132,11 @@
 	}
 }
 
-// recordOutcome feeds an outcome to the breaker, the failure rate and the service time of its endpoint.
+// recordOutcome updates the breaker, the failure rate and the service time of an attempt's endpoint.
 func (b *Balancer) recordOutcome(now Micros, r *request, a *attempt, status Status, latency Micros) {
 	e := a.endpoint
 	switch status {
-	case Cancelled, NotSent: // no sign of its health
+	case Cancelled, NotSent: // says nothing about the endpoint's health
 	case OK:
 		e.breaker.record(now, 1, 0)
 		e.breaker.recordLatency(float64(latency))
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -3,8 +3,8 @@
 const second Micros = 1_000_000
 
 const (
-	// Until an endpoint reports or a request is hinted, the work of a class is taken for this part of its
-	// latency objective.
+	// A class's mean work is assumed to be its latency objective divided by initialWorkDivisor until load
+	// reports, cost hints or outcomes show it.
 	initialWorkDivisor  = 5
 	initialHintExponent = 0.5
 
@@ -12,60 +12,60 @@
 	maxMachineTypes = 256 // Endpoint.MachineType is a byte
 )
 
-// Balancer makes the decisions of one sidecar. It is made by New and belongs to one goroutine: its
-// methods may not be called concurrently, nor from within Actions.
+// Balancer makes the decisions of one sidecar. It is created by New and belongs to one goroutine: its
+// methods must not be called concurrently or from within Actions.
 type Balancer struct {
 	settings Settings
 	actions  Actions
 	random   randomSource
 
-	processCount int // processes that divide the traffic of this balancer
+	processCount int // processes that share the traffic of this balancer
 
 	// Requests (requests.go, probe_wait.go).
-	requests        map[uint64]*request // those unanswered or with an outstanding attempt, by ID
-	requestSlots    []*request          // by timer slot
-	freeRequests    []*request          // records to reuse
+	requests        map[uint64]*request // unanswered or with an outstanding attempt, by ID
+	requestSlots    []*request          // indexed by timer slot
+	freeRequests    []*request          // finished requests to reuse
 	unansweredCount int
-	probeWaiters    []*request // requests that wait for load probes
+	probeWaiters    []*request // requests waiting for load probes
 
 	// Endpoints (endpoints.go, bans.go, discovery_poll.go).
-	endpoints       []*endpoint // in the order in which they were first listed
+	endpoints       []*endpoint // in the order of their first listing
 	endpointsByID   map[uint32]*endpoint
-	localEndpoints  []*endpoint // those of this balancer's zone
-	maxWeight       float64     // of any endpoint ever listed
+	localEndpoints  []*endpoint // endpoints in this balancer's zone
+	maxWeight       float64     // greatest weight of any endpoint listed so far
 	hasEndpointList bool        // discovery has answered since the start
 	bans            bans
 	poll            discoveryPoll
 
 	// Load probes and reports (load_probes.go, load_estimate.go, late_reports.go).
-	probesPerRequest    float64     // load probes sent for one request while probing on demand
-	probesOnDemand      bool        // load probes are sent for single requests, not in rounds
+	probesPerRequest    float64     // load probes per request while probing on demand
+	probesOnDemand      bool        // load probes are sent for individual requests, not in rounds
 	gossiping           bool        // load reports are shared with the other balancers
 	probedPool          []*endpoint // endpoints with a fresh load report
 	queuedProbeFraction ewma        // fraction of load probes that waited in a queue
 	lateReports         lateReports
-	concurrency         [maxMachineTypes]ewma // requests that an endpoint serves at a time, by machine type
+	concurrency         [maxMachineTypes]ewma // requests an endpoint serves concurrently, by machine type
 
 	// Estimates (latency_estimate.go, admission.go).
 	classes          []classStats
 	zones            [maxZones]zoneStats
-	serviceTime      ewma      // per unit of work, over all endpoints past their slow start
+	serviceTime      ewma      // service time per unit of work, over all endpoints past their slow start
 	requestRate      rateMeter // requests received
 	startedWork      rateMeter // work of the attempts started, in microseconds
-	rejectedFraction ewma      // of the requests, by the first decision on each
+	rejectedFraction ewma      // fraction of requests rejected by their first decision
 	hasSeenCostHint  bool
-	hintExponent     float64 // work grows with a cost hint to this power, 0 to 1
+	hintExponent     float64 // expected work scales with the cost hint to this power; 0 to 1
 
 	// Limits (admission.go, quota.go, retry_budget.go).
 	forcedAdmission forcedAdmission
 	tenantRates     []rateMeter // requests received, by tenant
 	retryBudget     retryBudget
 
-	lastLogged map[string]Micros // by message
+	lastLogged map[string]Micros // time of the latest log line, by message
 }
 
-// New returns a balancer that acts through actions, or a *SettingError. Two balancers of the same
-// settings, seed and events act the same. The host calls Start before any other event.
+// New returns a balancer that acts through actions. The error is a *SettingError. Two balancers with the
+// same settings, seed and events request the same actions. The host calls Start before any other method.
 func New(settings Settings, seed uint64, actions Actions) (*Balancer, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
@@ -89,7 +89,7 @@
 	return b, nil
 }
 
-// Start arms the first timers. The host calls it once, before any other event.
+// Start initializes the estimates and arms the first timers. The host calls it once, before any other event.
 func (b *Balancer) Start(now Micros) {
 	b.lateReports.fraction.initialized = true
 	b.rejectedFraction.initialized = true
@@ -108,9 +108,9 @@
 	}
 }
 
-// Timer tokens below firstRequestTimer belong to the balancer. The others name a request: the low bits
-// its slot, the high bits how often the slot was used, so that a timer of an earlier request finds
-// nothing.
+// Timer tokens below firstRequestTimer belong to the balancer itself. The others identify a request: the
+// low bits hold its slot and the high bits count the uses of the slot, so that a timer of an earlier
+// request in the same slot matches nothing.
 const (
 	timerProbeRound = iota
 	timerDiscoveryPoll
@@ -118,7 +118,7 @@
 	timerSlotBits     = 20
 )
 
-// TimerFired handles the end of a timer that Actions.SetTimer asked for.
+// TimerFired handles the expiry of a timer set by Actions.SetTimer.
 func (b *Balancer) TimerFired(now Micros, token uint32) {
 	switch {
 	case token == timerProbeRound:
@@ -132,7 +132,7 @@
 	}
 }
 
-// log records an event for the staff on call, at most once a second for each message.
+// log writes a log line for the operators, at most once a second for each message.
 func (b *Balancer) log(now Micros, message string, fields ...LogField) {
 	if at, ok := b.lastLogged[message]; ok && now-at < second {
 		return
--- a/balancer/bans.go
+++ b/balancer/bans.go
@@ -1,29 +1,29 @@
 package balancer
 
-// reinstateDelay is how long a reinstated endpoint may wait for a request before the next one goes there.
-// Operators expect it in use within 5 s.
+// reinstateDelay is how long a reinstated endpoint waits to be picked before the next request is sent to
+// it regardless of cost. Operators expect it in use within 5 s.
 const reinstateDelay = 2 * second
 
-// bans holds the endpoints that operators have taken out of use, listed or not.
+// bans holds the endpoints that operators have taken out of use, whether discovery lists them or not.
 type bans struct {
 	since       map[uint32]Micros // start of the ban, by endpoint ID
-	reinstateAt map[uint32]Micros // end of the delay, of endpoints reinstated while not listed
+	reinstateAt map[uint32]Micros // end of reinstateDelay, for endpoints reinstated while not listed
 }
 
 func newBans() bans {
 	return bans{since: map[uint32]Micros{}, reinstateAt: map[uint32]Micros{}}
 }
 
-// takeReinstatement returns the end of an endpoint's delay, if it was reinstated while not listed, and
-// forgets it.
+// takeReinstatement returns and removes the end of reinstateDelay of an endpoint that was reinstated while
+// not listed.
 func (s *bans) takeReinstatement(id uint32) (at Micros, ok bool) {
 	at, ok = s.reinstateAt[id]
 	delete(s.reinstateAt, id)
 	return at, ok
 }
 
-// Ban takes an endpoint out of use until Unban, whatever its state by discovery, and listed or not.
-// Attempts in flight go on. A second ban changes nothing.
+// Ban takes an endpoint out of use until Unban, whatever its state in discovery and even if it is not
+// listed. Attempts in flight continue. Banning a banned endpoint has no effect.
 func (b *Balancer) Ban(now Micros, id uint32) {
 	if _, ok := b.bans.since[id]; ok {
 		return
@@ -35,8 +35,8 @@
 	}
 }
 
-// Unban reinstates a banned endpoint. It starts with a slow start and without a record: it was probably
-// restarted while banned, and the list may show it late.
+// Unban reinstates a banned endpoint. The endpoint begins a slow start and its statistics are cleared,
+// because it was probably restarted while banned and the endpoint list may show the restart late.
 func (b *Balancer) Unban(now Micros, id uint32) {
 	if _, ok := b.bans.since[id]; !ok {
 		return
@@ -58,9 +58,10 @@
 	b.sendLoadProbe(now, e)
 }
 
-// findReinstated returns an endpoint that was reinstated and has had no request for too long, if the
-// first attempt of this request may start there, or nil. The request need not be saved up for where the
-// first ones of all balancers together are within what the endpoint bears at the start of its slow start.
+// findReinstated returns an endpoint that was reinstated at least reinstateDelay ago and has had no request
+// since, if the first attempt of this request may start there, or nil. Its slow-start budget is raised to
+// cover the request if the first requests of all balancers together are within what the endpoint can bear
+// at the beginning of its slow start.
 func (b *Balancer) findReinstated(now Micros, r *request) *endpoint {
 	if len(r.attempts) > 0 {
 		return nil
--- a/balancer/breaker.go
+++ b/balancer/breaker.go
@@ -1,31 +1,31 @@
 package balancer
 
-// The constants of go-zero's breaker, which combines the error rate with the latency.
+// The constants are those of go-zero's breaker, which combines the error rate with the latency.
 const (
 	breakerWindow         = 10 * second
 	breakerBuckets        = 40
-	maxAcceptMultiplier   = 1.5    // k: requests allowed per accepted one
+	maxAcceptMultiplier   = 1.5    // k: requests allowed per accepted request
 	minAcceptMultiplier   = 1.1    // k once all buckets are failing
-	protectedRequests     = 5      // never dropped for errors
-	forcedPassInterval    = second // at an endpoint
-	latencyMultiple       = 3      // of the baseline, from which latency counts
-	latencyCeiling        = 0.95   // of the timeout, at which the drop probability is greatest
-	maxLatencyDrop        = 0.3    // probability
-	baselineFallDivisor   = 4
-	baselineRiseDivisor   = 100
-	currentLatencyDivisor = 4
+	protectedRequests     = 5      // requests in the window that are never dropped for errors
+	forcedPassInterval    = second // between two forced requests to an endpoint
+	latencyMultiple       = 3      // multiple of the baseline above which latency counts
+	latencyCeiling        = 0.95   // fraction of the timeout at which the drop probability is greatest
+	maxLatencyDrop        = 0.3    // greatest drop probability for latency
+	baselineFallDivisor   = 4      // 1/divisor is the weight of a latency below the baseline in the baseline
+	baselineRiseDivisor   = 100    // and of one above it
+	currentLatencyDivisor = 4      // and of any latency in the current latency
 )
 
-// breaker drops requests to one endpoint at random: the more of them, the more failed within a window, or
-// the further the latency is above its baseline.
+// breaker drops requests to one endpoint at random. The drop probability grows with the failures within a
+// window and with the distance of the latency from its baseline.
 type breaker struct {
 	buckets         [breakerBuckets]breakerBucket
-	newest          int64 // number of the newest bucket since the origin of time
-	requests        int   // over the window
-	accepts         int
+	newest          int64   // number of the newest bucket, counted from the origin of Micros
+	requests        int     // over the window
+	accepts         int     // over the window
 	latencyBaseline float64 // microseconds; 0 before the first success
-	latencyCurrent  float64
-	forcedPassAt    Micros
+	latencyCurrent  float64 // microseconds
+	forcedPassAt    Micros  // time of the latest forced request
 }
 
 type breakerBucket struct{ requests, accepts, failures int }
@@ -46,7 +46,7 @@
 	return &k.buckets[number%breakerBuckets]
 }
 
-// record counts a request with its accepts and failures. A dropped request has neither.
+// record counts one request with its accepts and failures, each 0 or 1. A dropped request has neither.
 func (k *breaker) record(now Micros, accepts, failures int) {
 	bucket := k.advance(now)
 	bucket.requests++
@@ -70,7 +70,7 @@
 	k.latencyCurrent = (latency + (currentLatencyDivisor-1)*k.latencyCurrent) / currentLatencyDivisor
 }
 
-// errorDropProbability returns the probability, 0 to 1, of a drop for failures within the window.
+// errorDropProbability returns the probability, 0 to 1, of a drop because of failures within the window.
 func (k *breaker) errorDropProbability(now Micros) float64 {
 	k.advance(now)
 	failing := 0 // buckets since the last success
@@ -87,8 +87,8 @@
 	return max(0, (total-protectedRequests-multiplier*float64(k.accepts))/(total+1))
 }
 
-// latencyDropProbability returns the probability of a drop for a latency above its baseline; timeout
-// (microseconds) is that of the request's class.
+// latencyDropProbability returns the probability, 0 to maxLatencyDrop, of a drop because of a latency above
+// its baseline. timeout (microseconds) is the client timeout of the request's class.
 func (k *breaker) latencyDropProbability(timeout float64) float64 {
 	threshold := latencyMultiple * k.latencyBaseline
 	ceiling := latencyCeiling * timeout
@@ -98,8 +98,8 @@
 	return min(maxLatencyDrop, max(0, (k.latencyCurrent-threshold)/(ceiling-threshold)*maxLatencyDrop))
 }
 
-// allows draws whether a request of this timeout may go to the endpoint. One passes in each interval, so
-// that a recovery is noticed.
+// allows draws at random whether a request with this timeout may go to the endpoint. One request passes in
+// each forcedPassInterval, so that a recovery is noticed.
 func (k *breaker) allows(now Micros, timeout float64, random *randomSource) bool {
 	probability := max(k.errorDropProbability(now), k.latencyDropProbability(timeout))
 	if probability > 0 && now-k.forcedPassAt > forcedPassInterval {
@@ -113,7 +113,7 @@
 	return true
 }
 
-// breakerAllows asks the breaker of e for a request.
+// breakerAllows reports whether the breaker of e lets a request pass.
 func (b *Balancer) breakerAllows(now Micros, r *request, e *endpoint) bool {
 	return e.breaker.allows(now, float64(b.classOf(r).ClientTimeout), &b.random)
 }
--- a/balancer/discovery_poll.go
+++ b/balancer/discovery_poll.go
@@ -1,23 +1,24 @@
 package balancer
 
-// What discovery knows has to be in force 6 s after discovery can be reached again, and 2 s after the end of
-// a call that waited for changes and was not answered. The host gives up a silent call after 4 s, or 1 s
-// after its wait: no pause may take as long as what is left.
+// An endpoint update has to take effect within 6 s after discovery becomes reachable again, and within 2 s
+// after the end of a call that waited for changes and got no answer. The host abandons a call without an
+// answer after 4 s, or 1 s after the end of its wait. Each pause between polls is shorter than the time that
+// this leaves.
 const (
 	maxFirstPollDelay     = second // spreads the first polls of balancers that start together
 	firstPollDelayDivisor = 10     // of Rules.MaxPollInterval
 	minPollBackoff        = second / 3
 	maxPollBackoff        = 5 * second / 2
 	maxBackoffDivisor     = 4          // of Rules.MaxPollInterval
-	pollTimeout           = 5 * second // after which a poll counts as lost
+	pollTimeout           = 5 * second // time after which an unanswered poll counts as lost
 )
 
-// discoveryPoll is the state of the calls to a discovery that answers only when asked.
+// discoveryPoll is the state of polling a discovery service that sends updates only to subscribers.
 type discoveryPoll struct {
 	subscribed bool
-	nextAt     Micros // of the next poll, unless subscribed by then
-	startedAt  Micros // of the latest poll
-	backoff    Micros
+	nextAt     Micros // time of the next poll, which is skipped if subscribed by then
+	startedAt  Micros // start of the latest poll
+	backoff    Micros // 0 after a success
 }
 
 // scheduleFirstPoll arms the first poll.
@@ -26,13 +27,13 @@
 	b.schedulePoll(now, 1+b.random.below(delay))
 }
 
-// schedulePoll arms the next poll.
+// schedulePoll arms the next poll after a delay.
 func (b *Balancer) schedulePoll(now, delay Micros) {
 	b.poll.nextAt = now + delay
 	b.actions.SetTimer(delay, timerDiscoveryPoll)
 }
 
-// pollDiscovery subscribes if that is due. It arms another poll, since the answer may be lost.
+// pollDiscovery subscribes if a poll is due. It arms another poll, since the answer may be lost.
 func (b *Balancer) pollDiscovery(now Micros) {
 	if !b.settings.MustSubscribe || b.poll.subscribed || now < b.poll.nextAt {
 		return
@@ -42,8 +43,8 @@
 	b.schedulePoll(now, 1+pollTimeout+b.random.below(pollTimeout/2))
 }
 
-// backOffPoll schedules a poll after one that failed, with exponential backoff from the start of that
-// one, and jitter, so that balancers do not poll in step.
+// backOffPoll schedules the next poll after a failed one. The exponential backoff counts from the start of
+// the failed poll, and jitter keeps balancers from polling at the same time.
 func (b *Balancer) backOffPoll(now Micros) {
 	if !b.settings.MustSubscribe {
 		return
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// endpoint is what a balancer knows of an endpoint.
+// endpoint is the state that a balancer keeps for an endpoint.
 type endpoint struct {
 	Endpoint
-	inUpdate    bool // named by the update being applied
+	inUpdate    bool // listed in the update being applied
 	banned      bool
-	bannedAt    Micros // start of the present ban, or of the last
-	reinstateAt Micros // from then on the next request goes there; 0 for none
+	bannedAt    Micros // start of the current or latest ban
+	reinstateAt Micros // time from which the next request is sent here after a reinstatement; 0 for none
 	slowStart   slowStart
 
-	inFlight   int      // own attempts there
-	startTimes []Micros // of the attempts in flight, ascending
+	inFlight   int      // this balancer's attempts in flight
+	startTimes []Micros // start times of the attempts in flight, ascending
 
 	probing  bool // a load probe is unanswered
 	probedAt Micros
@@ -24,18 +24,18 @@
 	breaker     breaker
 }
 
-// zoneStats is what a balancer knows of the endpoints of a zone. It is learned by zone because a balancer
-// sees little of zones other than its own, and a slow zone is no sign that others are.
+// zoneStats holds the statistics of the endpoints of one zone. They are kept by zone because a balancer sends
+// little to zones other than its own, and a slow zone does not mean that other zones are slow.
 type zoneStats struct {
-	roundTrip    ewma // least latency of a load probe, in microseconds
-	baselineLoad ewma // external load of an endpoint, over all reports
-	serviceTime  ewma // per unit of work, of endpoints past their slow start
+	roundTrip    ewma // round-trip time, from the lowest latencies of load probes, in microseconds
+	baselineLoad ewma // average external load of an endpoint, over all reports
+	serviceTime  ewma // service time per unit of work, of endpoints past their slow start
 	trend        latencyTrend
 }
 
-// UpdateEndpoints handles what discovery answered, or that it failed (UpdateFailed): the endpoint list
-// then stays. Entries that a full list leaves out are removed; those with attempts in flight are
-// forgotten later.
+// UpdateEndpoints handles an update from discovery. UpdateFailed means that discovery failed: the endpoint
+// list then stays as it is. Endpoints that a complete list does not contain are removed from use; one with
+// attempts in flight is deleted by the first update after they end.
 func (b *Balancer) UpdateEndpoints(now Micros, kind UpdateKind, entries []Endpoint) {
 	if kind == UpdateFailed {
 		b.poll.subscribed = false
@@ -49,8 +49,8 @@
 	for _, e := range b.endpoints {
 		e.inUpdate = false
 	}
-	// In a fleet with more balancers than endpoints, the probes of all of them would overload a new
-	// endpoint.
+	// In a fleet with more balancers than endpoints, the load probes of all balancers together would
+	// overload a new endpoint.
 	probeNew := b.settings.Balancers <= max(len(b.endpoints), len(entries))
 	for i := range entries {
 		b.applyEndpoint(now, &entries[i], probeNew)
@@ -65,8 +65,8 @@
 	b.hasEndpointList = b.hasEndpointList || kind != UpdateCached || !b.settings.MustSubscribe
 }
 
-// applyEndpoint takes over an entry of discovery's. probeNew is whether a new or restarted endpoint is
-// probed.
+// applyEndpoint applies one entry of an endpoint update. probeNew tells whether a new or restarted endpoint
+// gets a load probe.
 func (b *Balancer) applyEndpoint(now Micros, in *Endpoint, probeNew bool) {
 	e := b.endpointsByID[in.ID]
 	isNew := e == nil
@@ -84,7 +84,7 @@
 	}
 	startTime := in.StartTime
 	if startTime == 0 && isNew && b.hasEndpointList {
-		startTime = now // it appeared while this balancer watched
+		startTime = now // it was added while this balancer was running
 	}
 	e.Endpoint, e.inUpdate = *in, true
 	e.bannedAt, e.banned = b.bans.since[in.ID]
@@ -93,8 +93,8 @@
 		return
 	}
 	if startTime != 0 && now-startTime < b.settings.Rules.SlowStartDuration {
-		// A balancer with few requests takes minutes to earn the budget of one: without a random part of it
-		// at the start, none of many would send anything during the slow start.
+		// A balancer with few requests takes minutes to earn the budget for one. Each balancer starts with
+		// a random part of that budget: if all started at 0, none would send anything during the slow start.
 		budget := b.random.float() * slowStartCharge * b.classes[0].meanWork.value
 		e.slowStart = slowStart{active: true, startedAt: min(startTime, now), budget: budget, refilledAt: now}
 	}
@@ -103,8 +103,8 @@
 	}
 }
 
-// removeEndpoints forgets removed endpoints that have nothing in flight. isFull means that endpoints which
-// the update did not name are removed.
+// removeEndpoints deletes removed endpoints that have nothing in flight. isFull means that endpoints missing
+// from the update are removed as well.
 func (b *Balancer) removeEndpoints(isFull bool) {
 	b.endpoints = slices.DeleteFunc(b.endpoints, func(e *endpoint) bool {
 		if isFull && !e.inUpdate {
@@ -121,16 +121,16 @@
 // isLocal reports whether an endpoint is in this balancer's zone.
 func (b *Balancer) isLocal(e *endpoint) bool { return int(e.Zone) == b.settings.Zone }
 
-// isUsable reports whether attempts may be started at e at all.
+// isUsable reports whether attempts may be started at e: it is ready and not banned.
 func (e *endpoint) isUsable() bool { return e.State == Ready && !e.banned }
 
-// addInFlight counts an attempt that started at an instant no earlier than those counted already.
+// addInFlight counts an attempt as in flight. startedAt must not be earlier than that of any counted attempt.
 func (e *endpoint) addInFlight(startedAt Micros) {
 	e.inFlight++
 	e.startTimes = append(e.startTimes, startedAt)
 }
 
-// removeInFlight ends the count of an attempt that started at an instant.
+// removeInFlight stops counting an attempt that started at startedAt.
 func (e *endpoint) removeInFlight(startedAt Micros) {
 	e.inFlight--
 	if i, ok := slices.BinarySearch(e.startTimes, startedAt); ok {
@@ -138,16 +138,16 @@
 	}
 }
 
-// countStartedBetween counts the attempts in flight that started at from or later, and before to.
+// countStartedBetween counts the attempts in flight that started at from or later and before to.
 func (e *endpoint) countStartedBetween(from, to Micros) int {
 	first, _ := slices.BinarySearch(e.startTimes, from)
 	end, _ := slices.BinarySearch(e.startTimes, to)
 	return max(0, end-first)
 }
 
-// SetProcessCount sets how many processes divide this balancer's traffic, as two do during an upgrade.
+// SetProcessCount sets how many processes share this balancer's traffic: during an upgrade there are two.
 func (b *Balancer) SetProcessCount(processes int) { b.processCount = processes }
 
-// SetFleetSize sets how many balancers of the tier are alive, this one included, in place of
-// Settings.Balancers.
+// SetFleetSize replaces Settings.Balancers by the number of balancers of the tier that are alive, this one
+// included.
 func (b *Balancer) SetFleetSize(alive int) { b.settings.Balancers = max(1, alive) }
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -1,16 +1,16 @@
 package balancer
 
-// EndpointState is the state of an endpoint by discovery.
+// EndpointState is the state of an endpoint according to discovery.
 type EndpointState uint8
 
 // The states of an endpoint.
 const (
 	Ready    EndpointState = iota
-	Draining               // finishes what it has; nothing new is sent to it
+	Draining               // finishes its requests in flight; no new ones are sent to it
 	Removed
 )
 
-// Endpoint is an entry of discovery's endpoint list.
+// Endpoint is one entry of the endpoint list from discovery.
 type Endpoint struct {
 	ID          uint32
 	Zone        uint8
@@ -18,18 +18,18 @@
 	Pod         uint16
 	State       EndpointState
 	Weight      float32 // capacity relative to the other endpoints
-	StartTime   Micros  // of its latest start; 0 for long ago
+	StartTime   Micros  // time of its latest start; 0 for long ago
 }
 
-// UpdateKind defines how the entries of an endpoint update are read.
+// UpdateKind defines how the entries of an endpoint update are interpreted.
 type UpdateKind uint8
 
 // The kinds of endpoint update.
 const (
 	UpdateDelta  UpdateKind = iota // changed entries only
 	UpdateFull                     // the complete list
-	UpdateCached                   // the complete list as it was cached, perhaps old
-	UpdateFailed                   // a call of discovery failed or a subscription broke; no entries
+	UpdateCached                   // the complete list from a cache, possibly out of date
+	UpdateFailed                   // a discovery call failed or a subscription broke; no entries
 )
 
 // Request is a client's request. It is answered exactly once: by the response of an attempt, a rejection
@@ -37,29 +37,29 @@
 type Request struct {
 	ID          uint64
 	Key         uint64
-	Deadline    Micros // when the client gives up; set again by BodySent for an upload
-	CostHint    Micros // expected service time, if HasCostHint
+	Deadline    Micros // when the client gives up; BodySent replaces it for an upload
+	CostHint    Micros // expected service time; valid if HasCostHint
 	HasCostHint bool
 	IsRetry     bool // the client marked it as a retry
-	IsUploading bool // its body is still arriving: BodySent reports its end
+	IsUploading bool // its body is still arriving; BodySent reports the end
 	IsWrite     bool
 	Tenant      uint16 // index in Settings.Tenants
 	Class       uint8  // index in Settings.Classes
 }
 
-// Status is the result of an attempt or of a load probe.
+// Status is the result of an attempt or a load probe.
 type Status uint8
 
 // The ways in which an attempt may end. Rejected, ConnectFailed and NotSent prove that the endpoint did not
-// execute the request; all others but OK leave that open.
+// execute the request. After Error, Timeout, Reset and Cancelled it is unknown whether it did.
 const (
 	OK            Status = iota
 	Error                // the endpoint answered with an error
-	Rejected             // the endpoint rejected it unexecuted
+	Rejected             // the endpoint rejected the request without executing it
 	Timeout              // no response in time
-	ConnectFailed        // no connection, or it broke before the request's last byte
+	ConnectFailed        // no connection, or it broke before the last byte of the request was sent
 	Reset                // the connection broke
-	Cancelled            // by the balancer, or ended by the client's fault: an endpoint's 400 or 404, too
+	Cancelled            // by the balancer, or the client's fault, such as a 400 or 404 from the endpoint
 	NotSent              // never sent
 )
 
@@ -75,7 +75,7 @@
 	return "unknown"
 }
 
-// provesNotRun reports whether an attempt of this status was certainly not executed.
+// provesNotRun reports whether an attempt with this status was certainly not executed.
 func (s Status) provesNotRun() bool {
 	return s == Rejected || s == ConnectFailed || s == NotSent
 }
@@ -87,7 +87,7 @@
 	Endpoint     uint32
 	Status       Status
 	Latency      Micros    // from the start of the attempt
-	RequestDone  bool      // the client has its response: no answer is wanted
-	BodyConsumed bool      // part of the request's body is consumed: it cannot be sent again
+	RequestDone  bool      // the client has its response: no answer is needed
+	BodyConsumed bool      // part of the request body is consumed: it cannot be sent again
 	LoadReport   []float32 // valid during the call only; no decision reads it
 }
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -5,35 +5,36 @@
 	"fmt"
 )
 
-// A gossip message is a version and one or more entries. It may be lost, so that each stands for itself.
+// A gossip message is a version byte followed by one or more entries. Messages may be lost, so each is
+// complete in itself.
 const (
 	gossipVersion    = 1
 	gossipEntryBytes = 8
 	maxGossipBytes   = 256
 )
 
-// gossipEntry is one endpoint's load report as it is shared with the other balancers.
+// gossipEntry is one endpoint's load report in the form that is shared with the other balancers.
 type gossipEntry struct {
 	endpointID  uint32
-	startMark   uint16 // startTimeMark of the endpoint: a report of an earlier process is ignored
+	startMark   uint16 // startTimeMark of the endpoint: reports of an earlier process are ignored
 	inFlight    uint8  // capped at 255
-	queueLength uint8
+	queueLength uint8  // capped at 255
 }
 
 // startTimeMark returns the low bits of a start time in milliseconds.
 func startTimeMark(at Micros) uint16 { return uint16(at / 1000) }
 
-// clampToByte rounds a count and fits it into a byte.
+// clampToByte rounds a count and clamps it to 0..255.
 func clampToByte(x float64) uint8 { return uint8(min(max(x+0.5, 0), 255)) }
 
-// encode returns a message of one entry.
+// encode returns a message with this entry only.
 func (g gossipEntry) encode() []byte {
 	data := binary.BigEndian.AppendUint32([]byte{gossipVersion}, g.endpointID)
 	data = binary.BigEndian.AppendUint16(data, g.startMark)
 	return append(data, g.inFlight, g.queueLength)
 }
 
-// decodeGossip reads the entries of a message. The error means that it is none of this version.
+// decodeGossip returns the entries of a message. It fails if data is not a message of gossipVersion.
 func decodeGossip(data []byte) ([]gossipEntry, error) {
 	if len(data) == 0 || len(data) > maxGossipBytes || data[0] != gossipVersion ||
 		(len(data)-1)%gossipEntryBytes != 0 {
@@ -62,8 +63,8 @@
 	b.actions.SendGossip(entry.encode())
 }
 
-// ReceiveGossip handles a message of another balancer. It may come late; one that is malformed is logged
-// and dropped. data is read during the call only.
+// ReceiveGossip handles a message from another balancer, which may arrive late. A malformed message is
+// logged and dropped. data is read only during the call.
 func (b *Balancer) ReceiveGossip(now Micros, data []byte) {
 	entries, err := decodeGossip(data)
 	if err != nil {
--- a/balancer/late_reports.go
+++ b/balancer/late_reports.go
@@ -3,22 +3,22 @@
 import "math"
 
 const (
-	lateReportThreshold  = 0.1 // fraction of late reports from which averages replace them
-	lateReportHysteresis = 3   // reports serve again below this part of the threshold
+	lateReportThreshold  = 0.1 // fraction of late reports above which averages replace reports
+	lateReportHysteresis = 3   // reports are used again below the threshold divided by this
 
-	// When an attempt has surely arrived and shows in a report: round trips, and at least a time that
-	// covers a handshake (microseconds).
+	// An attempt older than this many round trips, and older than minArrivalDelay (microseconds), which
+	// covers a handshake, has certainly arrived and shows in a report.
 	arrivalRoundTrips = 5.0
 	minArrivalDelay   = 20e3
 )
 
-// lateReports finds out whether load reports are too old to choose by.
+// lateReports detects that load reports are too old to base decisions on.
 type lateReports struct {
-	fraction ewma // of the reports that are late
-	detected bool
+	fraction ewma // fraction of reports that are late
+	detected bool // reports are not used
 }
 
-// record adds a report and reports whether detected changed.
+// record counts a report and returns whether detected changed.
 func (l *lateReports) record(isLate bool) bool {
 	l.fraction.add(indicator(isLate), fractionWeight)
 	before := l.detected
@@ -30,8 +30,9 @@
 	return l.detected != before
 }
 
-// checkReportIsLate compares a report with what this balancer alone has in flight at the endpoint: one that
-// counts fewer is late. Attempts on their way there, and those past the latency objective, prove nothing.
+// checkReportIsLate compares a report with this balancer's own attempts in flight at the endpoint: a report
+// that counts fewer requests is late. Attempts that may still be on their way, and those older than the
+// latency objective, are left out of the comparison.
 func (b *Balancer) checkReportIsLate(now Micros, e *endpoint, inFlight float64) {
 	arrivedBy := now - max(minArrivalDelay, Micros(arrivalRoundTrips*b.zones[e.Zone].roundTrip.value))
 	own := e.countStartedBetween(now-b.settings.Classes[0].LatencyObjective, arrivedBy)
--- a/balancer/latency_estimate.go
+++ b/balancer/latency_estimate.go
@@ -6,23 +6,25 @@
 )
 
 const (
-	serviceTimeLifetime    = 10 * second // after which an endpoint's own service time is forgotten
-	serviceTimeWeight      = 0.03        // of the latest outcome, for an endpoint
-	groupServiceTimeWeight = 0.02        // of the latest outcome, for a zone and for all endpoints
-	meanWorkWeight         = 0.01        // of the latest hint or outcome in a class's mean work
-	reportedWorkWeight     = 0.03        // of the latest reported service time in a class's mean work
-	hintExponentWeight     = 0.005       // of the latest outcome
+	serviceTimeLifetime    = 10 * second // age at which an endpoint's own service time no longer counts
+	serviceTimeWeight      = 0.03        // weight of the latest outcome in an endpoint's service time
+	groupServiceTimeWeight = 0.02        // weight of it in the service times of the zone and of all endpoints
+	meanWorkWeight         = 0.01        // weight of the latest hint or outcome in a class's mean work
+	reportedWorkWeight     = 0.03        // weight of the latest reported service time in a class's mean work
+	hintExponentWeight     = 0.005       // weight of the latest outcome in the hint exponent
 )
 
-// serviceTime is the time that an endpoint needs per unit of work and contention, once past its slow start.
+// serviceTime is the time that an endpoint takes per unit of work and contention, scaled to its full
+// capacity. A value of 1 means that work takes as long as estimated.
 type serviceTime struct {
 	average   ewma
 	updatedAt Micros
 }
 
-// expectedServiceTime returns the time that e needs per unit of work and contention now. The older its
-// own average is, the more that of its zone or of all endpoints counts, whichever is less: so an endpoint
-// found slow is tried again, and a new one is not held to be as slow as the others of its zone.
+// expectedServiceTime returns the time that e takes per unit of work and contention now. As the endpoint's
+// own average ages, it is replaced by the average of its zone or of all endpoints, whichever is lower. An
+// endpoint that was slow is therefore tried again, and a new one is not assumed to be as slow as the others
+// of its zone.
 func (b *Balancer) expectedServiceTime(now Micros, e *endpoint) float64 {
 	all := b.serviceTime.valueOr(1)
 	group := min(b.zones[e.Zone].serviceTime.valueOr(all), all)
@@ -32,22 +34,24 @@
 	return (group + (own.average.value-group)*trust) / e.slowStart.capacityFraction(now, &b.settings.Rules)
 }
 
-// predictLatency returns the latency (microseconds) of a request of this work, were it sent to e now.
+// predictLatency returns the predicted latency (microseconds) of a request with this work if it is sent to
+// e now.
 func (b *Balancer) predictLatency(now Micros, e *endpoint, work float64) float64 {
 	return b.zones[e.Zone].roundTrip.value +
 		work*b.slowdown(now, e)*b.expectedServiceTime(now, e)*b.contention(now, e)
 }
 
-// learnServiceTime learns from the latency (microseconds) of an attempt. isLowerBound means that the
-// attempt has not ended: it then only counts if it took longer than expected.
+// learnServiceTime updates the service times from the latency (microseconds) of an attempt. isLowerBound
+// means that the attempt got no response within that latency: it then counts only if it is longer than
+// expected.
 func (b *Balancer) learnServiceTime(now Micros, r *request, a *attempt, latency float64, isLowerBound bool) {
 	e := a.endpoint
 	measured := max(0, latency-b.zones[e.Zone].roundTrip.value) / a.contendedWork
 	if isLowerBound && measured <= b.expectedServiceTime(now, e) {
 		return
 	}
-	// Relative to what is expected by now: attempts that started before the trend moved must not each
-	// move it.
+	// The ratio is relative to the prediction with the present slowdown: otherwise every attempt that
+	// started before the trend changed would change it again.
 	b.zones[e.Zone].trend.record(now, latency/(a.expectedLatency*b.slowdown(now, e)))
 	if !isLowerBound {
 		b.learnHintExponent(now, r, e, measured)
@@ -66,8 +70,8 @@
 	}
 }
 
-// learnHintExponent learns how far cost hints predict the work: rough ones overstate large requests and
-// understate small ones.
+// learnHintExponent learns how well cost hints predict the work: imprecise hints overstate large requests
+// and understate small ones.
 func (b *Balancer) learnHintExponent(now Micros, r *request, e *endpoint, measured float64) {
 	if r.logHintRatio == 0 || measured <= 0 {
 		return
@@ -76,8 +80,9 @@
 	b.hintExponent = min(1, max(0, b.hintExponent+step))
 }
 
-// learnMeanWork learns a class's mean work from a service time, where there are no hints. Attempts that met
-// contention are left out: it is estimated by the mean work, and the two would feed each other.
+// learnMeanWork updates a class's mean work from a measured service time, unless the request has a cost
+// hint. Attempts with contention are left out, because contention is estimated from the mean work and the
+// two estimates would reinforce each other's errors.
 func (b *Balancer) learnMeanWork(r *request, a *attempt, measured float64) {
 	if r.HasCostHint || a.contendedWork > r.work || b.learnsWorkFromReports() {
 		return
@@ -85,9 +90,9 @@
 	b.classes[r.Class].meanWork.add(measured*r.work, meanWorkWeight)
 }
 
-// learnsWorkFromReports reports whether load reports give the mean work, as their service time. While
-// gossiping, the contention that a request meets is a guess, and its latency would count the queue there
-// as work.
+// learnsWorkFromReports reports whether the mean work is learned from the service times in load reports.
+// While gossiping, the contention that a request met is uncertain, and learning from its latency would
+// count time in the endpoint's queue as work.
 func (b *Balancer) learnsWorkFromReports() bool {
 	return b.gossiping && len(b.classes) == 1 && !b.hasSeenCostHint &&
 		slices.Contains(b.settings.LoadReportFields, LoadFieldServiceTime)
--- a/balancer/load_probes.go
+++ b/balancer/load_probes.go
@@ -5,30 +5,31 @@
 	maxProbesPerRound       = 3
 	maxProbeSamplesPerRound = 4 * maxProbesPerRound
 	maxProbesPerRequest     = 4.0
-	probeCostLimit          = 0.005 // of the result per request, for probes in rounds
-	minAdmittedFraction     = 0.3   // of the requests, assumed where most are rejected
+	probeCostLimit          = 0.005 // score spent per request on probes in rounds
+	minAdmittedFraction     = 0.3   // least fraction of requests assumed to be admitted
 	ownLoadThreshold        = 0.1   // own requests per endpoint from which their latencies show the load
-	localProbeFraction      = 0.5   // of the probes, beside the own zone's part of the others
-	oldestReportSamples     = 4     // random endpoints of which the one with the oldest report is probed
+	localProbeFraction      = 0.5   // fraction of probes drawn from the own zone only
+	oldestReportSamples     = 4     // random endpoints, of which the one with the oldest report is probed
 	probeTimeout            = 5 * second
 
-	roundTripRiseWeight = 0.01 // of a slower probe in the round-trip time, which seldom rises
-	fractionWeight      = 0.02 // of the latest sample in a fraction of all
-	minQueueAhead       = 0.5  // requests ahead of a load probe: fewer are jitter
+	roundTripRiseWeight = 0.01 // weight of a slower probe in the round-trip time, which seldom rises
+	fractionWeight      = 0.02 // weight of the latest sample in the averages of fractions
+	minQueueAhead       = 0.5  // requests ahead of a load probe that count as a queue: fewer are jitter
 
-	// Fraction of load probes that waited in a queue from which one that did not proves a free endpoint.
+	// If more than this fraction of load probes waited in a queue, a probe that did not wait shows that its
+	// endpoint has free capacity.
 	queuedProbeThreshold = 0.05
 )
 
-// loadProbeRate returns how many load probes a second the costs allow. While most requests are rejected,
-// some are still sent: only reports can show that there is capacity again.
+// loadProbeRate returns how many load probes per second the costs allow. Probes continue while most requests
+// are rejected, because only load reports can then show that there is capacity again.
 func (b *Balancer) loadProbeRate(now Micros) float64 {
 	perRequest := min(maxProbesPerRequest, probeCostLimit/b.settings.Costs.LoadProbe)
 	admitted := max(minAdmittedFraction, 1-b.rejectedFraction.value)
 	return max(1, perRequest*b.requestRate.rate(now)*admitted)
 }
 
-// sendLoadProbe probes an endpoint that is in use and has no probe unanswered.
+// sendLoadProbe probes an endpoint if it is usable and has no unanswered probe.
 func (b *Balancer) sendLoadProbe(now Micros, e *endpoint) {
 	isPending := e.probing && now-e.probedAt <= probeTimeout
 	if !b.settings.Limits.AllowLoadProbes || !e.isUsable() || isPending {
@@ -39,8 +40,8 @@
 	b.actions.SendLoadProbe(e.ID)
 }
 
-// probeRound chooses the way of probing, probes a few random endpoints if that is in rounds, and arms the
-// next round.
+// probeRound chooses the probing mode, probes a few random endpoints if the mode is probing in rounds, and
+// arms the timer of the next round.
 func (b *Balancer) probeRound(now Micros) {
 	rate := b.loadProbeRate(now)
 	b.chooseProbing(now, rate)
@@ -59,9 +60,11 @@
 	b.actions.SetTimer(1+Micros(interval*(0.5+b.random.float())), timerProbeRound)
 }
 
-// chooseProbing sets probesOnDemand and gossiping. Where a round over the fleet takes longer than a
-// report stays fresh, reports come with single requests (if own requests show little of the load), or are
-// shared with the other balancers (if that costs less than probes of their own).
+// chooseProbing sets probesOnDemand and gossiping. Both are for fleets in which a round over all endpoints
+// takes longer than a report stays fresh:
+//
+//   - Endpoints are probed on demand if this balancer's own requests show little of the load.
+//   - Otherwise reports are shared with the other balancers if a message costs less than a probe.
 func (b *Balancer) chooseProbing(now Micros, rate float64) {
 	size := float64(len(b.endpoints))
 	isRoundTooLong := size*float64(second) > rate*float64(minPoolAge)
@@ -76,8 +79,8 @@
 		gossipCost < costs.LoadProbe
 }
 
-// probeCandidate returns a random endpoint of the list, which must not be empty. While gossiping it is one
-// whose latest report, of any balancer, is old.
+// probeCandidate returns a random endpoint; the endpoint list must not be empty. While gossiping it returns
+// the one with the oldest report, of this or another balancer, among a few random endpoints.
 func (b *Balancer) probeCandidate() *endpoint {
 	list := b.endpoints
 	if len(b.localEndpoints) > 0 && !b.gossiping && b.random.float() < localProbeFraction {
@@ -92,8 +95,9 @@
 	return oldest
 }
 
-// LoadProbeResult handles the answer to a load probe, or its failure. latency counts from the call of
-// Actions.SendLoadProbe; load holds Settings.LoadReportFields in order and is read during the call only.
+// LoadProbeResult handles the answer to a load probe or its failure. latency counts from the call of
+// Actions.SendLoadProbe. load holds the values of Settings.LoadReportFields in that order and is read only
+// during the call.
 func (b *Balancer) LoadProbeResult(now Micros, id uint32, status Status, latency Micros, load []float32) {
 	e := b.endpointsByID[id]
 	if e == nil {
@@ -114,7 +118,8 @@
 	}
 }
 
-// loadProbeFailed takes an endpoint out of the pool. One that does not answer in time counts as loaded.
+// loadProbeFailed removes an endpoint from the pool. An endpoint that does not answer in time counts as
+// loaded in the baseline load.
 func (b *Balancer) loadProbeFailed(e *endpoint, status Status, latency float64) {
 	e.report.at = 0
 	if status == Timeout {
@@ -123,8 +128,8 @@
 	}
 }
 
-// observeRoundTrip learns the round-trip time to a zone and returns how much longer a probe took, which
-// it spent in a queue (both in microseconds).
+// observeRoundTrip updates the round-trip time to a zone from the latency of a load probe and returns the
+// difference, which the probe spent in a queue (both in microseconds).
 func (b *Balancer) observeRoundTrip(e *endpoint, latency float64) float64 {
 	roundTrip := &b.zones[e.Zone].roundTrip
 	roundTrip.add(latency, roundTripRiseWeight)
@@ -132,8 +137,8 @@
 	return latency - roundTrip.value
 }
 
-// applyLoadReport learns from a load report whose probe waited in a queue for some microseconds. It
-// returns the number of requests in flight there, -1 if unknown.
+// applyLoadReport updates the estimates from a load report whose probe waited in a queue for queued
+// microseconds. It returns the number of requests in flight at the endpoint, or -1 if it is unknown.
 func (b *Balancer) applyLoadReport(now Micros, e *endpoint, values *loadValues, queued float64) float64 {
 	if values.inFlight >= 0 {
 		b.learnConcurrency(e, values.inFlight, values.queueLength)
@@ -159,7 +164,8 @@
 	}
 	isFleetBusy := b.zones[e.Zone].baselineLoad.value >= concurrency
 	if b.queuedProbeFraction.value > queuedProbeThreshold && !hasQueued && !isFleetBusy {
-		// Other probes wait in queues and this one did not: whatever an old report shows, it is free.
+		// Other probes wait in queues and this one did not: the endpoint has free capacity, even if the
+		// report, which may be old, shows more load.
 		e.report.externalLoad = min(e.report.externalLoad, concurrency-1)
 	}
 	return inFlight
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -3,18 +3,18 @@
 import "slices"
 
 const (
-	minPoolAge                = second // for which a report is fresh at least
-	poolAgeRounds             = 3      // rounds over the fleet for which a report is fresh
-	onDemandReportAgeFraction = 0.25   // of the latency objective, for which a report is fresh on demand
+	minPoolAge                = second // least time for which a report is fresh
+	poolAgeRounds             = 3      // probe rounds over the fleet for which a report is fresh
+	onDemandReportAgeFraction = 0.25   // of the latency objective: age limit while probing on demand
 
 	weightedSamples = 8    // random draws by weight before the list is searched
-	loadCostWeight  = 0.05 // of the delay that a request causes to those in flight there
-	crossZoneWeight = 2.0  // latency objectives that the cost of a zone crossing counts as
+	loadCostWeight  = 0.05 // weight of the delay that a request causes to those in flight at the endpoint
+	crossZoneWeight = 2.0  // latency objectives per unit of Costs.CrossZone
 )
 
-// pick returns the endpoint of the least cost for a request, or nil: of those with a fresh load report,
-// and of a few random ones where these are few. Endpoints that the request has tried, and excluded, are
-// left out.
+// pick returns the endpoint with the lowest cost for a request, or nil. The candidates are the endpoints with
+// a fresh load report and, if these are few, some random ones. Endpoints that the request has already tried
+// and the endpoint excluded are left out.
 func (b *Balancer) pick(now Micros, r *request, excluded *endpoint) *endpoint {
 	var best *endpoint
 	var lowest float64
@@ -24,8 +24,8 @@
 		}
 	}
 	b.expirePool(now, b.classOf(r).LatencyObjective)
-	// The start is random because other balancers may have the same reports. Shared ones are left to the
-	// random candidates below: by them all balancers would send to the same endpoint.
+	// The search starts at a random place because other balancers may have the same reports. Shared reports
+	// are used for the random candidates below only: here they would lead all balancers to the same endpoint.
 	start := int(b.random.float() * float64(len(b.probedPool)))
 	for i := 0; !b.gossiping && i < len(b.probedPool); i++ {
 		e := b.probedPool[(start+i)%len(b.probedPool)]
@@ -37,8 +37,8 @@
 	if best != nil && !isPoolSmall {
 		return best
 	}
-	// Two of three are local: by size alone most would be in other zones.
-	anyRoundTrip := float64(r.Deadline) // as an instant it is longer than any
+	// Two of three candidates come from the own zone: drawn from the whole list, most would be in other zones.
+	anyRoundTrip := float64(r.Deadline) // no limit: a time since the origin exceeds any round-trip time
 	for _, list := range [...][]*endpoint{b.localEndpoints, b.localEndpoints, b.endpoints} {
 		e := b.randomCandidate(now, r, list, excluded, anyRoundTrip)
 		if e == nil || e.failures.isOutlier(now) {
@@ -51,8 +51,8 @@
 	return best
 }
 
-// expirePool removes endpoints from the pool that are out of use or whose report is too old for a request
-// of this latency objective.
+// expirePool removes endpoints from the pool that are not usable or whose report is too old for a request
+// with this latency objective.
 func (b *Balancer) expirePool(now, objective Micros) {
 	maxAge := b.maxReportAge(now, objective)
 	b.probedPool = slices.DeleteFunc(b.probedPool, func(e *endpoint) bool {
@@ -61,7 +61,7 @@
 	})
 }
 
-// maxReportAge returns how long a load report is fresh for a request of this latency objective.
+// maxReportAge returns how long a load report is fresh for a request with this latency objective.
 func (b *Balancer) maxReportAge(now, objective Micros) Micros {
 	if b.probesOnDemand {
 		return Micros(onDemandReportAgeFraction * float64(objective))
@@ -70,8 +70,9 @@
 	return max(minPoolAge, Micros(rounds*float64(second)))
 }
 
-// cost returns what ranks e for a request, in microseconds: the predicted latency, and as latency a likely
-// failure, a late response, the delay of other requests and a zone crossing.
+// cost returns the cost of sending a request to e, in microseconds. It is the predicted latency plus
+// equivalents in latency for a likely failure, a late response, the delay of other requests and a zone
+// crossing.
 func (b *Balancer) cost(now Micros, r *request, e *endpoint) float64 {
 	objective := float64(b.classOf(r).LatencyObjective)
 	latency := b.predictLatency(now, e, r.work)
@@ -83,9 +84,10 @@
 	return cost + crossZoneWeight*b.settings.Costs.CrossZone*objective*indicator(!b.isLocal(e))
 }
 
-// randomCandidate returns a random endpoint of a list that an attempt may start at, or nil; an ejected one
-// only if there is no other. The first samples go by weight and to zones within a round-trip time
-// (microseconds; 0 for the own zone); then the list is searched from a random place.
+// randomCandidate returns a random endpoint of a list at which an attempt may start, or nil. It returns an
+// ejected endpoint only if there is no other. The first weightedSamples draws favour greater weights and
+// skip other zones beyond maxRoundTrip (microseconds; 0 allows the own zone only). Then the whole list is
+// searched from a random place, without regard to weight and zone.
 func (b *Balancer) randomCandidate(
 	now Micros, r *request, list []*endpoint, excluded *endpoint, maxRoundTrip float64,
 ) *endpoint {
@@ -111,8 +113,8 @@
 	return fallback
 }
 
-// isTooFar reports whether e is in another zone, at a longer round-trip time than allowed (0 for the own
-// zone).
+// isTooFar reports whether e is in another zone whose round-trip time exceeds maxRoundTrip (microseconds). A
+// limit of 0 allows the own zone only.
 func (b *Balancer) isTooFar(e *endpoint, maxRoundTrip float64) bool {
 	return !b.isLocal(e) && (maxRoundTrip == 0 || b.zones[e.Zone].roundTrip.value > maxRoundTrip)
 }
--- a/balancer/probe_wait.go
+++ b/balancer/probe_wait.go
@@ -3,18 +3,19 @@
 import "slices"
 
 const (
-	onDemandProbeCostLimit = 0.02 // of the result per request, for probes on demand
-	maxProbeWaitFraction   = 0.1  // of the latency objective
-	probeWaitDivisor       = 4    // of the time left until the deadline
+	onDemandProbeCostLimit = 0.02 // score spent per request on probes on demand
+	maxProbeWaitFraction   = 0.1  // longest wait, as a fraction of the latency objective
+	probeWaitDivisor       = 4    // the wait is at most the time left until the deadline divided by this
 )
 
-// awaitProbes probes a few random endpoints for a request and defers it until they answer, if the balancer
+// awaitProbes defers a request until a few random endpoints have answered a load probe, if the balancer
 // probes on demand. It reports whether the request is deferred.
 func (b *Balancer) awaitProbes(now Micros, r *request) bool {
 	if !b.probesOnDemand || !b.settings.Limits.AllowLoadProbes || len(b.settings.LoadReportFields) == 0 {
 		return false
 	}
-	// While most requests are rejected, the probes of clients that retry would fill the fleet alone.
+	// While most requests are rejected, clients retry: probes for all of their requests would by themselves
+	// use up the capacity of the fleet.
 	if b.random.float() > max(minAdmittedFraction, 2-2*b.rejectedFraction.value) {
 		return false
 	}
@@ -36,9 +37,10 @@
 	return true
 }
 
-// maxProbeDistance returns the longest round-trip time (microseconds) to an endpoint that the i-th probe
-// of a request may go to; 0 means the own zone. A report from farther away comes too late, but may show
-// where there is capacity while much is rejected.
+// maxProbeDistance returns the longest round-trip time (microseconds) to an endpoint for the i-th probe of a
+// request; 0 allows the own zone only. The limit is normally half the wait, since reports from farther away
+// arrive too late. While many requests are rejected it may be the whole wait, because a farther endpoint may
+// have capacity.
 func (b *Balancer) maxProbeDistance(i int, wait float64) float64 {
 	if i == 0 {
 		return 0
@@ -49,10 +51,10 @@
 	return wait / 2
 }
 
-// resumeProbeWaiters decides on the requests that waited for e alone, and on those for which e is free:
-// no other report can show a better endpoint.
+// resumeProbeWaiters decides on the requests whose last awaited probe was that of e. If e has free capacity,
+// it decides on all requests that awaited e, since no other report can show a better endpoint.
 func (b *Balancer) resumeProbeWaiters(now Micros, e *endpoint) {
-	// Each decision removes a request, and may do so with others.
+	// Each decision removes its request from probeWaiters and may remove others as well.
 	for i := len(b.probeWaiters) - 1; i >= 0; i = min(i, len(b.probeWaiters)) - 1 {
 		r := b.probeWaiters[i]
 		before := len(r.awaitedEndpoints)
@@ -65,8 +67,8 @@
 	}
 }
 
-// probeWaitExpired decides on a request whose load probes are not all answered. Those that are silent
-// count as loaded: otherwise only free endpoints would be counted.
+// probeWaitExpired decides on a request whose load probes were not all answered in time. The endpoints that
+// did not answer count as loaded in the baseline load: otherwise only free endpoints would be counted.
 func (b *Balancer) probeWaitExpired(now Micros, r *request) {
 	for _, e := range r.awaitedEndpoints {
 		load := b.concurrencyOf(e) + b.queueAhead(e, float64(now-e.probedAt))
@@ -75,7 +77,7 @@
 	b.admitOrReject(now, r)
 }
 
-// stopAwaitingProbes ends a request's wait, if it waits.
+// stopAwaitingProbes ends a request's wait for load probes, if it is waiting.
 func (b *Balancer) stopAwaitingProbes(r *request) {
 	if !r.awaitingProbes {
 		return
--- a/balancer/quota.go
+++ b/balancer/quota.go
@@ -1,13 +1,15 @@
 package balancer
 
-// quotaSlack is what the admitted fraction is multiplied by: a small rejected fraction is no sign of full
-// quotas.
+// quotaSlack multiplies the admitted fraction, since a small rejected fraction does not mean that quotas are
+// used up.
 const quotaSlack = 1.25
 
-// quotaWeight returns the weight, 0 to 1, of a request by its tenant's quota: the average of 1 for the
-// part of the tenant's requests within the quota and Settings.OverQuotaWeight for the rest. A balancer
-// knows only its own requests: the demand of the fleet is taken to exceed the sum of quotas as its own
-// exceeds what it admits.
+// quotaWeight returns the weight, 0 to 1, of a request according to its tenant's quota. It is the average
+// over the tenant's requests, with 1 for each within the quota and Settings.OverQuotaWeight for each beyond
+// it.
+//
+// A balancer knows only its own requests. It assumes that the demand of the fleet exceeds the sum of the
+// quotas by the same factor as its own demand exceeds the requests that it admits.
 func (b *Balancer) quotaWeight(now Micros, r *request) float64 {
 	if int(r.Tenant) >= len(b.tenantRates) {
 		return 1
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -3,37 +3,38 @@
 import "math"
 
 const (
-	inTimeWeight = 0.02 // of the latest request in a class's fraction answered in time
+	inTimeWeight = 0.02 // weight of the latest request in a class's inTimeFraction
 
-	// The Retry-After of a rejection, as fractions of the latency objective: drawn between the two, so that
-	// clients do not come back together and a response is still wanted.
+	// The Retry-After of a rejection, in fractions of the latency objective, is the minimum plus a random
+	// part of the spread. The random part keeps clients from retrying at the same time. The delay is short so
+	// that a response is still useful to the client.
 	minRetryAfterFraction    = 0.1
 	spreadRetryAfterFraction = 0.2
 )
 
-// request is an entry of the request table: a request and its attempts. It stays there until it is
-// answered and no attempt is outstanding. All answers leave through reject and fail below, but for
-// those of an unknown class.
+// request is an entry of the request table: a request and its attempts. It stays in the table until it is
+// answered and no attempt is outstanding. All answers go through reject and fail below, except the rejection
+// of a request of an unknown class.
 type request struct {
 	Request
 	timerToken       uint32
 	arrivedAt        Micros
 	work             float64 // expected, in microseconds of service time
-	priority         float64 // of its class and tenant, 0 to 1, as of the last decision
-	logHintRatio     float64 // logarithm of its cost hint over the mean work of its class
+	priority         float64 // 0 to 1, by its class and tenant, as of the latest decision
+	logHintRatio     float64 // logarithm of its cost hint divided by the mean work of its class; 0 without hint
 	attempts         []attempt
 	outstanding      int     // attempts without outcome
-	answered         bool    // the response or the answer is out
-	streaming        bool    // a response has begun: the client is bound to the attempt
-	forced           bool    // it was admitted although it seemed too late
-	inTime           float64 // 1 once it got a response within the latency objective
+	answered         bool    // by a response, a rejection or a failure, or the client has left
+	streaming        bool    // a response has begun: the request can be neither answered nor retried
+	forced           bool    // admitted by forced admission
+	inTime           float64 // 1 if it got a response within the latency objective, else 0
 	awaitingProbes   bool
-	awaitedEndpoints []*endpoint // whose load probes it waits for
-	bodyConsumed     bool        // part of its body is consumed: no retry
+	awaitedEndpoints []*endpoint // endpoints whose load probes it waits for
+	bodyConsumed     bool        // part of its body is consumed: it cannot be retried
 }
 
-// RequestArrived handles a client's request. It is answered in this call or later, exactly once. An ID
-// that is still in the request table is ignored.
+// RequestArrived handles a client's request. The request is answered exactly once, during this call or later.
+// A request whose ID is still in the request table is ignored.
 func (b *Balancer) RequestArrived(now Micros, in Request) {
 	if b.requests[in.ID] != nil {
 		return
@@ -89,7 +90,7 @@
 	}
 }
 
-// estimateWork sets the expected work of a request, from the mean of its class and its cost hint.
+// estimateWork sets the expected work of a request from the mean work of its class and its cost hint.
 func (b *Balancer) estimateWork(r *request) {
 	class := &b.classes[r.Class]
 	r.work = class.meanWork.value
@@ -105,7 +106,7 @@
 // classOf returns the settings of a request's class.
 func (b *Balancer) classOf(r *request) *Class { return &b.settings.Classes[r.Class] }
 
-// admitOrReject starts an attempt of a request that has none outstanding, or rejects the request.
+// admitOrReject starts an attempt of a request that has none outstanding, or else rejects the request.
 func (b *Balancer) admitOrReject(now Micros, r *request) {
 	b.stopAwaitingProbes(r)
 	isFirst := len(r.attempts) == 0
@@ -118,8 +119,9 @@
 	}
 }
 
-// BodySent reports that the last byte of a request's body has been sent. Its time and its deadline count
-// from now on; a request that is not uploading is ignored.
+// BodySent handles the end of a request's upload: the last byte of its body has been sent to the endpoint.
+// The time to the latency objective counts from now, and deadline replaces the request's deadline. A request
+// that is not uploading is ignored.
 func (b *Balancer) BodySent(now Micros, id uint64, deadline Micros) {
 	r := b.requests[id]
 	if r == nil || r.answered || !r.IsUploading {
@@ -134,8 +136,8 @@
 	}
 }
 
-// ResponseStarted reports that an attempt's response began to arrive and is passed to the client. From
-// here on the balancer neither answers nor retries the request. latency counts from the start of the
+// ResponseStarted handles the beginning of an attempt's response, which the host passes on to the client.
+// From then on the balancer neither answers nor retries the request. latency counts from the start of the
 // attempt.
 func (b *Balancer) ResponseStarted(now Micros, id uint64, attempt int, latency Micros) {
 	r := b.requests[id]
@@ -146,14 +148,15 @@
 	b.recordTimeliness(now, r, true)
 }
 
-// ClientDisconnected reports that a client left before it had an answer. None is sent any more.
+// ClientDisconnected handles a client that left before its request was answered. No answer is sent.
 func (b *Balancer) ClientDisconnected(now Micros, id uint64) {
 	if r := b.requests[id]; r != nil {
 		b.finish(r)
 	}
 }
 
-// requestByTimer returns the request that a timer token was armed for, unless it is over or streaming.
+// requestByTimer returns the request for which a timer with this token was armed, or nil if the request is
+// answered or streaming.
 func (b *Balancer) requestByTimer(token uint32) *request {
 	slot := int(token&(1<<timerSlotBits-1)) - firstRequestTimer
 	if slot < 0 || slot >= len(b.requestSlots) {
@@ -166,7 +169,7 @@
 	return r
 }
 
-// requestTimerFired ends a request whose deadline has passed, or its wait for load probes.
+// requestTimerFired ends a request whose deadline has passed, or else ends its wait for load probes.
 func (b *Balancer) requestTimerFired(now Micros, r *request) {
 	if now >= r.Deadline {
 		if last := r.lastAttempt(); last != nil && last.outstanding {
@@ -180,8 +183,8 @@
 	}
 }
 
-// reject answers a request with a rejection, which promises that a retry is harmless, or fails it where
-// that cannot be promised.
+// reject answers a request with a rejection, which promises that a retry is harmless. If that cannot be
+// promised, it fails the request.
 func (b *Balancer) reject(now Micros, r *request, reason RejectReason) {
 	if r.answered || !b.mayReject(r) {
 		b.fail(r)
@@ -197,7 +200,7 @@
 	b.finish(r)
 }
 
-// fail answers a request with a failure, which promises nothing.
+// fail answers a request with a failure, which makes no promise about a retry.
 func (b *Balancer) fail(r *request) {
 	if r.answered {
 		return
@@ -206,8 +209,8 @@
 	b.finish(r)
 }
 
-// finish marks a request as answered and cancels an outstanding attempt. It removes the request from the
-// table once no outcome is to come.
+// finish marks a request as answered and cancels its outstanding attempt. It removes the request from the
+// table once no attempt is outstanding.
 func (b *Balancer) finish(r *request) {
 	if !r.answered {
 		b.classes[r.Class].inTimeFraction.add(r.inTime, inTimeWeight)
--- a/balancer/retry_budget.go
+++ b/balancer/retry_budget.go
@@ -1,12 +1,12 @@
 package balancer
 
 const (
-	maxRetryTokens        = 10.0 // burst
-	retryTokensPerRequest = 0.2  // earned by each request that arrives
+	maxRetryTokens        = 10.0 // capacity of the token bucket
+	retryTokensPerRequest = 0.2  // tokens added by each request that arrives
 )
 
-// retryBudget limits retries to a fraction of the requests, as a token bucket. A retry costs one token, but
-// nothing if the attempt before was certainly not executed.
+// retryBudget is a token bucket that limits retries to a fraction of the requests. A retry costs one token,
+// or nothing if the failed attempt was certainly not executed.
 type retryBudget struct{ tokens float64 }
 
 // earn adds the tokens of one request.
--- a/balancer/retry_safety.go
+++ b/balancer/retry_safety.go
@@ -2,9 +2,12 @@
 
 import "slices"
 
-// mayStartAttempt reports whether the safety rules allow an attempt at e now: the request is unanswered,
-// its body whole, no other attempt outstanding, the deadline ahead and an attempt left; the endpoint is
-// in use and, while warming up, has budget for the work; and a retry cannot have a second effect.
+// mayStartAttempt reports whether the safety rules allow an attempt at e now. All of these must hold:
+//
+//   - The request is unanswered, no response has begun and no part of its body is consumed.
+//   - It has no outstanding attempt, its deadline has not passed and it has fewer than Limits.MaxAttempts.
+//   - The endpoint is usable and, if it is warming up, has slow-start budget for the work.
+//   - A retry cannot have a second effect.
 func (b *Balancer) mayStartAttempt(now Micros, r *request, e *endpoint) bool {
 	if r.answered || r.streaming || r.bodyConsumed || r.outstanding > 0 || now >= r.Deadline ||
 		len(r.attempts) >= b.settings.Limits.MaxAttempts || !e.isUsable() {
@@ -16,9 +19,9 @@
 	return b.isSafeAt(now, r, e)
 }
 
-// isSafeAt reports whether an attempt at e cannot lead to a second effect of the request. One that is
-// idempotent with its key is safe where the first attempt that may have run is remembered: within its
-// dedup window and scope.
+// isSafeAt reports whether an attempt at e cannot cause a second effect of the request. A request that is
+// idempotent with its key is safe at endpoints that drop duplicates of the first attempt that may have run:
+// those within its dedup scope, and only during its dedup window.
 func (b *Balancer) isSafeAt(now Micros, r *request, e *endpoint) bool {
 	first := r.firstThatMayHaveRun()
 	if first == nil {
@@ -34,7 +37,7 @@
 	return false
 }
 
-// isInScope reports whether e drops duplicates of what ran at the attempt's endpoint.
+// isInScope reports whether e drops duplicates of a request that ran at the attempt's endpoint.
 func (a *attempt) isInScope(scope DedupScope, e *endpoint) bool {
 	switch scope {
 	case DedupScopeFleet:
@@ -47,8 +50,8 @@
 	return false
 }
 
-// mayReject reports whether a rejection is true for a request: the client's own retry, which may reach any
-// endpoint at any time, cannot have a second effect.
+// mayReject reports whether a request may be rejected. A rejection promises that the client's own retry,
+// which may reach any endpoint at any time, cannot have a second effect.
 func (b *Balancer) mayReject(r *request) bool {
 	if r.firstThatMayHaveRun() == nil {
 		return true
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -11,9 +11,9 @@
 
 // The kinds of retry safety.
 const (
-	Idempotent        RetrySafety = iota // nothing more than executing it once
-	IdempotentWithKey                    // nothing more, within the class's dedup scope and window
-	NonIdempotent                        // it has a second effect
+	Idempotent        RetrySafety = iota // no effect beyond that of one execution
+	IdempotentWithKey                    // no further effect within the class's dedup scope and window
+	NonIdempotent                        // the second execution has an effect of its own
 )
 
 // DedupScope is the set of endpoints that drop duplicates of a request with the same key.
@@ -29,12 +29,12 @@
 // LoadField names one value of a load report.
 type LoadField uint8
 
-// The values that a load report may carry. LoadFieldUnknown is one that this version does not know; it is
-// skipped.
+// The values that a load report may contain. LoadFieldUnknown stands for a value that this version does not
+// know; it is skipped.
 const (
 	LoadFieldUnknown     LoadField = iota
-	LoadFieldInFlight              // requests that the endpoint has
-	LoadFieldQueueLength           // those of them that wait
+	LoadFieldInFlight              // requests in flight at the endpoint, queued ones included
+	LoadFieldQueueLength           // requests that wait in its queue
 	LoadFieldUtilization           // fraction of its cores in use
 	LoadFieldServiceTime           // recent service time in milliseconds
 	LoadFieldThroughput            // requests served per second
@@ -48,21 +48,21 @@
 	DedupScope       DedupScope // for IdempotentWithKey
 	DedupWindow      Micros     // for IdempotentWithKey: how long duplicates are dropped
 	LatencyObjective Micros     // from the arrival of the request, or the end of its body
-	ClientTimeout    Micros     // over all attempts
-	PriorityWeight   float64    // of a request answered within the objective
-	LateWeight       float64    // 0 to 1: part of it that a later response still has; no decision reads it
-	Streaming        bool       // responses are streamed; no decision reads it: ResponseStarted reports them
+	ClientTimeout    Micros     // for all attempts together
+	PriorityWeight   float64    // value of a response within the latency objective
+	LateWeight       float64    // 0 to 1: fraction of PriorityWeight for a late response; no decision reads it
+	Streaming        bool       // responses are streamed; no decision reads it, see ResponseStarted
 }
 
-// Tenant describes one tenant and its quota. No decision reads Name and Fraction.
+// Tenant describes one tenant and its quota. No decision reads Name or Fraction.
 type Tenant struct {
 	Name     string
 	Quota    float64 // requests per second over all balancers
-	Fraction float64 // of the service
+	Fraction float64 // the tenant's fraction of the service
 }
 
-// Limits holds what the deployment permits. No decision reads AllowHedging, since hedged requests would
-// double the work of an endpoint that is slow because it has too much, nor DialTimeout.
+// Limits holds what the deployment permits. No decision reads DialTimeout or AllowHedging: hedged requests
+// would double the work of an endpoint that is slow because it is overloaded.
 type Limits struct {
 	AllowCancel     bool
 	AllowLoadProbes bool
@@ -70,36 +70,37 @@
 	AllowRetryAfter bool
 	AllowGossip     bool
 
-	MaxAttempts   int    // of a request
-	MaxUnanswered int    // requests of this balancer
-	MaxRetryAfter Micros // longest that clients honour
+	MaxAttempts   int    // per request
+	MaxUnanswered int    // unanswered requests of this balancer above which new ones are rejected
+	MaxRetryAfter Micros // longest Retry-After that clients honour
 	DialTimeout   Micros
 }
 
-// Rules holds the parameters of the service's rules. No decision reads DrainGrace and ResponseSlack:
-// nothing new is sent to a draining endpoint, and requests are answered by their deadline.
+// Rules holds the parameters of the service's rules. No decision reads DrainGrace or ResponseSlack, because
+// no new request is sent to a draining endpoint and requests are answered by their deadline.
 type Rules struct {
 	DrainGrace           Micros
-	SlowStartMinCapacity float64 // least fraction of its full capacity that an endpoint starts with
-	SlowStartDuration    Micros  // after which it has its full capacity
-	OverloadMultiple     float64 // of its present capacity: more work makes an endpoint in its slow start fail
-	OverloadDuration     Micros  // time over which that work is counted
-	MaxPollInterval      Micros  // without a subscription; bounds the first delay and the back-off of polls
-	ResponseSlack        Micros
+	SlowStartMinCapacity float64 // fraction of its full capacity that an endpoint has at least at its start
+	SlowStartDuration    Micros  // time after which it has its full capacity
+	// An endpoint in its slow start fails if the work sent to it within OverloadDuration is more than
+	// OverloadMultiple times its present capacity.
+	OverloadMultiple float64
+	OverloadDuration Micros
+	MaxPollInterval  Micros // longest time between polls; bounds the first delay and the backoff
+	ResponseSlack    Micros
 }
 
-// Costs holds what is taken off the score of a run (1 for each request served in time) for each event per
-// request. No decision reads WastedWork and
-// LateFailure.
+// Costs holds what each event of a kind takes off the score of a run, relative to the 1 that a request served
+// in time adds. No decision reads WastedWork or LateFailure.
 type Costs struct {
 	CrossZone     float64
 	LoadProbe     float64 // 0 for free
-	GossipMessage float64 // of maxGossipBytes
+	GossipMessage float64 // for a message of maxGossipBytes
 	WastedWork    float64
 	LateFailure   float64
 }
 
-// Objective holds the weights of what the service is judged by. No decision reads WorstTenant.
+// Objective holds the weights of the measures by which the service is judged. No decision reads WorstTenant.
 type Objective struct {
 	Overall     float64
 	WorstWindow float64
@@ -107,10 +108,10 @@
 	WorstTenant float64
 }
 
-// Settings configures a balancer. No decision reads Index, Zones, MachineTypes and Tick.
+// Settings configures a balancer. No decision reads Index, Zones, MachineTypes or Tick.
 type Settings struct {
-	Balancers     int // of this tier, this one included; SetFleetSize changes it
-	Index         int // of this balancer among them
+	Balancers     int // number of balancers of this tier, this one included; SetFleetSize changes it
+	Index         int // of this balancer in the tier
 	Zone          int // of this balancer
 	Zones         int
 	MachineTypes  int
@@ -125,12 +126,12 @@
 	Costs           Costs
 	Objective       Objective
 	Tick            Micros  // least time between two rounds of events
-	OverQuotaWeight float64 // of a request beyond its tenant's quota, relative to one within
+	OverQuotaWeight float64 // weight of a request beyond its tenant's quota, relative to one within it
 	PriorityPerWork bool    // PriorityWeight counts per unit of work, not per request
 }
 
-// SettingError names an invalid setting: its key, its value and why it is invalid. In errors of Validate the
-// key is the path of the field, such as Limits.MaxAttempts or Classes[1].DedupWindow.
+// SettingError describes an invalid setting: its key, its value and why it is invalid. In errors of Validate
+// the key is the path of the field, such as Limits.MaxAttempts or Classes[1].DedupWindow.
 type SettingError struct{ Key, Value, Reason string }
 
 // Error implements error.
--- a/balancer/settings_validate.go
+++ b/balancer/settings_validate.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// Reasons that several settings share.
+// Reasons in errors of several settings.
 const (
 	notNegative = "must not be negative"
 	positive    = "must be positive"
 	atLeastOne  = "must be at least 1"
 )
 
-// validator keeps the first error that it finds. Its keys are the paths of the fields, which the codec of
-// the settings maps to the keys that operators know.
+// validator keeps the first error that it finds. The keys in its errors are field paths, which the codec of
+// the settings maps to the keys in the settings file.
 type validator struct{ first *SettingError }
 
-// check notes a setting as invalid unless valid is true.
+// check records an error for a setting unless valid is true or an error is already recorded.
 func (v *validator) check(key string, value any, valid bool, reason string) {
 	if !valid && v.first == nil {
 		v.first = &SettingError{Key: key, Value: fmt.Sprint(value), Reason: reason}
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -3,17 +3,17 @@
 // maxRestoredMicros bounds the times that Restore accepts, in microseconds.
 const maxRestoredMicros = 1e12
 
-// EndpointSnapshot is what a balancer learned of one endpoint that is of use after a restart of its host.
+// EndpointSnapshot is the learned state of one endpoint that is useful after a restart of the host.
 type EndpointSnapshot struct {
 	ID              uint32
 	LatencyBaseline float64 // of the breaker, in microseconds; 0 for none
 	LatencyCurrent  float64 // of the breaker, in microseconds
-	ServiceTime     float64 // per unit of work and contention; 0 for none
-	FailureRate     float64 // recent, 0 to 1
+	ServiceTime     float64 // time per unit of work and contention; 0 for none
+	FailureRate     float64 // fraction of recent attempts that failed, 0 to 1
 }
 
-// Snapshot returns what is worth keeping of each endpoint that has been heard of, in list order. It
-// changes no decision.
+// Snapshot returns the learned state of each endpoint that has any, in list order. It has no effect on
+// decisions.
 func (b *Balancer) Snapshot(now Micros) []EndpointSnapshot {
 	snapshots := make([]EndpointSnapshot, 0, len(b.endpoints))
 	for _, e := range b.endpoints {
@@ -32,9 +32,9 @@
 	return snapshots
 }
 
-// Restore takes back a Snapshot, for endpoints that are listed now: UpdateEndpoints with the cached list
-// comes first. What it takes back counts as half aged. Values that are not finite and positive are left
-// out.
+// Restore applies a Snapshot to the endpoints that are listed now: the host calls UpdateEndpoints with the
+// cached list first. A restored service time counts as half its lifetime old, and a restored failure rate as
+// one half-life old. Values that are not finite and positive are ignored.
 func (b *Balancer) Restore(now Micros, snapshots []EndpointSnapshot) {
 	for i := range snapshots {
 		if e := b.endpointsByID[snapshots[i].ID]; e != nil {
@@ -58,5 +58,5 @@
 	}
 }
 
-// isRestorable reports whether a time is positive and within bounds; false for NaN.
+// isRestorable reports whether a time is positive and below maxRestoredMicros; false for NaN.
 func isRestorable(micros float64) bool { return micros > 0 && micros < maxRestoredMicros }
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// ewma is an exponentially weighted moving average whose first sample is taken whole.
+// ewma is an exponentially weighted moving average. The first sample sets its value.
 type ewma struct {
 	value       float64
 	initialized bool
 }
 
-// add moves the average to a sample by its weight, 0 to 1.
+// add includes a sample with a weight from 0 to 1.
 func (a *ewma) add(sample, weight float64) {
 	if !a.initialized {
 		a.value, a.initialized = sample, true
@@ -34,7 +34,7 @@
 	updatedAt Micros
 }
 
-// add counts an amount now.
+// add counts an amount at the time now.
 func (m *rateMeter) add(now Micros, amount float64) {
 	m.sum, m.updatedAt = m.decayed(now)+amount, now
 }
@@ -54,7 +54,7 @@
 // randomSource is a SplitMix64 generator.
 type randomSource uint64
 
-// float returns a number in [0, 1).
+// float returns a random number in [0, 1).
 func (s *randomSource) float() float64 {
 	*s += 0x9e3779b97f4a7c15
 	z := uint64(*s)
@@ -63,7 +63,7 @@
 	return float64((z^z>>31)>>11) / (1 << 53)
 }
 
-// below returns a duration in [0, limit).
+// below returns a random duration in [0, limit).
 func (s *randomSource) below(limit Micros) Micros { return Micros(s.float() * float64(limit)) }
 
 // element returns a random element of a list that is not empty.
