--- a/balancer/reject_reason.go
+++ b/balancer/reject_reason.go
@@ -13,11 +13,11 @@
 	RejectLatency                     // its predicted latency is over its budget
 	RejectBreaker                     // the breakers dropped it
 	RejectAttemptFailed               // an attempt failed and is not retried
-	RejectReasons                     // the number of reasons
+	RejectReasonCount                 // the number of reasons
 )
 
 // String returns the name of the reason in logs.
 func (r RejectReason) String() string {
-	return [RejectReasons]string{"none", "unknown_class", "deadline_passed", "too_many_unanswered",
+	return [RejectReasonCount]string{"none", "unknown_class", "deadline_passed", "too_many_unanswered",
 		"no_endpoint", "predicted_latency", "breaker", "attempt_failed"}[r]
 }
