--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -85,15 +85,15 @@
 // is the latency without contention plus a fraction of the time that then remains to the latency objective.
 // The fraction depends on the request's priority.
 func (b *Balancer) latencyBudget(now Micros, r *request, e *endpoint) float64 {
-	alone := b.zones[e.Zone].roundTrip.value + r.work*b.slowdown(now, e)*b.expectedServiceTime(now, e)
+	unloaded := b.zones[e.Zone].roundTrip.value + r.work*b.slowdown(now, e)*b.expectedServiceTime(now, e)
 	fraction := max(minWaitFraction, maxWaitFraction*r.priority)
 	if b.lateReports.detected || !b.mayReject(r) {
 		// With late reports only averages are known: they must not reject a request that the least loaded
 		// endpoint, which is unknown, would serve in time. A request that may not be rejected would be lost.
 		fraction = 1
 	}
-	left := float64(b.classOf(r).LatencyObjective) - float64(now-r.arrivedAt) - alone
-	return min(alone+fraction*left, float64(r.Deadline-now))
+	remaining := float64(b.classOf(r).LatencyObjective) - float64(now-r.arrivedAt) - unloaded
+	return min(unloaded+fraction*remaining, float64(r.Deadline-now))
 }
 
 // requestPriority returns the priority of a request, 0 to 1. It is the gain for Settings.Objective per unit
--- a/balancer/bans.go
+++ b/balancer/bans.go
@@ -71,9 +71,9 @@
 		if e.reinstateAt == 0 || now < e.reinstateAt {
 			continue
 		}
-		bearable := rules.SlowStartMinCapacity * slowStartLoadFraction * rules.OverloadMultiple *
+		maxWork := rules.SlowStartMinCapacity * slowStartLoadFraction * rules.OverloadMultiple *
 			float64(rules.OverloadDuration) * b.concurrencyOf(e)
-		if float64(b.settings.Balancers*b.processCount)*cost <= bearable {
+		if float64(b.settings.Balancers*b.processCount)*cost <= maxWork {
 			e.slowStart.budget = max(e.slowStart.budget, cost)
 		}
 		if b.mayStartAttempt(now, r, e) {
--- a/balancer/breaker.go
+++ b/balancer/breaker.go
@@ -81,8 +81,8 @@
 			failing++
 		}
 	}
-	eased := maxAcceptMultiplier - (maxAcceptMultiplier-minAcceptMultiplier)*float64(failing)/breakerBuckets
-	multiplier := max(minAcceptMultiplier, eased)
+	adjusted := maxAcceptMultiplier - (maxAcceptMultiplier-minAcceptMultiplier)*float64(failing)/breakerBuckets
+	multiplier := max(minAcceptMultiplier, adjusted)
 	total := float64(k.requests)
 	return max(0, (total-protectedRequests-multiplier*float64(k.accepts))/(total+1))
 }
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -15,14 +15,14 @@
 
 // gossipEntry is one endpoint's load report in the form that is shared with the other balancers.
 type gossipEntry struct {
-	endpointID  uint32
-	startMark   uint16 // startTimeMark of the endpoint: reports of an earlier process are ignored
-	inFlight    uint8  // capped at 255
-	queueLength uint8  // capped at 255
+	endpointID         uint32
+	truncatedStartTime uint16 // of the endpoint: reports of an earlier process are ignored
+	inFlight           uint8  // capped at 255
+	queueLength        uint8  // capped at 255
 }
 
-// startTimeMark returns the low bits of a start time in milliseconds.
-func startTimeMark(at Micros) uint16 { return uint16(at / 1000) }
+// truncateStartTime returns the low bits of a start time in milliseconds.
+func truncateStartTime(at Micros) uint16 { return uint16(at / 1000) }
 
 // clampToByte rounds a count and clamps it to 0..255.
 func clampToByte(x float64) uint8 { return uint8(min(max(x+0.5, 0), 255)) }
@@ -30,7 +30,7 @@
 // encode returns a message with this entry only.
 func (g gossipEntry) encode() []byte {
 	data := binary.BigEndian.AppendUint32([]byte{gossipVersion}, g.endpointID)
-	data = binary.BigEndian.AppendUint16(data, g.startMark)
+	data = binary.BigEndian.AppendUint16(data, g.truncatedStartTime)
 	return append(data, g.inFlight, g.queueLength)
 }
 
@@ -43,10 +43,10 @@
 	var entries []gossipEntry
 	for data = data[1:]; len(data) > 0; data = data[gossipEntryBytes:] {
 		entries = append(entries, gossipEntry{
-			endpointID:  binary.BigEndian.Uint32(data),
-			startMark:   binary.BigEndian.Uint16(data[4:]),
-			inFlight:    data[6],
-			queueLength: data[7],
+			endpointID:         binary.BigEndian.Uint32(data),
+			truncatedStartTime: binary.BigEndian.Uint16(data[4:]),
+			inFlight:           data[6],
+			queueLength:        data[7],
 		})
 	}
 	return entries, nil
@@ -55,10 +55,10 @@
 // sendGossip shares a load report of e with the other balancers.
 func (b *Balancer) sendGossip(e *endpoint, inFlight, queueLength float64) {
 	entry := gossipEntry{
-		endpointID:  e.ID,
-		startMark:   startTimeMark(e.StartTime),
-		inFlight:    clampToByte(inFlight),
-		queueLength: clampToByte(queueLength),
+		endpointID:         e.ID,
+		truncatedStartTime: truncateStartTime(e.StartTime),
+		inFlight:           clampToByte(inFlight),
+		queueLength:        clampToByte(queueLength),
 	}
 	b.actions.SendGossip(entry.encode())
 }
@@ -73,7 +73,7 @@
 	}
 	for _, entry := range entries {
 		e := b.endpointsByID[entry.endpointID]
-		if e == nil || !e.isUsable() || startTimeMark(e.StartTime) != entry.startMark {
+		if e == nil || !e.isUsable() || truncateStartTime(e.StartTime) != entry.truncatedStartTime {
 			continue
 		}
 		b.recordLoad(now, e, float64(entry.inFlight))
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -100,7 +100,7 @@
 		"other version":   append([]byte{9}, gossipEntry{endpointID: 2, inFlight: 9}.encode()[1:]...),
 		"too long":        make([]byte, 257),
 		"unknown":         gossipEntry{endpointID: 77, inFlight: 9}.encode(),
-		"earlier process": gossipEntry{endpointID: 1, startMark: 4, inFlight: 9}.encode(),
+		"earlier process": gossipEntry{endpointID: 1, truncatedStartTime: 4, inFlight: 9}.encode(),
 	} {
 		b, r := start(t, largeFleetSettings(), list)
 		b.ReceiveGossip(10*second, data)
@@ -118,7 +118,7 @@
 
 // A balancer whose own zone is lost still chooses among three draws, or half of its requests would go to
 // full endpoints.
-func TestLostZoneLeavesAChoice(t *testing.T) {
+func TestPickSpreadsRequestsWithoutLocalEndpoints(t *testing.T) {
 	s := largeFleetSettings()
 	s.Zone = 200 // no endpoint of it is listed
 	b, r := start(t, s, ready(60))
@@ -142,11 +142,11 @@
 		file string
 		want []gossipEntry
 	}{
-		{"gossip-one.bin", []gossipEntry{{endpointID: 305_419_896, startMark: 0xbeef, inFlight: 7, queueLength: 2}}},
+		{"gossip-one.bin", []gossipEntry{{endpointID: 305_419_896, truncatedStartTime: 0xbeef, inFlight: 7, queueLength: 2}}},
 		{"gossip-several.bin", []gossipEntry{
-			{endpointID: 1, startMark: 0, inFlight: 0, queueLength: 0},
-			{endpointID: 4_294_967_295, startMark: 65_535, inFlight: 255, queueLength: 255},
-			{endpointID: 70_000, startMark: 258, inFlight: 12, queueLength: 10},
+			{endpointID: 1, truncatedStartTime: 0, inFlight: 0, queueLength: 0},
+			{endpointID: 4_294_967_295, truncatedStartTime: 65_535, inFlight: 255, queueLength: 255},
+			{endpointID: 70_000, truncatedStartTime: 258, inFlight: 12, queueLength: 10},
 		}},
 	} {
 		golden, err := os.ReadFile("testdata/" + c.file)
--- a/balancer/latency_estimate.go
+++ b/balancer/latency_estimate.go
@@ -30,8 +30,8 @@
 	group := min(b.zones[e.Zone].serviceTime.valueOr(all), all)
 	own := &e.serviceTime
 	age := float64(now - own.updatedAt)
-	trust := max(0, 1-age/float64(serviceTimeLifetime)) * indicator(own.average.initialized)
-	return (group + (own.average.value-group)*trust) / e.slowStart.capacityFraction(now, &b.settings.Rules)
+	ownWeight := max(0, 1-age/float64(serviceTimeLifetime)) * indicator(own.average.initialized)
+	return (group + (own.average.value-group)*ownWeight) / e.slowStart.capacityFraction(now, &b.settings.Rules)
 }
 
 // predictLatency returns the predicted latency (microseconds) of a request with this work if it is sent to
--- a/balancer/load_estimate_test.go
+++ b/balancer/load_estimate_test.go
@@ -44,7 +44,7 @@
 }
 
 // In a large fleet all balancers learn of the same idle endpoint: none may fill it alone.
-func TestOneLowReportDrawsNoHerd(t *testing.T) {
+func TestOneLowReportDoesNotAttractAll(t *testing.T) {
 	for _, c := range []struct{ balancers, maxAttempts int }{{1, 5}, {3, 3}, {15, 2}} {
 		s := testSettings()
 		s.Balancers = c.balancers
--- a/balancer/load_probes.go
+++ b/balancer/load_probes.go
@@ -162,8 +162,8 @@
 	if b.gossiping {
 		b.sendGossip(e, inFlight, values.queueLength)
 	}
-	isFleetBusy := b.zones[e.Zone].baselineLoad.value >= concurrency
-	if b.queuedProbeFraction.value > queuedProbeThreshold && !hasQueued && !isFleetBusy {
+	isZoneBusy := b.zones[e.Zone].baselineLoad.value >= concurrency
+	if b.queuedProbeFraction.value > queuedProbeThreshold && !hasQueued && !isZoneBusy {
 		// Other probes wait in queues and this one did not: the endpoint has free capacity, even if the
 		// report, which may be old, shows more load.
 		e.report.externalLoad = min(e.report.externalLoad, concurrency-1)
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -38,11 +38,11 @@
 		return best
 	}
 	// Two of three candidates come from the own zone: drawn from the whole list, most would be in other zones.
-	anyRoundTrip := float64(r.Deadline) // no limit: a time since the origin exceeds any round-trip time
+	noRoundTripLimit := float64(r.Deadline) // no limit: a time since the origin exceeds any round-trip time
 	for _, list := range [...][]*endpoint{b.localEndpoints, b.localEndpoints, b.endpoints} {
-		e := b.randomCandidate(now, r, list, excluded, anyRoundTrip)
+		e := b.randomCandidate(now, r, list, excluded, noRoundTripLimit)
 		if e == nil || e.failures.isOutlier(now) {
-			e = b.randomCandidate(now, r, b.endpoints, excluded, anyRoundTrip)
+			e = b.randomCandidate(now, r, b.endpoints, excluded, noRoundTripLimit)
 		}
 		if e != nil {
 			consider(e)
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -159,8 +159,8 @@
 	v.checkLimits(&s.Limits)
 	v.checkRules(&s.Rules)
 	v.checkCosts(&s.Costs)
-	if v.first == nil {
+	if v.firstError == nil {
 		return nil
 	}
-	return v.first
+	return v.firstError
 }
--- a/balancer/settings_validate.go
+++ b/balancer/settings_validate.go
@@ -11,18 +11,18 @@
 
 // validator keeps the first error that it finds. The keys in its errors are field paths, which the codec of
 // the settings maps to the keys in the settings file.
-type validator struct{ first *SettingError }
+type validator struct{ firstError *SettingError }
 
 // check records an error for a setting unless valid is true or an error is already recorded.
 func (v *validator) check(key string, value any, valid bool, reason string) {
-	if !valid && v.first == nil {
-		v.first = &SettingError{Key: key, Value: fmt.Sprint(value), Reason: reason}
+	if !valid && v.firstError == nil {
+		v.firstError = &SettingError{Key: key, Value: fmt.Sprint(value), Reason: reason}
 	}
 }
 
 func (v *validator) checkClass(prefix string, c *Class) {
-	v.check(prefix+"RetrySafety", c.RetrySafety, c.RetrySafety <= NonIdempotent, "not a known kind")
-	v.check(prefix+"DedupScope", c.DedupScope, c.DedupScope <= DedupScopePod, "not a known group")
+	v.check(prefix+"RetrySafety", c.RetrySafety, c.RetrySafety <= NonIdempotent, "not a known retry safety")
+	v.check(prefix+"DedupScope", c.DedupScope, c.DedupScope <= DedupScopePod, "not a known dedup scope")
 	v.check(prefix+"DedupWindow", c.DedupWindow, c.DedupWindow >= 0, notNegative)
 	v.check(prefix+"LatencyObjective", c.LatencyObjective, c.LatencyObjective > 0, positive)
 	v.check(prefix+"ClientTimeout", c.ClientTimeout, c.ClientTimeout > 0, positive)
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -64,9 +64,9 @@
 		warm, startedWork = usable, b.requestRate.rate(now)*work
 	}
 	rules := &b.settings.Rules
-	evenPart := b.concurrencyOf(e) * float64(second) / float64(b.settings.Balancers*b.processCount)
+	evenShare := b.concurrencyOf(e) * float64(second) / float64(b.settings.Balancers*b.processCount)
 	rate := min(1, slowStartLoadFraction*rules.OverloadMultiple) * e.slowStart.capacityFraction(now, rules) *
-		max(startedWork/max(1, warm), evenPart)
+		max(startedWork/max(1, warm), evenShare)
 	cost := work * slowStartCharge
 	maxBudget := max(rate*float64(rules.OverloadDuration)/float64(second)/2, cost)
 	e.slowStart.refill(now, rate, maxBudget)
