--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A wrong estimate of the work of a class must not reject that class for ever; but one forced admission a
-// second at each of a thousand balancers would keep an overloaded fleet overloaded.
+// A wrong estimate of a class's work must not reject that class forever. But if each of a thousand balancers
+// forced one admission per second, an overloaded fleet would stay overloaded.
 func TestFewLateRequestsAreForced(t *testing.T) {
 	for _, c := range []struct {
 		gap      Micros
@@ -19,7 +19,7 @@
 			b.RequestArrived(now, requestOf(i, 0, now))
 		}
 		if n := len(r.attempts); n < c.from || n > c.to {
-			t.Errorf("a request every %d us: %d of 300 sent, want %d to %d", c.gap, n, c.from, c.to)
+			t.Errorf("a request every %d us: %d of 300 were sent, want %d to %d", c.gap, n, c.from, c.to)
 		}
 		if len(r.rejected) != 300-len(r.attempts) {
 			t.Errorf("%d rejected, %d sent", len(r.rejected), len(r.attempts))
@@ -27,7 +27,7 @@
 	}
 }
 
-// A few long responses must not make an endpoint without contention reject.
+// A few long responses must not lead to rejections while the endpoint has no contention.
 func TestIdleEndpointAdmitsLateRequest(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.endpoints[0].serviceTime.average, b.endpoints[0].serviceTime.updatedAt = ewma{value: 9, initialized: true}, 1000
@@ -38,7 +38,7 @@
 	}
 }
 
-// Requests forced into an overload prolong it: each that is late makes the next rarer.
+// Forced admissions prolong an overload: after each one that is late, they become rarer.
 func TestForcedAdmissionsThatFailGetRarer(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.classes[0].meanWork.value = float64(100 * second)
@@ -53,7 +53,7 @@
 		}
 	}
 	if passed[0] < 3 || passed[0] > 8 || passed[1] > 2 {
-		t.Errorf("%d of the first 200 were forced and %d of the next", passed[0], passed[1])
+		t.Errorf("%d of the first 200 requests were forced and %d of the next 200, want 3 to 8 and at most 2", passed[0], passed[1])
 	}
 	b.forcedAdmission.interval = maxForcedAdmissionInterval
 	r.attempts = nil
@@ -63,18 +63,18 @@
 	b.RequestArrived(502*second, requestOf(1001, 0, 502*second))
 	b.AttemptFinished(502*second+1000, Outcome{ID: 1001, Endpoint: 1, Status: OK, Latency: 1000, RequestDone: true})
 	if b.forcedAdmission.interval != minForcedAdmissionInterval {
-		t.Errorf("one of %d is forced after a response in time", b.forcedAdmission.interval)
+		t.Errorf("one of %d requests is forced after a response in time, want one of the minimum interval", b.forcedAdmission.interval)
 	}
 }
 
-// After an overload the rejections must end soon: forced admissions that are in time are followed by more,
+// After an overload the rejections must end soon: each forced admission that is in time allows more of them,
 // until the estimates have recovered.
 func TestForcedAdmissionsInTimeEndRejections(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.classes[0].meanWork.value = 250_000
 	b.zones[0].trend.value, b.zones[0].trend.updatedAt = maxTrend, 10*second
 	const gap = second / 200
-	last := Micros(0) // rejection
+	last := Micros(0) // time of the latest rejection
 	for i := range uint64(1000) {
 		now := 10*second + Micros(i)*gap
 		b.LoadProbeResult(now, 1, OK, 500, []float32{0})
@@ -90,7 +90,8 @@
 	}
 }
 
-// The reason of rejections is logged, in one line a second and not in thousands.
+// The reason of rejections is logged, but at most once per second: an overload would otherwise write thousands
+// of lines.
 func TestRejectionsAreLoggedOncePerSecond(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.LoadProbeResult(1000, 1, OK, 500, []float32{50})
@@ -100,10 +101,10 @@
 		b.RequestArrived(now, requestOf(id, 0, now))
 	}
 	if len(r.rejected) < 150 {
-		t.Fatalf("only %d rejected", len(r.rejected))
+		t.Fatalf("only %d requests were rejected, want at least 150", len(r.rejected))
 	}
 	if len(r.logs) != 1 || !strings.Contains(r.logs[0], "predicted latency over budget endpoint=1 ") {
-		t.Errorf("log: %q", r.logs)
+		t.Errorf("log lines %q, want one for the rejections", r.logs)
 	}
 }
 
@@ -127,9 +128,9 @@
 	}
 	class.lateSinceForced = maxForcedAdmissionInterval
 	if forced.take(100*second, &class, false) {
-		t.Error("a retry is forced")
+		t.Error("a retry was forced, want first attempts only")
 	}
 	if !forced.take(100*second, &class, true) || forced.take(100*second, &class, true) {
-		t.Error("want exactly one forced")
+		t.Error("want exactly one of two requests at the same time to be forced")
 	}
 }
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -21,7 +21,7 @@
 		return r
 	}
 	if a, b := fmt.Sprint(run()), fmt.Sprint(run()); a != b {
-		t.Error("two runs differ")
+		t.Error("two runs with the same events led to different actions")
 	}
 }
 
@@ -38,6 +38,6 @@
 		once()
 	}
 	if n := testing.AllocsPerRun(200, once); n > 0.1 {
-		t.Errorf("%v allocations a request", n)
+		t.Errorf("%v allocations per request, want at most 0.1", n)
 	}
 }
--- a/balancer/bans_test.go
+++ b/balancer/bans_test.go
@@ -5,14 +5,15 @@
 	"testing"
 )
 
-// traffic sends a steady load through a balancer, answers all of it and counts attempts by endpoint.
+// traffic sends requests at a steady rate through a balancer, answers them all and counts the attempts by
+// endpoint.
 type traffic struct {
 	b     *Balancer
 	r     *recorder
 	id    uint64
-	seen  int
-	sends map[uint32]int
-	first map[uint32]Micros // when an endpoint was first sent something
+	seen  int               // attempts counted so far
+	sends map[uint32]int    // attempts by endpoint
+	first map[uint32]Micros // time of the first attempt by endpoint
 }
 
 func newTraffic(b *Balancer, r *recorder) *traffic {
@@ -36,7 +37,7 @@
 	}
 }
 
-// A ban holds whatever updates say, and whenever the endpoint is listed.
+// A ban holds whatever endpoint updates say, and also for an endpoint that is listed only later.
 func TestBannedEndpointGetsNothing(t *testing.T) {
 	b, r := start(t, testSettings(), ready(3))
 	b.Ban(1000, 1)
@@ -65,8 +66,8 @@
 	}
 }
 
-// Reinstating ends the ban at once, and the endpoint gets a request within 5 s, warming up or loaded as it
-// may seem.
+// A reinstatement ends the ban at once, and the endpoint gets a request within 5 s, even if it is warming up or
+// seems loaded.
 func TestReinstatedEndpointIsUsedAgain(t *testing.T) {
 	for name, update := range map[string]func(b *Balancer){
 		"no restart reported":    func(b *Balancer) {},
@@ -83,7 +84,7 @@
 		before := tr.sends[1]
 		tr.run(4*second, 5*second, 100_000)
 		if tr.sends[1] != before {
-			t.Errorf("%s: sent to while banned", name)
+			t.Errorf("%s: the endpoint was sent requests while banned", name)
 		}
 		r.probes = r.probes[:0]
 		b.Unban(5*second, 1)
@@ -93,7 +94,7 @@
 				t.Errorf("%s: probes at the reinstatement are %v, want one of 1", name, r.probes)
 			}
 			if e := b.endpointsByID[1]; !b.isWarmingUp(5*second, e) {
-				t.Errorf("%s: it does not warm up", name)
+				t.Errorf("%s: the reinstated endpoint has no slow start", name)
 			}
 		} else {
 			b.UpdateEndpoints(5*second+second/2, UpdateFull, listWithRestart(5*second))
@@ -112,8 +113,8 @@
 	return list
 }
 
-// In a large fleet the first requests of all balancers together would overload an endpoint that warms up:
-// each saves up for it.
+// In a large fleet the first requests of all balancers together would overload an endpoint in its slow start.
+// A balancer therefore sends the first request only once it has the slow-start budget for it.
 func TestReinstatedEndpointIsNotOverloaded(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1000
@@ -127,13 +128,13 @@
 		return b.findReinstated(now, r) != nil
 	}
 	if getsFirstRequest() {
-		t.Error("each of a thousand balancers sends it a first request")
+		t.Error("each of a thousand balancers sends a first request to the reinstated endpoint at once")
 	}
 	s.Balancers = 1
 	b, _ = start(t, s, ready(3))
 	b.Ban(second, 1)
 	b.Unban(2*second, 1)
 	if !getsFirstRequest() {
-		t.Error("the only balancer does not send it a first request")
+		t.Error("the only balancer does not send a first request to the reinstated endpoint")
 	}
 }
--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -9,7 +9,7 @@
 		name              string
 		accepts, failures int
 		refusals          int
-		spread            int // buckets that failures are spread over
+		spread            int // number of buckets over which the failures are spread
 		want              float64
 	}{
 		{"empty", 0, 0, 0, 1, 0},
@@ -48,17 +48,17 @@
 		k.record(100*second, 0, 1)
 	}
 	if k.errorDropProbability(109*second) == 0 {
-		t.Error("failures of nine seconds ago have expired")
+		t.Error("failures expired after nine seconds, within the window")
 	}
 	if got := k.errorDropProbability(110*second + 1); got != 0 || k.requests != 0 {
-		t.Errorf("after the window: chance %v, %d requests", got, k.requests)
+		t.Errorf("after the window: drop probability %v and %d requests, want 0 and 0", got, k.requests)
 	}
 	for range 100 {
 		k.record(200*second, 0, 1)
 	}
 	k.errorDropProbability(500 * second)
 	if k.requests != 0 {
-		t.Errorf("after a long pause: %d requests", k.requests)
+		t.Errorf("after a long pause: %d requests in the window, want 0", k.requests)
 	}
 }
 
@@ -66,15 +66,15 @@
 	var k breaker
 	k.recordLatency(100)
 	if k.latencyBaseline != 100 || k.latencyCurrent != 100 {
-		t.Fatalf("first: base %v current %v", k.latencyBaseline, k.latencyCurrent)
+		t.Fatalf("after the first sample: baseline %v and current %v, want 100 and 100", k.latencyBaseline, k.latencyCurrent)
 	}
 	k.recordLatency(60) // falls by a quarter; current (60+3*100)/4
 	if !isNear(k.latencyBaseline, 90) || !isNear(k.latencyCurrent, 90) {
-		t.Fatalf("fall: base %v current %v", k.latencyBaseline, k.latencyCurrent)
+		t.Fatalf("after a lower latency: baseline %v and current %v, want 90 and 90", k.latencyBaseline, k.latencyCurrent)
 	}
 	k.recordLatency(190) // rises by a hundredth: (190+99*90)/100; current (190+270)/4
 	if !isNear(k.latencyBaseline, 91) || !isNear(k.latencyCurrent, 115) {
-		t.Fatalf("rise: base %v current %v", k.latencyBaseline, k.latencyCurrent)
+		t.Fatalf("after a higher latency: baseline %v and current %v, want 91 and 115", k.latencyBaseline, k.latencyCurrent)
 	}
 }
 
@@ -107,7 +107,7 @@
 	}
 	r := &request{}
 	if !b.breakerAllows(now, r, e) {
-		t.Fatal("the first is not forced")
+		t.Fatal("the first request was dropped, want a forced pass")
 	}
 	passed := 0
 	for range 200 {
@@ -116,9 +116,9 @@
 		}
 	}
 	if passed > 20 {
-		t.Errorf("%d of 200 passed an endpoint that fails all", passed)
+		t.Errorf("%d of 200 requests passed the breaker of an endpoint that fails all, want at most 20", passed)
 	}
 	if !b.breakerAllows(now+forcedPassInterval+1001, r, e) {
-		t.Error("none passed after the forced-pass interval")
+		t.Error("no request passed after the forced-pass interval")
 	}
 }
--- a/balancer/decisions_golden_test.go
+++ b/balancer/decisions_golden_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// A generated script of events is played against a balancer on a virtual clock. Everything that the balancer
-// asks of its host, log lines excepted, goes into a digest in a fixed binary form. The expected digests were
-// made by the code of main 0bd2efd: a change of structure or names must leave them as they are, and a change
-// of a decision has to replace them, with its reason in the commit.
+// These tests run generated scripts of events against a balancer on a virtual clock. All actions except log
+// lines are written in a fixed binary form to a digest. The expected digests come from the code of main
+// 0bd2efd. A refactoring must not change them. A commit that changes a decision replaces them and gives the
+// reason.
 
-// goldenSettings are the settings that the scripts vary.
+// goldenSettings returns the settings from which those of the scripts are derived.
 func goldenSettings() Settings {
 	return Settings{
 		Balancers: 4, Index: 1, Zone: 0, Zones: 3, MachineTypes: 2, Tick: 5000,
@@ -79,7 +79,7 @@
 	}
 }
 
-// goldenResult is what a script has to end with.
+// goldenResult is the expected result of a script.
 type goldenResult struct {
 	events, actions int
 	digest          string // SHA-256 of all records
@@ -128,10 +128,10 @@
 	},
 }
 
-// TestDecisionsMatchGoldenDigests plays the scripts and compares the digests of all actions.
+// TestDecisionsMatchGoldenDigests runs the scripts and compares the digests of all actions.
 func TestDecisionsMatchGoldenDigests(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
-		t.Skip("the digests hold for amd64: elsewhere the compiler may fuse a product and a sum")
+		t.Skip("the digests hold for amd64 only: on other architectures the compiler may fuse a product and a sum")
 	}
 	total := map[byte]int{}
 	for _, options := range goldenScripts() {
--- a/balancer/discovery_poll_test.go
+++ b/balancer/discovery_poll_test.go
@@ -18,24 +18,24 @@
 				return
 			}
 		}
-		t.Fatal("no timer for discovery")
+		t.Fatal("no timer is set for the next poll")
 	}
 	fire()
 	for n := 1; n < 8; n++ {
 		if r.watches != n {
-			t.Fatalf("%d calls, %d wanted", r.watches, n)
+			t.Fatalf("%d subscription calls, want %d", r.watches, n)
 		}
 		before := now
 		if n%2 == 0 {
 			b.UpdateEndpoints(now, UpdateFailed, nil)
-		} // else the answer is lost
+		} // otherwise the answer is lost
 		fire()
 		if now-before > s.Rules.MaxPollInterval {
-			t.Fatalf("polled only after %d", now-before)
+			t.Fatalf("polled again only after %d us, want at most %d", now-before, s.Rules.MaxPollInterval)
 		}
 	}
 	if len(b.endpoints) != 2 {
-		t.Error("a failed call changed the list")
+		t.Error("a failed call changed the endpoint list")
 	}
 	b.UpdateEndpoints(now, UpdateDelta, nil)
 	n := r.watches
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -13,7 +13,7 @@
 	}
 	for _, s := range r.attempts {
 		if s.endpoint == 1 || s.endpoint == 2 {
-			t.Fatalf("sent to %d", s.endpoint)
+			t.Fatalf("an attempt started at endpoint %d, which is draining or removed", s.endpoint)
 		}
 	}
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -6,7 +6,7 @@
 	"bramblestand/balancer"
 )
 
-// host prints what a balancer asks for; a sidecar carries it out.
+// host prints the actions that a balancer requests; a sidecar carries them out.
 type host struct{ sent []uint32 }
 
 func (h *host) StartAttempt(id uint64, endpoint uint32, timeout balancer.Micros) {
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// largeFleetSettings are those of many balancers, each with few requests and expensive load probes.
+// largeFleetSettings returns settings for many balancers, each with few requests and expensive load probes.
 func largeFleetSettings() Settings {
 	s := testSettings()
 	s.Balancers = 80
@@ -18,13 +18,13 @@
 	return s
 }
 
-// The answer to a load probe is shared with all balancers, unless each can probe often enough itself.
+// The answer to a load probe is shared with all balancers, unless each of them can probe often enough itself.
 func TestReportsAreSharedWithOtherBalancers(t *testing.T) {
 	b, r := start(t, largeFleetSettings(), ready(60))
 	b.TimerFired(second, timerProbeRound)
 	b.LoadProbeResult(second+500, r.probes[0], OK, 500, []float32{7, 3})
 	if len(r.gossip) != 1 {
-		t.Fatalf("%d messages after one report", len(r.gossip))
+		t.Fatalf("%d gossip messages after one report, want 1", len(r.gossip))
 	}
 	other, _ := start(t, largeFleetSettings(), ready(60))
 	other.TimerFired(second, timerProbeRound)
@@ -43,11 +43,11 @@
 	b.TimerFired(2*second, timerProbeRound)
 	b.LoadProbeResult(2*second+500, r.probes[0], OK, 500, []float32{7, 3})
 	if len(r.gossip) != 0 {
-		t.Errorf("%d messages though a round over the fleet takes less than a second", len(r.gossip))
+		t.Errorf("%d gossip messages, want none as a probe round over the fleet takes less than a second", len(r.gossip))
 	}
 }
 
-// A shared report counts for about the time of a request: many balancers act on it together.
+// A shared report counts for only about the time of one request, because many balancers act on it.
 func TestSharedLoadDecaysToBaseline(t *testing.T) {
 	b, _ := start(t, largeFleetSettings(), ready(60))
 	b.TimerFired(second, timerProbeRound)
@@ -62,8 +62,8 @@
 	}
 }
 
-// While reports are shared, a slow response may have waited in a queue that no report shows: it does not
-// make requests heavier. The service time of the reports tells their work.
+// While reports are shared, a slow response may have waited in a queue that no report shows. Its latency must
+// not raise the mean work, which is learned from the service times in the reports.
 func TestReportsTellMeanWork(t *testing.T) {
 	s := largeFleetSettings()
 	s.LoadReportFields, s.Classes = []LoadField{LoadFieldInFlight, LoadFieldQueueLength, LoadFieldServiceTime}, s.Classes[:1]
@@ -78,18 +78,18 @@
 		}
 	}
 	if got := b.classes[0].meanWork.value; got != work {
-		t.Errorf("work %.0f us after slow responses, want the %.0f of before", got, work)
+		t.Errorf("mean work %.0f us after slow responses, want the %.0f before them", got, work)
 	}
 	for i := range Micros(200) {
 		b.LoadProbeResult(2*second+i, 1, OK, 500, []float32{2, 0, 50})
 	}
 	if got := b.classes[0].meanWork.value; got > 51_000 || got < 49_000 {
-		t.Errorf("work %.0f us with reports of 50 ms", got)
+		t.Errorf("mean work %.0f us with reports of 50 ms, want 49000 to 51000", got)
 	}
 }
 
-// A message that is truncated, foreign, or of an unknown endpoint or an earlier process of it changes
-// nothing.
+// A message that is truncated or no gossip message at all, and one about an unknown endpoint or an earlier
+// process of an endpoint, must change nothing.
 func TestInvalidGossipIsDropped(t *testing.T) {
 	list := ready(3)
 	list[0].StartTime = 5000
@@ -106,18 +106,18 @@
 		b.ReceiveGossip(10*second, data)
 		for _, e := range b.endpoints {
 			if e.report.known {
-				t.Errorf("%s: endpoint %d has a report now", name, e.ID)
+				t.Errorf("%s: the message set a report of endpoint %d", name, e.ID)
 			}
 		}
 		isWellFormed := name == "unknown" || name == "earlier process"
 		if isLogged := len(r.logs) == 1 && strings.HasPrefix(r.logs[0], "gossip message dropped error="); isLogged == isWellFormed {
-			t.Errorf("%s: log %q", name, r.logs)
+			t.Errorf("%s: log lines %q, want one exactly if the message is malformed", name, r.logs)
 		}
 	}
 }
 
-// A balancer whose own zone is lost still chooses among three draws, or half of its requests would go to
-// full endpoints.
+// A balancer without listed endpoints in its own zone must still choose among three random candidates. With
+// one candidate half of its requests would go to full endpoints.
 func TestPickSpreadsRequestsWithoutLocalEndpoints(t *testing.T) {
 	s := largeFleetSettings()
 	s.Zone = 200 // no endpoint of it is listed
@@ -132,11 +132,11 @@
 		full += int(r.attempts[i].endpoint % 2)
 	}
 	if full > 30 {
-		t.Errorf("%d of 100 requests go to the full half", full)
+		t.Errorf("%d of 100 requests go to full endpoints, want at most 30", full)
 	}
 }
 
-// The messages in testdata were written by main 0bd2efd: balancers of that version send and read them.
+// The messages in testdata were written by main 0bd2efd: balancers of that version send and read this format.
 func TestGossipMessageReadsAndWritesGoldenBytes(t *testing.T) {
 	for _, c := range []struct {
 		file string
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// testSettings are plain settings that tests change as they need.
+// testSettings returns default settings, which tests change as needed.
 func testSettings() Settings {
 	return Settings{
 		Balancers: 2, Zones: 1, MachineTypes: 1, Tick: 5000,
@@ -32,11 +32,11 @@
 	endpoint uint32
 }
 
-// recorder records what a balancer asks of its host.
+// recorder implements Actions and records the actions of a balancer.
 type recorder struct {
 	attempts []startedAttempt
 	rejected []uint64
-	reasons  []RejectReason // of those
+	reasons  []RejectReason // of the rejected requests
 	failed   []uint64
 	cancels  []uint64
 	probes   []uint32
@@ -69,7 +69,7 @@
 
 func (r *recorder) WatchEndpoints(bool) { r.watches++ }
 
-// Log keeps a line as a host may write it: the message, then key=value for each field.
+// Log records a log line as a host may write it: the message, then key=value for each field.
 func (r *recorder) Log(message string, fields ...LogField) {
 	line := message
 	for _, field := range fields {
@@ -78,7 +78,7 @@
 	r.logs = append(r.logs, line)
 }
 
-// ready returns n ready endpoints with IDs from 1; pairs share a pod and a zone.
+// ready returns n ready endpoints with IDs from 1. Each pair of endpoints shares a pod and a zone.
 func ready(n int) []Endpoint {
 	list := make([]Endpoint, n)
 	for i := range list {
@@ -87,6 +87,7 @@
 	return list
 }
 
+// start returns a started balancer with an endpoint list, and the recorder of its actions.
 func start(t *testing.T, s Settings, list []Endpoint) (*Balancer, *recorder) {
 	t.Helper()
 	r := &recorder{}
--- a/balancer/late_reports_test.go
+++ b/balancer/late_reports_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// Reports that count fewer requests than this balancer has there itself are late; they must not steer
-// picks.
+// Reports that count fewer requests than this balancer itself has in flight at the endpoint are late and must
+// not influence picks.
 func TestLateReportsAreDetected(t *testing.T) {
 	b, r := start(t, testSettings(), ready(2))
 	for id := range uint64(3) {
@@ -18,10 +18,10 @@
 		b.LoadProbeResult(23_000+i, busy.ID, OK, 500, []float32{0})
 	}
 	if !b.lateReports.detected {
-		t.Fatal("late reports are not detected")
+		t.Fatal("late reports were not detected")
 	}
 	if got := b.estimateLoad(1000, busy); got < float64(busy.inFlight) {
-		t.Errorf("load %v is under own in-flight %d", got, busy.inFlight)
+		t.Errorf("load %v is below the %d own attempts in flight", got, busy.inFlight)
 	}
 	for i := range Micros(400) {
 		busy.probing = false
@@ -29,12 +29,12 @@
 		b.LoadProbeResult(25_000+i, busy.ID, OK, 500, []float32{5})
 	}
 	if b.lateReports.detected {
-		t.Error("the recovery is not detected")
+		t.Error("the recovery of the reports was not detected")
 	}
 }
 
-// An attempt that has not arrived, behind a handshake for example, and one whose response has stalled are
-// not at the endpoint. A report without them is not late.
+// An attempt that has not arrived yet, for example because of a handshake, and one whose response has stalled
+// are not in flight at the endpoint. A report that does not count them is not late.
 func TestReportsWithoutAttemptsOnTheirWayAreNotLate(t *testing.T) {
 	for _, age := range []Micros{15_000, 500_000} {
 		b, r := start(t, testSettings(), ready(2))
@@ -46,13 +46,13 @@
 			b.LoadProbeResult(1000+age+10*i, busy.ID, OK, 500, []float32{0})
 		}
 		if b.lateReports.detected {
-			t.Errorf("reports count as late for an attempt %d ms old", age/1000)
+			t.Errorf("reports count as late because of an attempt %d ms old", age/1000)
 		}
 	}
 }
 
-// While reports are late, averages decide. They must not reject what an endpoint that they cannot show
-// would serve.
+// While reports are late, decisions use averages. These cannot show the least loaded endpoint and must not
+// reject a request that it would serve in time.
 func TestLateReportsAllowTheFullObjective(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(1))
 	r := &request{Request: requestOf(1, 0, 0), work: 50_000}
@@ -60,7 +60,7 @@
 	before := b.latencyBudget(0, r, b.endpoints[0])
 	b.lateReports.detected = true
 	if after := b.latencyBudget(0, r, b.endpoints[0]); after <= before || after != float64(b.settings.Classes[0].LatencyObjective) {
-		t.Errorf("budget %v before, %v while late", before, after)
+		t.Errorf("budget %v before and %v while reports are late, want the full latency objective", before, after)
 	}
 }
 
@@ -76,7 +76,7 @@
 	}
 	record(true, 5) // a fraction of 0.096
 	if reports.detected {
-		t.Error("detected below the threshold")
+		t.Error("late reports were detected below the threshold")
 	}
 	record(true, 5)
 	if !reports.detected || changes != 1 {
@@ -84,7 +84,7 @@
 	}
 	record(false, 30) // a fraction of 0.1
 	if !reports.detected {
-		t.Error("recovered above a third of the threshold")
+		t.Error("a recovery was detected above a third of the threshold")
 	}
 	record(false, 200)
 	if reports.detected || changes != 2 {
--- a/balancer/latency_estimate_test.go
+++ b/balancer/latency_estimate_test.go
@@ -4,14 +4,14 @@
 	"testing"
 )
 
-// Latencies at endpoints wrongly taken to be loaded say nothing of the work of a class: they would make it
-// less, and so any queue that a waiting probe shows longer.
+// Latencies at endpoints that are wrongly assumed to be loaded must not change the mean work. They would lower
+// it, and the queue inferred from the latency of a load probe would become longer still.
 func TestWorkIsNotLearnedFromAssumedQueue(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	before := b.classes[0].meanWork.value
 	for i := range uint64(200) {
 		now := second + Micros(i)*10_000
-		b.LoadProbeResult(now, 1, OK, 500, []float32{0})                  // the round-trip time
+		b.LoadProbeResult(now, 1, OK, 500, []float32{0})                  // sets the round-trip time
 		b.LoadProbeResult(now, 1, OK, 500+Micros(before/2), []float32{0}) // slow, though nothing is in flight
 		b.RequestArrived(now, requestOf(i, 0, now))
 		if n := len(r.attempts); n > 0 && r.attempts[n-1].id == i {
@@ -19,11 +19,11 @@
 		}
 	}
 	if got := b.classes[0].meanWork.value; got < before*0.9 || len(r.attempts) < 100 {
-		t.Errorf("work of %.0f us is estimated at %.0f after %d responses that took as long", before, got, len(r.attempts))
+		t.Errorf("mean work is %.0f us and estimated at %.0f after %d responses that took that long", before, got, len(r.attempts))
 	}
 }
 
-// The slowness of an endpoint that warms up is not work of the request.
+// The additional latency of an endpoint in its slow start must not be learned as work of the request.
 func TestWorkIsNotLearnedFromSlowStart(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(1)[:1])
 	b.UpdateEndpoints(second, UpdateDelta, []Endpoint{{ID: 1, Weight: 1, StartTime: second}})
@@ -36,13 +36,13 @@
 		b.learnServiceTime(now, r, a, before/e.slowStart.capacityFraction(now, &b.settings.Rules), false)
 	}
 	if got := b.classes[0].meanWork.value; got > 1.01*before || got < 0.99*before {
-		t.Errorf("work went from %.0f to %.0f by responses that were slow by the slow start alone", before, got)
+		t.Errorf("mean work went from %.0f to %.0f us after responses that were slow only because of the slow start", before, got)
 	}
 }
 
-// An endpoint that has just started is not taken to be slow because the only other one of its zone is.
+// An endpoint that has just started must not be assumed slow because the only other endpoint of its zone is.
 func TestOneSlowEndpointDoesNotSlowItsZone(t *testing.T) {
-	b, _ := start(t, testSettings(), ready(6)) // two a zone
+	b, _ := start(t, testSettings(), ready(6)) // two endpoints per zone
 	learn := func(id uint32, latency float64, times int) {
 		e := b.endpointsByID[id]
 		for range times {
@@ -55,39 +55,39 @@
 	}
 	usual := b.expectedServiceTime(second, b.endpointsByID[1])
 	b.UpdateEndpoints(second, UpdateDelta, []Endpoint{{ID: 2, Weight: 1, StartTime: second}})
-	for range 200 { // a tenth of all requests go to the slow one
+	for range 200 { // a tenth of all requests go to the slow endpoint
 		learn(1, 400_000, 1)
 		learn(3, 80_000, 9)
 	}
 	fresh := b.endpointsByID[2]
 	if got := b.expectedServiceTime(second, fresh) * fresh.slowStart.capacityFraction(second, &b.settings.Rules); got > 2*usual {
-		t.Errorf("a new endpoint beside a slow one has an expected service time of %.2f, the fleet %.2f", got, usual)
+		t.Errorf("a new endpoint in the zone of a slow one has an expected service time of %.2f, the fleet %.2f", got, usual)
 	}
 	if got := b.expectedServiceTime(second, b.endpointsByID[1]); got < 3*usual {
-		t.Errorf("the slow one has an expected service time of %.2f, the fleet %.2f", got, usual)
+		t.Errorf("the slow endpoint has an expected service time of %.2f, the fleet %.2f", got, usual)
 	}
 }
 
-// The service time expected of an endpoint in its slow start falls with its growing capacity, also once it
-// has been learned.
+// The expected service time of an endpoint in its slow start falls as its capacity grows, including after it
+// has been learned from outcomes.
 func TestWarmingEndpointIsExpectedToBeSlow(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
 	b.UpdateEndpoints(1000, UpdateDelta, []Endpoint{{ID: 9, State: Ready, StartTime: 1000}})
 	e := b.endpointsByID[9]
 	if got := b.expectedServiceTime(1000, e); !isNear(got, 5) { // capacity 0.2
-		t.Errorf("service time %v at the start", got)
+		t.Errorf("service time %v at the start of the slow start, want 5", got)
 	}
 	e.serviceTime.average, e.serviceTime.updatedAt = ewma{value: 2, initialized: true}, 6*second
 	if got := b.expectedServiceTime(6*second, e); got < 2.9 || got > 3 { // capacity 0.68
-		t.Errorf("service time %v in the middle", got)
+		t.Errorf("service time %v in the middle of the slow start, want 2.9 to 3", got)
 	}
 	if got := b.expectedServiceTime(12*second, e); got > 2 {
-		t.Errorf("service time %v at the end", got)
+		t.Errorf("service time %v after the slow start, want at most 2", got)
 	}
 }
 
-// A cost hint counts for as much as it predicts, or idle endpoints would reject what is only hinted to be
-// large.
+// A cost hint must count only as far as it predicts the latency. Otherwise requests with a large but wrong hint
+// would be rejected while endpoints are idle.
 func TestHintExponentIsLearned(t *testing.T) {
 	for _, c := range []struct {
 		name     string
--- a/balancer/latency_trend_test.go
+++ b/balancer/latency_trend_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// When a zone turns slow, an endpoint known to be fast is expected to be slow, too, and trusted again soon
-// after the recovery.
+// When a zone becomes slow, an endpoint of it that was fast is expected to be slow as well. Soon after the
+// recovery it is expected to be fast again.
 func TestZoneWideSlowdownIsLearnedAtOnce(t *testing.T) {
 	list := ready(4)
 	for i := range list {
@@ -17,7 +17,7 @@
 		for i := range n {
 			now := from + 1000*Micros(i)
 			id := uint64(now)
-			b.LoadProbeResult(now, 1, OK, 500, []float32{9}) // the others serve
+			b.LoadProbeResult(now, 1, OK, 500, []float32{9}) // requests go to the other endpoints
 			b.RequestArrived(now, Request{ID: id, Deadline: now + second, CostHint: 10_000, HasCostHint: true})
 			if len(r.attempts) == 0 || r.attempts[len(r.attempts)-1].id != id {
 				continue // rejected
@@ -27,25 +27,25 @@
 				Latency: latency, RequestDone: true})
 		}
 	}
-	one := func(now Micros) float64 {
+	predictWithTrustedEndpoint := func(now Micros) float64 {
 		b.LoadProbeResult(now, 1, OK, 500, []float32{0})
 		b.endpointsByID[1].serviceTime.average, b.endpointsByID[1].serviceTime.updatedAt = ewma{value: 1, initialized: true}, now
 		return b.predictLatency(now, b.endpointsByID[1], 10_000)
 	}
 	serve(0, 50, 1)
-	before := one(60_000)
+	before := predictWithTrustedEndpoint(60_000)
 	serve(100_000, 15, 4)
-	if slow := one(120_000); slow < 2*before {
-		t.Errorf("expected %v before, %v after 15 outcomes of four times the prediction", before, slow)
+	if slow := predictWithTrustedEndpoint(120_000); slow < 2*before {
+		t.Errorf("predicted latency %v before and %v after 15 outcomes of four times the prediction", before, slow)
 	}
 	serve(200_000, 48, 0.5)
-	if after := one(250_000); after > 1.2*before {
-		t.Errorf("expected %v before, %v after the recovery", before, after)
+	if after := predictWithTrustedEndpoint(250_000); after > 1.2*before {
+		t.Errorf("predicted latency %v before and %v after the recovery", before, after)
 	}
 }
 
-// Many requests started together that take twice as long as expected make the trend twice as high, not
-// more: each says the same.
+// Many requests that start together and take twice as long as expected must double the trend at most, because
+// all of them show the same slowdown.
 func TestTrendCountsABatchOnce(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.classes[0].meanWork.value = 1000
@@ -58,11 +58,11 @@
 		b.AttemptFinished(second+slow, Outcome{ID: i, Endpoint: a.endpoint.ID, Status: OK, Latency: Micros(2 * a.expectedLatency), RequestDone: true})
 	}
 	if len(r.attempts) != 100 || b.zones[0].trend.value > 2*trendNoiseMargin {
-		t.Errorf("trend %.1f after %d answers twice as slow as expected, want %.1f at most", b.zones[0].trend.value, len(r.attempts), 2*trendNoiseMargin)
+		t.Errorf("trend %.1f after %d responses twice as slow as expected, want %.1f at most", b.zones[0].trend.value, len(r.attempts), 2*trendNoiseMargin)
 	}
 }
 
-// While every request is rejected, no outcome can show a recovery: the rejections end by themselves.
+// While every request is rejected, no outcome can show a recovery. The rejections must end without one.
 func TestTrendFadesWithoutOutcomes(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.classes[0].meanWork.value = 100_000
@@ -72,10 +72,10 @@
 		rejected int
 	}{{10*second + 1, 1}, {16 * second, 1}} {
 		b.LoadProbeResult(c.at, 1, OK, 500, []float32{0})
-		b.classes[0].forcedAt = c.at // none is forced
+		b.classes[0].forcedAt = c.at // prevents a forced admission
 		b.RequestArrived(c.at, requestOf(uint64(i), 0, c.at))
 		if len(r.rejected) != c.rejected || len(r.attempts) != i {
-			t.Errorf("%d rejected and %d sent by %.1f s", len(r.rejected), len(r.attempts), float64(c.at)/1e6)
+			t.Errorf("%d requests rejected and %d sent by %.1f s", len(r.rejected), len(r.attempts), float64(c.at)/1e6)
 		}
 	}
 }
--- a/balancer/load_estimate_test.go
+++ b/balancer/load_estimate_test.go
@@ -11,18 +11,18 @@
 	for _, load := range [][]float32{nil, {}, {nan}, {-3}, {float32(math.Inf(1))}} {
 		b.LoadProbeResult(1000, 1, OK, 500, load)
 		if b.endpoints[0].report.known {
-			t.Errorf("report %v taken for a load", load)
+			t.Errorf("the invalid report %v was used", load)
 		}
 	}
 	b.LoadProbeResult(1000, 99, OK, 500, []float32{1}) // unknown endpoint
 	b.LoadProbeResult(1000, 1, OK, 500, []float32{2, 7, 9})
 	if b.estimateLoad(1000, b.endpoints[0]) != 2 {
-		t.Errorf("load %v", b.estimateLoad(1000, b.endpoints[0]))
+		t.Errorf("load %v, want 2", b.estimateLoad(1000, b.endpoints[0]))
 	}
 }
 
-// An endpoint serves several requests at a time: those in flight that are not queued. No request queues
-// below that.
+// An endpoint serves several requests concurrently: those in flight that are not queued. Below that number no
+// request waits in a queue.
 func TestReportsTellConcurrency(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1
@@ -34,7 +34,7 @@
 	}
 	b.LoadProbeResult(2000, 2, OK, 500, []float32{5, 0})
 	if got, want := b.predictLatency(2000, b.endpointsByID[2], work), b.zones[0].roundTrip.value+work; got > 1.05*want {
-		t.Errorf("%.0f us expected of an endpoint with 5 requests of the 6 it serves at a time, want %.0f", got, want)
+		t.Errorf("predicted latency %.0f us at an endpoint with 5 of the 6 requests that it serves concurrently, want %.0f", got, want)
 	}
 	b.classes[0].meanWork.value = 250_000 // late after a queue, but in time if started at once
 	b.RequestArrived(3000, requestOf(1, 0, 3000))
@@ -43,7 +43,8 @@
 	}
 }
 
-// In a large fleet all balancers learn of the same idle endpoint: none may fill it alone.
+// In a large fleet all balancers may learn of the same idle endpoint. None of them may fill it alone, since their
+// requests together would overload it.
 func TestOneLowReportDoesNotAttractAll(t *testing.T) {
 	for _, c := range []struct{ balancers, maxAttempts int }{{1, 5}, {3, 3}, {15, 2}} {
 		s := testSettings()
--- a/balancer/outliers_test.go
+++ b/balancer/outliers_test.go
@@ -33,14 +33,14 @@
 		step()
 	}
 	if sends[1] > 300 {
-		t.Errorf("an endpoint that fails fast got %d of 3000", sends[1])
+		t.Errorf("an endpoint that fails fast got %d of 3000 requests, want at most 300", sends[1])
 	}
 	if sends[1] < 2 {
-		t.Errorf("a failing endpoint is never tried again: %d attempts", sends[1])
+		t.Errorf("a failing endpoint was not tried again: %d attempts", sends[1])
 	}
 }
 
-// When all endpoints fail together, ejection must not leave the load to the last few.
+// When all endpoints fail at the same time, ejection must not concentrate the load on the last few.
 func TestLoadStaysSpreadWhileAllFail(t *testing.T) {
 	b, r := start(t, testSettings(), ready(8))
 	sends := map[uint32]int{}
@@ -53,7 +53,7 @@
 		}
 	}
 	if !b.endpoints[0].failures.isOutlier(41_000) {
-		t.Fatal("an endpoint that fails all is not ejected")
+		t.Fatal("an endpoint that fails all requests was not ejected")
 	}
 	for e, n := range sends {
 		if n > 3*len(r.attempts)/8 {
@@ -61,11 +61,11 @@
 		}
 	}
 	if b.endpoints[0].failures.isOutlier(60 * second) {
-		t.Error("an ejection never ends")
+		t.Error("the endpoint is still ejected after 60 s")
 	}
 }
 
-// A connection that breaks now and then does not eject an endpoint; failures in a row do.
+// An occasional broken connection must not eject an endpoint. Several failures in a row must.
 func TestSingleFailureDoesNotEject(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	id, now := uint64(0), second
@@ -75,7 +75,7 @@
 		b.LoadProbeResult(now, 1, OK, 500, []float32{0})
 		b.RequestArrived(now, requestOf(id, 4, now))
 		if n := len(r.attempts); n == 0 || r.attempts[n-1].id != id {
-			t.Fatal("not sent")
+			t.Fatal("the request was not sent")
 		}
 		b.AttemptFinished(now+1000, Outcome{ID: id, Endpoint: 1, Status: status, Latency: 1000, RequestDone: status == OK})
 		id++
@@ -105,7 +105,7 @@
 	}
 	before := failures.current(second)
 	if !failures.isOutlier(second) {
-		t.Fatalf("no outlier at a failure rate of %v", before)
+		t.Fatalf("not ejected at a failure rate of %v", before)
 	}
 	if got := failures.current(second + failureHalfLife); !isNear(got, before/2) {
 		t.Errorf("failure rate %v after a half-life, want half of %v", got, before)
--- a/balancer/pick_benchmark_test.go
+++ b/balancer/pick_benchmark_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// pickBenchmark returns a balancer that has a report of each of 100 endpoints, and a request.
+// pickBenchmark returns a balancer with a report of each of 100 endpoints, a request and the current time.
 func pickBenchmark(b *testing.B) (*Balancer, *request, Micros) {
 	b.Helper()
 	s := testSettings()
@@ -20,12 +20,12 @@
 	return balancer, balancer.newRequest(now, requestOf(1, 0, now)), now
 }
 
-// BenchmarkPick measures the choice among 100 endpoints, all of them with a fresh report.
+// BenchmarkPick measures a pick among 100 endpoints, all with a fresh report.
 func BenchmarkPick(b *testing.B) {
 	balancer, request, now := pickBenchmark(b)
 	for b.Loop() {
 		if balancer.pick(now, request, nil) == nil {
-			b.Fatal("nothing picked")
+			b.Fatal("no endpoint was picked")
 		}
 	}
 }
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -17,14 +17,14 @@
 	// Endpoint 2 has the lowest load until it has as many in flight as endpoint 1 reported.
 	for i, s := range r.attempts {
 		if s.endpoint != 2 {
-			t.Errorf("attempt %d went to %d", i, s.endpoint)
+			t.Errorf("attempt %d went to endpoint %d, want 2", i, s.endpoint)
 		}
 	}
 	if len(r.attempts) != 4 {
-		t.Fatalf("%d attempts", len(r.attempts))
+		t.Fatalf("%d attempts, want 4", len(r.attempts))
 	}
 	if got := b.estimateLoad(1000, b.endpointsByID[2]); got != 4 {
-		t.Errorf("load with own attempts: %v", got)
+		t.Errorf("load %v with own attempts, want 4", got)
 	}
 }
 
@@ -40,11 +40,11 @@
 		seen[r.attempts[len(r.attempts)-1].endpoint] = true
 	}
 	if len(seen) != 2 {
-		t.Error("a report beyond its age still decides: two random draws expected")
+		t.Error("an expired report still determines the pick, want random candidates")
 	}
 }
 
-// After a start only few endpoints have reported; they must not get every request.
+// Shortly after a start only few endpoints have a report. They must not get every request.
 func TestFewReportsDoNotAttractAll(t *testing.T) {
 	b, r := start(t, testSettings(), ready(8))
 	b.LoadProbeResult(1000, 3, OK, 500, []float32{0})
@@ -60,8 +60,8 @@
 	}
 }
 
-// Of five zones four fifths of the endpoints are remote, and crossing costs: all else alike, requests stay
-// in the zone, and most probes go to the endpoints that they may go to.
+// With five zones, four fifths of the endpoints are in other zones, and a zone crossing has a cost. If loads are
+// equal, requests stay in the own zone, and at least half of the probes go to it.
 func TestRequestsAndProbesStayInTheZone(t *testing.T) {
 	s := testSettings()
 	s.Balancers, s.Zone = 80, 2
@@ -94,8 +94,8 @@
 	}
 }
 
-// A slow zone says nothing of the others: what it cannot serve in time goes there, but for the few
-// requests whose draw from the full list falls on the own zone.
+// A slow zone does not mean that other zones are slow. Requests that it cannot serve in time go to other zones,
+// except the few whose random candidate from the full list is in the own zone.
 func TestSlowZoneSpillsOver(t *testing.T) {
 	s := testSettings()
 	s.Costs = Costs{LoadProbe: 0.08, CrossZone: 0.11}
@@ -119,11 +119,11 @@
 		b.AttemptFinished(now+1000, Outcome{ID: i, Endpoint: a.endpoint.ID, Status: OK, Latency: latency, RequestDone: true})
 	}
 	if len(r.rejected) > 40 {
-		t.Errorf("%d of 200 requests are rejected though four zones of five are fast", len(r.rejected))
+		t.Errorf("%d of 200 requests were rejected although four of five zones are fast", len(r.rejected))
 	}
 }
 
-// Random draws must not use up a short list, nor one without weights.
+// A random draw must find an endpoint also in a short list and among endpoints without weight.
 func TestRandomDrawFindsAnyEndpoint(t *testing.T) {
 	for n := range 12 {
 		list := ready(n)
@@ -133,7 +133,7 @@
 		b, _ := start(t, testSettings(), list)
 		for range 50 {
 			if e := b.randomCandidate(1000, &request{Request: requestOf(1, 0, 1000)}, b.endpoints, nil, 0); (e == nil) != (n == 0) {
-				t.Fatalf("%d endpoints: drew %v", n, e)
+				t.Fatalf("%d endpoints: the random candidate is %v", n, e)
 			}
 		}
 	}
--- a/balancer/probe_wait_test.go
+++ b/balancer/probe_wait_test.go
@@ -4,15 +4,15 @@
 	"testing"
 )
 
-// A balancer with few requests in a large fleet cannot have fresh reports of all: it probes when a request
-// arrives and sends to the best answer, without losing the request.
+// A balancer with few requests in a large fleet cannot have fresh reports of all endpoints. It probes when a
+// request arrives and sends the request to the endpoint with the best answer. The request must not get lost.
 func TestIdleBalancerProbesBeforeItSends(t *testing.T) {
-	quiet := func() (*Balancer, *recorder) {
+	startAndSendRequest := func() (*Balancer, *recorder) {
 		s := testSettings()
 		s.Balancers = 1000
 		b, r := start(t, s, ready(40))
 		if len(r.probes) != 0 {
-			t.Errorf("%d probes at the start", len(r.probes))
+			t.Errorf("%d probes at the start, want none", len(r.probes))
 		}
 		b.TimerFired(second, timerProbeRound)
 		r.probes, r.timers = nil, nil
@@ -26,7 +26,7 @@
 		b.LoadProbeResult(2*second+1000, r.probes[i], OK, 500, []float32{load})
 	}
 
-	b, r := quiet()
+	b, r := startAndSendRequest()
 	for i := range r.probes {
 		answer(b, r, i, float32(4-i))
 	}
@@ -34,19 +34,19 @@
 		t.Errorf("attempts %v, want one at %d, the least loaded of %v", r.attempts, last, r.probes)
 	}
 
-	b, r = quiet()
+	b, r = startAndSendRequest()
 	answer(b, r, 0, 0)
 	if len(r.attempts) != 1 || r.attempts[0].endpoint != r.probes[0] {
 		t.Errorf("attempts %v, want one at the idle endpoint %d at once", r.attempts, r.probes[0])
 	}
 
-	b, r = quiet() // no answer at all
+	b, r = startAndSendRequest() // no answer at all
 	b.TimerFired(2*second+50_000, r.timers[len(r.timers)-1])
 	if len(r.attempts) != 1 {
 		t.Errorf("%d attempts after the wait for probes", len(r.attempts))
 	}
 
-	b, r = quiet()
+	b, r = startAndSendRequest()
 	b.ClientDisconnected(2*second+500, 1)
 	for i := range r.probes {
 		answer(b, r, i, 0)
@@ -57,8 +57,8 @@
 	}
 }
 
-// Under overload only free endpoints answer a probe in time. Those that do not must count, or the fleet
-// looks idle.
+// Under overload only free endpoints answer a probe in time. Endpoints that do not answer must count as loaded,
+// or the fleet would look idle.
 func TestUnansweredProbesCountAsLoad(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1000
@@ -71,14 +71,14 @@
 		b.TimerFired(now+40_000, r.timers[len(r.timers)-1])
 	}
 	if b.zones[0].baselineLoad.value < defaultConcurrency {
-		t.Errorf("baseline load %v though no probe is answered", b.zones[0].baselineLoad.value)
+		t.Errorf("baseline load %v although no probe was answered", b.zones[0].baselineLoad.value)
 	}
 	if len(r.rejected) == 0 {
-		t.Error("nothing is rejected though no probe is answered")
+		t.Error("nothing was rejected although no probe was answered")
 	}
 }
 
-// Reports from far zones come too late for a short wait.
+// Reports from distant zones arrive too late for a short wait, so endpoints there are not probed on demand.
 func TestProbesOnDemandStayNear(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1000
@@ -98,6 +98,6 @@
 		}
 	}
 	if len(r.probes) < 10 {
-		t.Errorf("%d probes", len(r.probes))
+		t.Errorf("%d probes, want at least 10", len(r.probes))
 	}
 }
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -18,9 +18,9 @@
 	over, within := &request{Request: Request{Tenant: 0}}, &request{Request: Request{Tenant: 1}}
 	b.rejectedFraction.value = 0.5
 	if o, w := b.quotaWeight(100_000, over), b.quotaWeight(100_000, within); w != 1 || o > 0.6 {
-		t.Errorf("weights %v over, %v within the quota", o, w)
+		t.Errorf("weight %v over the quota and %v within it, want at most 0.6 and 1", o, w)
 	}
 	if got := b.quotaWeight(100_000, &request{Request: Request{Tenant: 9}}); got != 1 {
-		t.Errorf("unknown tenant: %v", got)
+		t.Errorf("weight %v of an unknown tenant, want 1", got)
 	}
 }
--- a/balancer/reject_reason_test.go
+++ b/balancer/reject_reason_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Each way to reject a request names its own reason.
+// Each way to reject a request reports its own reason.
 func TestRejectReasons(t *testing.T) {
 	const now = second
 	for want, reject := range map[RejectReason]func(*Balancer){
@@ -22,7 +22,7 @@
 			b.RequestArrived(now, requestOf(1, 0, now))
 		},
 		RejectBreaker: func(b *Balancer) {
-			for i := range uint64(2000) { // as many as it takes for the breaker to drop one
+			for i := range uint64(2000) { // enough for the breaker to drop one
 				b.endpoints[0].breaker.record(now, 0, 1)
 				b.RequestArrived(now, requestOf(i, 0, now))
 				b.AttemptFinished(now, Outcome{ID: i, Endpoint: 1, Status: OK, Latency: 1000, RequestDone: true})
@@ -38,7 +38,7 @@
 			b, r := start(t, testSettings(), ready(1))
 			reject(b)
 			if len(r.reasons) == 0 {
-				t.Fatalf("nothing was rejected, want a rejection for %v", want)
+				t.Fatalf("no request was rejected, want a rejection for %v", want)
 			}
 			for _, got := range r.reasons {
 				if got != want {
--- a/balancer/retry_budget_test.go
+++ b/balancer/retry_budget_test.go
@@ -18,7 +18,8 @@
 	}
 }
 
-// Without tokens an attempt that may have run is not retried, and one that certainly did not is.
+// Without a token, an attempt that may have run is not retried. An attempt that certainly did not run needs no
+// token.
 func TestRetryCostsATokenIfTheAttemptMayHaveRun(t *testing.T) {
 	for _, c := range []struct {
 		status       Status
--- a/balancer/retry_safety_test.go
+++ b/balancer/retry_safety_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// Each kind of retry safety against each outcome of the first attempt.
+// Retries are checked for each kind of retry safety and each outcome of the first attempt.
 func TestRetryByClassAndStatus(t *testing.T) {
 	never := map[Status]bool{Rejected: true, ConnectFailed: true, NotSent: true}
 	for class := range uint8(5) {
@@ -18,13 +18,13 @@
 			switch kind := s.Classes[class]; {
 			case kind.RetrySafety == NonIdempotent && !never[status]:
 				if sends != 1 || len(r.failed) != 1 {
-					t.Errorf("not idempotent, status %d: %d attempts, %d failed", status, sends, len(r.failed))
+					t.Errorf("not idempotent, status %d: %d attempts and %d failed, want 1 and 1", status, sends, len(r.failed))
 				}
 			case sends != 2:
 				t.Errorf("class %d status %d: %d attempts, want 2", class, status, sends)
 			case kind.RetrySafety == IdempotentWithKey && kind.DedupScope != DedupScopeFleet && !never[status]:
 				if (r.attempts[0].endpoint-1)/2 != (r.attempts[1].endpoint-1)/2 {
-					t.Errorf("class %d status %d left its dedup scope", class, status)
+					t.Errorf("class %d status %d: the retry left the dedup scope", class, status)
 				}
 			}
 		}
@@ -39,26 +39,26 @@
 	first := r.attempts[0].endpoint
 	b.AttemptFinished(1000+s.Classes[3].DedupWindow, Outcome{ID: 1, Endpoint: first, Status: Reset})
 	if len(r.attempts) != 1 || len(r.failed) != 1 || len(r.rejected) != 0 {
-		t.Errorf("after the window: attempts %v, failed %v, rejected %v", r.attempts, r.failed, r.rejected)
+		t.Errorf("after the dedup window: attempts %v, failed %v, rejected %v; want one attempt and a failure", r.attempts, r.failed, r.rejected)
 	}
 }
 
-// A request that may have run and whose dedup scope is a pod cannot be rejected. It is retried while it
-// can be in time, at its own endpoint if the pod has no other; else it fails.
+// A request that may have run and whose dedup scope is a pod cannot be rejected. It is retried as long as the
+// response can be in time, at the same endpoint if the pod has no other. After that it fails.
 func TestRequestThatCannotBeRejectedIsRetried(t *testing.T) {
 	for name, c := range map[string]struct {
-		at   Micros // of the reset
+		at   Micros // time of the reset
 		want int
 	}{
 		"soon":             {2000, 2},
-		"past the budget":  {100_000, 2}, // it takes longer than a request that can be rejected may
+		"past the budget":  {100_000, 2}, // the latency is over the budget of a request that can be rejected
 		"too late by then": {390_000, 1},
 	} {
 		b, r := start(t, testSettings(), ready(1))
 		b.classes[3].meanWork.value = 100_000
 		b.LoadProbeResult(500, 1, OK, 500, []float32{0})
 		b.RequestArrived(1000, requestOf(1, 3, 1000))
-		b.LoadProbeResult(c.at-100, 1, OK, 500, []float32{5}) // of which one is its own
+		b.LoadProbeResult(c.at-100, 1, OK, 500, []float32{5}) // one of these is its own attempt
 		b.AttemptFinished(c.at, Outcome{ID: 1, Endpoint: 1, Status: Reset, Latency: c.at - 1000})
 		if len(r.attempts) != c.want || len(r.failed) != 2-c.want {
 			t.Errorf("%s: %d attempts and %d failed, want %d attempts", name, len(r.attempts), len(r.failed), c.want)
--- a/balancer/safety_test.go
+++ b/balancer/safety_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-// safetyChecker hosts a balancer and checks the safety rules on every action.
+// safetyChecker is the host of a balancer and checks the safety rules on every action.
 type safetyChecker struct {
 	settings  Settings
 	now       Micros
-	endpoints map[uint32]Endpoint // as last updated
+	endpoints map[uint32]Endpoint // as of the latest update
 	banned    map[uint32]bool
-	requests  map[uint64]*checkedRequest // unanswered and finished
+	requests  map[uint64]*checkedRequest // all so far, finished ones included
 	faults    []string
 	timers    []pendingTimer
 	probes    []uint32
@@ -21,13 +21,13 @@
 
 type checkedRequest struct {
 	request        Request
-	answered       int
-	clientInformed bool // by a response, or it has left
+	answered       int  // number of answers
+	clientInformed bool // the client has a response or has left
 	attempts       []checkedAttempt
 }
 
 type checkedAttempt struct {
-	endpoint    Endpoint // as it was at the start
+	endpoint    Endpoint // as it was when the attempt started
 	startedAt   Micros
 	outstanding bool
 	mayHaveRun  bool
@@ -42,7 +42,7 @@
 	c.faults = append(c.faults, fmt.Sprintf("at %d: ", c.now)+fmt.Sprintf(format, args...))
 }
 
-// isOver reports whether the client has an answer or a response, or has left.
+// isOver reports whether the client has an answer or a response or has left.
 func (r *checkedRequest) isOver() bool { return r.answered > 0 || r.clientInformed }
 
 // firstThatMayHaveRun returns the first attempt that may have run, or nil.
@@ -58,13 +58,13 @@
 func (c *safetyChecker) StartAttempt(id uint64, endpoint uint32, _ Micros) {
 	r := c.requests[id]
 	if r == nil {
-		c.fault("attempt of unknown request %d", id)
+		c.fault("attempt for unknown request %d", id)
 		return
 	}
 	e, known := c.endpoints[endpoint]
 	class := c.settings.Classes[r.request.Class]
 	if r.isOver() {
-		c.fault("attempt after the answer to %d", id)
+		c.fault("attempt after the answer to request %d", id)
 	}
 	if c.banned[endpoint] {
 		c.fault("attempt at endpoint %d, which is banned", endpoint)
@@ -73,7 +73,7 @@
 		c.fault("attempt at endpoint %d in state %d", endpoint, e.State)
 	}
 	if len(r.attempts) >= c.settings.Limits.MaxAttempts {
-		c.fault("attempt %d of %d", len(r.attempts), id)
+		c.fault("attempt %d of request %d is over the limit", len(r.attempts), id)
 	}
 	for _, a := range r.attempts {
 		if a.outstanding && !c.settings.Limits.AllowHedging {
@@ -85,17 +85,17 @@
 			class.DedupScope == DedupScopeZone && first.endpoint.Zone == e.Zone ||
 			class.DedupScope == DedupScopePod && first.endpoint.Pod == e.Pod
 		if class.RetrySafety == NonIdempotent || !isInScope || c.now > first.startedAt+class.DedupWindow {
-			c.fault("retry of %d (%s) may have a second effect", id, class.Name)
+			c.fault("retry of request %d (%s) may have a second effect", id, class.Name)
 		}
 	}
 	r.attempts = append(r.attempts, checkedAttempt{endpoint: e, startedAt: c.now, outstanding: true, mayHaveRun: true})
 }
 
-// answer counts an answer to a request.
+// answer counts an answer to a request. It returns nil if the request may not be answered.
 func (c *safetyChecker) answer(id uint64) *checkedRequest {
 	r := c.requests[id]
 	if r == nil || r.isOver() {
-		c.fault("answer to %d, which is not unanswered", id)
+		c.fault("answer to request %d, which is unknown or already over", id)
 		return nil
 	}
 	r.answered++
@@ -106,7 +106,7 @@
 	if r := c.answer(id); r != nil && r.firstThatMayHaveRun() != nil {
 		class := c.settings.Classes[r.request.Class]
 		if class.RetrySafety == NonIdempotent || class.RetrySafety == IdempotentWithKey && class.DedupScope != DedupScopeFleet {
-			c.fault("rejection of %d (%s), which may have run", id, class.Name)
+			c.fault("rejection of request %d (%s), which may have run", id, class.Name)
 		}
 	}
 }
@@ -115,13 +115,13 @@
 
 func (c *safetyChecker) CancelAttempt(id uint64, attempt int) {
 	if r := c.requests[id]; r == nil || attempt >= len(r.attempts) {
-		c.fault("cancel of attempt %d of %d, never made", attempt, id)
+		c.fault("cancellation of attempt %d of request %d, which was never started", attempt, id)
 	}
 }
 
 func (c *safetyChecker) SetTimer(delay Micros, token uint32) {
 	if delay <= 0 {
-		c.fault("timer delay %d", delay)
+		c.fault("timer with a delay of %d, which is not positive", delay)
 	}
 	c.timers = append(c.timers, pendingTimer{c.now + delay, token})
 }
@@ -135,30 +135,30 @@
 
 func (c *safetyChecker) SendGossip(data []byte) {
 	if len(data) == 0 || len(data) > 256 {
-		c.fault("message of %d bytes", len(data))
+		c.fault("gossip message of %d bytes, want 1 to 256", len(data))
 	}
 }
 
 func (c *safetyChecker) WatchEndpoints(bool) {
 	if !c.settings.MustSubscribe {
-		c.fault("subscription where updates come without")
+		c.fault("subscription although updates come without one")
 	}
 }
 
 func (c *safetyChecker) Log(string, ...LogField) {}
 
-// randomEvents plays legal random events against a balancer whose actions are checked.
+// randomEvents runs valid random events against a balancer whose actions are checked.
 type randomEvents struct {
 	*safetyChecker
 	balancer   *Balancer
 	random     *rand.Rand
-	list       []Endpoint // as discovery knows them
-	restarts   int        // of all endpoints together, still to come
+	list       []Endpoint // all endpoints, as known to discovery
+	restarts   int        // remaining restarts of all endpoints at once
 	requestIDs []uint64
-	maxWaiting int // requests that waited for load probes at one time
+	maxWaiting int // largest number of requests waiting for load probes
 }
 
-// runRandomEvents runs legal random events from a seed and returns the faults found.
+// runRandomEvents runs valid random events from a seed and returns the faults that the checker found.
 func runRandomEvents(t *testing.T, s Settings, seed int64) []string {
 	t.Helper()
 	e := &randomEvents{
@@ -184,7 +184,7 @@
 		e.fireTimers(0)
 		e.step()
 	}
-	// All that is unanswered must be answered by its deadline.
+	// All unanswered requests must be answered by their deadline.
 	for range 400 {
 		e.now += 5000
 		e.fireTimers(firstRequestTimer)
@@ -196,12 +196,12 @@
 	}
 	waits := s.Balancers > 2 && s.Limits.AllowLoadProbes && s.Costs.LoadProbe < onDemandProbeCostLimit
 	if waits && e.maxWaiting == 0 {
-		e.fault("no request ever waited for probes: the run does not cover those")
+		e.fault("no request ever waited for load probes: the run does not cover such requests")
 	}
 	return e.faults
 }
 
-// fireTimers fires the timers that are due, with tokens from minToken.
+// fireTimers fires the timers that are due and whose token is at least minToken.
 func (e *randomEvents) fireTimers(minToken uint32) {
 	for i := 0; i < len(e.timers); {
 		timer := e.timers[i]
@@ -214,7 +214,7 @@
 	}
 }
 
-// step plays one event.
+// step runs one random event.
 func (e *randomEvents) step() {
 	switch n := e.random.Intn(20); {
 	case n < 8:
@@ -234,7 +234,7 @@
 	}
 }
 
-// arrive lets a request arrive, sometimes past its deadline.
+// arrive sends a request to the balancer, sometimes after its deadline.
 func (e *randomEvents) arrive() {
 	in := Request{ID: uint64(len(e.requestIDs) + 1), Class: uint8(e.random.Intn(len(e.settings.Classes))),
 		Deadline: e.now + Micros(e.random.Intn(1_000_000)) - 50_000}
@@ -279,7 +279,7 @@
 	e.probes = e.probes[:0]
 }
 
-// changeEndpoints changes an endpoint, or restarts all of them, and updates the list or a ban.
+// changeEndpoints changes one endpoint or restarts all, and then sends an endpoint update or toggles a ban.
 func (e *randomEvents) changeEndpoints() {
 	changed := &e.list[e.random.Intn(len(e.list))]
 	changed.State = EndpointState(e.random.Intn(3))
@@ -309,7 +309,7 @@
 	}
 }
 
-// update gives entries to the balancer and to the checker.
+// update passes an endpoint update to the balancer and to the checker.
 func (e *randomEvents) update(kind UpdateKind, entries []Endpoint) {
 	if kind != UpdateDelta && kind != UpdateFailed {
 		clear(e.endpoints)
@@ -344,15 +344,15 @@
 			s.Tenants = []Tenant{{Name: "one", Quota: 50}, {Name: "two"}}[:seed%3]
 			s.Limits.AllowCancel, s.Limits.AllowRetryAfter = seed%3 != 0, seed%4 != 0
 		}
-		for i, bad := range runRandomEvents(t, s, seed) {
+		for i, fault := range runRandomEvents(t, s, seed) {
 			if i < 5 {
-				t.Errorf("seed %d: %s", seed, bad)
+				t.Errorf("seed %d: %s", seed, fault)
 			}
 		}
 	}
 }
 
-// The checker itself must see each rule broken.
+// The checker itself must detect a violation of each rule.
 func TestSafetyCheckerSeesBrokenRules(t *testing.T) {
 	fresh := func() *safetyChecker {
 		c := &safetyChecker{settings: testSettings(), endpoints: map[uint32]Endpoint{}, requests: map[uint64]*checkedRequest{}}
@@ -382,7 +382,7 @@
 	} {
 		c := fresh()
 		if do(c); len(c.faults) == 0 {
-			t.Errorf("%s: not seen", name)
+			t.Errorf("%s: the checker found no fault", name)
 		}
 	}
 }
--- a/balancer/script_test.go
+++ b/balancer/script_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// The codes of the records that go into a digest.
+// The codes of the records that are written to a digest.
 const (
 	recordSend     = 'S'
 	recordReject   = 'R'
@@ -16,12 +16,12 @@
 	recordCancel   = 'C'
 	recordTimer    = 'T'
 	recordProbe    = 'P'
-	recordNotify   = 'N'
+	recordGossip   = 'N'
 	recordWatch    = 'W'
 	recordSnapshot = 'K'
 )
 
-// scriptRandom is a SplitMix64 generator, apart from the balancer's own.
+// scriptRandom is a SplitMix64 generator, separate from the balancer's own.
 type scriptRandom uint64
 
 func (r *scriptRandom) next() uint64 {
@@ -39,7 +39,7 @@
 	return 1 + Micros(-mean*math.Log(1-r.float()))
 }
 
-// scriptEvent is one event of the queue; events of one instant keep the order in which they were posted.
+// scriptEvent is one event of the queue. Events at the same time keep the order in which they were posted.
 type scriptEvent struct {
 	at       Micros
 	sequence int
@@ -64,15 +64,15 @@
 	return event
 }
 
-// scriptServer is the fake endpoint behind an entry of the list.
+// scriptServer is the fake endpoint of an entry in the endpoint list.
 type scriptServer struct {
-	entry    Endpoint
-	inflight int
-	speed    float64
-	faulty   bool
+	entry       Endpoint
+	inflight    int
+	speedFactor float64
+	faulty      bool
 }
 
-// scriptRequest is the fake client's view of a request.
+// scriptRequest is the state of a request at its fake client.
 type scriptRequest struct {
 	class    uint8
 	work     float64
@@ -80,42 +80,42 @@
 	attempts int
 }
 
-// scriptOptions say what a script does, beside its settings.
+// scriptOptions configures a script: the balancer's settings and the events.
 type scriptOptions struct {
 	name      string
 	settings  Settings
 	servers   int
-	rate      float64 // requests a second
+	rate      float64 // requests per second
 	work      float64 // mean service time, in microseconds
 	hints     float64 // fraction of the requests with a cost hint
-	uploads   float64
-	operators bool    // bans, limits and restarts occur
-	outages   float64 // mean time between changes of the fleet's state, in microseconds; 0 for none
+	uploads   float64 // fraction of the requests whose body is uploaded
+	operators bool    // runOperatorAction is called now and then
+	outages   float64 // mean time between calls of changeHealth, in microseconds; 0 for none
 	lateLoad  bool    // load reports are often late
 	length    Micros
 }
 
-// script plays events against one balancer and is its host.
+// script runs events against one balancer and is its host.
 type script struct {
-	t          *testing.T
-	options    scriptOptions
-	balancer   *Balancer
-	random     scriptRandom
-	queue      scriptQueue
-	now        Micros
-	sequence   int
-	generation int // of the balancer: events for an earlier one are dropped
-	digest     hash.Hash
-	events     int
-	actions    map[byte]int
-	servers    []*scriptServer
-	requests   map[uint64]*scriptRequest
-	slowness   float64 // of all fake endpoints; 1 for well
-	failures   float64 // chance of a failure at all fake endpoints
-	nextID     uint64
+	t                  *testing.T
+	options            scriptOptions
+	balancer           *Balancer
+	random             scriptRandom
+	queue              scriptQueue
+	now                Micros
+	sequence           int
+	generation         int // counts the balancers: events for an earlier one are dropped
+	digest             hash.Hash
+	events             int
+	actions            map[byte]int
+	servers            []*scriptServer
+	requests           map[uint64]*scriptRequest
+	latencyFactor      float64 // of all fake endpoints; 1 is normal
+	failureProbability float64 // of an attempt at any fake endpoint
+	nextID             uint64
 }
 
-// post runs an event later, unless the balancer was restarted by then.
+// post schedules an event, which is dropped if the balancer is restarted before.
 func (s *script) post(delay Micros, run func(now Micros)) {
 	generation := s.generation
 	s.sequence++
@@ -127,7 +127,7 @@
 	}})
 }
 
-// every repeats an event until the end of the script, with random pauses.
+// every repeats an event at random intervals until the end of the script.
 func (s *script) every(mean float64, run func(now Micros)) {
 	s.sequence++
 	heap.Push(&s.queue, scriptEvent{s.now + s.random.micros(mean), s.sequence, func(now Micros) {
@@ -153,7 +153,7 @@
 	return s.servers[id-1]
 }
 
-// StartAttempt lets the fake endpoint answer after a while, in one of all ways.
+// StartAttempt schedules the outcome of an attempt at a fake endpoint, with a random status.
 func (s *script) StartAttempt(id uint64, endpoint uint32, timeout Micros) {
 	s.record(recordSend, id, uint64(endpoint), uint64(timeout))
 	request, server := s.requests[id], s.server(endpoint)
@@ -164,8 +164,8 @@
 		deadline := s.options.settings.Classes[request.class].ClientTimeout
 		s.post(s.random.micros(20_000), func(now Micros) { s.balancer.BodySent(now, id, now+deadline) })
 	}
-	status := s.status(server)
-	latency := 500 + Micros(s.slowness*request.work/server.speed*(0.5+s.random.float())*max(1, float64(server.inflight+1)/2))
+	status := s.randomStatus(server)
+	latency := 500 + Micros(s.latencyFactor*request.work/server.speedFactor*(0.5+s.random.float())*max(1, float64(server.inflight+1)/2))
 	if server.entry.Zone != 0 {
 		latency += 4_000
 	}
@@ -187,14 +187,14 @@
 		RequestDone: s.random.chance(0.02), BodyConsumed: s.random.chance(0.1)}
 	s.post(latency, func(now Micros) {
 		server.inflight--
-		outcome.LoadReport = s.load(server)
+		outcome.LoadReport = s.loadReport(server)
 		s.balancer.AttemptFinished(now, outcome)
 	})
 }
 
-// status draws how an attempt at a fake endpoint ends.
-func (s *script) status(server *scriptServer) Status {
-	fault := s.failures
+// randomStatus draws the status with which an attempt at a fake endpoint ends.
+func (s *script) randomStatus(server *scriptServer) Status {
+	fault := s.failureProbability
 	if server.faulty {
 		fault = 0.7
 	}
@@ -207,7 +207,7 @@
 	return Error + Status(s.random.below(int(NotSent)))
 }
 
-func (s *script) load(server *scriptServer) []float32 {
+func (s *script) loadReport(server *scriptServer) []float32 {
 	inFlight := float64(server.inflight)
 	if s.options.lateLoad && s.random.chance(0.5) {
 		inFlight = 0
@@ -223,7 +223,7 @@
 		case LoadFieldUtilization:
 			value = min(1, inFlight/2)
 		case LoadFieldServiceTime:
-			value = s.options.work / server.speed / 1000 * (0.8 + 0.4*s.random.float())
+			value = s.options.work / server.speedFactor / 1000 * (0.8 + 0.4*s.random.float())
 		case LoadFieldThroughput:
 			value = 20
 		}
@@ -243,7 +243,7 @@
 }
 func (s *script) Fail(id uint64) { s.record(recordFail, id) }
 
-// CancelAttempt ends an attempt soon; its own outcome then comes a second time.
+// CancelAttempt schedules a cancelled outcome soon. The attempt's own outcome then arrives as a second one.
 func (s *script) CancelAttempt(id uint64, attempt int) {
 	s.record(recordCancel, id, uint64(attempt))
 	s.post(1000, func(now Micros) {
@@ -273,12 +273,12 @@
 		status = Error + Status(s.random.below(int(NotSent)))
 		latency += s.random.micros(50_000)
 	}
-	s.post(latency, func(now Micros) { s.balancer.LoadProbeResult(now, endpoint, status, latency, s.load(server)) })
+	s.post(latency, func(now Micros) { s.balancer.LoadProbeResult(now, endpoint, status, latency, s.loadReport(server)) })
 }
 
-// SendGossip records a message. The other balancers send much the same, of which some comes late or broken.
+// SendGossip records a message and delivers similar ones from other balancers, some of them late or malformed.
 func (s *script) SendGossip(data []byte) {
-	s.record(recordNotify, uint64(len(data)))
+	s.record(recordGossip, uint64(len(data)))
 	s.digest.Write(data)
 	for range 2 {
 		message := append([]byte(nil), data...)
@@ -296,7 +296,7 @@
 	}
 }
 
-// WatchEndpoints answers a subscription with the list, late, never or with a failure.
+// WatchEndpoints answers a subscription after a delay with the list or a failure, or not at all.
 func (s *script) WatchEndpoints(on bool) {
 	values := uint64(0)
 	if on {
@@ -314,7 +314,7 @@
 
 func (s *script) Log(string, ...LogField) {}
 
-// list is the full list as discovery has it now.
+// list returns the complete endpoint list as discovery has it now.
 func (s *script) list() []Endpoint {
 	var list []Endpoint
 	for _, server := range s.servers {
@@ -327,7 +327,7 @@
 
 func (s *script) addServer(started Micros) *scriptServer {
 	id := uint32(len(s.servers) + 1)
-	server := &scriptServer{speed: 0.6 + 0.8*s.random.float(), entry: Endpoint{
+	server := &scriptServer{speedFactor: 0.6 + 0.8*s.random.float(), entry: Endpoint{
 		ID: id, Zone: uint8(id % 3), MachineType: uint8(id % 2), Pod: uint16(id % 7), State: Ready,
 		Weight: float32(1 + id%2), StartTime: started,
 	}}
@@ -335,7 +335,7 @@
 	return server
 }
 
-// start makes a balancer, the first or one after a restart that gets the state of the one before.
+// start creates the first balancer, or after a restart one that gets the learned state of its predecessor.
 func (s *script) start(learned []EndpointSnapshot) {
 	s.generation++
 	var err error
@@ -362,8 +362,8 @@
 	return learned
 }
 
-// request lets a client come, with an overload in the middle of the script.
-func (s *script) request(now Micros) {
+// sendRequest sends a request to the balancer. The middle third of the script is an overload with twice the rate.
+func (s *script) sendRequest(now Micros) {
 	if third := s.options.length / 3; (now < third || now > 2*third) && s.random.chance(0.5) {
 		return
 	}
@@ -389,12 +389,12 @@
 		s.post(s.random.micros(100_000), func(now Micros) { s.balancer.ClientDisconnected(now, id) })
 	}
 	if s.random.chance(0.002) {
-		s.balancer.RequestArrived(now, in) // of an id that is known
+		s.balancer.RequestArrived(now, in) // repeated ID
 	}
 }
 
-// change alters the list: entries come, drain, go, restart and move.
-func (s *script) change(now Micros) {
+// changeEndpoints changes the endpoint list: endpoints are added, drained, removed, restarted or moved to another zone.
+func (s *script) changeEndpoints(now Micros) {
 	server := s.servers[s.random.below(len(s.servers))]
 	changed := []Endpoint{}
 	switch s.random.below(6) {
@@ -428,8 +428,8 @@
 	}
 }
 
-// operate does what operators do: ban, reinstate, an upgrade's second process, a changed fleet, a restart.
-func (s *script) operate(now Micros) {
+// runOperatorAction bans or reinstates endpoints, changes the process count or fleet size, or restarts the balancer.
+func (s *script) runOperatorAction(now Micros) {
 	id := uint32(1 + s.random.below(len(s.servers)+2))
 	switch s.random.below(8) {
 	case 0, 1:
@@ -454,30 +454,30 @@
 	}
 }
 
-// outage makes the fleet slow or lets it fail, or ends that.
-func (s *script) outage(Micros) {
-	s.slowness, s.failures = 1, 0.02
+// changeHealth makes the fleet slow, makes it fail or restores it.
+func (s *script) changeHealth(Micros) {
+	s.latencyFactor, s.failureProbability = 1, 0.02
 	switch s.random.below(4) {
 	case 0:
-		s.slowness = 12
+		s.latencyFactor = 12
 	case 1:
-		s.failures = 0.9
+		s.failureProbability = 0.9
 	}
 }
 
 func (s *script) run() {
-	s.slowness, s.failures = 1, 0.02
+	s.latencyFactor, s.failureProbability = 1, 0.02
 	for range s.options.servers {
 		s.addServer(0)
 	}
 	s.start(nil)
-	s.every(1e6/s.options.rate, s.request)
-	s.every(700_000, s.change)
+	s.every(1e6/s.options.rate, s.sendRequest)
+	s.every(700_000, s.changeEndpoints)
 	if s.options.operators {
-		s.every(900_000, s.operate)
+		s.every(900_000, s.runOperatorAction)
 	}
 	if s.options.outages > 0 {
-		s.every(s.options.outages, s.outage)
+		s.every(s.options.outages, s.changeHealth)
 	}
 	for s.queue.Len() > 0 && s.now < s.options.length {
 		event := heap.Pop(&s.queue).(scriptEvent)
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -7,8 +7,8 @@
 
 func TestNewNamesInvalidSetting(t *testing.T) {
 	for _, c := range []struct {
-		key   string
-		spoil func(*Settings)
+		key        string
+		invalidate func(*Settings)
 	}{
 		{"Balancers", func(s *Settings) { s.Balancers = 0 }},
 		{"Classes", func(s *Settings) { s.Classes = nil }},
@@ -19,10 +19,10 @@
 		{"Costs.LoadProbe", func(s *Settings) { s.Costs.LoadProbe = -1 }},
 	} {
 		s := testSettings()
-		c.spoil(&s)
+		c.invalidate(&s)
 		_, err := New(s, 1, &recorder{})
-		var bad *SettingError
-		if !errors.As(err, &bad) || bad.Key != c.key {
+		var settingErr *SettingError
+		if !errors.As(err, &settingErr) || settingErr.Key != c.key {
 			t.Errorf("want an error for %s, got %v", c.key, err)
 		}
 	}
--- a/balancer/slow_start_fleet_test.go
+++ b/balancer/slow_start_fleet_test.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	slowStartWork   = 80_000 // of a request on one core of a warm endpoint
+	slowStartWork   = 80_000 // mean service time on one core of a warm endpoint, in microseconds
 	slowStartCores  = 2
-	slowStartOneWay = 300 // delay to an endpoint, and back again
+	slowStartOneWay = 300 // network delay to an endpoint, and of the response, in microseconds
 )
 
-// slowStartFleet is many balancers and their endpoints on a virtual clock. Each endpoint serves a few
-// requests at a time, in order, slower in its slow start; requests arrive at random times at random
-// balancers.
+// slowStartFleet simulates many balancers and their endpoints on a virtual clock. Each endpoint serves
+// slowStartCores requests concurrently, in order of arrival, and more slowly during its slow start. Requests
+// arrive at random times at random balancers.
 type slowStartFleet struct {
 	settings  Settings
 	now       Micros
@@ -24,13 +24,13 @@
 	random    *rand.Rand
 	balancers []*slowStartBalancer
 	endpoints map[uint32]*slowStartEndpoint
-	sequence  int    // of the latest event
-	requests  uint64 // so far
+	sequence  int    // number of the latest event
+	requests  uint64 // requests sent so far
 	served    int
 }
 
 type slowStartEndpoint struct {
-	startedAt Micros // of its warm-up; 0 for long ago
+	startedAt Micros // start of its slow start; 0 for long ago
 	freeAt    [slowStartCores]Micros
 	inFlight  int
 	arrivals  []Micros
@@ -38,7 +38,7 @@
 
 type fleetEvent struct {
 	at       Micros
-	sequence int // orders the events of one instant
+	sequence int // orders events at the same time
 	handle   func()
 }
 
@@ -61,13 +61,13 @@
 	return last
 }
 
-// after runs an event after a delay.
+// after schedules an event after a delay.
 func (f *slowStartFleet) after(delay Micros, do func()) {
 	f.sequence++
 	heap.Push(&f.events, fleetEvent{f.now + delay, f.sequence, do})
 }
 
-// run runs the events until an instant.
+// run runs all events up to a time.
 func (f *slowStartFleet) run(until Micros) {
 	for len(f.events) > 0 && f.events[0].at <= until {
 		e := heap.Pop(&f.events).(fleetEvent)
@@ -77,7 +77,7 @@
 	f.now = until
 }
 
-// capacityFraction returns an endpoint's capacity as a fraction of its full one.
+// capacityFraction returns an endpoint's capacity at a time, as a fraction of its full capacity.
 func (f *slowStartFleet) capacityFraction(e *slowStartEndpoint, at Micros) float64 {
 	rules := &f.settings.Rules
 	if e.startedAt == 0 || at-e.startedAt >= rules.SlowStartDuration {
@@ -87,7 +87,7 @@
 	return from + (1-from)*float64(at-e.startedAt)/float64(rules.SlowStartDuration)
 }
 
-// slowStartBalancer is one of the balancers, and carries out its actions.
+// slowStartBalancer is the host of one balancer of the fleet.
 type slowStartBalancer struct {
 	fleet    *slowStartFleet
 	balancer *Balancer
@@ -143,15 +143,15 @@
 
 func (c *slowStartBalancer) Log(string, ...LogField) {}
 
-// slowStartRun is one run of a fleet in which an endpoint joins nine warm ones, another restarts a second later,
-// and a burst of requests arrives some time after.
+// slowStartRun describes a simulation in which an endpoint joins nine warm ones, one of these restarts a second
+// later, and a burst of requests arrives some time after that.
 type slowStartRun struct {
-	settings  Settings // of the endpoints
-	believed  Settings // of the balancers
-	balancers int
-	seed      uint64
-	quietLoad float64 // fraction of the capacity of the warm endpoints, before the burst
-	burstAt   Micros  // after the first join
+	endpointSettings Settings // slow-start rules that the endpoints follow
+	balancerSettings Settings // settings of the balancers, which may differ
+	balancers        int
+	seed             uint64
+	quietLoad        float64 // load before the burst, as a fraction of the capacity of the warm endpoints
+	burstAt          Micros  // time from the restart to the burst
 }
 
 // The timing and the load of a slowStartRun.
@@ -163,11 +163,11 @@
 	restartingID  = 4
 )
 
-// run runs the fleet. It returns the most that came to one of the two endpoints within the overload duration, as
-// a fraction of what is allowed, and the number of requests served.
+// run runs the simulation. It returns the highest load of the two endpoints in their slow start, as described at
+// highestLoad, and the number of requests served.
 func (run slowStartRun) run(t *testing.T) (highest float64, served int) {
 	t.Helper()
-	f := &slowStartFleet{settings: run.settings, random: rand.New(rand.NewPCG(run.seed, 0xc01d)),
+	f := &slowStartFleet{settings: run.endpointSettings, random: rand.New(rand.NewPCG(run.seed, 0xc01d)),
 		endpoints: map[uint32]*slowStartEndpoint{}}
 	list := ready(9)
 	for _, e := range list {
@@ -176,14 +176,14 @@
 	for i := range run.balancers {
 		host := &slowStartBalancer{fleet: f}
 		var err error
-		if host.balancer, err = New(run.believed, run.seed*1000+uint64(i), host); err != nil {
+		if host.balancer, err = New(run.balancerSettings, run.seed*1000+uint64(i), host); err != nil {
 			t.Fatal(err)
 		}
 		f.balancers = append(f.balancers, host)
 		host.balancer.Start(0)
 		host.balancer.UpdateEndpoints(0, UpdateFull, list)
 	}
-	capacity := 9 * slowStartCores * float64(second) / slowStartWork // requests a second
+	capacity := 9 * slowStartCores * float64(second) / slowStartWork // requests per second
 	f.after(1, func() { run.arrive(f, capacity) })
 	f.after(joinAt, func() { f.startEndpoint(joiningID) })
 	f.after(joinAt+second, func() { f.startEndpoint(restartingID) })
@@ -194,7 +194,7 @@
 	return highest, f.served
 }
 
-// arrive lets a request arrive, and the next one later.
+// arrive sends a request to a random balancer and schedules the next one.
 func (run slowStartRun) arrive(f *slowStartFleet, capacity float64) {
 	rate := run.quietLoad * capacity
 	if burst := joinAt + run.burstAt; f.now >= burst && f.now < burst+burstDuration {
@@ -206,7 +206,7 @@
 	f.after(1+Micros(f.random.ExpFloat64()*float64(second)/rate), func() { run.arrive(f, capacity) })
 }
 
-// startEndpoint starts an endpoint and updates all balancers.
+// startEndpoint starts or restarts an endpoint and updates all balancers.
 func (f *slowStartFleet) startEndpoint(id uint32) {
 	f.endpoints[id] = &slowStartEndpoint{startedAt: f.now}
 	entry := Endpoint{ID: id, Zone: uint8(id / 2), Weight: 1, StartTime: f.now}
@@ -215,8 +215,8 @@
 	}
 }
 
-// highestLoad returns the most that came to an endpoint within the overload duration, as a fraction of what is
-// allowed by its capacity at the beginning of it.
+// highestLoad returns the largest number of requests that arrived at an endpoint within any overload duration, as
+// a fraction of the number allowed for its capacity at the beginning of that time.
 func (f *slowStartFleet) highestLoad(e *slowStartEndpoint) float64 {
 	rules, highest := &f.settings.Rules, 0.0
 	for from, to := 0, 0; from < len(e.arrivals); from++ {
@@ -230,13 +230,13 @@
 	return highest
 }
 
-// maxSumOfBudgets is the fraction of what is allowed that the balancers may reach: the rest is for uneven
-// networks.
+// maxSumOfBudgets is the fraction of the allowed load that all balancers together may reach. The rest is a margin
+// for uneven network delays.
 const maxSumOfBudgets = 0.6
 
-// What all balancers together send to an endpoint in its slow start stays within its budget of N requests
-// and chance, 2 x root of N + 2, with few balancers and many, in a burst out of little traffic or much, at
-// any time after its start.
+// The requests that all balancers together send to an endpoint in its slow start must stay within its budget of N
+// requests plus a margin for chance, 2 x root of N + 2. The test covers few and many balancers, and bursts after
+// light and heavy traffic at several times after the start.
 func TestWarmingEndpointBearsTheSumOfAllBalancers(t *testing.T) {
 	small, large := testSettings(), testSettings()
 	small.Rules.OverloadMultiple, small.Rules.SlowStartMinCapacity = 1.5, 0.1
@@ -253,43 +253,44 @@
 				withoutSlowStart, alone := s, s
 				withoutSlowStart.Rules.SlowStartDuration = 0
 				alone.Balancers = 1
-				careless, selfish := 0.0, 0.0
+				maxWithoutSlowStart, maxBelievedAlone := 0.0, 0.0
 				for seed := range uint64(3) {
-					run := slowStartRun{settings: s, balancers: balancers, seed: seed + 1, burstAt: second}
-					run.believed, run.quietLoad = withoutSlowStart, 0.05
+					run := slowStartRun{endpointSettings: s, balancers: balancers, seed: seed + 1, burstAt: second}
+					run.balancerSettings, run.quietLoad = withoutSlowStart, 0.05
 					load, _ := run.run(t)
-					careless = max(careless, load)
-					run.believed, run.quietLoad = alone, 0.4
+					maxWithoutSlowStart = max(maxWithoutSlowStart, load)
+					run.balancerSettings, run.quietLoad = alone, 0.4
 					load, _ = run.run(t)
-					selfish = max(selfish, load)
+					maxBelievedAlone = max(maxBelievedAlone, load)
 				}
-				t.Logf("at most %.2f of what is allowed; %.2f by balancers without slow start, "+
-					"%.2f by such as believe to be alone", highest, careless, selfish)
-				isSeen := careless > maxSumOfBudgets && (balancers != 30 || selfish > maxSumOfBudgets)
+				t.Logf("at most %.2f of the allowed load; %.2f by balancers without slow start, "+
+					"%.2f by balancers with a fleet size of 1", highest, maxWithoutSlowStart, maxBelievedAlone)
+				isSeen := maxWithoutSlowStart > maxSumOfBudgets && (balancers != 30 || maxBelievedAlone > maxSumOfBudgets)
 				if s.Rules == small.Rules && !isSeen {
-					t.Errorf("the check does not see balancers without slow start, or without knowledge of each "+
-						"other: %.2f, %.2f", careless, selfish)
+					t.Errorf("the check does not detect balancers without slow start (%.2f), or with a fleet "+
+						"size of 1 (%.2f)", maxWithoutSlowStart, maxBelievedAlone)
 				}
 			})
 		}
 	}
 }
 
-// checkSumOfBudgets plays bursts out of little traffic and much, at several times, and returns the highest load.
+// checkSumOfBudgets simulates bursts after light and heavy traffic at several times, checks the highest load of
+// each run and returns the highest of all.
 func checkSumOfBudgets(t *testing.T, s Settings, balancers int) float64 {
 	t.Helper()
 	highest := 0.0
 	for seed := range uint64(3) {
 		for _, quietLoad := range []float64{0.05, 0.4} {
 			for _, burstAt := range []Micros{100_000, second, 3 * second} {
-				run := slowStartRun{settings: s, believed: s, balancers: balancers, seed: seed + 1,
+				run := slowStartRun{endpointSettings: s, balancerSettings: s, balancers: balancers, seed: seed + 1,
 					quietLoad: quietLoad, burstAt: burstAt}
 				load, served := run.run(t)
 				if served < 500 {
-					t.Fatalf("only %d requests were served", served)
+					t.Fatalf("only %d requests were served, want at least 500", served)
 				}
 				if load > maxSumOfBudgets {
-					t.Errorf("seed %d, from %.2f to 1.5 of capacity after %.1f s: %.2f of what is allowed",
+					t.Errorf("seed %d, from %.2f to 1.5 of capacity after %.1f s: %.2f of the allowed load",
 						seed+1, quietLoad, float64(burstAt)/float64(second), load)
 				}
 				highest = max(highest, load)
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// slowStartSends counts the attempts at endpoints in the first second of their slow start, beside ten warm
-// ones under a steady load (requests a second), and the mean of the warm ones.
-func slowStartSends(t *testing.T, rate int, colds int) (cold []int, warm float64) {
+// slowStartSends sends a steady load (rate in requests per second) to ten warm endpoints and coldCount new ones.
+// It returns the attempts at each new endpoint in the first second of its slow start, and the mean of the
+// attempts at the warm ones.
+func slowStartSends(t *testing.T, rate int, coldCount int) (cold []int, warm float64) {
 	t.Helper()
 	s := testSettings()
 	list := ready(10)
@@ -30,7 +31,7 @@
 	}
 	run(0, 5*second)
 	clear(counts)
-	for i := range colds {
+	for i := range coldCount {
 		b.UpdateEndpoints(5*second, UpdateDelta, []Endpoint{{ID: uint32(11 + i), State: Ready, StartTime: 5 * second}})
 	}
 	run(5*second, 6*second)
@@ -45,12 +46,12 @@
 }
 
 func TestWarmingEndpointGetsNoMoreThanItsCapacity(t *testing.T) {
-	for _, c := range []struct{ rate, colds int }{{100, 1}, {500, 1}, {500, 2}, {2000, 2}} {
-		cold, warm := slowStartSends(t, c.rate, c.colds)
+	for _, c := range []struct{ rate, coldCount int }{{100, 1}, {500, 1}, {500, 2}, {2000, 2}} {
+		cold, warm := slowStartSends(t, c.rate, c.coldCount)
 		for _, n := range cold {
-			// Capacity goes from 0.2 to 0.28 in this second; one request may round up.
+			// Capacity grows from 0.2 to 0.28 in this second. The budget may round up by one request.
 			if float64(n) > 0.28*warm+1 {
-				t.Errorf("rate %d: a warming endpoint got %d, a warm one %.1f", c.rate, n, warm)
+				t.Errorf("rate %d: an endpoint in its slow start got %d requests, a warm one %.1f", c.rate, n, warm)
 			}
 		}
 	}
@@ -67,12 +68,12 @@
 		}
 	}
 	if n := len(r.attempts); n < 20 || n > 250 {
-		t.Errorf("%d of 400 sent to the only endpoint, which warms up", n)
+		t.Errorf("%d of 400 requests were sent to the only endpoint in its slow start, want 20 to 250", n)
 	}
 }
 
-// While most requests are rejected, little is sent: an endpoint that warms up must not be idle for that,
-// or the rejections would go on.
+// While most requests are rejected, little work is started. The slow-start budget must not shrink with it: an
+// endpoint in its slow start would stay idle and the rejections would continue.
 func TestSlowStartBudgetDoesNotFollowRejections(t *testing.T) {
 	saved := func(balancers, processes int) float64 {
 		s := testSettings()
@@ -86,19 +87,21 @@
 		return e.slowStart.budget
 	}
 	alone := saved(2, 1)
-	// A fifth of what one of two balancers may send to an endpoint of two cores, up to the burst.
+	// One of two balancers earns a fifth (0.28 x 0.7) of its even share of an endpoint with two cores. The budget
+	// is limited to what it earns in half the overload duration.
 	if want := 0.28 * 0.7 * float64(second) / 2; math.Abs(alone-want) > 1 {
-		t.Errorf("with nothing sent, the budget is %.0f µs of work after a second, want %.0f", alone, want)
+		t.Errorf("with nothing sent, the budget after a second is %.0f µs of work, want %.0f", alone, want)
 	}
 	if two := saved(2, 2); math.Abs(two-alone/2) > 1 {
-		t.Errorf("for each of two processes %.0f µs, want half of %.0f", two, alone)
+		t.Errorf("the budget of each of two processes is %.0f µs, want half of %.0f", two, alone)
 	}
 	if many := saved(200, 1); math.Abs(many-alone/100) > 1 {
-		t.Errorf("for each of 200 balancers %.0f µs, want a hundredth of %.0f", many, alone)
+		t.Errorf("the budget of each of 200 balancers is %.0f µs, want a hundredth of %.0f", many, alone)
 	}
 }
 
-// A balancer with few requests takes minutes to earn the budget of one: not all may start from nothing.
+// A balancer with few requests takes minutes to earn the slow-start budget for one. If all balancers started at 0,
+// an endpoint would get nothing during its slow start.
 func TestManyIdleBalancersServeWarmingEndpoint(t *testing.T) {
 	allowed, all := 0, 200
 	s := testSettings()
@@ -122,9 +125,10 @@
 			allowed++
 		}
 	}
-	// In 5 s a warm endpoint gets half a request of each balancer; this one 0.2 to 0.6 of seven tenths of that.
+	// In 5 s a warm endpoint gets half a request from each balancer. The endpoint in its slow start gets seven
+	// tenths of that, times its capacity of 0.2 to 0.6.
 	if allowed < 5 || allowed > 60 {
-		t.Errorf("%d of %d idle balancers may send to a warming endpoint within 5 s", allowed, all)
+		t.Errorf("%d of %d idle balancers may send to an endpoint in its slow start within 5 s, want 5 to 60", allowed, all)
 	}
 }
 
--- a/balancer/source_test.go
+++ b/balancer/source_test.go
@@ -18,7 +18,7 @@
 	maxFunctionLines  = 60
 )
 
-// sourceFiles returns the names of the package's files without tests.
+// sourceFiles returns the names of the package's Go files except tests.
 func sourceFiles(t *testing.T) []string {
 	t.Helper()
 	files, err := filepath.Glob("*.go")
@@ -28,7 +28,7 @@
 	return slices.DeleteFunc(files, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
 }
 
-// TestPolicyListsEveryFile compares the files of the package with `policy` in the deploy file.
+// TestPolicyListsEveryFile checks that `policy` in the deploy file lists exactly the files of the package.
 func TestPolicyListsEveryFile(t *testing.T) {
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -52,7 +52,7 @@
 	}
 }
 
-// TestFilesAreSmall checks each file's lines and their length.
+// TestFilesAreSmall checks the number of lines of each file and their length.
 func TestFilesAreSmall(t *testing.T) {
 	for _, name := range sourceFiles(t) {
 		text, err := os.ReadFile(name)
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestFunctionsAreShort checks each function's lines, from its signature to its closing brace.
+// TestFunctionsAreShort checks the number of lines of each function, from its signature to its closing brace.
 func TestFunctionsAreShort(t *testing.T) {
 	for _, name := range sourceFiles(t) {
 		files := token.NewFileSet()
@@ -92,7 +92,7 @@
 	}
 }
 
-// TestDecisionsImportNoInputOutput checks that the decisions use neither clocks nor files nor sockets.
+// TestDecisionsImportNoInputOutput checks by the imports that the package uses no clocks, files or sockets.
 func TestDecisionsImportNoInputOutput(t *testing.T) {
 	allowed := []string{`"fmt"`, `"math"`, `"slices"`, `"strconv"`}
 	allowedIn := map[string][]string{"gossip.go": {`"encoding/binary"`}}
@@ -103,7 +103,7 @@
 		}
 		for _, i := range f.Imports {
 			if path := i.Path.Value; !slices.Contains(allowed, path) && !slices.Contains(allowedIn[name], path) {
-				t.Errorf("%s imports %s", name, path)
+				t.Errorf("%s imports %s, which is not allowed", name, path)
 			}
 		}
 	}
