--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -7,7 +7,8 @@
 	// of 0 means that the attempt may last until the client's deadline.
 	StartAttempt(id uint64, endpoint uint32, timeout Micros)
 	// Reject answers a request with a rejection, which promises that a retry by the client is harmless.
-	// retryAfter is when the client may retry; 0 gives it no time. The reason is for logs.
+	// retryAfter is the delay before a retry that is suggested to the client; 0 suggests none. The reason is
+	// for logs.
 	Reject(id uint64, retryAfter Micros, reason RejectReason)
 	// Fail answers a request with a failure, which makes no promise about a retry.
 	Fail(id uint64)
--- a/balancer/breaker.go
+++ b/balancer/breaker.go
@@ -2,18 +2,20 @@
 
 // The constants are those of go-zero's breaker, which combines the error rate with the latency.
 const (
-	breakerWindow         = 10 * second
-	breakerBuckets        = 40
-	maxAcceptMultiplier   = 1.5    // k: requests allowed per accepted request
-	minAcceptMultiplier   = 1.1    // k once all buckets are failing
-	protectedRequests     = 5      // requests in the window that are never dropped for errors
-	forcedPassInterval    = second // between two forced requests to an endpoint
-	latencyMultiple       = 3      // multiple of the baseline above which latency counts
-	latencyCeiling        = 0.95   // fraction of the timeout at which the drop probability is greatest
-	maxLatencyDrop        = 0.3    // greatest drop probability for latency
-	baselineFallDivisor   = 4      // 1/divisor is the weight of a latency below the baseline in the baseline
-	baselineRiseDivisor   = 100    // and of one above it
-	currentLatencyDivisor = 4      // and of any latency in the current latency
+	breakerWindow       = 10 * second
+	breakerBuckets      = 40
+	maxAcceptMultiplier = 1.5    // k: requests allowed per accepted request
+	minAcceptMultiplier = 1.1    // k once all buckets are failing
+	protectedRequests   = 5      // requests in the window that are never dropped for errors
+	forcedPassInterval  = second // between two forced requests to an endpoint
+	latencyMultiple     = 3      // multiple of the baseline above which latency counts
+	latencyCeiling      = 0.95   // fraction of the timeout at which the drop probability is greatest
+	maxLatencyDrop      = 0.3    // greatest drop probability for latency
+
+	// A latency has the weight 1/divisor in its average. The baseline falls faster than it rises.
+	baselineFallDivisor   = 4
+	baselineRiseDivisor   = 100
+	currentLatencyDivisor = 4
 )
 
 // breaker drops requests to one endpoint at random. The drop probability grows with the failures within a
--- a/balancer/load_estimate.go
+++ b/balancer/load_estimate.go
@@ -20,7 +20,7 @@
 type loadValues struct {
 	inFlight      float64
 	queueLength   float64
-	utilization   float64 // fraction of the cores in use; may exceed 1
+	utilization   float64 // fraction of the cores in use, 0 to 1 or more
 	serviceMillis float64 // recent service time
 }
 
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -86,7 +86,7 @@
 	// OverloadMultiple times its present capacity.
 	OverloadMultiple float64
 	OverloadDuration Micros
-	MaxPollInterval  Micros // longest time between polls; bounds the first delay and the backoff
+	MaxPollInterval  Micros // longest time between polls while not subscribed; bounds first delay and backoff
 	ResponseSlack    Micros
 }
 
--- a/balancer/settings_validate.go
+++ b/balancer/settings_validate.go
@@ -10,7 +10,7 @@
 )
 
 // validator keeps the first error that it finds. The keys in its errors are field paths, which the codec of
-// the settings maps to the keys in the settings file.
+// the settings maps to the keys that operators use.
 type validator struct{ firstError *SettingError }
 
 // check records an error for a setting unless valid is true or an error is already recorded.
--- a/balancer/slow_start_fleet_test.go
+++ b/balancer/slow_start_fleet_test.go
@@ -143,15 +143,15 @@
 
 func (c *slowStartBalancer) Log(string, ...LogField) {}
 
-// slowStartRun describes a simulation in which an endpoint joins nine warm ones, one of these restarts a second
-// later, and a burst of requests arrives some time after that.
+// slowStartRun describes a simulation in which an endpoint joins nine warm ones at joinAt, one of these restarts
+// a second later, and a burst of requests begins burstAt after the join.
 type slowStartRun struct {
 	endpointSettings Settings // slow-start rules that the endpoints follow
 	balancerSettings Settings // settings of the balancers, which may differ
 	balancers        int
 	seed             uint64
 	quietLoad        float64 // load before the burst, as a fraction of the capacity of the warm endpoints
-	burstAt          Micros  // time from the restart to the burst
+	burstAt          Micros  // time from the join to the burst
 }
 
 // The timing and the load of a slowStartRun.
@@ -235,7 +235,7 @@
 const maxSumOfBudgets = 0.6
 
 // The requests that all balancers together send to an endpoint in its slow start must stay within its budget of N
-// requests plus a margin for chance, 2 x root of N + 2. The test covers few and many balancers, and bursts after
+// requests plus a margin for random variation, 2 x root of N + 2. The test covers few and many balancers, and bursts after
 // light and heavy traffic at several times after the start.
 func TestWarmingEndpointBearsTheSumOfAllBalancers(t *testing.T) {
 	small, large := testSettings(), testSettings()
