--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,16 +1,16 @@
-// Command sidecar runs one sidecar: it takes the requests of the application beside it and forwards them to the endpoints
-// that discovery names.
+// Command sidecar runs one sidecar: it accepts the requests of the application beside it and forwards them to the endpoints
+// that discovery lists.
 //
-// It takes no flags. The environment tells it:
+// It takes no flags. It reads these environment variables:
 //
 //   - BALANCER_CONFIG: the path of the configuration file; must be set;
-//   - BALANCER_LOG: "json" for log lines in JSON, else they are text;
-//   - BALANCER_OPS and BALANCER_STATE: the address of the operators' calls and the folder of the state file, in place of
-//     the configuration's.
+//   - BALANCER_LOG: "json" for log lines in JSON; any other value gives text;
+//   - BALANCER_OPS and BALANCER_STATE: the address for operators' calls and the folder of the state file; they override
+//     the configuration file.
 //
-// SIGHUP makes it read the configuration file again. SIGTERM and SIGINT make it shut down gracefully. The log goes to
-// standard error. The exit code is 0 after a graceful shutdown and 1 if the sidecar cannot start or run; the reason is
-// then the last line on standard error.
+// SIGHUP makes it read the configuration file again. SIGTERM and SIGINT make it shut down gracefully. It logs to standard
+// error. The exit code is 0 after a graceful shutdown and 1 if the sidecar cannot start or run; in that case the last line
+// on standard error gives the reason.
 package main
 
 import (
@@ -26,13 +26,13 @@
 	"bramblestand/internal/sidecar"
 )
 
-// Variables of the environment.
+// Environment variables.
 const (
 	configPathVariable = "BALANCER_CONFIG"
 	logFormatVariable  = "BALANCER_LOG"
 )
 
-// logFormatJSON is the value of logFormatVariable for log lines in JSON, as the lab merges them.
+// logFormatJSON is the value of logFormatVariable for log lines in JSON. The lab merges log lines in this format.
 const logFormatJSON = "json"
 
 var errNoConfigPath = errors.New("environment: " + configPathVariable + " is not set")
@@ -44,9 +44,9 @@
 	}
 }
 
-// run runs the sidecar until a signal ends it.
+// run runs the sidecar until a signal ends it or it fails.
 func run() error {
-	// Before all else: a SIGHUP that comes early must not end the process.
+	// This comes first, because a SIGHUP without a handler ends the process.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	configPath := os.Getenv(configPathVariable)
@@ -65,7 +65,7 @@
 	return sidecar.Run(ctx, cfg, reloads, log)
 }
 
-// newLogger returns a logger to standard error in the format that the environment asks for.
+// newLogger returns a logger that writes to standard error, in the format that the environment selects.
 func newLogger() *slog.Logger {
 	if os.Getenv(logFormatVariable) == logFormatJSON {
 		return slog.New(slog.NewJSONHandler(os.Stderr, nil))
@@ -73,8 +73,8 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, nil))
 }
 
-// reloadOnHangup reads the configuration again at each SIGHUP and sends it to reloads, until ctx ends. One that cannot be
-// used is logged, and the old one stays in force.
+// reloadOnHangup reads the configuration again on each SIGHUP and sends it to reloads, until ctx ends. If the new
+// configuration is not valid, it logs the error and the old one stays in force.
 func reloadOnHangup(ctx context.Context, path string, hangups <-chan os.Signal, reloads chan<- *config.Config, log *slog.Logger) {
 	for {
 		select {
--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -9,12 +9,12 @@
 	"bramblestand/internal/simwire"
 )
 
-// host runs the instances of one process, in one goroutine. They share its buffers and nothing else.
+// host runs the instances of one process in one goroutine. The instances share the host's buffers and nothing else.
 type host struct {
 	decoder             simwire.Decoder
 	reply               simwire.Reply
 	instances           map[uint32]*instance
-	reportedUnknownCode [256]bool // by event code
+	reportedUnknownCode [256]bool // indexed by event code
 	log                 *slog.Logger
 }
 
@@ -40,7 +40,7 @@
 	}
 }
 
-// answerBatch hands the events of a batch to their instances, whose actions go to h.reply.
+// answerBatch passes the events of a batch to their instances, which write their actions to h.reply.
 func (h *host) answerBatch(frame []byte) error {
 	batch, now, err := h.decoder.Reset(frame)
 	if err != nil {
@@ -48,8 +48,8 @@
 	}
 	h.reply.Reset(batch)
 	var event simwire.Event
-	var current uint32 // the instance that the events are for
-	isNamed := false   // whether the batch has named one
+	var current uint32 // number of the instance that the events are for
+	isNamed := false   // whether the batch has named an instance yet
 	for {
 		err := h.decoder.Next(&event)
 		if errors.Is(err, io.EOF) {
@@ -59,14 +59,14 @@
 			return err
 		}
 		switch {
-		case event.Code == simwire.EventEndpointList: // the decoder keeps it for the updates to come
+		case event.Code == simwire.EventEndpointList: // the decoder keeps the list for later updates
 		case event.Code == simwire.EventInstance:
 			current, isNamed = event.Instance, true
 			h.reply.SelectInstance(current)
 		case !event.Code.Known():
 			h.reportUnknownCode(&event)
 		case !isNamed:
-			return eventError(&event, "comes before any instance")
+			return eventError(&event, "comes before the record that names an instance")
 		default:
 			target, err := h.instanceFor(current, &event)
 			if err != nil {
@@ -77,7 +77,7 @@
 	}
 }
 
-// instanceFor returns the instance of that number. Only a start makes a new one.
+// instanceFor returns the instance with a number. Only a start event creates a new instance.
 func (h *host) instanceFor(number uint32, event *simwire.Event) (*instance, error) {
 	if known := h.instances[number]; known != nil {
 		return known, nil
@@ -99,7 +99,7 @@
 	h.log.Warn("skipping events of an unknown code", "code", event.Code, "offset", event.Offset)
 }
 
-// eventError is the error of a well-formed event that may not stand where it does.
+// eventError returns the error for a well-formed event that is not allowed at its place in the batch.
 func eventError(event *simwire.Event, reason string) error {
 	return &simwire.DecodeError{Record: event.Code.String(), Offset: event.Offset, Reason: reason}
 }
--- a/cmd/simadapter/instance.go
+++ b/cmd/simadapter/instance.go
@@ -7,16 +7,16 @@
 	"bramblestand/internal/simwire"
 )
 
-// instance is one sidecar of the simulated fleet: a balancer, and the balancer.Actions that write its actions to the batch's
-// reply.
+// instance is one sidecar of the simulated fleet: a balancer and an implementation of balancer.Actions, which writes the
+// balancer's actions to the reply of the batch.
 type instance struct {
-	reply    *simwire.Reply     // the host's; it names this instance while its events are handled
+	reply    *simwire.Reply     // the host's; while this instance handles its events, it is the one selected in the reply
 	balancer *balancer.Balancer // nil before a start, after a stop and after a fault
 }
 
 var _ balancer.Actions = (*instance)(nil)
 
-// handle gives an event to the balancer. A panic there is reported on the wire.
+// handle passes an event to the balancer. It reports a panic of the balancer on the wire.
 func (i *instance) handle(now balancer.Micros, event *simwire.Event) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -34,7 +34,7 @@
 	}
 }
 
-// start replaces the balancer by a new one, which knows nothing.
+// start replaces the balancer by a new one without any state.
 func (i *instance) start(now balancer.Micros, start *simwire.Start) {
 	i.balancer = nil
 	settings, err := simwire.ParseSettings(start.SettingsText)
@@ -77,12 +77,12 @@
 	i.reply.StartAttempt(id, endpoint, timeout)
 }
 
-// Reject answers a request with the promise that a retry is harmless.
+// Reject sends the final answer to a request, with the promise that a retry is harmless.
 func (i *instance) Reject(id uint64, retryAfter balancer.Micros, _ balancer.RejectReason) {
 	i.reply.Reject(id, retryAfter)
 }
 
-// Fail answers a request without any promise.
+// Fail sends the final answer to a request, without a promise about whether the request took effect.
 func (i *instance) Fail(id uint64) { i.reply.Fail(id) }
 
 // CancelAttempt stops waiting for an attempt.
@@ -97,10 +97,10 @@
 // SendGossip sends data to all other instances.
 func (i *instance) SendGossip(data []byte) { i.reply.SendGossip(simwire.AllPeers, data) }
 
-// WatchEndpoints subscribes to discovery's changes, or ends that.
+// WatchEndpoints starts or ends the subscription to discovery's changes.
 func (i *instance) WatchEndpoints(on bool) { i.reply.WatchEndpoints(on) }
 
-// Log adds a line to the run's report: the message, then key=value for each field.
+// Log adds a line to the report of the simulator's run: the message, then key=value for each field.
 func (i *instance) Log(message string, fields ...balancer.LogField) {
 	line := message
 	for _, field := range fields {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,9 +1,9 @@
-// Command simadapter hosts balancers behind the simulator's wire: it reads batches of events from standard input and writes
-// one reply for each to standard output, until input ends.
+// Command simadapter runs balancers for the simulator: it reads batches of events from standard input and writes one reply
+// for each batch to standard output, until the input ends. See internal/simwire for the format.
 //
-// It takes no flags. The exit code is 0 at the end of input and 1 if the input is malformed or output cannot be written;
-// the reason is then the last line on standard error. A balancer that panics or is given settings that it cannot use is
-// reported on the wire instead, which ends the simulator's run.
+// It takes no flags. The exit code is 0 at the end of input, and 1 if the input is malformed or output cannot be written; in
+// that case the last line on standard error gives the reason. If a balancer panics or its settings are not valid, the
+// adapter reports that on the wire instead, which ends the simulator's run.
 package main
 
 import (
@@ -17,7 +17,7 @@
 const (
 	inputBufferSize = 1 << 18
 
-	// gcPercent makes collections rare: almost nothing is allocated once the instances have started.
+	// gcPercent makes garbage collections rare. Almost nothing is allocated once the instances have started.
 	gcPercent = 400
 )
 
--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -12,16 +12,16 @@
 	"strings"
 )
 
-// MaxBodyBytes is the longest body of a call; a longer one is answered 413.
+// MaxBodyBytes is the maximum length of a call's body. A longer body is answered with 413.
 const MaxBodyBytes = 1 << 10
 
-// handler answers calls.
+// handler answers calls by means of a Controller.
 type handler struct {
 	controller Controller
 	log        *slog.Logger
 }
 
-// NewHandler returns the handler of the operators' address. onComplete is called for each call whose body has come
+// NewHandler returns the handler for the operators' calls. It calls onComplete for each call whose body has been received
 // completely, before the call is carried out.
 func NewHandler(controller Controller, log *slog.Logger, onComplete func(*http.Request)) http.Handler {
 	h := &handler{controller: controller, log: log}
@@ -43,8 +43,8 @@
 	})
 }
 
-// readBody reads the body of a call to its end, so that a call that breaks off is not carried out. It reports false
-// after it has answered one that is too long or breaks off.
+// readBody reads the body of a call to its end, so that a call whose body breaks off is not carried out. If the body breaks
+// off or is too long, readBody answers the call with an error and reports false.
 func readBody(w http.ResponseWriter, in *http.Request) bool {
 	body, err := io.ReadAll(http.MaxBytesReader(w, in.Body, MaxBodyBytes))
 	var tooLong *http.MaxBytesError
@@ -60,14 +60,14 @@
 	return true
 }
 
-// ready answers 503 where this process does not serve clients.
+// ready answers with 503 if this process does not serve clients, and with 200 if it does.
 func (h *handler) ready(w http.ResponseWriter, _ *http.Request) {
 	if !h.controller.IsServing() {
 		http.Error(w, "not serving", http.StatusServiceUnavailable)
 	}
 }
 
-// settings answers with the settings as JSON, the endpoints sorted.
+// settings answers with the settings as JSON, with the banned endpoints sorted.
 func (h *handler) settings(w http.ResponseWriter, _ *http.Request) {
 	settings := h.controller.Settings()
 	settings.Banned = append([]string{}, settings.Banned...) // JSON's [] rather than null
@@ -90,7 +90,7 @@
 	writeJSON(w, status)
 }
 
-// controlTraffic answers with the cost of control as JSON.
+// controlTraffic answers with the control traffic as JSON.
 func (h *handler) controlTraffic(w http.ResponseWriter, _ *http.Request) {
 	status, err := h.controller.ControlTraffic()
 	if err != nil {
@@ -100,7 +100,7 @@
 	writeJSON(w, status)
 }
 
-// setBanned returns the handler of the calls that take an endpoint, named by the body, out of use or back into use.
+// setBanned returns the handler of the calls that ban an endpoint or lift its ban. The body is the endpoint's name.
 func (h *handler) setBanned(banned bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, in *http.Request) {
 		body, err := io.ReadAll(in.Body)
@@ -124,10 +124,10 @@
 	}
 }
 
-// finish answers and logs a call that was to change something.
+// finish logs and answers a call that changes a setting. err is nil if the call succeeded.
 func (h *handler) finish(w http.ResponseWriter, in *http.Request, err error) {
 	switch {
-	case errors.Is(err, ErrUnknownEndpoint): // the caller's mistake, which is not logged
+	case errors.Is(err, ErrUnknownEndpoint): // not logged: the caller's mistake
 	case err != nil:
 		h.log.Error("admin call failed", "path", in.URL.Path, "client", in.RemoteAddr, "error", err)
 	default:
@@ -137,7 +137,7 @@
 	writeError(w, err)
 }
 
-// writeError answers with an error's text under the status that fits it.
+// writeError answers with an error's text and the matching status.
 func writeError(w http.ResponseWriter, err error) { http.Error(w, err.Error(), statusOf(err)) }
 
 // statusOf returns the status that an error is answered with.
@@ -152,5 +152,5 @@
 
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(value) // a caller that has left needs no answer
+	json.NewEncoder(w).Encode(value) // the error is ignored: a caller that has disconnected needs no answer
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,7 @@
 // Package config reads and validates the configuration of a sidecar: the file's keys (file.go), the
-// settings that it shares with the simulator (settings.go) and the fleet's part (fleet.go). The file's
-// names stand in struct tags and errors; the rest of the program knows the standard terms alone.
+// settings that it shares with the simulator (settings.go) and those of the fleet (fleet.go). The names
+// of the file's keys appear only in struct tags and error messages; the rest of the program uses the
+// standard terms.
 package config
 
 import (
@@ -19,21 +20,21 @@
 
 // Config is the configuration of one sidecar. It does not change once it is loaded.
 type Config struct {
-	Name             string // the same after a restart
+	Name             string // stays the same across restarts
 	ListenAddress    string // host:port for clients
 	DiscoveryAddress string // host:port of the discovery service
-	AdminAddress     string // host:port for the operators' calls; "" for none
+	AdminAddress     string // host:port for the operators' calls; "" if it accepts none
 
-	StateDir       string        // where state is persisted; "" for nowhere
-	MaxSnapshotAge time.Duration // an endpoint list persisted longer ago is not served from
+	StateDir       string        // folder in which state is persisted; "" if it is not persisted
+	MaxSnapshotAge time.Duration // a persisted endpoint list older than this is not used
 
-	PeerListen    netip.AddrPort   // for datagrams from other sidecars; not valid where there are none
+	PeerListen    netip.AddrPort   // receives datagrams from other sidecars; the zero value if there are none
 	Peers         []netip.AddrPort // all sidecars of the tier, this one included, by their index
-	PeerBroadcast netip.AddrPort   // reaches all of them; not valid where there are none
+	PeerBroadcast netip.AddrPort   // reaches all sidecars of the tier; the zero value if there is no such address
 	Fleet         fleet.Settings
 
-	Seed           uint64         // of random numbers
-	KnownEndpoints discovery.List // as this sidecar last had it; perhaps old, perhaps empty
+	Seed           uint64         // of the random number generator
+	KnownEndpoints discovery.List // the list that this sidecar had last; may be outdated or empty
 
 	Limits           Limits
 	Settings         balancer.Settings
@@ -43,24 +44,24 @@
 	KeepaliveTimeout time.Duration // an endpoint may close a connection that is idle for longer
 }
 
-// Limits is what the platform grants the processes of a sidecar together.
+// Limits holds the resources that the platform grants to all processes of a sidecar together.
 type Limits struct {
 	MemoryMB int `json:"memory_mb"`
 	Sockets  int `json:"sockets"` // file descriptors
 }
 
 const (
-	minSockets = 64 // a sidecar with fewer could serve nothing
+	minSockets = 64 // a sidecar with fewer could not serve requests
 
-	// ReservedSockets are the descriptors for discovery, logs and the runtime.
+	// ReservedSockets is the number of descriptors reserved for discovery, logs and the runtime.
 	ReservedSockets = 32
-	// MaxAdminConnections is how many connections the operators' address accepts at once.
+	// MaxAdminConnections is the maximum number of open connections to the admin address.
 	MaxAdminConnections = 16
 )
 
-// MaxConnections returns how many connections a sidecar holds at most with clients, and as many with
-// endpoints: every client's request has one attempt at a time. The descriptors that other parts need
-// are set aside.
+// MaxConnections returns the maximum number of a sidecar's connections with clients. The maximum for
+// connections with endpoints is the same, because each client's request has one attempt at a time. The
+// descriptors that other parts need are subtracted before the rest is divided.
 func (l Limits) MaxConnections(hasAdminAddress bool) int {
 	reserved := ReservedSockets
 	if hasAdminAddress {
@@ -69,7 +70,8 @@
 	return (l.Sockets - reserved) / 2
 }
 
-// MaxConnections returns how many connections this sidecar holds at most with clients, and with endpoints.
+// MaxConnections returns the maximum number of this sidecar's connections with clients, and that with
+// endpoints, which is the same.
 func (c *Config) MaxConnections() int { return c.Limits.MaxConnections(c.AdminAddress != "") }
 
 // UnknownIndex stands for a zone or machine type that the settings do not name.
@@ -88,13 +90,14 @@
 	return UnknownIndex
 }
 
-// KeyError says which key of the configuration cannot be used. Err may be a KeyError of a key below it.
+// KeyError reports a key of the configuration whose value is not valid. Err may be a KeyError for a key
+// nested in it.
 type KeyError struct {
 	Key string
 	Err error
 }
 
-// Error names the key and what is wrong with it.
+// Error gives the key and the reason why its value is not valid.
 func (e *KeyError) Error() string {
 	if _, namesKey := e.Err.(*json.UnmarshalTypeError); namesKey {
 		return e.Err.Error()
@@ -102,7 +105,7 @@
 	return e.Key + ": " + e.Err.Error()
 }
 
-// Unwrap returns what is wrong with the key.
+// Unwrap returns the reason.
 func (e *KeyError) Unwrap() error { return e.Err }
 
 // keyErrorf returns a KeyError with a formatted reason.
@@ -110,7 +113,7 @@
 	return &KeyError{Key: key, Err: fmt.Errorf(format, args...)}
 }
 
-// decodeError returns a KeyError where an error of encoding/json is about one key, else the error itself.
+// decodeError returns a KeyError if an error of encoding/json is about one key, else the error itself.
 func decodeError(err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
@@ -119,7 +122,8 @@
 	return err
 }
 
-// Load reads a configuration file. Its errors are those of the file system, of JSON, and *KeyError.
+// Load reads and validates a configuration file. Its errors are those of the file system, those of
+// encoding/json, and *KeyError.
 func Load(path string) (*Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -133,7 +137,7 @@
 }
 
 // Parse reads a configuration from JSON and the environment: BALANCER_OPS and BALANCER_STATE replace
-// the keys ops and state_dir. Keys that are not known are skipped. It stops at the first key at fault.
+// the keys ops and state_dir. Unknown keys are ignored. The error is about the first invalid key.
 func Parse(data []byte) (*Config, error) {
 	var f file
 	if err := json.Unmarshal(data, &f); err != nil {
--- a/internal/config/configtest/configtest.go
+++ b/internal/config/configtest/configtest.go
@@ -1,7 +1,7 @@
-// Package configtest has a configuration for tests.
+// Package configtest provides settings for tests that need a valid configuration.
 package configtest
 
-// Settings are the settings of a configuration that is valid.
+// Settings is the JSON value of the key settings in a valid configuration.
 const Settings = `{"areas":["a","b"],"skus":["m1"],"stages":["s"],"tenants":[],"discovery":"subscribe",
  "classes":[
  {"name":"read","repeat":"pure","target":600000,"give-up":3000000,"credit":1},
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -13,7 +13,7 @@
 	"bramblestand/internal/discovery"
 )
 
-// Variables of the environment that replace a key of the file.
+// Environment variables that override a key of the file.
 const (
 	adminAddressVariable = "BALANCER_OPS"
 	stateDirVariable     = "BALANCER_STATE"
@@ -24,8 +24,8 @@
 	maxMaxSnapshotAge     = 7 * 24 * time.Hour
 )
 
-// file is the form of the configuration on disk. The platform also gives limits.cores, which is not
-// read: a sidecar takes what it gets of its core.
+// file is the JSON form of the configuration. The platform also writes limits.cores, which is ignored:
+// a sidecar runs with whatever share of its core it gets.
 type file struct {
 	Name                  string          `json:"name"`
 	ListenAddress         string          `json:"listen"`
@@ -126,7 +126,8 @@
 	return nil
 }
 
-// parseAddrPort reads the address of a datagram socket. "" gives one that is not valid, which stands for none.
+// parseAddrPort reads the address of a datagram socket. For "" it returns the zero value, which is not a
+// valid address and means that there is none.
 func parseAddrPort(key, text string) (netip.AddrPort, error) {
 	if text == "" {
 		return netip.AddrPort{}, nil
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -31,7 +31,7 @@
 	return err
 }
 
-// FleetOptions returns what the configuration says of this sidecar's part in the fleet.
+// FleetOptions returns the options for this sidecar's membership in the fleet.
 func (c *Config) FleetOptions() fleet.Options {
 	options := fleet.Options{
 		Settings:        c.Fleet,
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -13,9 +13,10 @@
 	"bramblestand/internal/simwire"
 )
 
-// socketSettings are the settings that only a sidecar on real sockets needs, beside limits.dial-timeout.
-// All others are read by simwire.ParseSettings, which skips keys that nothing needs: callers, family-info,
-// kind-of-service, stages, tier, weight-kind, limits.cpu-*, limits.multiplex and further prices.
+// socketSettings holds the settings that only a sidecar with real sockets needs. limits.dial-timeout is
+// another such setting, but is read by simwire.ParseSettings, as all other settings are. That function
+// ignores keys that nothing needs: callers, family-info, kind-of-service, stages, tier, weight-kind,
+// limits.cpu-*, limits.multiplex and further prices.
 type socketSettings struct {
 	Zones        []string `json:"areas"`
 	MachineTypes []string `json:"skus"`
@@ -34,7 +35,8 @@
 	return nil
 }
 
-// parseSettings reads the settings as the simulator's adapter does, and those of sockets.
+// parseSettings reads the balancer's settings, in the same way as the simulator's adapter, and the
+// socket settings.
 func (c *Config) parseSettings(raw json.RawMessage) error {
 	if len(raw) == 0 {
 		return errors.New("is missing")
@@ -61,8 +63,8 @@
 	return nil
 }
 
-// parseBalancerSettings reads nested JSON through the parser of the simulator's settings text, so that a key
-// means the same in both.
+// parseBalancerSettings converts nested JSON to the simulator's settings text and parses that text, so that
+// a key has the same meaning in both.
 func parseBalancerSettings(raw json.RawMessage) (balancer.Settings, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber() // keeps the text: 5000000 must not become 5e+06
@@ -75,8 +77,9 @@
 	return simwire.ParseSettings(text.String())
 }
 
-// writeSettingsText writes a JSON value as the path=value lines of the simulator's settings text: a list of
-// objects as its length and its items by index, any other list separated by commas. Null is left out.
+// writeSettingsText writes a JSON value as path=value lines of the simulator's settings text. It writes a
+// list of objects as its length and its items by index, and any other list as its items separated by
+// commas. It omits null.
 func writeSettingsText(out *strings.Builder, path string, value any) {
 	switch value := value.(type) {
 	case nil:
@@ -105,7 +108,8 @@
 	return path + "." + key
 }
 
-// isObjectList goes by the first item, as the lists of the settings are of one kind.
+// isObjectList reports whether a list holds objects. It checks only the first item, because all items of a
+// list in the settings are of one kind.
 func isObjectList(list []any) bool {
 	if len(list) == 0 {
 		return false
@@ -122,7 +126,7 @@
 	return strings.Join(items, ",")
 }
 
-// separators may not stand in a value of the settings text.
+// separators replaces the characters that must not occur in a value of the settings text.
 var separators = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
 
 func scalarText(value any) string { return separators.Replace(fmt.Sprint(value)) }
--- a/internal/goldentest/bytes.go
+++ b/internal/goldentest/bytes.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-var update = flag.Bool("update-golden", false, "write the golden files again; only for a form that is new on the wire, on the disk or to operators")
+var update = flag.Bool("update-golden", false, "rewrite the golden files; only for a format that is new on the wire, on disk or for operators")
 
-// Updating reports whether the golden files are to be written again (-update-golden).
+// Updating reports whether the golden files are to be rewritten (-update-golden).
 func Updating() bool { return *update }
 
-// JSON returns a value as the text of a golden file.
+// JSON returns a value as indented JSON, the content of a golden file.
 func JSON(t *testing.T, value any) []byte {
 	t.Helper()
 	text, err := json.MarshalIndent(value, "", " ")
@@ -23,7 +23,8 @@
 	return append(text, '\n')
 }
 
-// EqualBytes compares a text with a golden file, byte for byte, and returns the file's.
+// EqualBytes compares a text with a golden file byte by byte, and returns the file's content. With -update-golden it writes
+// the text to the file first.
 func EqualBytes(t *testing.T, got []byte, goldenPath string) []byte {
 	t.Helper()
 	if *update {
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -14,8 +14,8 @@
 	goValue = regexp.MustCompile(`into Go value of type .*`)
 )
 
-// ErrorText returns an error's text, "" for none. It leaves out the names of Go types in the texts of encoding/json, and
-// repeated lines, so that a golden file does not depend on names in the code.
+// ErrorText returns an error's text, or "" for nil. It removes the names of Go types from the texts of encoding/json, so that
+// a golden file does not depend on names in the code, and it removes repeated lines.
 func ErrorText(err error) string {
 	if err == nil {
 		return ""
@@ -24,7 +24,7 @@
 	return strings.Join(slices.Compact(lines), "\n")
 }
 
-// EqualLines compares a text with a golden file, line by line.
+// EqualLines compares a text with a golden file line by line.
 func EqualLines(t *testing.T, got, goldenPath string) {
 	t.Helper()
 	golden, err := os.ReadFile(goldenPath)
--- a/internal/handover/file.go
+++ b/internal/handover/file.go
@@ -15,12 +15,13 @@
 	fileMode      = 0o600
 )
 
-// filePath returns the path of the handover file of the sidecar called name. Processes of other releases use the same.
+// filePath returns the path of the handover file of the sidecar called name. Processes of other releases use the same
+// path.
 func filePath(dir, name string) string {
 	return filepath.Join(dir, "pinedale-"+url.PathEscape(name)+".json")
 }
 
-// fileRecord is the form of a State in the handover file.
+// fileRecord is the JSON form of a State in the handover file.
 type fileRecord struct {
 	Version  int      `json:"version"`
 	Revision uint64   `json:"seq"`
@@ -28,7 +29,7 @@
 	Banned   []string `json:"banned"`
 }
 
-// readFile reads the handover file, of which size is the length that the system gave.
+// readFile reads the handover file. size is its length as reported by os.Stat.
 func readFile(path string, size int64) (State, error) {
 	if size > maxFileBytes {
 		return State{}, fmt.Errorf("%s: %d bytes, more than %d", path, size, maxFileBytes)
@@ -49,7 +50,7 @@
 	return State{Revision: record.Revision, Banned: record.Banned, Drained: record.Drained}, nil
 }
 
-// writeFile replaces the handover file in one step: a reader sees the old content or the new.
+// writeFile replaces the handover file atomically: a reader sees either the old content or the new.
 func writeFile(path string, s State) error {
 	data, err := json.Marshal(fileRecord{Version: formatVersion, Revision: s.Revision, Drained: s.Drained, Banned: s.Banned})
 	if err != nil {
--- a/internal/handover/locks.go
+++ b/internal/handover/locks.go
@@ -7,15 +7,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bytes of the lock file. Each is locked by itself; processes of other releases use the same ones.
+// Offsets of the bytes in the lock file that serve as locks. Each byte is locked on its own. Processes of other releases use
+// the same offsets.
 const (
 	writeByte        = 0 // locked while the handover file is written
-	firstProcessByte = 1 // one process slot for each of two processes
+	firstProcessByte = 1 // the first process slot; each of two processes locks one
 	maxProcesses     = 2
 	fleetByte        = firstProcessByte + maxProcesses // locked by the process that is the sidecar's member of the fleet
 )
 
-// errTooManyProcesses reports that as many processes of this sidecar run as may.
+// errTooManyProcesses reports that other processes of this sidecar hold all process slots.
 var errTooManyProcesses = errors.New("more than two processes of this sidecar run")
 
 // lockFile is a file whose bytes serve as locks between processes. They are open file description locks: the system
@@ -33,7 +34,7 @@
 // close releases all locks.
 func (l *lockFile) close() error { return l.file.Close() }
 
-// lock takes the lock on a byte, or fails with EAGAIN or EACCES where another process has it.
+// lock locks the byte at an offset. It fails with EAGAIN or EACCES if another process holds the lock.
 func (l *lockFile) lock(at int64) error { return l.set(unix.F_WRLCK, at) }
 
 func (l *lockFile) unlock(at int64) error { return l.set(unix.F_UNLCK, at) }
@@ -42,7 +43,7 @@
 	return unix.FcntlFlock(l.file.Fd(), unix.F_OFD_SETLK, &unix.Flock_t{Type: kind, Start: at, Len: 1})
 }
 
-// lockProcessSlot locks the first free process slot.
+// lockProcessSlot locks the first free process slot. It returns errTooManyProcesses if none is free.
 func (l *lockFile) lockProcessSlot() error {
 	for slot := int64(firstProcessByte); slot < firstProcessByte+maxProcesses; slot++ {
 		if l.lock(slot) == nil {
--- a/internal/handover/store.go
+++ b/internal/handover/store.go
@@ -1,10 +1,11 @@
-// Package handover is what two processes of one sidecar share while an upgrade replaces one by the other: a file with
-// the operators' settings, and locks that tell each process whether the other runs and which of them is the sidecar's
-// member of the fleet.
+// Package handover holds the state that two processes of one sidecar share while an upgrade replaces one by the other. It
+// consists of a file with the operators' settings, and of locks that show each process whether the other is running and
+// which of the two is the sidecar's member of the fleet.
 //
-// A process opens a Store at its start and closes it at its end. The operators' calls change the settings with Update;
-// the other process polls Load every PollInterval and applies what is new. The file is in a temporary folder and may be
-// lost with the machine: what has to outlive that is in internal/state, from where Restore brings it back.
+// A process opens a Store when it starts and closes it when it ends. Operators' calls change the settings with Update; the
+// other process calls Load every PollInterval and applies the changes. The file is in a temporary folder and may be lost
+// if the machine fails. Settings that must survive that are persisted by internal/state, and Restore adopts them from
+// there.
 package handover
 
 import (
@@ -18,21 +19,21 @@
 	"time"
 )
 
-// PollInterval is the time between two looks at the file and at the other process's locks.
+// PollInterval is the time between two checks of the file and of the other process's locks.
 const PollInterval = 100 * time.Millisecond
 
 const (
-	writeLockTimeout = 500 * time.Millisecond // the lock is taken while a small file is written
+	writeLockTimeout = 500 * time.Millisecond // the other process holds the lock while it writes a small file
 	writeLockRetry   = 5 * time.Millisecond
 )
 
-// ErrUnavailable is returned by Update where the folder of the handover file cannot be used.
+// ErrUnavailable is returned by Update if the folder of the handover file cannot be used.
 var ErrUnavailable = errors.New("the state file's folder cannot be used")
 
 // State is what both processes share: the operators' settings.
 type State struct {
-	Revision uint64   // grows with every change; 0 where nothing was ever changed
-	Banned   []string // names of endpoints taken out of use by hand
+	Revision uint64   // grows with every change; 0 if nothing was ever changed
+	Banned   []string // names of the endpoints that operators have banned
 	Drained  bool     // clients are sent to other sidecars
 }
 
@@ -43,15 +44,16 @@
 	log  *slog.Logger
 
 	mu       sync.Mutex
-	locks    *lockFile   // nil where the lock file could not be opened, and after Close
+	locks    *lockFile   // nil if the lock file could not be opened, and after Close
 	state    State       // last valid state
-	fileInfo os.FileInfo // of the file as last read; nil before, and after a failure
+	fileInfo os.FileInfo // of the file when it was last read; nil before the first read and after a failed one
 
 	cached atomic.Pointer[State] // state, for readers that must not block on mu
 }
 
-// Open locks a process slot for this process of the sidecar called name, whose handover file is in the folder dir. Where the
-// folder cannot be used it logs that; then Update fails, and all else works as for a process alone.
+// Open locks a process slot for this process of the sidecar called name, whose handover file is in the folder dir. If the
+// folder cannot be used, Open logs an error. Update then fails, and all other methods work as if no other process were
+// running.
 func Open(dir, name string, log *slog.Logger) *Store {
 	s := &Store{path: filePath(dir, name), log: log}
 	s.cached.Store(&State{})
@@ -67,7 +69,7 @@
 	return s
 }
 
-// Close releases this process's locks. What is shared stays in the file.
+// Close releases this process's locks. The shared state stays in the file.
 func (s *Store) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,15 +79,15 @@
 	}
 }
 
-// HasOtherProcess reports whether another process of this sidecar runs.
+// HasOtherProcess reports whether another process of this sidecar is running.
 func (s *Store) HasOtherProcess() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.locks != nil && s.locks.hasOtherProcess()
 }
 
-// AcquireFleetMembership makes this process the sidecar's member of the fleet, and reports false where the other
-// process is. Without a lock file no other process can be seen, and it reports true.
+// AcquireFleetMembership makes this process the sidecar's member of the fleet, or reports false if the other process is the
+// member. Without a lock file it cannot detect another process and reports true.
 func (s *Store) AcquireFleetMembership() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,8 +103,8 @@
 	}
 }
 
-// Load returns the state as the file has it now. Where the file is not valid the last valid state stays, and the
-// fault is logged once.
+// Load reads the file if it has changed and returns its state. If the file is not valid, Load logs the fault once and
+// returns the last valid state.
 func (s *Store) Load() State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +112,7 @@
 	return s.state
 }
 
-// Cached returns the last valid state without a look at the file, and never blocks.
+// Cached returns the last valid state without reading the file, and never blocks.
 func (s *Store) Cached() *State { return s.cached.Load() }
 
 // refresh reads the file if it has changed. It is called with s.mu locked.
@@ -136,29 +138,30 @@
 	}
 }
 
-// isUnchanged reports whether info is that of the file as last read.
+// isUnchanged reports whether info describes the file as it was when it was last read.
 func (s *Store) isUnchanged(info os.FileInfo) bool {
 	last := s.fileInfo
 	return last != nil && os.SameFile(info, last) && info.ModTime().Equal(last.ModTime()) && info.Size() == last.Size()
 }
 
-// set makes a state the last valid one. It is called with s.mu locked.
+// set makes state the last valid state. It is called with s.mu locked.
 func (s *Store) set(state State) {
 	s.state = state
 	s.cached.Store(&state)
 }
 
-// write puts a state into the file. It is called with s.mu locked.
+// write writes state to the file. It is called with s.mu locked.
 func (s *Store) write(state State) error {
 	if err := writeFile(s.path, state); err != nil {
 		return err
 	}
-	s.fileInfo, _ = os.Stat(s.path) // where that fails the next refresh reads the file
+	s.fileInfo, _ = os.Stat(s.path) // if Stat fails, fileInfo is nil and the next refresh reads the file
 	return nil
 }
 
-// Restore adopts a state that was persisted on disk, where it is newer than the file's: the file may have been lost
-// with the machine. The state is in force for this process even where an error reports that the file was not written.
+// Restore adopts a state that was persisted on disk if it is newer than that of the handover file, which may have been lost
+// when the machine failed. An error means that the adopted state could not be written to the handover file; the state is
+// in force in this process all the same.
 func (s *Store) Restore(persisted State) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,8 +174,9 @@
 	return s.write(persisted)
 }
 
-// isNewer reports whether a persisted state supersedes the current one. One without a revision was written by an
-// earlier release, and counts where it orders anything and nothing else is known.
+// isNewer reports whether a persisted state supersedes the current one. A persisted state without a revision was written by
+// an earlier release. It supersedes the current state if it holds a ban or a drain and the current state has no revision
+// either.
 func isNewer(persisted, current State) bool {
 	if persisted.Revision != current.Revision {
 		return persisted.Revision > current.Revision
@@ -180,11 +184,13 @@
 	return persisted.Revision == 0 && (len(persisted.Banned) > 0 || persisted.Drained)
 }
 
-// Update changes the state for both processes and returns the new one. It calls persist with the new state, under the
-// write lock, before the other process can see it: a nil from persist means that it is where it has to outlive the
-// machine. On an error the handover file is unchanged and Update returns the state that is in force; if the error is the
-// file's, after persist, the change is persisted and takes effect at the next start. Errors are ErrUnavailable,
-// those of persist, and those of the lock and the file.
+// Update changes the state for both processes and returns the new state. Under the write lock, and before the other process
+// can see the new state, it calls persist with it. If persist returns nil, the new state is stored where it survives a
+// failure of the machine.
+//
+// If Update returns an error, the handover file is unchanged, and the returned state is the one in force. If the error
+// comes from writing the file, after persist has succeeded, the change is persisted and takes effect at the next start.
+// Errors are ErrUnavailable, those of persist, and those of locking and of writing the file.
 func (s *Store) Update(alter func(*State), persist func(State) error) (State, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,7 +203,7 @@
 	defer s.locks.unlock(writeByte)
 	s.refresh()
 	next := s.state
-	next.Banned = append([]string(nil), s.state.Banned...) // empty is always written as null
+	next.Banned = append([]string(nil), s.state.Banned...) // an empty list is always written as null
 	alter(&next)
 	next.Revision = s.state.Revision + 1
 	if err := persist(next); err != nil {
@@ -210,7 +216,7 @@
 	return next, nil
 }
 
-// lockForWrite takes the write lock, within writeLockTimeout. It is called with s.mu locked.
+// lockForWrite takes the write lock. It fails if that takes longer than writeLockTimeout. It is called with s.mu locked.
 func (s *Store) lockForWrite() error {
 	for deadline := time.Now().Add(writeLockTimeout); ; time.Sleep(writeLockRetry) {
 		err := s.locks.lock(writeByte)
@@ -218,7 +224,7 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("lock: %w", err)
+			return fmt.Errorf("handover write lock: %w", err)
 		}
 	}
 }
--- a/internal/mutant/doc.go
+++ b/internal/mutant/doc.go
@@ -1,4 +1,4 @@
-// Package mutant holds the switches of programs that are built wrong on purpose, so that a test can show that the fault lab
-// finds the fault. Each switch is a constant that a build tag turns on; in a program built without the tag it is false and
-// the compiler leaves the faulty code out.
+// Package mutant holds switches that build deliberate faults into a program, so that a test can show that the fault lab
+// detects them. Each switch is a constant that a build tag sets to true. In a program built without the tag it is false, and
+// the compiler leaves out the faulty code.
 package mutant
--- a/internal/mutant/ends_early_off.go
+++ b/internal/mutant/ends_early_off.go
@@ -2,5 +2,6 @@
 
 package mutant
 
-// EndsEarly makes a sidecar end all connections once it accepts no more clients after SIGTERM.
+// EndsEarly makes a sidecar close all connections, without waiting for requests in flight, once it accepts no more clients after
+// SIGTERM.
 const EndsEarly = false
--- a/internal/mutant/evicts_requests_off.go
+++ b/internal/mutant/evicts_requests_off.go
@@ -2,5 +2,5 @@
 
 package mutant
 
-// EvictsRequests makes a sidecar evict connections whatever their clients are owed.
+// EvictsRequests makes a sidecar evict connections even if their clients still wait for a response.
 const EvictsRequests = false
--- a/internal/mutant/ignores_disconnects_off.go
+++ b/internal/mutant/ignores_disconnects_off.go
@@ -2,5 +2,5 @@
 
 package mutant
 
-// IgnoresDisconnects makes a sidecar go on for clients that have disconnected.
+// IgnoresDisconnects makes a sidecar continue to process requests of clients that have disconnected.
 const IgnoresDisconnects = false
--- a/internal/mutant/ignores_draining_on.go
+++ b/internal/mutant/ignores_draining_on.go
@@ -2,5 +2,5 @@
 
 package mutant
 
-// IgnoresDraining makes a sidecar take endpoints that drain for ready ones.
+// IgnoresDraining makes a sidecar treat draining endpoints as ready.
 const IgnoresDraining = true
--- a/internal/mutant/repeats_unsafe_on.go
+++ b/internal/mutant/repeats_unsafe_on.go
@@ -2,5 +2,6 @@
 
 package mutant
 
-// RepeatsUnsafe makes a sidecar take an attempt whose connection was reset for one that never ran.
+// RepeatsUnsafe makes a sidecar treat an attempt whose connection was reset as one that was never executed, so that it retries
+// requests that are not safe to retry.
 const RepeatsUnsafe = true
--- a/internal/simwire/endpoint_lists.go
+++ b/internal/simwire/endpoint_lists.go
@@ -26,19 +26,19 @@
 	updateFull   = 4
 )
 
-// endpointLists holds the numbered lists of a process. An endpoint update names the list that was defined last under its
-// number, in the order of events.
+// endpointLists holds the numbered endpoint lists of a process. An endpoint update refers to a list by its number and gets the
+// list that the latest earlier event defined under that number.
 type endpointLists struct {
 	lists     [maxEndpointLists][]balancer.Endpoint
 	isDefined [maxEndpointLists]bool
 }
 
-// define reads a list under its number, in place of the one before.
+// define reads a list and stores it under its number, replacing any earlier list with that number.
 func (l *endpointLists) define(r *recordReader) {
 	numberOffset := r.offset
 	number := int(r.uint8(fieldListNumber))
 	if number >= maxEndpointLists {
-		r.failAt(numberOffset, fieldListNumber, fmt.Sprintf("list number %d is over %d", number, maxEndpointLists-1))
+		r.failAt(numberOffset, fieldListNumber, fmt.Sprintf("list number %d exceeds the maximum %d", number, maxEndpointLists-1))
 	}
 	countOffset := r.offset
 	count := int(r.uint32(fieldEntries))
@@ -85,12 +85,12 @@
 
 // decodeUpdate reads an endpoint update and resolves its list.
 func (l *endpointLists) decodeUpdate(r *recordReader, update *EndpointUpdate) {
-	r.uint32(fieldListVersion) // updates come in order, with none left out
+	r.uint32(fieldListVersion) // not needed: updates arrive in order and without gaps
 	numberOffset := r.offset
 	number := r.uint8(fieldListNumber)
 	update.Kind = decodeUpdateKind(r)
 	update.Endpoints = nil
-	if r.err != nil || update.Kind == balancer.UpdateFailed { // a failed call comes without a list
+	if r.err != nil || update.Kind == balancer.UpdateFailed { // a failed call carries no list
 		return
 	}
 	if number >= maxEndpointLists || !l.isDefined[number] {
--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// DecodeError says which record of a frame is malformed. The input cannot be read on after one.
+// DecodeError reports a malformed record or header of a frame. The rest of the input cannot be decoded.
 type DecodeError struct {
-	Record string // its name on the wire, or "batch", "batch header", "record"
-	Field  string // its name on the wire; empty if no single field is at fault
+	Record string // name of the record on the wire, or "batch", "batch header" or "record"
+	Field  string // name of the field on the wire; empty if no single field is at fault
 	Offset int    // of the byte at fault, from the start of the frame
 	Reason string
 }
 
-// Error names the record, the byte, the field if there is one, and the reason.
+// Error gives the record, the byte offset, the field if there is one, and the reason.
 func (e *DecodeError) Error() string {
 	if e.Field == "" {
 		return fmt.Sprintf("%s at byte %d: %s", e.Record, e.Offset, e.Reason)
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -8,10 +8,10 @@
 	"bramblestand/balancer"
 )
 
-// recordName stands for a record whose code has not been read, in errors.
+// recordName is the name in errors of a record whose code has not been read.
 const recordName = "record"
 
-// Event is one decoded record. Only the fields of its code are set; slices are valid until the next call of
+// Event is one decoded record. Only the fields that belong to its code are set. Its slices are valid until the next call of
 // [Decoder.Next].
 type Event struct {
 	Code   EventCode
@@ -24,18 +24,18 @@
 	ResponseStarted ResponseStarted  // EventResponseStarted
 	Outcome         balancer.Outcome // EventAttemptFinished
 	RequestID       uint64           // EventClientDisconnected
-	TimerToken      uint32           // EventTimerFired: as it was given to [Reply.SetTimer]
+	TimerToken      uint32           // EventTimerFired: the token that was given to [Reply.SetTimer]
 	LoadProbeResult LoadProbeResult  // EventLoadProbeResult
 	Gossip          Gossip           // EventGossip
 }
 
-// Start holds the settings of an instance.
+// Start holds the seed and the settings of an instance that starts.
 type Start struct {
-	Seed         uint64 // of the instance's random numbers
+	Seed         uint64 // of the instance's random number generator
 	SettingsText string // for [ParseSettings]
 }
 
-// EndpointUpdate is an update of the endpoint list by discovery, or the failure of a call to it.
+// EndpointUpdate is an update of the endpoint list from discovery, or the failure of a call to discovery.
 type EndpointUpdate struct {
 	Kind      balancer.UpdateKind
 	Endpoints []balancer.Endpoint // nil for balancer.UpdateFailed
@@ -44,12 +44,12 @@
 // ResponseStarted is the start of an attempt's streamed response.
 type ResponseStarted struct {
 	RequestID uint64
-	Attempt   int // counted from 0 in the order of their start
+	Attempt   int // index of the attempt; the attempts of a request count from 0 in the order in which they start
 	Endpoint  uint32
 	Latency   balancer.Micros // since the attempt's start
 }
 
-// LoadProbeResult is how a load probe ended.
+// LoadProbeResult is the outcome of a load probe.
 type LoadProbeResult struct {
 	Endpoint   uint32
 	Status     balancer.Status
@@ -57,14 +57,14 @@
 	LoadReport []float32       // in the order of Settings.LoadReportFields; empty without a report
 }
 
-// Gossip is a message of another instance.
+// Gossip is a message from another instance.
 type Gossip struct {
-	Sender  uint16 // its index in the tier
+	Sender  uint16 // index of the sending instance in its tier
 	Message []byte
 }
 
-// Decoder reads the records of batches. It keeps the numbered endpoint lists, which outlive a batch. The zero value is
-// ready for Reset.
+// Decoder decodes the records of batches. It keeps the numbered endpoint lists, which stay defined from one batch to the next.
+// The zero value is ready for Reset.
 type Decoder struct {
 	frame  []byte
 	next   int // start of the next record in the frame
@@ -72,7 +72,7 @@
 	lists  endpointLists
 }
 
-// Reset starts on a frame from [ReadFrame] and returns the batch's number and clock, or a *DecodeError.
+// Reset begins the decoding of a frame from [ReadFrame]. It returns the batch's number and clock, or a *DecodeError.
 func (d *Decoder) Reset(frame []byte) (batch uint32, now balancer.Micros, err error) {
 	batch, now, err = decodeBatchHeader(frame)
 	if err != nil {
@@ -82,8 +82,8 @@
 	return batch, now, nil
 }
 
-// Next decodes one record into e. It returns io.EOF after the last one and a *DecodeError for a malformed one. A record of
-// an unknown code is returned with its code and offset alone.
+// Next decodes one record into e. It returns io.EOF after the last record and a *DecodeError for a malformed one. For a record
+// with an unknown code it sets only the code and the offset.
 func (d *Decoder) Next(e *Event) error {
 	if d.next == len(d.frame) {
 		return io.EOF
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// openRecord checks the header of the next record and makes d.record read its fields.
+// openRecord checks the header of the next record and prepares d.record to read its fields.
 func (d *Decoder) openRecord() (EventCode, error) {
 	remaining := d.frame[d.next:]
 	r := &d.record
@@ -124,7 +124,7 @@
 	return code, nil
 }
 
-// decodeFields reads the fields of d.record, in the order of the wire, into the part of e for its code.
+// decodeFields reads the fields of d.record, in the order of the wire, into the fields of e that belong to its code.
 func (d *Decoder) decodeFields(e *Event) {
 	r := &d.record
 	switch e.Code {
@@ -133,7 +133,7 @@
 	case EventStart:
 		e.Start.Seed = r.uint64(fieldSeed)
 		e.Start.SettingsText = string(r.take(int(r.uint32(fieldSettings)), fieldSettings))
-	case EventStop: // without fields
+	case EventStop: // has no fields
 	case EventEndpointList:
 		d.lists.define(r)
 	case EventEndpointUpdate:
--- a/internal/simwire/frames.go
+++ b/internal/simwire/frames.go
@@ -9,7 +9,7 @@
 	"bramblestand/balancer"
 )
 
-// A batch's header: its number, the size of the frame with the header, and the clock.
+// Layout of a batch header: the batch's number, the size of the frame including the header, and the clock.
 const (
 	batchSizeOffset  = 4
 	batchClockOffset = 8
@@ -19,10 +19,10 @@
 const (
 	maxFrameSize       = 1 << 30
 	initialFrameBuffer = 1 << 16
-	maxFrameGrowth     = 1 << 20 // bytes of memory that are taken ahead of the input
+	maxFrameGrowth     = 1 << 20 // bytes of memory that may be allocated before the input for them has arrived
 )
 
-// Names of what is not a record of its own, in errors.
+// Names in errors of the parts of a frame that are not records.
 const (
 	batchHeaderName = "batch header"
 	batchName       = "batch"
@@ -39,7 +39,7 @@
 		if errors.Is(err, io.EOF) {
 			return nil, io.EOF
 		}
-		return nil, &DecodeError{Record: batchHeaderName, Offset: n, Reason: "input ends inside it"}
+		return nil, &DecodeError{Record: batchHeaderName, Offset: n, Reason: "input ends inside the header"}
 	}
 	size := int(binary.BigEndian.Uint32(buffer[batchSizeOffset:]))
 	if size < batchHeaderSize || size > maxFrameSize {
@@ -49,10 +49,10 @@
 	return readRecords(r, buffer, size)
 }
 
-// readRecords reads the rest of a frame of size bytes, whose header stands in buffer.
+// readRecords reads the rest of a frame of size bytes. Its header is already in buffer.
 func readRecords(r io.Reader, buffer []byte, size int) ([]byte, error) {
 	for received := len(buffer); received < size; {
-		// The buffer grows as bytes arrive: a size alone must not take memory.
+		// The buffer grows as bytes arrive: a large size in a header alone must not make the process allocate memory.
 		step := min(size-received, maxFrameGrowth)
 		if cap(buffer) < received+step {
 			grown := make([]byte, received, max(received+step, 2*cap(buffer)))
@@ -70,14 +70,14 @@
 	return buffer, nil
 }
 
-// decodeBatchHeader returns the number and the clock of a frame.
+// decodeBatchHeader returns the number and the clock of the batch in a frame.
 func decodeBatchHeader(frame []byte) (batch uint32, now balancer.Micros, err error) {
 	if len(frame) < batchHeaderSize {
-		return 0, 0, &DecodeError{Record: batchHeaderName, Offset: len(frame), Reason: "shorter than a header"}
+		return 0, 0, &DecodeError{Record: batchHeaderName, Offset: len(frame), Reason: "the frame is shorter than a header"}
 	}
 	if size := int(binary.BigEndian.Uint32(frame[batchSizeOffset:])); size != len(frame) {
 		return 0, 0, &DecodeError{Record: batchHeaderName, Offset: batchSizeOffset,
-			Reason: fmt.Sprintf("size %d but %d bytes", size, len(frame))}
+			Reason: fmt.Sprintf("the header gives a size of %d, the frame has %d bytes", size, len(frame))}
 	}
 	return binary.BigEndian.Uint32(frame), balancer.Micros(binary.BigEndian.Uint64(frame[batchClockOffset:])), nil
 }
--- a/internal/simwire/names.go
+++ b/internal/simwire/names.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// EventCode numbers a kind of event, a record of a batch. Events and actions have separate code spaces.
+// EventCode identifies a kind of event. Each record of a batch is one event. Events and actions have separate code spaces.
 type EventCode uint8
 
 // The kinds of event.
@@ -15,16 +15,16 @@
 	EventClientDisconnected EventCode = 21 // the client disconnected, or its final answer is overdue
 	EventTimerFired         EventCode = 22 // a timer fired
 	EventLoadProbeResult    EventCode = 23 // a load probe ended
-	EventGossip             EventCode = 24 // a message of another instance arrived
+	EventGossip             EventCode = 24 // a message from another instance arrived
 	EventStop               EventCode = 25 // the instance was killed
 	EventEndpointList       EventCode = 26 // defines a numbered endpoint list for the whole process
-	EventInstance           EventCode = 27 // names the instance of the events that follow
+	EventInstance           EventCode = 27 // names the instance that the following events are for
 )
 
-// ActionCode numbers a kind of action, a record of a reply.
+// ActionCode identifies a kind of action. Each record of a reply is one action.
 type ActionCode uint8
 
-// The kinds of action.
+// The kinds of action, each with its name on the wire.
 const (
 	ActionStartAttempt         ActionCode = 80 // deliver
 	ActionReject               ActionCode = 81 // decline
@@ -57,7 +57,7 @@
 	EventInstance:           "instance",
 }
 
-// Known reports whether this version decodes events of the code.
+// Known reports whether this version decodes events with this code.
 func (c EventCode) Known() bool {
 	return int(c) < len(eventNames) && eventNames[c] != ""
 }
--- a/internal/simwire/record_reader.go
+++ b/internal/simwire/record_reader.go
@@ -8,30 +8,30 @@
 	"bramblestand/balancer"
 )
 
-// A record's header: its code and the length of its fields.
+// Layout of a record header: the record's code and the total length of its fields.
 const (
 	recordSizeOffset = 1
 	recordHeaderSize = 5
 )
 
-// loadFigureSize is the length of one figure of a load report.
+// loadFigureSize is the size in bytes of one value in a load report.
 const loadFigureSize = 4
 
-// recordReader reads the fields of one record in their order. After an error all reads return zero values, so that a
-// record's fields can be read without a check after each.
+// recordReader reads the fields of one record in order. After an error every read returns a zero value, so that callers need to
+// check for an error only once per record.
 type recordReader struct {
 	name       string // of the record on the wire
-	start      int    // of the record, from the start of its frame
-	data       []byte // the record with its header
+	start      int    // offset of the record from the start of its frame
+	data       []byte // the record, including its header
 	offset     int    // of the next field, from the start of the record
 	err        *DecodeError
-	loadReport []float32 // the latest one, reused
+	loadReport []float32 // the load report that was read last; its memory is reused
 }
 
 // remaining returns how many bytes of the record have not been read.
 func (r *recordReader) remaining() int { return len(r.data) - r.offset }
 
-// failAt keeps the first error, of a field that starts at offset in the record.
+// failAt records an error in a field that starts at offset in the record. Only the first error is kept.
 func (r *recordReader) failAt(offset int, field, reason string) {
 	if r.err == nil {
 		r.err = &DecodeError{Record: r.name, Field: field, Offset: r.start + offset, Reason: reason}
@@ -82,15 +82,15 @@
 
 func (r *recordReader) float32(field string) float32 { return math.Float32frombits(r.uint32(field)) }
 
-// duration reads a duration of four bytes.
+// duration reads a duration in microseconds, four bytes long.
 func (r *recordReader) duration(field string) balancer.Micros {
 	return balancer.Micros(r.uint32(field))
 }
 
-// instant reads a time of the batch's clock.
+// instant reads a time on the batch's clock, in microseconds and eight bytes long.
 func (r *recordReader) instant(field string) balancer.Micros { return balancer.Micros(r.uint64(field)) }
 
-// status reads how an attempt or a load probe ended.
+// status reads the status with which an attempt or a load probe ended.
 func (r *recordReader) status() balancer.Status {
 	start := r.offset
 	code := r.uint16(fieldStatus)
@@ -116,7 +116,7 @@
 	return balancer.Error
 }
 
-// loads reads a load report. It is valid until the next one is read.
+// loads reads a load report. The result is valid until the next load report is read.
 func (r *recordReader) loads() []float32 {
 	count := int(r.uint8(fieldLoadReport))
 	figures := r.take(loadFigureSize*count, fieldLoadReport)
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -7,7 +7,7 @@
 	"bramblestand/balancer"
 )
 
-// A reply's header: the batch's number, the size of the frame with the header, and the number of records.
+// Layout of a reply header: the batch's number, the size of the frame including the header, and the number of records.
 const (
 	replySizeOffset  = 4
 	replyCountOffset = 8
@@ -16,29 +16,29 @@
 
 const (
 	maxGossipSize = 256            // bytes of a message to other instances
-	maxTextSize   = math.MaxUint16 // bytes of a text
+	maxTextSize   = math.MaxUint16 // bytes of the text of a log line or a fault
 )
 
 // AllPeers addresses [Reply.SendGossip] to every other instance.
 const AllPeers uint32 = math.MaxUint32
 
-// Reply builds the answer to one batch. It reuses its buffer; the zero value is ready for Reset. Durations outside of what
-// a record holds, 0 to about 71 minutes, are clamped.
+// Reply builds the reply to one batch. It reuses its buffer; the zero value is ready for Reset. Durations are clamped to the
+// range that a record can hold, 0 to about 71 minutes.
 type Reply struct {
 	buffer      []byte
 	recordCount uint32
-	recordStart int // of the record that is being written
+	recordStart int // offset in buffer of the record that is being written
 }
 
 // Reset starts the reply to a batch.
 func (w *Reply) Reset(batch uint32) {
 	w.buffer = binary.BigEndian.AppendUint32(w.buffer[:0], batch)
-	w.uint32(0) // the size and the number of records, which Bytes knows
+	w.uint32(0) // this placeholder for the frame's size and the next one, for the number of records, are filled in by Bytes
 	w.uint32(0)
 	w.recordCount = 0
 }
 
-// Bytes completes the frame. It is valid until the next call of Reset.
+// Bytes completes the frame and returns it. The frame is valid until the next call of Reset.
 func (w *Reply) Bytes() []byte {
 	binary.BigEndian.PutUint32(w.buffer[replySizeOffset:], uint32(len(w.buffer)))
 	binary.BigEndian.PutUint32(w.buffer[replyCountOffset:], w.recordCount)
@@ -52,7 +52,7 @@
 	w.end()
 }
 
-// StartAttempt sends a request to an endpoint. A timeout of 0 runs until the client's deadline.
+// StartAttempt sends a request to an endpoint. With a timeout of 0 the attempt may run until the client's deadline.
 func (w *Reply) StartAttempt(requestID uint64, endpoint uint32, timeout balancer.Micros) {
 	w.begin(ActionStartAttempt)
 	w.uint64(requestID)
@@ -61,7 +61,8 @@
 	w.end()
 }
 
-// Reject answers a request finally and promises that a retry is harmless. A retryAfter of 0 gives no advice.
+// Reject sends the final answer to a request, with the promise that a retry is harmless. With a retryAfter of 0 it does not
+// advise the client when to retry.
 func (w *Reply) Reject(requestID uint64, retryAfter balancer.Micros) {
 	w.begin(ActionReject)
 	w.uint64(requestID)
@@ -69,14 +70,14 @@
 	w.end()
 }
 
-// Fail answers a request finally, with no promise about its effect.
+// Fail sends the final answer to a request, without a promise about whether the request took effect.
 func (w *Reply) Fail(requestID uint64) {
 	w.begin(ActionFail)
 	w.uint64(requestID)
 	w.end()
 }
 
-// CancelAttempt stops waiting for an attempt. Its outcome still comes.
+// CancelAttempt stops waiting for an attempt. The simulator still sends its EventAttemptFinished.
 func (w *Reply) CancelAttempt(requestID uint64, attempt int) {
 	w.begin(ActionCancelAttempt)
 	w.uint64(requestID)
@@ -106,7 +107,8 @@
 	w.end()
 }
 
-// SendGossip sends data to the instance of that index, or to [AllPeers]. Data beyond 256 bytes is cut off.
+// SendGossip sends data to the instance with the index peer, or to every other instance if peer is [AllPeers]. Data is
+// truncated to 256 bytes.
 func (w *Reply) SendGossip(peer uint32, data []byte) {
 	data = data[:min(len(data), maxGossipSize)]
 	w.begin(ActionSendGossip)
@@ -116,13 +118,13 @@
 	w.end()
 }
 
-// Log adds a line to the run's report.
+// Log adds a line to the report of the simulator's run.
 func (w *Reply) Log(message string) { w.text(ActionLog, message) }
 
-// ReportFault says that the decision code has failed, which ends the run.
+// ReportFault reports that the load-balancing code has failed. This ends the simulator's run.
 func (w *Reply) ReportFault(message string) { w.text(ActionReportFault, message) }
 
-// WatchEndpoints subscribes to discovery's changes, or ends that.
+// WatchEndpoints starts or ends the subscription to discovery's changes.
 func (w *Reply) WatchEndpoints(on bool) {
 	w.begin(ActionWatchEndpoints)
 	w.bool(on)
@@ -140,7 +142,7 @@
 	w.recordCount++
 	w.recordStart = len(w.buffer)
 	w.buffer = append(w.buffer, byte(code))
-	w.uint32(0) // the length of the fields, which end knows
+	w.uint32(0) // placeholder for the length of the fields, filled in by end
 }
 
 func (w *Reply) end() {
@@ -148,7 +150,7 @@
 	binary.BigEndian.PutUint32(w.buffer[w.recordStart+recordSizeOffset:], uint32(size))
 }
 
-// text writes a record whose only field is a text; what is too long is cut off.
+// text writes a record whose only field is a text, truncated to maxTextSize bytes.
 func (w *Reply) text(code ActionCode, message string) {
 	message = message[:min(len(message), maxTextSize)]
 	w.begin(code)
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -8,16 +8,18 @@
 	"bramblestand/balancer"
 )
 
-// defaultMaxPollInterval applies where the settings do not say how often a balancer without a subscription must poll.
+// defaultMaxPollInterval is the longest time between two polls of discovery, in microseconds, if the settings give none. It
+// applies to a balancer without a subscription.
 const defaultMaxPollInterval balancer.Micros = 10_000_000
 
-// ParseSettings reads and validates a settings text: lines of path=value, where a list of objects gives its length under
-// .count and its items under .0, .1 and so on, and a list of plain values is separated by commas. settingKeys maps the keys to
-// the balancer's terms; other keys are skipped.
+// ParseSettings parses and validates a settings text, which consists of path=value lines. A list of objects has its length
+// under .count and its items under .0, .1 and so on; the items of a list of plain values are separated by commas. settingKeys
+// maps the keys to the balancer's terms. Other keys are ignored.
 //
-// Its errors are *balancer.SettingError and name the key in the text. No decision reads position, areas, skus, tick,
-// limits.second-copies, limits.dial-timeout, contract.drain-grace, contract.answer-slack, prices.waste, prices.late-fail,
-// goal.worst-tenant, classes[].late-value, classes[].stream and tenants[].share.
+// Its errors are *balancer.SettingError and name the key in the text. These keys are parsed, but no load-balancing decision
+// depends on them: position, areas, skus, tick, limits.second-copies, limits.dial-timeout, contract.drain-grace,
+// contract.answer-slack, prices.waste, prices.late-fail, goal.worst-tenant, classes[].late-value, classes[].stream and
+// tenants[].share.
 func ParseSettings(text string) (balancer.Settings, error) {
 	t, err := splitSettings(text)
 	if err != nil {
@@ -92,7 +94,7 @@
 	}
 }
 
-// loadFields maps the names of a load report's figures. Others are balancer.LoadFieldUnknown.
+// loadFields maps the names of a load report's fields. A name that is not listed becomes balancer.LoadFieldUnknown.
 var loadFields = map[string]balancer.LoadField{
 	"busy_reqs": balancer.LoadFieldInFlight,
 	"pending":   balancer.LoadFieldQueueLength,
@@ -102,7 +104,7 @@
 	"failed_ps": balancer.LoadFieldErrorRate,
 }
 
-// parseLoadReportFields returns the figures of a load report in their order, nil where endpoints send no reports.
+// parseLoadReportFields returns the fields of a load report in their order, or nil if endpoints send no load reports.
 func parseLoadReportFields(t *settingsText) []balancer.LoadField {
 	sendsReports := enumAt(t, reportingKey, false, map[string]bool{"answers": true, "probe": true, "none": false})
 	names := t.text("LoadReportFields")
@@ -116,21 +118,21 @@
 	return fields
 }
 
-// retrySafeties maps what a repeated request of a class does.
+// retrySafeties maps the values of classes[].repeat, which say whether a request of the class may safely be repeated.
 var retrySafeties = map[string]balancer.RetrySafety{
 	"pure":        balancer.Idempotent,
 	"token":       balancer.IdempotentWithKey,
 	"side_effect": balancer.NonIdempotent,
 }
 
-// dedupScopes maps which endpoints drop the repeats of a request.
+// dedupScopes maps the values of classes[].group, which say which endpoints together drop repeats of one request.
 var dedupScopes = map[string]balancer.DedupScope{
 	"all":  balancer.DedupScopeFleet,
 	"zone": balancer.DedupScopeZone,
 	"cell": balancer.DedupScopePod,
 }
 
-// parseClasses reads the request classes, which must be there.
+// parseClasses reads the request classes, which are required.
 func parseClasses(t *settingsText) []balancer.Class {
 	t.require(countKey("Classes"))
 	var classes []balancer.Class
@@ -154,7 +156,7 @@
 	return classes
 }
 
-// parseTenants reads the tenants, of which there may be none.
+// parseTenants reads the tenants, which are optional.
 func parseTenants(t *settingsText) []balancer.Tenant {
 	var tenants []balancer.Tenant
 	for i := range t.listLength("Tenants") {
--- a/internal/simwire/settings_keys.go
+++ b/internal/simwire/settings_keys.go
@@ -8,8 +8,8 @@
 	"bramblestand/balancer"
 )
 
-// settingKeys maps the fields of balancer.Settings to their keys in a settings text. "[]" stands for an index, which is ".0",
-// ".1" and so on in a key. Nothing outside of this table knows the keys, except reportingKey.
+// settingKeys maps the fields of balancer.Settings to their keys in a settings text. "[]" stands for an index, which a key
+// writes as ".0", ".1" and so on. The rest of this package refers to settings by field; the one exception is reportingKey.
 var settingKeys = map[string]string{
 	"Balancers":        "peers-total",
 	"Index":            "position",
@@ -68,7 +68,8 @@
 	"Tenants[].Fraction": "tenants[].share",
 }
 
-// reportingKey says when endpoints send load reports. It has no field of its own: without reports, LoadReportFields is nil.
+// reportingKey is the key that says when endpoints send load reports. It has no field in balancer.Settings: if endpoints send
+// none, LoadReportFields is nil.
 const reportingKey = "reporting.how"
 
 // settingKey returns the key of a field such as "Limits.MaxAttempts" or "Classes[1].DedupWindow".
@@ -83,7 +84,7 @@
 	return strings.Replace(key, "[]", "."+index, 1), isKnown
 }
 
-// mustSettingKey is settingKey for the fields that this package names.
+// mustSettingKey is settingKey for the field names in this package's code. It panics if a field has no key.
 func mustSettingKey(field string) string {
 	key, isKnown := settingKey(field)
 	if !isKnown {
@@ -92,7 +93,7 @@
 	return key
 }
 
-// withSettingKey returns the error of [balancer.Settings.Validate] with the key of the text in place of the field.
+// withSettingKey replaces the field in an error of [balancer.Settings.Validate] by its key in the settings text.
 func withSettingKey(err error) error {
 	var invalid *balancer.SettingError
 	if !errors.As(err, &invalid) {
--- a/internal/simwire/settings_text.go
+++ b/internal/simwire/settings_text.go
@@ -12,14 +12,14 @@
 // maxListItems is the maximum length of a list of objects in a settings text.
 const maxListItems = 256
 
-// settingsText holds the key=value pairs of a settings text and the first error met while values are read. Its methods take the
-// names of fields of balancer.Settings where a parameter is called field, and keys of the text where it is called key.
+// settingsText holds the key=value pairs of a settings text and the first error met while values are read. In its methods, a
+// parameter called field is the name of a field of balancer.Settings, and one called key is a key of the text.
 type settingsText struct {
 	values map[string]string
 	err    error
 }
 
-// splitSettings splits a settings text into its pairs, one a line. The last value of a repeated key counts.
+// splitSettings splits a settings text into its pairs, one per line. If a key is repeated, its last value is used.
 func splitSettings(text string) (*settingsText, error) {
 	t := &settingsText{values: map[string]string{}}
 	for i, line := range strings.Split(text, "\n") {
@@ -37,14 +37,15 @@
 	return t, nil
 }
 
-// fail keeps the first error.
+// fail records an error. Only the first one is kept.
 func (t *settingsText) fail(key, value, reason string) {
 	if t.err == nil {
 		t.err = &balancer.SettingError{Key: key, Value: value, Reason: reason}
 	}
 }
 
-// parseValue returns the value of a key, or fallback if the key is absent or its value is not what is expected.
+// parseValue returns the value of a key, or fallback if the key is absent. If the value cannot be parsed, it records the error
+// "not <expected>" and returns fallback.
 func parseValue[T any](t *settingsText, key string, fallback T, expected string, parse func(string) (T, error)) T {
 	text, ok := t.values[key]
 	if !ok {
@@ -58,10 +59,10 @@
 	return value
 }
 
-// text returns the text of a field, empty if it is absent.
+// text returns the text of a field, or "" if the field is absent.
 func (t *settingsText) text(field string) string { return t.values[mustSettingKey(field)] }
 
-// number returns a finite number.
+// number returns the value of a field that must be a finite number.
 func (t *settingsText) number(field string, fallback float64) float64 {
 	return parseValue(t, mustSettingKey(field), fallback, "a finite number", func(text string) (float64, error) {
 		value, err := strconv.ParseFloat(text, 64)
@@ -72,24 +73,24 @@
 	})
 }
 
-// integer returns a whole number; durations are whole numbers of microseconds.
+// integer returns the value of a field that must be a whole number. Durations are whole numbers of microseconds.
 func (t *settingsText) integer(field string, fallback int64) int64 {
 	return parseValue(t, mustSettingKey(field), fallback, "a whole number", parseInteger)
 }
 
 func parseInteger(text string) (int64, error) { return strconv.ParseInt(text, 10, 64) }
 
-// bool returns a truth value.
+// bool returns the value of a field that must be true or false.
 func (t *settingsText) bool(field string, fallback bool) bool {
 	return parseValue(t, mustSettingKey(field), fallback, "true or false", strconv.ParseBool)
 }
 
-// enum returns the meaning of a word. A word that is not among words is an error.
+// enum returns the value that words assigns to the text of a field. A text that is not in words is an error.
 func enum[T any](t *settingsText, field string, fallback T, words map[string]T) T {
 	return enumAt(t, mustSettingKey(field), fallback, words)
 }
 
-// enumAt is enum for a key.
+// enumAt is enum for a key in place of a field.
 func enumAt[T any](t *settingsText, key string, fallback T, words map[string]T) T {
 	return parseValue(t, key, fallback, "a known word", func(text string) (T, error) {
 		if meaning, ok := words[text]; ok {
@@ -99,7 +100,7 @@
 	})
 }
 
-// require fails if a key is absent.
+// require records an error if a key is absent.
 func (t *settingsText) require(key string) {
 	if _, ok := t.values[key]; !ok {
 		t.fail(key, "", "is missing")
@@ -109,7 +110,8 @@
 // countKey returns the key for the length of a list of objects.
 func countKey(field string) string { return mustSettingKey(field) + ".count" }
 
-// listLength returns the length of a list of objects, each of which must have a key.
+// listLength returns the length of a list of objects. It records an error if the length is out of range or if there is no key
+// for one of the objects.
 func (t *settingsText) listLength(field string) int {
 	countKey := countKey(field)
 	length := parseValue(t, countKey, 0, "a whole number", parseInteger)
@@ -136,7 +138,7 @@
 	return false
 }
 
-// itemCount returns the length of a list of plain values, which are separated by commas.
+// itemCount returns the length of a list of plain values, given as comma-separated text.
 func itemCount(list string) int {
 	if list == "" {
 		return 0
--- a/internal/state/codec.go
+++ b/internal/state/codec.go
@@ -7,9 +7,10 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// A state file has one bucket with a record of each kind but the endpoints' states, which have a bucket of their own
-// inside it, with a record for each endpoint under its name. The names of buckets, keys and JSON fields are the stored
-// format: here they are mapped to the names of a Snapshot, and nowhere else.
+// A state file has one bucket, which holds one record of each kind except for endpoint states. A nested bucket holds the
+// endpoint states, one record per endpoint with the endpoint's name as its key. The names of buckets, keys and JSON fields
+// are part of the stored format. They appear only in this file, which maps them to the names of a Snapshot, and in
+// Endpoint.
 var (
 	sidecarBucket        = []byte("sidecar")
 	endpointStatesBucket = []byte("servers")
@@ -20,34 +21,34 @@
 	fleetKey         = []byte("fleet")
 )
 
-// metaRecord tells whose file it is and how old its list is.
+// metaRecord names the sidecar that owns the file and gives the time at which its endpoint list was last confirmed.
 type metaRecord struct {
 	SidecarName string    `json:"name"`
 	ListedAt    time.Time `json:"written"`
 }
 
-// endpointListRecord is discovery's list.
+// endpointListRecord is the endpoint list from discovery.
 type endpointListRecord struct {
 	Version   uint64     `json:"seq"`
 	IsFull    bool       `json:"whole"`
 	Endpoints []Endpoint `json:"hosts"`
 }
 
-// adminSettingsRecord is what operators ordered.
+// adminSettingsRecord holds the settings made by operators.
 type adminSettingsRecord struct {
 	Revision uint64   `json:"ops_seq"`
 	Banned   []string `json:"banned"`
 	Drained  bool     `json:"drained"`
 }
 
-// fleetRecord is what the sidecar knew of the fleet.
+// fleetRecord holds what the sidecar last knew about the fleet.
 type fleetRecord struct {
 	LeaseEpoch   uint64          `json:"epoch"`
 	ReleaseStage string          `json:"stage"`
 	Membership   json.RawMessage `json:"view,omitempty"`
 }
 
-// endpointStateRecord is what the balancer learned of one endpoint.
+// endpointStateRecord holds what the balancer has learned about one endpoint.
 type endpointStateRecord struct {
 	Name            string  `json:"host"`
 	LatencyBaseline float64 `json:"base"`
@@ -60,10 +61,10 @@
 type singleRecord struct {
 	key  []byte
 	kind recordKind
-	body any // what is marshalled, or a pointer to it
+	body any // a pointer to the value that is marshalled or unmarshalled
 }
 
-// singleRecords are the records of which a file has one, in the order in which they are written.
+// singleRecords holds the records of which a file has exactly one, in the order in which they are written.
 type singleRecords struct {
 	meta  metaRecord
 	list  endpointListRecord
@@ -90,7 +91,7 @@
 	}
 }
 
-// snapshot returns the content of the records. The endpoints' states are not among them.
+// snapshot returns a Snapshot with the content of the records, which do not include the endpoint states.
 func (r *singleRecords) snapshot() *Snapshot {
 	return &Snapshot{
 		SidecarName: r.meta.SidecarName,
@@ -101,7 +102,7 @@
 	}
 }
 
-// putRecord writes one record and adds what it took to stats.
+// putRecord writes one record and adds it to stats.
 func putRecord(bucket *bolt.Bucket, key []byte, kind recordKind, body any, stats *SaveStats) error {
 	data, err := json.Marshal(body)
 	if err != nil {
--- a/internal/state/load.go
+++ b/internal/state/load.go
@@ -13,10 +13,10 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// Load reads the snapshot of the sidecar called name in the folder dir. It returns ErrNotFound where there is none,
-// an error that wraps bolterrors.ErrTimeout where the other process of an upgrade keeps the file's lock for longer than
-// LockTimeout, and a *FileError for a file that is corrupt, truncated, of another format version or of another
-// sidecar. Such a file is renamed to <file>.bad-<Unix seconds>, so that the next Save starts a new one.
+// Load reads the snapshot of the sidecar called name in the folder dir. It returns ErrNotFound if there is none, and an
+// error that wraps bolterrors.ErrTimeout if the other process of an upgrade holds the file's lock for longer than
+// LockTimeout. For a file that is corrupt, truncated, of another format version or of another sidecar it returns a
+// *FileError. Such a file is renamed to <file>.bad-<Unix seconds>, so that the next Save starts a new one.
 func Load(dir, name string) (*Snapshot, error) {
 	path := Path(dir, name)
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
@@ -30,7 +30,7 @@
 	return s, err
 }
 
-// renameInvalid moves a file that cannot be used out of the way, and notes in the error where it is.
+// renameInvalid renames a file that cannot be used, and records in the error the new name or why the renaming failed.
 func renameInvalid(invalid *FileError) {
 	renamed := fmt.Sprintf("%s.bad-%d", invalid.Path, time.Now().Unix())
 	if err := os.Rename(invalid.Path, renamed); err != nil {
@@ -98,7 +98,7 @@
 	return s, err
 }
 
-// read decodes the record under key into what into points to.
+// read decodes the record under key into the value that into points to.
 func (r fileReader) read(bucket *bolt.Bucket, key []byte, kind recordKind, into any) error {
 	record := bucket.Get(key)
 	if record == nil {
--- a/internal/state/record.go
+++ b/internal/state/record.go
@@ -31,7 +31,7 @@
 	maxBodyBytes = 64 << 20
 )
 
-// recordKind tells what is in a record's body. The numbers are part of the format.
+// recordKind identifies what a record's body holds. The numbers are part of the stored format.
 type recordKind byte
 
 // The kinds of record.
@@ -43,7 +43,7 @@
 	kindFleet
 )
 
-// encodeRecord puts a body behind a header of its own.
+// encodeRecord returns a record: a header followed by body.
 func encodeRecord(kind recordKind, body []byte) []byte {
 	record := make([]byte, headerBytes, headerBytes+len(body))
 	copy(record, recordMagic)
@@ -71,7 +71,7 @@
 		return fmt.Errorf("%w: body of %d bytes, more than %d", ErrLength, length, maxBodyBytes)
 	}
 	if int(length) != len(body) {
-		return fmt.Errorf("%w: %d bytes of %d", ErrLength, len(body), length)
+		return fmt.Errorf("%w: body of %d bytes, the header gives %d", ErrLength, len(body), length)
 	}
 	if xxhash.Sum64(body) != binary.BigEndian.Uint64(record[checksumOffset:]) {
 		return ErrChecksum
--- a/internal/state/save.go
+++ b/internal/state/save.go
@@ -11,12 +11,12 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// LockTimeout is how long Save and Load wait for the other process of an upgrade to finish with the file.
+// LockTimeout is how long Save and Load wait for the other process of an upgrade to release the file's lock.
 const LockTimeout = 500 * time.Millisecond
 
 const fileMode = 0o600
 
-// SaveStats is what one Save wrote.
+// SaveStats counts what one Save wrote.
 type SaveStats struct {
 	Records int
 	Bytes   int // of the records, headers included
@@ -25,10 +25,10 @@
 // Path returns the path of the state file of the sidecar called name in the folder dir.
 func Path(dir, name string) string { return filepath.Join(dir, url.PathEscape(name)+".db") }
 
-// Save writes s into its sidecar's file in dir as one transaction, and returns once it is on disk (fsync). Where it
-// fails the earlier snapshot stays whole: a full disk, a read-only folder, a lock that the other process keeps for
-// longer than LockTimeout (bolterrors.ErrTimeout). Admin settings never go back: where the file has some of a larger
-// revision, those stay.
+// Save writes s to its sidecar's file in dir in one transaction, and returns once it is on disk (fsync). If it fails, the
+// earlier snapshot stays intact. It fails if the disk is full, if the folder is read-only, or if the other process holds
+// the file's lock for longer than LockTimeout (bolterrors.ErrTimeout). Admin settings are never replaced by older ones: if
+// those in the file have a larger revision, they are kept.
 func Save(dir string, s *Snapshot) (SaveStats, error) {
 	path := Path(dir, s.SidecarName)
 	stats, err := save(path, s)
@@ -49,12 +49,12 @@
 	defer db.Close()
 	err = db.Update(func(tx *bolt.Tx) error { return writeSnapshot(tx, s, &stats) })
 	if err == nil && isNew {
-		err = syncDir(filepath.Dir(path)) // the file's name has to be on disk, too
+		err = syncDir(filepath.Dir(path)) // the new directory entry has to be on disk, too
 	}
 	return stats, err
 }
 
-// writeSnapshot replaces the content of the file.
+// writeSnapshot replaces the content of the file, except for admin settings with a larger revision than those of s.
 func writeSnapshot(tx *bolt.Tx, s *Snapshot, stats *SaveStats) error {
 	records := newSingleRecords(s)
 	if old := tx.Bucket(sidecarBucket); old != nil {
@@ -64,7 +64,7 @@
 			records.admin = saved
 		}
 	}
-	tx.DeleteBucket(sidecarBucket) // it fails where there is none
+	tx.DeleteBucket(sidecarBucket) // the error, returned if there is none, is ignored
 	bucket, err := tx.CreateBucket(sidecarBucket)
 	if err != nil {
 		return err
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -1,9 +1,10 @@
-// Package state persists what a sidecar has learned, so that it outlives a crash or a power loss: one bbolt file per
-// sidecar, written as complete snapshots.
+// Package state persists what a sidecar has learned, so that it survives a crash or a power loss. Each sidecar has one
+// bbolt file, to which complete snapshots are written.
 //
-// The event loop of internal/sidecar takes a Snapshot and hands it to a Writer, which saves it in a goroutine of its
-// own; an operator's call saves one synchronously with Save before it is answered. At a start the sidecar reads the
-// file with Load. The format of the records is in codec.go, their framing in record.go. See docs/design-state.md.
+// The event loop of internal/sidecar takes a Snapshot and hands it to a Writer, which saves it in its own goroutine. An
+// operator's call that changes settings saves a snapshot synchronously with Save before it is answered. When the sidecar
+// starts, it reads the file with Load. codec.go defines the content of the records, record.go their framing. See
+// docs/design-state.md.
 package state
 
 import (
@@ -21,30 +22,30 @@
 	Zone            string  `json:"site"`
 	MachineType     string  `json:"class"`
 	Pod             uint16  `json:"block"`
-	Health          string  `json:"health"`  // a state in discovery's words
+	Health          string  `json:"health"`  // discovery's name for the state
 	Weight          float32 `json:"share"`   // capacity, relative to the other endpoints
 	StartedAtMillis int64   `json:"born_ms"` // Unix time of the latest start in milliseconds; 0 for unknown
 }
 
-// EndpointState is what the balancer learned of one endpoint.
+// EndpointState holds what the balancer has learned about one endpoint.
 type EndpointState struct {
 	Name            string
 	LatencyBaseline float64 // microseconds: the breaker's long-term average
 	LatencyCurrent  float64 // microseconds: the breaker's short-term average
 	ServiceTime     float64 // microseconds per unit of work
-	FailureRate     float64 // recent, 0..1
+	FailureRate     float64 // recent share of failures, 0..1
 }
 
-// AdminSettings is what operators ordered of the sidecar.
+// AdminSettings holds the settings that operators made for the sidecar.
 type AdminSettings struct {
-	Revision uint64   // grows with every change: of two records the one with the larger revision is in force
-	Banned   []string // names of endpoints taken out of use by hand
+	Revision uint64   // grows with every change: of two records, the one with the larger revision is in force
+	Banned   []string // names of the endpoints that operators have banned
 	Drained  bool     // clients are sent to other sidecars
 }
 
 // Snapshot is everything that is persisted.
 type Snapshot struct {
-	SidecarName string // the file of another sidecar is rejected
+	SidecarName string // the owner: Load rejects the file of another sidecar
 
 	ListedAt    time.Time // wall clock when discovery last confirmed the list; the list's age counts from it
 	ListVersion uint64    // discovery's sequence number
@@ -56,11 +57,12 @@
 
 	LeaseEpoch   uint64          // of the lease last held; reserved, always 0 today
 	ReleaseStage string          // of the release; reserved, always empty today
-	Membership   json.RawMessage // last stable membership, in the form that internal/fleet gave it; nil for none
+	Membership   json.RawMessage // last stable membership, as encoded by internal/fleet; nil for none
 }
 
-// IsFresh reports whether a list that was confirmed at listedAt may still be served from at now: it is younger than
-// maxAge, and not dated in the future by more than a minute (the clock was set back, or the file is another machine's).
+// IsFresh reports whether a list that was confirmed at listedAt may still be used at now. It must be younger than maxAge
+// and must not be dated more than a minute in the future, as it is if the clock was set back or the file comes from
+// another machine.
 func IsFresh(listedAt, now time.Time, maxAge time.Duration) bool {
 	age := now.Sub(listedAt)
 	return age < maxAge && age > -maxClockSkew
--- a/internal/state/writer.go
+++ b/internal/state/writer.go
@@ -9,15 +9,15 @@
 
 const (
 	minSaveInterval = time.Second
-	saveBudget      = 20 // the interval is no shorter than this many times the duration of the last save: 5% of a core at most
+	saveBudget      = 20 // minimum ratio of the interval to the last save's duration: saves take 5% of a core at most
 )
 
-// Writer saves snapshots in a goroutine of its own, so that the event loop never waits for a disk. Where saving is
-// slower than the offers only the latest snapshot is saved.
+// Writer saves snapshots in its own goroutine, so that the event loop never waits for a disk. If snapshots are offered
+// faster than they can be saved, only the latest one is saved.
 type Writer struct {
 	dir          string
 	log          *slog.Logger
-	pending      chan *Snapshot // the one that is saved next
+	pending      chan *Snapshot // the snapshot to save next
 	lastDuration atomic.Int64   // of the last save, in nanoseconds
 }
 
@@ -29,8 +29,8 @@
 	return w
 }
 
-// Offer hands over a snapshot without waiting; one that is still pending is replaced. Only one goroutine, the event
-// loop's, may call it.
+// Offer hands over a snapshot to be saved, without waiting. It replaces a snapshot that is still pending. Only one
+// goroutine, that of the event loop, may call it.
 func (w *Writer) Offer(s *Snapshot) {
 	select {
 	case w.pending <- s:
@@ -39,12 +39,12 @@
 	}
 	select {
 	case <-w.pending:
-	default: // the goroutine took it meanwhile
+	default: // the Writer's goroutine has taken it meanwhile
 	}
 	w.pending <- s
 }
 
-// NextSave returns the time that should pass from an Offer to the next: a second, or longer where the disk is slow.
+// NextSave returns the time to wait between two calls of Offer: a second, or longer if the disk is slow.
 func (w *Writer) NextSave() time.Duration {
 	return max(minSaveInterval, saveBudget*time.Duration(w.lastDuration.Load()))
 }
