--- a/cmd/sidecar/limits_test.go
+++ b/cmd/sidecar/limits_test.go
@@ -21,7 +21,7 @@
 // proper client is served, health checks are sent, and discovery gets a descriptor when it is back. The system limits the
 // program's descriptors here.
 func TestIdleClientsLeaveDescriptorsFree(t *testing.T) {
-	const descriptors, idleClients, properRequests = 128, 200, 20
+	const descriptors, idleClients, requests = 128, 200, 20
 	firstAddress, firstHealthChecks, _ := newEndpoint(t)
 	secondAddress, secondHealthChecks, secondRequests := newEndpoint(t)
 	listen, discovery := freeAddress(t), freeAddress(t)
@@ -44,13 +44,13 @@
 	healthChecksBefore := firstHealthChecks.Load()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	served := 0
-	for range properRequests {
+	for range requests {
 		if sendRead(client, listen, true) == http.StatusOK {
 			served++
 		}
 	}
 	if served < 18 { // a busy machine may make one late
-		t.Errorf("of %d requests of proper clients %d were served while discovery is down\n%s", properRequests, served, log)
+		t.Errorf("of %d requests of proper clients %d were served while discovery is down\n%s", requests, served, log)
 	}
 	waitUntil(t, "health checks", func() bool { return firstHealthChecks.Load() > healthChecksBefore })
 
@@ -62,7 +62,7 @@
 	listDelay := time.Since(start)
 	waitUntil(t, "health checks of the new endpoint", func() bool { return secondHealthChecks.Load() > 0 })
 	t.Logf("%d descriptors in use of %d, %d idle clients came, %d of %d proper requests were served; the new list was used %v after discovery's return",
-		inUse, descriptors, opened.Load(), served, properRequests, listDelay.Round(time.Millisecond))
+		inUse, descriptors, opened.Load(), served, requests, listDelay.Round(time.Millisecond))
 	if strings.Contains(log.String(), "too many open files") {
 		t.Errorf("descriptors ran out:\n%s", log)
 	}
@@ -159,11 +159,11 @@
 			}
 			all.Wait()
 			slices.Sort(durations)
-			nineInTen := durations[processes*9/10-1]
+			p90 := durations[processes*9/10-1]
 			t.Logf("ready after p50 %v, nine in ten %v, max %v", durations[processes/2].Round(time.Millisecond),
-				nineInTen.Round(time.Millisecond), durations[processes-1].Round(time.Millisecond))
-			if nineInTen > limit {
-				t.Errorf("nine in ten are ready after %v, want %v", nineInTen, limit)
+				p90.Round(time.Millisecond), durations[processes-1].Round(time.Millisecond))
+			if p90 > limit {
+				t.Errorf("nine in ten are ready after %v, want %v", p90, limit)
 			}
 		})
 	}
--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -48,8 +48,8 @@
 	}
 	h.reply.Reset(batch)
 	var event simwire.Event
-	var current uint32 // number of the instance that the events are for
-	isNamed := false   // whether the batch has named an instance yet
+	var current uint32   // number of the instance that the events are for
+	hasInstance := false // whether the batch has named an instance yet
 	for {
 		err := h.decoder.Next(&event)
 		if errors.Is(err, io.EOF) {
@@ -61,11 +61,11 @@
 		switch {
 		case event.Code == simwire.EventEndpointList: // the decoder keeps the list for later updates
 		case event.Code == simwire.EventInstance:
-			current, isNamed = event.Instance, true
+			current, hasInstance = event.Instance, true
 			h.reply.SelectInstance(current)
 		case !event.Code.Known():
 			h.reportUnknownCode(&event)
-		case !isNamed:
+		case !hasInstance:
 			return eventError(&event, "comes before the record that names an instance")
 		default:
 			target, err := h.instanceFor(current, &event)
--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -34,19 +34,19 @@
 	mux.HandleFunc("POST /pin-servers/enable", h.setBanned(false))
 	mux.HandleFunc("POST /drain", h.setDrained(true))
 	mux.HandleFunc("POST /undrain", h.setDrained(false))
-	return http.HandlerFunc(func(w http.ResponseWriter, in *http.Request) {
-		if !readBody(w, in) {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if !readBody(w, r) {
 			return
 		}
-		onComplete(in)
-		mux.ServeHTTP(w, in)
+		onComplete(r)
+		mux.ServeHTTP(w, r)
 	})
 }
 
 // readBody reads the body of a call to its end, so that a call whose body breaks off is not carried out. If the body breaks
 // off or is too long, readBody answers the call with an error and reports false.
-func readBody(w http.ResponseWriter, in *http.Request) bool {
-	body, err := io.ReadAll(http.MaxBytesReader(w, in.Body, MaxBodyBytes))
+func readBody(w http.ResponseWriter, r *http.Request) bool {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBodyBytes))
 	var tooLong *http.MaxBytesError
 	if errors.As(err, &tooLong) {
 		http.Error(w, fmt.Sprintf("the body is over %d bytes", MaxBodyBytes), http.StatusRequestEntityTooLarge)
@@ -56,7 +56,7 @@
 		http.Error(w, "the body could not be read", http.StatusBadRequest)
 		return false
 	}
-	in.Body = io.NopCloser(bytes.NewReader(body))
+	r.Body = io.NopCloser(bytes.NewReader(body))
 	return true
 }
 
@@ -76,8 +76,8 @@
 }
 
 // fleet answers with the fleet's status as JSON, or as text for format=text; brief=1 leaves out members and traffic.
-func (h *handler) fleet(w http.ResponseWriter, in *http.Request) {
-	query := in.URL.Query()
+func (h *handler) fleet(w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
 	status, err := h.controller.FleetStatus(query.Get("brief") == "1")
 	if err != nil {
 		writeError(w, err)
@@ -102,10 +102,10 @@
 
 // setBanned returns the handler of the calls that ban an endpoint or lift its ban. The body is the endpoint's name.
 func (h *handler) setBanned(banned bool) http.HandlerFunc {
-	return func(w http.ResponseWriter, in *http.Request) {
-		body, err := io.ReadAll(in.Body)
+	return func(w http.ResponseWriter, r *http.Request) {
+		body, err := io.ReadAll(r.Body)
 		if err != nil {
-			h.finish(w, in, err)
+			h.finish(w, r, err)
 			return
 		}
 		endpoint := strings.TrimSpace(string(body))
@@ -113,25 +113,25 @@
 			http.Error(w, "the body must be a pin server's id", http.StatusBadRequest)
 			return
 		}
-		h.finish(w, in, h.controller.SetBanned(endpoint, banned))
+		h.finish(w, r, h.controller.SetBanned(endpoint, banned))
 	}
 }
 
 // setDrained returns the handler of the calls that begin or end a drain.
 func (h *handler) setDrained(drained bool) http.HandlerFunc {
-	return func(w http.ResponseWriter, in *http.Request) {
-		h.finish(w, in, h.controller.SetDrained(drained))
+	return func(w http.ResponseWriter, r *http.Request) {
+		h.finish(w, r, h.controller.SetDrained(drained))
 	}
 }
 
 // finish logs and answers a call that changes a setting. err is nil if the call succeeded.
-func (h *handler) finish(w http.ResponseWriter, in *http.Request, err error) {
+func (h *handler) finish(w http.ResponseWriter, r *http.Request, err error) {
 	switch {
 	case errors.Is(err, ErrUnknownEndpoint): // not logged: the caller's mistake
 	case err != nil:
-		h.log.Error("admin call failed", "path", in.URL.Path, "client", in.RemoteAddr, "error", err)
+		h.log.Error("admin call failed", "path", r.URL.Path, "client", r.RemoteAddr, "error", err)
 	default:
-		h.log.Info("admin call", "path", in.URL.Path, "client", in.RemoteAddr)
+		h.log.Info("admin call", "path", r.URL.Path, "client", r.RemoteAddr)
 		return
 	}
 	writeError(w, err)
--- a/internal/ci/ci_test.go
+++ b/internal/ci/ci_test.go
@@ -29,9 +29,9 @@
 		"the listed one is run":    {knownFailure, "", true, "--- FAIL: TestRed"},
 		"another failure":          {knownFailure, "func TestOther(t *testing.T) { t.Error() }", false, "--- FAIL: TestOther"},
 		"one whose name is longer": {knownFailure, "func TestRedToo(t *testing.T) { t.Error() }", false, "--- FAIL: TestRedToo"},
-		"four listed tests": {knownFailure + listed("TestRed2", "TestRed3", "TestRed4"), failing("TestRed2", "TestRed3", "TestRed4"), true,
+		"four listed tests": {knownFailure + knownFailures("TestRed2", "TestRed3", "TestRed4"), failingTests("TestRed2", "TestRed3", "TestRed4"), true,
 			"known red, passed over: a TestRed4"},
-		"a failure beside four listed": {knownFailure + listed("TestRed2", "TestRed3", "TestRed4"), failing("TestRed2", "TestRed3", "TestRed4", "TestOther"), false,
+		"a failure beside four listed": {knownFailure + knownFailures("TestRed2", "TestRed3", "TestRed4"), failingTests("TestRed2", "TestRed3", "TestRed4", "TestOther"), false,
 			"--- FAIL: TestOther"},
 		"listed twice":          {strings.Repeat(knownFailure, 2), "", false, "TestRed in a is listed twice"},
 		"no such test":          {"a TestGone | command | observation | 27\n", "", false, "no test TestGone in a"},
@@ -74,8 +74,8 @@
 	}
 }
 
-// listed is one entry for each test.
-func listed(names ...string) string {
+// knownFailures is one entry for each test.
+func knownFailures(names ...string) string {
 	var entries strings.Builder
 	for _, name := range names {
 		entries.WriteString(strings.ReplaceAll(knownFailure, "TestRed", name))
@@ -83,8 +83,8 @@
 	return entries.String()
 }
 
-// failing is the source of tests that fail.
-func failing(names ...string) string {
+// failingTests is the source of tests that fail.
+func failingTests(names ...string) string {
 	var source strings.Builder
 	for _, name := range names {
 		source.WriteString("func " + name + "(t *testing.T) { t.Error() }\n")
--- a/internal/ci/documentation_test.go
+++ b/internal/ci/documentation_test.go
@@ -163,8 +163,8 @@
 		if spec.Doc.Text() == "" && (group.Lparen.IsValid() || group.Doc.Text() == "") {
 			report(spec.Pos(), spec.Name.Name)
 		}
-		if contract, ok := spec.Type.(*ast.InterfaceType); ok {
-			reportMethods(spec.Name.Name, contract, report)
+		if interfaceType, ok := spec.Type.(*ast.InterfaceType); ok {
+			reportMethods(spec.Name.Name, interfaceType, report)
 		}
 	case *ast.ValueSpec:
 		if spec.Doc.Text() != "" || spec.Comment.Text() != "" || group.Doc.Text() != "" {
@@ -179,8 +179,8 @@
 }
 
 // reportMethods reports the exported methods of an interface that lack a comment.
-func reportMethods(interfaceName string, contract *ast.InterfaceType, report func(token.Pos, string)) {
-	for _, method := range contract.Methods.List {
+func reportMethods(interfaceName string, interfaceType *ast.InterfaceType, report func(token.Pos, string)) {
+	for _, method := range interfaceType.Methods.List {
 		if method.Doc.Text() != "" || method.Comment.Text() != "" {
 			continue
 		}
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -21,7 +21,7 @@
 
 const (
 	defaultMaxSnapshotAge = 10 * time.Minute
-	maxMaxSnapshotAge     = 7 * 24 * time.Hour
+	snapshotAgeLimit      = 7 * 24 * time.Hour
 )
 
 // file is the JSON form of the configuration. The platform also writes limits.cores, which is ignored:
@@ -101,8 +101,8 @@
 		return nil
 	}
 	seconds := *f.MaxSnapshotAgeSeconds
-	if seconds <= 0 || seconds > maxMaxSnapshotAge.Seconds() {
-		return keyErrorf("state_max_age_s", "%v is not in (0, %v]", seconds, int64(maxMaxSnapshotAge.Seconds()))
+	if seconds <= 0 || seconds > snapshotAgeLimit.Seconds() {
+		return keyErrorf("state_max_age_s", "%v is not in (0, %v]", seconds, int64(snapshotAgeLimit.Seconds()))
 	}
 	c.MaxSnapshotAge = time.Duration(seconds * float64(time.Second))
 	return nil
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -191,8 +191,8 @@
 	return text
 }
 
-// brokenKeys are changes of the full configuration that must not pass, but for those that the golden file gives "ok".
-var brokenKeys = []struct{ path, value string }{
+// keyChanges are changes of the full configuration that must not pass, but for those that the golden file gives "ok".
+var keyChanges = []struct{ path, value string }{
 	{"name", `7`}, {"name", `"a/b"`}, {"name", ``},
 	{"listen", `"here"`}, {"listen", `7`}, {"listen", ``},
 	{"discovery", `""`}, {"discovery", `"x"`}, {"ops", `"x"`}, {"ops", ``},
@@ -231,7 +231,7 @@
 	t.Setenv("BALANCER_OPS", "")
 	t.Setenv("BALANCER_STATE", "")
 	var out strings.Builder
-	for _, c := range brokenKeys {
+	for _, c := range keyChanges {
 		result := "ok"
 		if _, err := Parse(fullConfigWith(t, c.path, c.value)); err != nil {
 			result = goldentest.ErrorText(err)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -126,7 +126,7 @@
 	return strings.Join(items, ",")
 }
 
-// separators replaces the characters that must not occur in a value of the settings text.
-var separators = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
+// separatorReplacer replaces the characters that must not occur in a value of the settings text.
+var separatorReplacer = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
 
-func scalarText(value any) string { return separators.Replace(fmt.Sprint(value)) }
+func scalarText(value any) string { return separatorReplacer.Replace(fmt.Sprint(value)) }
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -62,13 +62,13 @@
 // lockedBytes lists the first bytes of the lock file that are locked through another open file.
 func lockedBytes(t *testing.T, file *os.File) (locked []int64) {
 	t.Helper()
-	for at := range int64(6) {
-		query := unix.Flock_t{Type: unix.F_WRLCK, Start: at, Len: 1}
+	for offset := range int64(6) {
+		query := unix.Flock_t{Type: unix.F_WRLCK, Start: offset, Len: 1}
 		if err := unix.FcntlFlock(file.Fd(), unix.F_OFD_GETLK, &query); err != nil {
 			t.Fatal(err)
 		}
 		if query.Type != unix.F_UNLCK {
-			locked = append(locked, at)
+			locked = append(locked, offset)
 		}
 	}
 	return locked
@@ -113,9 +113,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { file.Close() })
-	lock := func(kind int16, at int64) {
+	lock := func(kind int16, offset int64) {
 		t.Helper()
-		if err := unix.FcntlFlock(file.Fd(), unix.F_OFD_SETLK, &unix.Flock_t{Type: kind, Start: at, Len: 1}); err != nil {
+		if err := unix.FcntlFlock(file.Fd(), unix.F_OFD_SETLK, &unix.Flock_t{Type: kind, Start: offset, Len: 1}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/handover/locks.go
+++ b/internal/handover/locks.go
@@ -35,12 +35,12 @@
 func (l *lockFile) close() error { return l.file.Close() }
 
 // lock locks the byte at an offset. It fails with EAGAIN or EACCES if another process holds the lock.
-func (l *lockFile) lock(at int64) error { return l.set(unix.F_WRLCK, at) }
+func (l *lockFile) lock(offset int64) error { return l.set(unix.F_WRLCK, offset) }
 
-func (l *lockFile) unlock(at int64) error { return l.set(unix.F_UNLCK, at) }
+func (l *lockFile) unlock(offset int64) error { return l.set(unix.F_UNLCK, offset) }
 
-func (l *lockFile) set(kind int16, at int64) error {
-	return unix.FcntlFlock(l.file.Fd(), unix.F_OFD_SETLK, &unix.Flock_t{Type: kind, Start: at, Len: 1})
+func (l *lockFile) set(kind int16, offset int64) error {
+	return unix.FcntlFlock(l.file.Fd(), unix.F_OFD_SETLK, &unix.Flock_t{Type: kind, Start: offset, Len: 1})
 }
 
 // lockProcessSlot locks the first free process slot. It returns errTooManyProcesses if none is free.
--- a/internal/handover/store.go
+++ b/internal/handover/store.go
@@ -191,7 +191,7 @@
 // If Update returns an error, the handover file is unchanged, and the returned state is the one in force. If the error
 // comes from writing the file, after persist has succeeded, the change is persisted and takes effect at the next start.
 // Errors are ErrUnavailable, those of persist, and those of locking and of writing the file.
-func (s *Store) Update(alter func(*State), persist func(State) error) (State, error) {
+func (s *Store) Update(change func(*State), persist func(State) error) (State, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.locks == nil {
@@ -204,7 +204,7 @@
 	s.refresh()
 	next := s.state
 	next.Banned = append([]string(nil), s.state.Banned...) // an empty list is always written as null
-	alter(&next)
+	change(&next)
 	next.Revision = s.state.Revision + 1
 	if err := persist(next); err != nil {
 		return s.state, err
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -183,12 +183,12 @@
 	outcome.Status = r.status()
 	outcome.Latency = r.duration(fieldLatency)
 	outcome.RequestDone = r.uint8(fieldRequestDone) != 0
-	outcome.LoadReport = r.loads()
+	outcome.LoadReport = r.loadReportValues()
 }
 
 func decodeLoadProbeResult(r *recordReader, result *LoadProbeResult) {
 	result.Endpoint = r.uint32(fieldEndpoint)
 	result.Status = r.status()
 	result.Latency = r.duration(fieldLatency)
-	result.LoadReport = r.loads()
+	result.LoadReport = r.loadReportValues()
 }
--- a/internal/simwire/events_test.go
+++ b/internal/simwire/events_test.go
@@ -12,15 +12,15 @@
 
 // The examples of the wire's description.
 const (
-	exampleInstance     = "1b 00000004 00000003"
-	exampleRequest      = "12 00000020 0005bf975d3a91c4 91f03b7c55d20a64 00000000008405da 00002ee0 01 0000 00"
-	exampleTimer        = "16 00000004 0000004d"
-	exampleDisconnect   = "15 00000008 000bf5a10e6f2b19"
-	exampleHeaders      = "13 00000012 0005bf975d3a91c4 0000 03124a07 00002422"
-	exampleOutcome      = "14 00000016 0005bf975d3a91c4 0000 03124a07 00c8 00004844 01 00"
-	exampleProbeResult  = "17 00000017 2c9011f2 00c8 00000578 03 40e00000430c00003f1eb852"
-	exampleGossip       = "18 00000008 0002 0004 68692037"
-	exampleEndpointList = "1a 0000002f 00 00000002 03124a07 00 00 0000 00 3f800000 0000000000000000" +
+	exampleInstance        = "1b 00000004 00000003"
+	exampleRequest         = "12 00000020 0005bf975d3a91c4 91f03b7c55d20a64 00000000008405da 00002ee0 01 0000 00"
+	exampleTimer           = "16 00000004 0000004d"
+	exampleDisconnect      = "15 00000008 000bf5a10e6f2b19"
+	exampleResponseStarted = "13 00000012 0005bf975d3a91c4 0000 03124a07 00002422"
+	exampleOutcome         = "14 00000016 0005bf975d3a91c4 0000 03124a07 00c8 00004844 01 00"
+	exampleProbeResult     = "17 00000017 2c9011f2 00c8 00000578 03 40e00000430c00003f1eb852"
+	exampleGossip          = "18 00000008 0002 0004 68692037"
+	exampleEndpointList    = "1a 0000002f 00 00000002 03124a07 00 00 0000 00 3f800000 0000000000000000" +
 		"2c9011f2 01 00 0000 00 3fc00000 00000000005d1420"
 	exampleUpdate = "11 00000006 00000029 00 03"
 )
@@ -57,7 +57,7 @@
 		events[3].Instance != 5 || events[4].RequestID != 0xbf5a10e6f2b19 {
 		t.Errorf("decoded %+v", events)
 	}
-	events = decodeAll(t, new(Decoder), newFrame(fromHex(t, exampleHeaders, exampleOutcome, exampleProbeResult,
+	events = decodeAll(t, new(Decoder), newFrame(fromHex(t, exampleResponseStarted, exampleOutcome, exampleProbeResult,
 		exampleGossip, exampleEndpointList, exampleUpdate)))
 	started := ResponseStarted{RequestID: 0x5bf975d3a91c4, Attempt: 0, Endpoint: 0x3124a07, Latency: 0x2422}
 	if got := events[0].ResponseStarted; got != started {
@@ -146,7 +146,7 @@
 }
 
 func FuzzDecoder(f *testing.F) {
-	for _, records := range []string{exampleInstance, exampleRequest, exampleTimer, exampleDisconnect, exampleHeaders,
+	for _, records := range []string{exampleInstance, exampleRequest, exampleTimer, exampleDisconnect, exampleResponseStarted,
 		exampleOutcome, exampleProbeResult, exampleGossip, exampleEndpointList + exampleUpdate, "ff 00000002 0102",
 		"1a 00000005 00 ffffffff"} {
 		f.Add(fromHex(f, records))
--- a/internal/simwire/record_reader.go
+++ b/internal/simwire/record_reader.go
@@ -14,8 +14,8 @@
 	recordHeaderSize = 5
 )
 
-// loadFigureSize is the size in bytes of one value in a load report.
-const loadFigureSize = 4
+// loadValueSize is the size in bytes of one value in a load report.
+const loadValueSize = 4
 
 // recordReader reads the fields of one record in order. After an error every read returns a zero value, so that callers need to
 // check for an error only once per record.
@@ -116,13 +116,13 @@
 	return balancer.Error
 }
 
-// loads reads a load report. The result is valid until the next load report is read.
-func (r *recordReader) loads() []float32 {
+// loadReportValues reads a load report. The result is valid until the next load report is read.
+func (r *recordReader) loadReportValues() []float32 {
 	count := int(r.uint8(fieldLoadReport))
-	figures := r.take(loadFigureSize*count, fieldLoadReport)
+	values := r.take(loadValueSize*count, fieldLoadReport)
 	r.loadReport = r.loadReport[:0]
-	for ; len(figures) >= loadFigureSize; figures = figures[loadFigureSize:] {
-		r.loadReport = append(r.loadReport, math.Float32frombits(binary.BigEndian.Uint32(figures)))
+	for ; len(values) >= loadValueSize; values = values[loadValueSize:] {
+		r.loadReport = append(r.loadReport, math.Float32frombits(binary.BigEndian.Uint32(values)))
 	}
 	return r.loadReport
 }
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -14,8 +14,8 @@
 // goldenName is the sidecar's name in testdata/release21.db, which release 21.0 wrote.
 const goldenName = "n/0 ü"
 
-// golden is what release 21.0 was given to write: every field of every record is set.
-func golden() *Snapshot {
+// goldenSnapshot is what release 21.0 was given to write: every field of every record is set.
+func goldenSnapshot() *Snapshot {
 	return &Snapshot{
 		SidecarName: goldenName, ListedAt: time.Date(2026, 11, 30, 8, 15, 30, 250_000_000, time.UTC), ListVersion: 4711, IsFullList: true,
 		Endpoints: []Endpoint{
@@ -31,8 +31,8 @@
 	}
 }
 
-// records gives every record of a state file as it lies on disk, by bucket and key.
-func records(t *testing.T, path string) map[string]string {
+// readRecords gives every record of a state file as it lies on disk, by bucket and key.
+func readRecords(t *testing.T, path string) map[string]string {
 	t.Helper()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: LockTimeout, ReadOnly: true})
 	if err != nil {
@@ -81,17 +81,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := golden(); !reflect.DeepEqual(got, want) {
+	if want := goldenSnapshot(); !reflect.DeepEqual(got, want) {
 		t.Errorf("loaded\n%+v\nwant\n%+v", got, want)
 	}
 }
 
 func TestWritesTheRecordsOfAnEarlierRelease(t *testing.T) {
 	old, dir := copyGolden(t, t.TempDir()), t.TempDir()
-	if _, err := Save(dir, golden()); err != nil {
+	if _, err := Save(dir, goldenSnapshot()); err != nil {
 		t.Fatal(err)
 	}
-	want, got := records(t, old), records(t, filepath.Join(dir, "n%2F0%20%C3%BC.db"))
+	want, got := readRecords(t, old), readRecords(t, filepath.Join(dir, "n%2F0%20%C3%BC.db"))
 	if len(want) != 6 {
 		t.Errorf("%d records in the earlier release's file, want 6: meta, list, ops, fleet and two servers", len(want))
 	}
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -173,9 +173,9 @@
 	for imageIndex := range 60 {
 		image := append([]byte(nil), before[:len(after)]...)
 		metaWritten := imageIndex%3 != 0 // the first fsync is done: all data pages are down
-		for at := 2 * page; at < len(after); at += page {
+		for offset := 2 * page; offset < len(after); offset += page {
 			if metaWritten || rng.IntN(2) == 0 {
-				copy(image[at:], after[at:at+page])
+				copy(image[offset:], after[offset:offset+page])
 			}
 		}
 		if metaWritten {
--- a/internal/state/writer.go
+++ b/internal/state/writer.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	minSaveInterval = time.Second
-	saveBudget      = 20 // minimum ratio of the interval to the last save's duration: saves take 5% of a core at most
+	minSaveInterval    = time.Second
+	saveIntervalFactor = 20 // minimum ratio of the interval to the last save's duration: saves take 5% of a core at most
 )
 
 // Writer saves snapshots in its own goroutine, so that the event loop never waits for a disk. If snapshots are offered
@@ -46,7 +46,7 @@
 
 // NextSave returns the time to wait between two calls of Offer: a second, or longer if the disk is slow.
 func (w *Writer) NextSave() time.Duration {
-	return max(minSaveInterval, saveBudget*time.Duration(w.lastDuration.Load()))
+	return max(minSaveInterval, saveIntervalFactor*time.Duration(w.lastDuration.Load()))
 }
 
 func (w *Writer) run(ctx context.Context) {
