--- a/cmd/sidecar/limits_test.go
+++ b/cmd/sidecar/limits_test.go
@@ -17,9 +17,9 @@
 	"bramblestand/internal/endpointtest"
 )
 
-// While discovery is down, idle clients take all the connections that the program lets them have, and new ones keep coming: a
-// proper client is served, health checks are sent, and discovery gets a descriptor when it is back. The system limits the
-// program's descriptors here.
+// While discovery is down, idle clients hold all the connections that the program allows clients, and more idle clients keep
+// connecting. The program must still serve a client that sends requests, send health checks, and have a descriptor free to
+// call discovery when that is back. In this test the system limits the program's descriptors.
 func TestIdleClientsLeaveDescriptorsFree(t *testing.T) {
 	const descriptors, idleClients, requests = 128, 200, 20
 	firstAddress, firstHealthChecks, _ := newEndpoint(t)
@@ -39,7 +39,7 @@
 	waitUntil(t, "the idle clients", func() bool { return opened.Load() > 2*idleClients })
 	inUse := countDescriptors(t, cmd.Process.Pid)
 	if inUse < descriptors/3 {
-		t.Errorf("only %d descriptors are in use: the idle clients fill nothing", inUse)
+		t.Errorf("only %d descriptors are in use: the idle clients do not hold the connections that the test needs", inUse)
 	}
 	healthChecksBefore := firstHealthChecks.Load()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -49,8 +49,8 @@
 			served++
 		}
 	}
-	if served < 18 { // a busy machine may make one late
-		t.Errorf("of %d requests of proper clients %d were served while discovery is down\n%s", requests, served, log)
+	if served < 18 { // on a busy machine a request may be late
+		t.Errorf("of %d requests, %d were served while discovery is down\n%s", requests, served, log)
 	}
 	waitUntil(t, "health checks", func() bool { return firstHealthChecks.Load() > healthChecksBefore })
 
@@ -61,15 +61,15 @@
 	})
 	listDelay := time.Since(start)
 	waitUntil(t, "health checks of the new endpoint", func() bool { return secondHealthChecks.Load() > 0 })
-	t.Logf("%d descriptors in use of %d, %d idle clients came, %d of %d proper requests were served; the new list was used %v after discovery's return",
+	t.Logf("%d descriptors in use of %d, %d idle clients connected, %d of %d requests were served; the new list was used %v after discovery's return",
 		inUse, descriptors, opened.Load(), served, requests, listDelay.Round(time.Millisecond))
 	if strings.Contains(log.String(), "too many open files") {
 		t.Errorf("descriptors ran out:\n%s", log)
 	}
 }
 
-// keepIdleClients opens connections that send nothing until the test ends: as many as count, and then ever new ones in place
-// of the oldest. It returns how many were opened.
+// keepIdleClients opens connections that send nothing, until the test ends. It keeps count connections open; from then on each
+// new connection replaces the oldest. It returns the number of connections opened so far.
 func keepIdleClients(t *testing.T, address string, count int) *atomic.Int64 {
 	stop, ended := make(chan struct{}), make(chan struct{})
 	opened := new(atomic.Int64)
@@ -133,8 +133,9 @@
 	t.Cleanup(func() { service.Close() })
 }
 
-// Of processes that start at the same time, nine in ten are ready within 10 s: with a cached list at once, whatever discovery
-// does, and without one although discovery never answers their first call, whether lists are polled or pushed.
+// Of processes that start at the same time, nine in ten are ready within 10 s. With a cached list they are ready at once,
+// whatever discovery does. Without one they are ready although discovery never answers their first call, both if lists are
+// polled and if they are pushed.
 func TestNineInTenAreReadyWithinTenSeconds(t *testing.T) {
 	const processes, limit = 10, 10 * time.Second
 	for _, hasCachedList := range []bool{true, false} {
@@ -169,8 +170,8 @@
 	}
 }
 
-// startConfigText returns a configuration with a discovery service of its own, which never answers the first call; if the
-// configuration has a cached list, it answers none.
+// startConfigText returns a configuration and starts the discovery service for it. The service never answers the first call;
+// if the configuration has a cached list, it answers no call at all.
 func startConfigText(t *testing.T, listen string, hasCachedList, mustSubscribe bool) string {
 	t.Helper()
 	var calls atomic.Int64
--- a/cmd/sidecar/program_test.go
+++ b/cmd/sidecar/program_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// runVariable makes the test binary run the program.
+// runVariable is the environment variable that makes the test binary run the program.
 const runVariable = "SIDECAR_TEST_RUN"
 
 // TestMain lets the test binary run as the program.
@@ -51,8 +51,9 @@
 	})
 }
 
-// freeAddress returns an address on which nothing listens until the program does. It is on a loopback address that no other
-// test process uses and that no outgoing connection is given: on 127.0.0.1 the port could be taken meanwhile.
+// freeAddress returns an address on which nothing listens until the program does. It uses a loopback address that no other test
+// process uses and that the system assigns to no outgoing connection. On 127.0.0.1 something else could take the port before
+// the program listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	pid := os.Getpid()
@@ -99,8 +100,8 @@
 	return server.Listener.Addr().String(), calls
 }
 
-// newEndpoint starts a server that counts its health checks and requests. It answers each after 5 ms: beside that, delays of
-// a busy machine are no slowdown for which the sidecar's breaker would reject requests.
+// newEndpoint starts a server that counts its health checks and requests. It answers each after 5 ms. Relative to that, the
+// delays of a busy machine are too small for the sidecar's breaker to see a slowdown and reject requests.
 func newEndpoint(t *testing.T) (address string, healthChecks, requests *atomic.Int64) {
 	t.Helper()
 	healthChecks, requests = new(atomic.Int64), new(atomic.Int64)
@@ -117,11 +118,11 @@
 	return server.Listener.Addr().String(), healthChecks, requests
 }
 
-// waitLimit is how long a test waits for anything.
+// waitLimit is the longest time that a test waits for a condition.
 const waitLimit = 20 * time.Second
 
-// startWithAdmin starts a process of the program with an admin address of its own, which it returns, and waits until it is
-// ready. The handover file is in folder. The log goes to log, if given.
+// startWithAdmin starts a process of the program with an admin address of its own, waits until the process is ready, and
+// returns it with that address. The handover file is in folder. The process logs to log, if given.
 func startWithAdmin(t *testing.T, configText, folder string, log ...io.Writer) (*exec.Cmd, string) {
 	t.Helper()
 	adminAddress := freeAddress(t)
@@ -137,12 +138,12 @@
 	return cmd, adminAddress
 }
 
-// isReady reports whether the program at this address takes clients.
+// isReady reports whether the program at this address accepts clients.
 func isReady(address string) bool {
 	return statusCode(http.Get("http://"+address+"/health/ready")) == http.StatusOK
 }
 
-// waitUntil waits for a condition, and fails the test if it does not come true.
+// waitUntil waits for a condition, and fails the test if it is not met within waitLimit.
 func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitLimit); !condition(); time.Sleep(5 * time.Millisecond) {
@@ -152,7 +153,7 @@
 	}
 }
 
-// statusCode returns a response's status, 0 without a response.
+// statusCode returns a response's status code, or 0 if there is no response.
 func statusCode(response *http.Response, err error) int {
 	if err != nil {
 		return 0
@@ -162,7 +163,7 @@
 	return response.StatusCode
 }
 
-// callAdmin makes an operators' call and returns its status.
+// callAdmin makes an operators' call and returns the status code of the answer.
 func callAdmin(address, path, body string) int {
 	return statusCode(http.Post("http://"+address+path, "text/plain", strings.NewReader(body)))
 }
@@ -179,7 +180,7 @@
 	return request
 }
 
-// sendRead makes a request of the class read and returns its status. Its connection ends with it if close is set.
+// sendRead sends a request of the class read and returns the status code. If close is set, the connection is closed afterwards.
 func sendRead(client *http.Client, address string, close bool) int {
 	request := newReadRequest(address, "900")
 	request.Close = close
--- a/cmd/sidecar/state_test.go
+++ b/cmd/sidecar/state_test.go
@@ -11,8 +11,8 @@
 	"bramblestand/internal/state"
 )
 
-// A machine that loses power loses the sidecar's process and its TMPDIR with the handover file. With a state folder, the ban
-// and the drain of before hold in the next process.
+// A power loss ends the sidecar's process and deletes its TMPDIR with the handover file. With a state folder, the earlier ban
+// and drain still hold in the next process.
 func TestBanAndDrainSurvivePowerLoss(t *testing.T) {
 	listen, stateFolder := freeAddress(t), t.TempDir()
 	configText := withSecondEndpoint(newConfigText(listen))
--- a/cmd/sidecar/upgrade_test.go
+++ b/cmd/sidecar/upgrade_test.go
@@ -10,11 +10,12 @@
 	"testing"
 )
 
-// Two processes overlap on one address, while requests come on new and on persistent connections: all are served.
+// During an upgrade two processes listen on one address. Requests arrive on new and on persistent connections, and all of them
+// must be served.
 func TestUpgradeRejectsNoRequest(t *testing.T) {
 	listen, folder := freeAddress(t), t.TempDir()
 	endpointAddress, _, _ := newEndpoint(t)
-	// Two endpoints: with one, a request that its breaker rejects has nowhere to go.
+	// There are two endpoints, because with only one a request that its breaker rejects could not go to another.
 	configText := withSecondEndpoint(strings.Replace(newConfigText(listen), `"dial":"127.0.0.1:1"`,
 		fmt.Sprintf(`"dial":%q`, endpointAddress), 1))
 	old, _ := startWithAdmin(t, configText, folder)
@@ -66,7 +67,7 @@
 	}
 }
 
-// A drain and its end hold in both processes of an upgrade, whichever of them was called.
+// Both processes of an upgrade apply a drain and its end, whichever of them received the operator's call.
 func TestDrainHoldsOverAnUpgrade(t *testing.T) {
 	listen, folder := freeAddress(t), t.TempDir()
 	old, first := startWithAdmin(t, newConfigText(listen), folder)
@@ -74,7 +75,7 @@
 		t.Fatalf("drain: %d", code)
 	}
 	_, second := startWithAdmin(t, newConfigText(listen), folder)
-	// A new connection may reach either process: of 20 calls some reach each.
+	// A new connection may reach either process. Of 20 calls, some reach each of them.
 	alwaysAnswers := func(code int) func() bool {
 		return func() bool {
 			for range 20 {
@@ -86,22 +87,22 @@
 		}
 	}
 	if !alwaysAnswers(http.StatusServiceUnavailable)() {
-		t.Error("a process of a drained sidecar says that it is ready")
+		t.Error("a process of a drained sidecar reports that it is ready")
 	}
 	if code := callAdmin(second, "/undrain", ""); code != http.StatusOK {
 		t.Fatalf("undrain: %d", code)
 	}
-	waitUntil(t, "both processes to take clients again", alwaysAnswers(http.StatusOK))
+	waitUntil(t, "both processes to accept clients again", alwaysAnswers(http.StatusOK))
 	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	old.Wait()
 	if !alwaysAnswers(http.StatusOK)() {
-		t.Error("the new process alone does not take clients")
+		t.Error("the new process does not accept clients once the old one has ended")
 	}
 }
 
-// Without an admin address there is no handover: a second process ends, because the address is taken.
+// Without an admin address there is no handover: a second process fails to start, because the listen address is taken.
 func TestSecondProcessNeedsAnAdminAddress(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -34,7 +34,7 @@
 reporting.how=probe
 `
 
-// newRecord encodes a record. A string field stands without its length.
+// newRecord encodes a record. A string field is written without its length.
 func newRecord(code simwire.EventCode, fields ...any) []byte {
 	var body bytes.Buffer
 	for _, field := range fields {
@@ -172,11 +172,11 @@
 	}
 	_, codes := decodeReply(t, splitReplies(output)[1])
 	if count(codes, simwire.ActionStartAttempt) != 1 || count(codes, simwire.ActionReject) != 0 || count(codes, simwire.ActionFail) != 0 {
-		t.Errorf("the instance knows a request of before its stop: %v", codes)
+		t.Errorf("the instance still knows a request from before its stop: %v", codes)
 	}
 }
 
-// requestScript is a run in which every instance gets 30 requests.
+// requestScript returns the batches of a run in which every instance gets 30 requests.
 func requestScript(instances ...uint32) [][]byte {
 	records := [][]byte{endpointListRecord(0, 11, 12, 13)}
 	for _, i := range instances {
@@ -193,7 +193,7 @@
 	return batches
 }
 
-// countRecords returns how often each record stands in the output.
+// countRecords returns how often each record occurs in the output.
 func countRecords(output string) map[string]int {
 	counts := map[string]int{}
 	for _, reply := range splitReplies(output) {
@@ -270,7 +270,7 @@
 	}
 }
 
-// A message of another instance reaches the balancer, and a balancer's goes to all others.
+// A gossip message from another instance reaches the balancer, and the balancer's own messages go to all other instances.
 func TestGossipOnTheWire(t *testing.T) {
 	fleet := settings + "peers-total=80\nlimits.may-tell=true\nprices.probe=0.08\nprices.peer=0.014\n"
 	ids := make([]uint32, 60)
@@ -292,6 +292,6 @@
 		_, codes = decodeReply(t, reply)
 	}
 	if count(codes, simwire.ActionSendGossip) == 0 || count(codes, simwire.ActionLog) == 0 {
-		t.Errorf("actions %v, want a message to all others and a line on the malformed one", codes)
+		t.Errorf("actions %v, want a message to all other instances and a log line for the malformed one", codes)
 	}
 }
--- a/internal/admin/handler_test.go
+++ b/internal/admin/handler_test.go
@@ -14,7 +14,7 @@
 	"bramblestand/internal/fleet"
 )
 
-// fakeController records what it is called for and answers err.
+// fakeController records the calls that it gets and returns err from them.
 type fakeController struct {
 	calls   []string
 	serving bool
@@ -48,7 +48,7 @@
 	for _, c := range []struct {
 		method, path, body string
 		wantCall           string
-		wantBody           string // beginning of the answer
+		wantBody           string // prefix of the answer's body
 	}{
 		{"GET", "/pin-servers", "", "", `{"banned":["s-1","s-2"],"drained":false}`},
 		{"POST", "/pin-servers/disable", " s-1\n", `SetBanned("s-1", true)`, ""},
@@ -73,7 +73,7 @@
 				t.Errorf("called %s, want %s", got, c.wantCall)
 			}
 			if completed != 1 {
-				t.Errorf("%d calls are reported complete, want 1", completed)
+				t.Errorf("onComplete was called %d times, want 1", completed)
 			}
 		})
 	}
@@ -108,7 +108,7 @@
 	}
 }
 
-// A body that breaks off reaches no controller: half an endpoint's name may be another's.
+// A call whose body breaks off must not reach the controller: part of an endpoint's name may be the name of another endpoint.
 func TestIncompleteCallsAreNotCarriedOut(t *testing.T) {
 	for name, c := range map[string]struct {
 		body io.Reader
@@ -124,13 +124,13 @@
 			recorder := httptest.NewRecorder()
 			handler.ServeHTTP(recorder, httptest.NewRequest("POST", "/pin-servers/disable", c.body))
 			if recorder.Code != c.want || len(controller.calls) > 0 {
-				t.Errorf("answered %d after the calls %v, want %d and none", recorder.Code, controller.calls, c.want)
+				t.Errorf("answered %d after the calls %v, want %d and no calls", recorder.Code, controller.calls, c.want)
 			}
 		})
 	}
 }
 
-// failingReader is a body that breaks off.
+// failingReader is a body that breaks off: every read returns an error.
 type failingReader struct{}
 
 func (failingReader) Read([]byte) (int, error) { return 0, errors.New("connection reset") }
--- a/internal/ci/ci_test.go
+++ b/internal/ci/ci_test.go
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-// knownFailure is a valid entry for the test that fails on purpose.
+// knownFailure is a valid entry of KNOWN-RED.txt for TestRed, a test that fails on purpose.
 const knownFailure = "a TestRed | go test -run TestRed ./a, seed 1 | it fails on purpose | 27\n"
 
-// Known failures are passed over, each by its name alone; they are run and printed all the same.
+// A known failure is run and printed but does not fail the run. Only a test with exactly the listed name counts as known.
 func TestKnownFailuresAreRunButNotCounted(t *testing.T) {
 	script, err := filepath.Abs("../../.ci/test")
 	if err != nil {
@@ -74,7 +74,7 @@
 	}
 }
 
-// knownFailures is one entry for each test.
+// knownFailures returns one entry of KNOWN-RED.txt for each test.
 func knownFailures(names ...string) string {
 	var entries strings.Builder
 	for _, name := range names {
@@ -83,7 +83,7 @@
 	return entries.String()
 }
 
-// failingTests is the source of tests that fail.
+// failingTests returns the Go source of tests that fail.
 func failingTests(names ...string) string {
 	var source strings.Builder
 	for _, name := range names {
--- a/internal/ci/documentation_test.go
+++ b/internal/ci/documentation_test.go
@@ -15,11 +15,12 @@
 	"testing"
 )
 
-// documentedList names the packages whose documentation is complete: one folder a line, from the module's root, sorted.
+// documentedList is the file that lists the packages whose documentation is complete. Each line is the path of a folder from
+// the module's root; the lines are sorted.
 const documentedList = "../../.ci/documented.txt"
 
-// Every listed package has a package comment, and every exported item in it has a doc comment. The form of the comments is
-// the linter's to check.
+// Every listed package has a package comment, and every exported item in it has a doc comment. The linter checks the form of
+// the comments.
 func TestListedPackagesAreDocumented(t *testing.T) {
 	text, err := os.ReadFile(documentedList)
 	if err != nil {
@@ -82,7 +83,7 @@
 	}
 }
 
-// undocumentedInFolder lists the items of a folder's package, tests apart, that lack a doc comment.
+// undocumentedInFolder lists the items that lack a doc comment in the package of a folder, without its tests.
 func undocumentedInFolder(folder string) ([]string, error) {
 	paths, err := filepath.Glob(filepath.Join(folder, "*.go"))
 	if err != nil {
@@ -105,7 +106,8 @@
 	return undocumented(sources)
 }
 
-// undocumented lists, as `position: name`, what lacks a doc comment in the sources of one package, keyed by path.
+// undocumented lists, as `position: name`, the items that lack a doc comment in one package. sources maps the path of each
+// file of the package to its source.
 func undocumented(sources map[string]string) ([]string, error) {
 	files := token.NewFileSet()
 	var missing []string
@@ -152,8 +154,8 @@
 	}
 }
 
-// reportSpec reports the exported names of a type, constant or variable that lack a doc comment. The comment of a group of
-// constants or variables holds for each of them, that of a group of types for none.
+// reportSpec reports the exported names of a type, constant or variable that lack a doc comment. The comment of a group
+// documents each of its constants or variables, but none of its types.
 func reportSpec(spec ast.Spec, group *ast.GenDecl, report func(token.Pos, string)) {
 	switch spec := spec.(type) {
 	case *ast.TypeSpec:
@@ -217,7 +219,8 @@
 // testName matches the name of a Go test on a page.
 var testName = regexp.MustCompile(`\bTest[A-Z][A-Za-z0-9]*`)
 
-// The pages that say which test shows what name tests that exist. Pages of incidents stay as they were written.
+// The pages that say which test shows what must name tests that exist. Pages of incidents are not checked: they stay as they
+// were written.
 func TestPagesNameExistingTests(t *testing.T) {
 	tests := testNames(t, "../..")
 	pages, err := filepath.Glob("../../docs/*.md")
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,7 +13,7 @@
 	"bramblestand/internal/discovery"
 )
 
-// The error for an invalid configuration is one line with the key.
+// The error for an invalid configuration is one line that names the key.
 func TestBadConfigurationNamesTheKey(t *testing.T) {
 	good := `{"name":"n3","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",` +
 		`"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},` +
@@ -72,7 +72,7 @@
 	}
 }
 
-// The settings text is the simulator's, value by value.
+// The settings text made from JSON has the form in which the simulator writes each value.
 func TestSettingsTextIsTheSimulators(t *testing.T) {
 	var out strings.Builder
 	writeSettingsText(&out, "", map[string]any{"a": map[string]any{"b": []any{
@@ -86,7 +86,7 @@
 	}
 }
 
-// keysOf returns the keys that an error names, from the outermost on.
+// keysOf returns the keys that an error names, beginning with the outermost.
 func keysOf(err error) []string {
 	var keys []string
 	var keyError *KeyError
@@ -125,7 +125,7 @@
 	var malformed *discovery.MalformedError
 	_, err := Parse(fullConfigWith(t, "known.hosts.0.dial", `"x"`))
 	if !errors.As(err, &malformed) || malformed.Index != 0 || malformed.Field != "dial" {
-		t.Errorf("an invalid list: %v", err)
+		t.Errorf("an invalid list of known endpoints: %v", err)
 	}
 	var setting *balancer.SettingError
 	if _, err := Parse(fullConfigWith(t, "settings.limits.most-tries", `0`)); !errors.As(err, &setting) {
@@ -136,6 +136,6 @@
 func TestMaxConnectionsReservesDescriptors(t *testing.T) {
 	limits := Limits{Sockets: 1024}
 	if without, with := limits.MaxConnections(false), limits.MaxConnections(true); without != 496 || with != 488 {
-		t.Errorf("%d connections without and %d with an operators' address, want 496 and 488", without, with)
+		t.Errorf("%d connections without and %d with an admin address, want 496 and 488", without, with)
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -14,10 +14,10 @@
 	"bramblestand/internal/goldentest"
 )
 
-// The golden files have the value that each key of a configuration is parsed to. They name the file's keys, so that they
-// do not depend on names in the code.
+// The golden files hold the parsed value of each key of a configuration. They use the names of the keys in the file, so that
+// they do not depend on names in the code.
 
-// configText returns the values of a configuration, a line for each key of the file.
+// configText returns the values of a configuration, one line for each key of the file.
 func configText(c *Config) string {
 	var out strings.Builder
 	line := func(key string, value any) { fmt.Fprintf(&out, "%s=%v\n", key, value) }
@@ -56,7 +56,7 @@
 	return out.String()
 }
 
-// settingsLines returns the values of the settings, a line for each key of theirs.
+// settingsLines returns the values of the settings, one line for each key.
 func settingsLines(s *balancer.Settings) string {
 	var out strings.Builder
 	line := func(key string, value any) { fmt.Fprintf(&out, "settings.%s=%v\n", key, value) }
@@ -139,7 +139,7 @@
 	}
 }
 
-// setKey puts a JSON value at a dotted path of a decoded JSON document; the value "" takes the key away.
+// setKey sets the JSON value at a dotted path of a decoded JSON document. The value "" deletes the key.
 func setKey(t *testing.T, document any, path, value string) {
 	t.Helper()
 	t.Helper()
@@ -168,11 +168,11 @@
 			t.Fatal(err)
 		}
 	default:
-		t.Fatalf("nothing at %s", path)
+		t.Fatalf("no object or list that contains %s", path)
 	}
 }
 
-// fullConfigWith is the full configuration with another value at a path, "" for none.
+// fullConfigWith returns the full configuration with another value at a path. The value "" deletes the key.
 func fullConfigWith(t *testing.T, path, value string) []byte {
 	t.Helper()
 	full, err := os.ReadFile(filepath.Join("testdata", "full.json"))
@@ -191,7 +191,7 @@
 	return text
 }
 
-// keyChanges are changes of the full configuration that must not pass, but for those that the golden file gives "ok".
+// keyChanges are changes to the full configuration that Parse must reject, except for those marked "ok" in the golden file.
 var keyChanges = []struct{ path, value string }{
 	{"name", `7`}, {"name", `"a/b"`}, {"name", ``},
 	{"listen", `"here"`}, {"listen", `7`}, {"listen", ``},
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -13,14 +13,14 @@
 // goldenState is what release 21.0 wrote into testdata/shared.json.
 var goldenState = State{Revision: 41, Drained: true, Banned: []string{"v001", "v/2 <é>"}}
 
-// copyGolden puts the file that release 21.0 wrote where the processes of the sidecar "n/0" look for it.
+// copyGolden copies the file that release 21.0 wrote to the path at which the processes of the sidecar "n/0" look for it.
 func copyGolden(t *testing.T, dir string) (path, text string) {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", "shared.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	path = filepath.Join(dir, "pinedale-n%2F0.json") // literally: a process of another release shares it
+	path = filepath.Join(dir, "pinedale-n%2F0.json") // a literal, because processes of other releases use the same path
 	if err := os.WriteFile(path, data, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	if got, err := os.ReadFile(path); err != nil || string(got) != want {
-		t.Errorf("a state taken over is written as %s, %v; want %s", got, err, want)
+		t.Errorf("an adopted state is written as %s, %v; want %s", got, err, want)
 	}
 	if _, err := s.Update(func(s *State) { s.Banned = nil; s.Drained = false }, notPersisted); err != nil {
 		t.Fatal(err)
@@ -59,7 +59,7 @@
 	}
 }
 
-// lockedBytes lists the first bytes of the lock file that are locked through another open file.
+// lockedBytes returns the offsets, among the first bytes of the lock file, that are locked through another open file.
 func lockedBytes(t *testing.T, file *os.File) (locked []int64) {
 	t.Helper()
 	for offset := range int64(6) {
@@ -74,7 +74,7 @@
 	return locked
 }
 
-// A process of another release takes its locks on these very bytes of this very file.
+// Processes of other releases lock the same bytes of the same file, so neither may change.
 func TestLocksTheBytesOfAnEarlierRelease(t *testing.T) {
 	dir := t.TempDir()
 	first := openTestStore(t, dir, "n/0")
@@ -121,12 +121,12 @@
 	}
 	lock(unix.F_WRLCK, 2)
 	if !s.HasOtherProcess() {
-		t.Error("the other's process slot is not seen")
+		t.Error("the other process's slot is not detected")
 	}
 	lock(unix.F_UNLCK, 2)
 	lock(unix.F_WRLCK, 3)
 	if s.HasOtherProcess() || s.AcquireFleetMembership() {
-		t.Error("the fleet's member is taken for a process, or is not heeded")
+		t.Error("the lock of the fleet's member is taken for a process slot, or is ignored")
 	}
 	lock(unix.F_UNLCK, 3)
 	lock(unix.F_WRLCK, 0)
--- a/internal/handover/store_test.go
+++ b/internal/handover/store_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// openTestStore opens a store that logs nothing, until the test ends.
+// openTestStore opens a store that logs nothing and that is closed when the test ends.
 func openTestStore(t *testing.T, dir, name string) *Store {
 	t.Helper()
 	s := Open(dir, name, slog.New(slog.DiscardHandler))
@@ -17,21 +17,21 @@
 	return s
 }
 
-// notPersisted is for updates of a sidecar that persists no state.
+// notPersisted is the persist function in updates of a sidecar that persists no state.
 func notPersisted(State) error { return nil }
 
 func TestTwoProcessesShareOneState(t *testing.T) {
 	dir := t.TempDir()
 	first := openTestStore(t, dir, "n/0")
 	if first.HasOtherProcess() {
-		t.Error("a process alone sees another")
+		t.Error("the only process detects another")
 	}
 	second := openTestStore(t, dir, "n/0")
 	if !first.HasOtherProcess() || !second.HasOtherProcess() {
-		t.Error("two processes do not see each other")
+		t.Error("two processes do not detect each other")
 	}
 	if openTestStore(t, dir, "n1").HasOtherProcess() {
-		t.Error("another sidecar's processes are taken for its own")
+		t.Error("processes of one sidecar are taken for those of another")
 	}
 	if _, err := first.Update(func(s *State) { s.Drained = true }, notPersisted); err != nil {
 		t.Fatal(err)
@@ -41,19 +41,19 @@
 	}
 	want := State{Revision: 2, Drained: true, Banned: []string{"s-1"}}
 	if got := first.Load(); !reflect.DeepEqual(got, want) {
-		t.Errorf("the first sees %+v, want %+v", got, want)
+		t.Errorf("the first process has the state %+v, want %+v", got, want)
 	}
 	second.Close()
 	if first.HasOtherProcess() {
-		t.Error("an ended process is still seen")
+		t.Error("a process that has ended is still detected")
 	}
 	first.Close()
 	if got := openTestStore(t, dir, "n/0").Load(); !reflect.DeepEqual(got, want) {
-		t.Errorf("the next process sees %+v, want %+v", got, want)
+		t.Errorf("the next process has the state %+v, want %+v", got, want)
 	}
 }
 
-// An invalid file is logged once, and the last valid state stays.
+// An invalid file is logged once, and the last valid state stays in force.
 func TestInvalidFileLeavesTheLastValidState(t *testing.T) {
 	for name, damage := range map[string]func(path string) error{
 		"truncated":       func(path string) error { return os.WriteFile(path, []byte(`{"version":1,"seq":9,"dra`), 0o600) },
@@ -78,10 +78,10 @@
 				t.Errorf("the state is %+v, want %+v", got, before)
 			}
 			if n := strings.Count(log.String(), "handover file not valid"); n != 1 || strings.Count(log.String(), "\n") != 1 {
-				t.Errorf("logged %d times, want one line: %s", n, log.String())
+				t.Errorf("the invalid file is logged %d times, want one line: %s", n, log.String())
 			}
 			if got, err := s.Update(func(s *State) { s.Drained = true }, notPersisted); err != nil || len(got.Banned) != 1 {
-				t.Errorf("an update after it: %+v, %v", got, err)
+				t.Errorf("an update after the damage: %+v, %v", got, err)
 			}
 		})
 	}
@@ -112,11 +112,11 @@
 	}
 }
 
-// A persisted state replaces the file's where it is newer; one of an earlier release has no revision.
+// A persisted state replaces that of the file if it is newer. A state persisted by an earlier release has no revision.
 func TestRestoreAdoptsTheNewerState(t *testing.T) {
 	for _, c := range []struct {
 		name                  string
-		updates               int // made before, each of which bans s-1
+		updates               int // number of updates made before Restore; each bans s-1
 		persisted             State
 		wantRevision          uint64
 		wantBanned, wantDrain bool
--- a/internal/simwire/events_test.go
+++ b/internal/simwire/events_test.go
@@ -10,7 +10,7 @@
 	"bramblestand/balancer"
 )
 
-// The examples of the wire's description.
+// Example records from the description of the wire format.
 const (
 	exampleInstance        = "1b 00000004 00000003"
 	exampleRequest         = "12 00000020 0005bf975d3a91c4 91f03b7c55d20a64 00000000008405da 00002ee0 01 0000 00"
@@ -25,7 +25,7 @@
 	exampleUpdate = "11 00000006 00000029 00 03"
 )
 
-// decodeAll returns the events of a frame, with copies of what the next event would overwrite.
+// decodeAll returns the events of a frame. It copies the slices that the decoding of the next event would overwrite.
 func decodeAll(t *testing.T, decoder *Decoder, frame []byte) []Event {
 	t.Helper()
 	if batch, now, err := decoder.Reset(frame); err != nil || batch != exampleBatch || now != exampleClock {
@@ -91,7 +91,7 @@
 	}
 }
 
-// A list number stands for the list that was defined last before the update, in event order.
+// An endpoint update gets the list that the latest earlier event defined under its list number.
 func TestEndpointListsAreResolvedInOrder(t *testing.T) {
 	one := "1a 0000001a 00 00000001 00000001 00 00 0000 00 3f800000 0000000000000000"
 	two := "1a 0000001a 00 00000001 00000002 00 00 0000 01 3f800000 0000000000000000"
@@ -103,14 +103,14 @@
 	}
 	events = decodeAll(t, decoder, newFrame(fromHex(t, "11 00000006 00000029 00 04", "11 00000006 00000029 09 02")))
 	if full := events[0].EndpointUpdate; full.Kind != balancer.UpdateFull || full.Endpoints[0].ID != 2 {
-		t.Error("the list does not outlive its batch")
+		t.Error("the list is not kept for the next batch")
 	}
 	if failed := events[1].EndpointUpdate; failed.Kind != balancer.UpdateFailed || failed.Endpoints != nil {
 		t.Error("a failed call must not need a list")
 	}
 }
 
-// A malformed record is reported with its name, the field and the byte at fault.
+// The error for a malformed record gives the record's name, the field and the byte at fault.
 func TestMalformedRecords(t *testing.T) {
 	for _, c := range []struct {
 		name, records, record, field string
@@ -162,7 +162,7 @@
 			if err != nil {
 				var malformed *DecodeError
 				if err != io.EOF && !errors.As(err, &malformed) {
-					t.Fatalf("error of another kind: %v", err)
+					t.Fatalf("the error is neither io.EOF nor a *DecodeError: %v", err)
 				}
 				return
 			}
--- a/internal/simwire/frames_test.go
+++ b/internal/simwire/frames_test.go
@@ -17,7 +17,7 @@
 	exampleClock = balancer.Micros(0x805c5a)
 )
 
-// fromHex decodes hexadecimal text, in which spaces may stand.
+// fromHex decodes the hexadecimal text of all parts together and ignores spaces.
 func fromHex(t testing.TB, parts ...string) []byte {
 	t.Helper()
 	data, err := hex.DecodeString(strings.ReplaceAll(strings.Join(parts, ""), " ", ""))
@@ -27,7 +27,7 @@
 	return data
 }
 
-// newFrame puts records behind a batch header.
+// newFrame returns a frame with a batch header and the records.
 func newFrame(records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	frame := binary.BigEndian.AppendUint32(nil, exampleBatch)
@@ -58,6 +58,6 @@
 		}
 	}
 	if _, err := ReadFrame(bytes.NewReader(nil), nil); err != io.EOF {
-		t.Errorf("clean end: %v", err)
+		t.Errorf("empty input: error %v, want io.EOF", err)
 	}
 }
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -52,10 +52,10 @@
 		t.Errorf("fields %v", s.LoadReportFields)
 	}
 	if _, err := balancer.New(s, 1, nil); err != nil {
-		t.Errorf("the constructor rejects them: %v", err)
+		t.Errorf("balancer.New rejects the settings: %v", err)
 	}
 	if s, err = ParseSettings(strings.Replace(validSettings, "how=probe", "how=none", 1)); err != nil || s.LoadReportFields != nil {
-		t.Errorf("no reports: %v %v", s.LoadReportFields, err)
+		t.Errorf("with reporting.how=none: fields %v, error %v; want neither", s.LoadReportFields, err)
 	}
 }
 
@@ -86,7 +86,8 @@
 	}
 }
 
-// Every field of the settings has a key, and every key a field. So an invalid setting can be named by its key.
+// Every field of balancer.Settings has a key and every key has a field. Without a key, the error for an invalid setting could
+// not name the key at fault.
 func TestEverySettingHasAKey(t *testing.T) {
 	fields := map[string]bool{}
 	addFields(fields, reflect.TypeFor[balancer.Settings](), "")
@@ -102,7 +103,7 @@
 	}
 }
 
-// addFields adds the paths of a structure's fields.
+// addFields adds the path of each field of a structure to fields.
 func addFields(fields map[string]bool, structure reflect.Type, prefix string) {
 	for i := range structure.NumField() {
 		field := structure.Field(i)
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -14,7 +14,8 @@
 // goldenName is the sidecar's name in testdata/release21.db, which release 21.0 wrote.
 const goldenName = "n/0 ü"
 
-// goldenSnapshot is what release 21.0 was given to write: every field of every record is set.
+// goldenSnapshot returns the snapshot that release 21.0 wrote to testdata/release21.db. Every field of each kind of record is
+// set.
 func goldenSnapshot() *Snapshot {
 	return &Snapshot{
 		SidecarName: goldenName, ListedAt: time.Date(2026, 11, 30, 8, 15, 30, 250_000_000, time.UTC), ListVersion: 4711, IsFullList: true,
@@ -31,7 +32,7 @@
 	}
 }
 
-// readRecords gives every record of a state file as it lies on disk, by bucket and key.
+// readRecords returns every record of a state file as stored, keyed by the path of its buckets and its key.
 func readRecords(t *testing.T, path string) map[string]string {
 	t.Helper()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: LockTimeout, ReadOnly: true})
@@ -60,14 +61,14 @@
 	return found
 }
 
-// copyGolden puts the file that release 21.0 wrote where a sidecar of that name looks for it.
+// copyGolden copies the file that release 21.0 wrote to the path at which the sidecar called goldenName looks for it.
 func copyGolden(t *testing.T, dir string) string {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", "release21.db"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	path := filepath.Join(dir, "n%2F0%20%C3%BC.db") // literally: other releases look there, too
+	path := filepath.Join(dir, "n%2F0%20%C3%BC.db") // a literal, because other releases use the same path
 	if err := os.WriteFile(path, data, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -93,7 +94,7 @@
 	}
 	want, got := readRecords(t, old), readRecords(t, filepath.Join(dir, "n%2F0%20%C3%BC.db"))
 	if len(want) != 6 {
-		t.Errorf("%d records in the earlier release's file, want 6: meta, list, ops, fleet and two servers", len(want))
+		t.Errorf("%d records in the earlier release's file, want 6: meta, list, ops, fleet and two endpoint states", len(want))
 	}
 	for name, record := range want {
 		if got[name] != record {
@@ -102,7 +103,7 @@
 	}
 	for name := range got {
 		if _, ok := want[name]; !ok {
-			t.Errorf("record %q is not one of the earlier release's", name)
+			t.Errorf("record %q is not in the earlier release's file", name)
 		}
 	}
 }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -19,9 +19,9 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// TestMain doubles as a process that saves, for the tests that kill one: with STATE_WRITER set it saves snapshots of
-// growing list version into that folder and prints each version once it is saved, until it is killed or a limit of
-// STATE_FSIZE bytes on the file's size stops it.
+// TestMain also runs the process that saves snapshots until a test kills it. If STATE_WRITER names a folder, it saves
+// snapshots with increasing list versions to that folder and prints each version once it is saved. STATE_FSIZE, if set,
+// limits the size of the file in bytes; the process ends with an error when it reaches the limit.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("STATE_WRITER"); dir != "" {
 		if maxBytes, _ := strconv.ParseUint(os.Getenv("STATE_FSIZE"), 10, 64); maxBytes > 0 {
@@ -30,7 +30,7 @@
 		}
 		for version := uint64(1); ; version++ {
 			_, err := Save(dir, newSnapshot("w", version, 50+int(version)))
-			if errors.Is(err, bolterrors.ErrTimeout) { // the other process has the lock: this snapshot is skipped
+			if errors.Is(err, bolterrors.ErrTimeout) { // the other process holds the lock: this snapshot is skipped
 				continue
 			} else if err != nil {
 				fmt.Println("error", err)
@@ -42,7 +42,8 @@
 	os.Exit(m.Run())
 }
 
-// newSnapshot returns a snapshot of this many endpoints whose figures tell its list version.
+// newSnapshot returns a snapshot with a number of endpoints. The list version is also stored in some of its other values, so
+// that a test can detect a mix of two snapshots.
 func newSnapshot(name string, version uint64, endpoints int) *Snapshot {
 	s := &Snapshot{
 		SidecarName: name, ListedAt: time.Unix(1_800_000_000, 0).UTC(), ListVersion: version, IsFullList: true,
@@ -61,7 +62,7 @@
 	return s
 }
 
-// mustSave saves a snapshot.
+// mustSave saves a snapshot and ends the test if that fails.
 func mustSave(t testing.TB, dir string, s *Snapshot) {
 	t.Helper()
 	if _, err := Save(dir, s); err != nil {
@@ -82,11 +83,12 @@
 	}
 }
 
-// A file that is incomplete, or another sidecar's, is named with its record and renamed; nothing is deleted.
+// Load renames a file that is incomplete or belongs to another sidecar, and its error names the file and the record. It deletes
+// nothing.
 func TestInvalidFilesAreRenamed(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
-		reason     error // that the error wraps; nil for any
+		reason     error // wrapped by the error; nil for any
 		damage     func(path string)
 	}{
 		{"truncated", "", nil, func(path string) { os.Truncate(path, 5000) }},
@@ -157,8 +159,9 @@
 	})
 }
 
-// Power loss keeps any mix of the pages written since the last fsync, and a meta page perhaps torn. Every such image
-// must read as the snapshot before or the one after, never as neither.
+// After a power loss, the disk may hold any subset of the pages written since the last fsync, and a meta page may be torn,
+// that is, written only in part. From every such image, Load must return either the snapshot before or the one after the
+// interrupted save.
 func TestPowerLossLeavesOneCompleteSnapshot(t *testing.T) {
 	dir := t.TempDir()
 	path := Path(dir, "n1")
@@ -172,7 +175,7 @@
 	seen := map[uint64]int{}
 	for imageIndex := range 60 {
 		image := append([]byte(nil), before[:len(after)]...)
-		metaWritten := imageIndex%3 != 0 // the first fsync is done: all data pages are down
+		metaWritten := imageIndex%3 != 0 // the first fsync has completed: all data pages are on disk
 		for offset := 2 * page; offset < len(after); offset += page {
 			if metaWritten || rng.IntN(2) == 0 {
 				copy(image[offset:], after[offset:offset+page])
@@ -195,7 +198,7 @@
 		seen[got.ListVersion]++
 	}
 	if seen[1] == 0 || seen[2] == 0 {
-		t.Fatalf("images read as %v: the test did not cover both ends", seen)
+		t.Fatalf("images read by list version: %v; the test did not cover both snapshots", seen)
 	}
 }
 
@@ -218,8 +221,8 @@
 	return out, cmds
 }
 
-// Two processes of an upgrade write into one file, and both are killed with -9 in the middle of writes: what is
-// read then is a complete snapshot, at least as new as the last that either of them knows to be saved.
+// Two processes of an upgrade write to one file, and both are killed by SIGKILL (kill -9) in the middle of writes. Load must
+// then return a complete snapshot, at least as new as the older of the two that the processes last reported as saved.
 func TestKilledProcessesLeaveACompleteSnapshot(t *testing.T) {
 	dir := t.TempDir()
 	procs, cmds := startSavers(t, dir, 2)
@@ -249,7 +252,8 @@
 	}
 }
 
-// A full disk (here a limit on file size) fails a Save with an error and leaves the snapshot before it intact.
+// If the disk is full (here: the file reaches a limit on its size), Save returns an error and the previous snapshot stays
+// intact.
 func TestDiskFullKeepsTheLastSnapshot(t *testing.T) {
 	dir := t.TempDir()
 	out, _ := startSavers(t, dir, 1, "STATE_FSIZE=300000")
@@ -294,7 +298,7 @@
 	}
 }
 
-// BenchmarkSave reports the write path: records, bytes and fsyncs a second.
+// BenchmarkSave reports the records, bytes and fsyncs per second of the write path.
 func BenchmarkSave(b *testing.B) {
 	for _, n := range []int{200, 2000, 20000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -306,12 +310,12 @@
 			secs := b.Elapsed().Seconds()
 			b.ReportMetric(float64(stats.Records*b.N)/secs, "records/s")
 			b.ReportMetric(float64(stats.Bytes*b.N)/secs, "bytes/s")
-			b.ReportMetric(float64(2*b.N)/secs, "fsyncs/s") // bbolt: the pages, then the meta page
+			b.ReportMetric(float64(2*b.N)/secs, "fsyncs/s") // bbolt syncs the data pages, then the meta page
 		})
 	}
 }
 
-// BenchmarkLoad reports recovery time against the size of the state.
+// BenchmarkLoad reports the time that recovery takes, for several sizes of the state.
 func BenchmarkLoad(b *testing.B) {
 	for _, n := range []int{200, 2000, 20000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -326,7 +330,7 @@
 	}
 }
 
-// Of two processes the one that knows older admin settings does not undo the newer.
+// A process that has older admin settings does not overwrite the newer ones that another process saved.
 func TestAdminSettingsNeverGoBack(t *testing.T) {
 	dir := t.TempDir()
 	newer := AdminSettings{Revision: 2, Banned: []string{"v1"}, Drained: true}
--- a/internal/state/writer_test.go
+++ b/internal/state/writer_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// logBuffer collects log lines of another goroutine.
+// logBuffer collects log lines that another goroutine writes.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -33,7 +33,7 @@
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !isMet(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for: %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
