--- a/cmd/sidecar/state_test.go
+++ b/cmd/sidecar/state_test.go
@@ -30,10 +30,10 @@
 	var log bytes.Buffer
 	second, admin := startWithAdmin(t, configText, t.TempDir(), &log)
 	if code := statusCode(http.Get("http://" + listen + "/health/ready")); code != http.StatusServiceUnavailable {
-		t.Errorf("the drain was forgotten: /health/ready %d", code)
+		t.Errorf("the drain was not restored: /health/ready is answered with %d", code)
 	}
 	if callAdmin(admin, "/undrain", "") != http.StatusOK {
-		t.Fatal("undrain")
+		t.Fatal("the end of the drain was rejected")
 	}
 	second.Process.Signal(os.Interrupt)
 	second.Wait()
--- a/cmd/sidecar/upgrade_test.go
+++ b/cmd/sidecar/upgrade_test.go
@@ -72,7 +72,7 @@
 	listen, folder := freeAddress(t), t.TempDir()
 	old, first := startWithAdmin(t, newConfigText(listen), folder)
 	if code := callAdmin(first, "/drain", ""); code != http.StatusOK {
-		t.Fatalf("drain: %d", code)
+		t.Fatalf("the call to drain is answered with %d", code)
 	}
 	_, second := startWithAdmin(t, newConfigText(listen), folder)
 	// A new connection may reach either process. Of 20 calls, some reach each of them.
@@ -90,7 +90,7 @@
 		t.Error("a process of a drained sidecar reports that it is ready")
 	}
 	if code := callAdmin(second, "/undrain", ""); code != http.StatusOK {
-		t.Fatalf("undrain: %d", code)
+		t.Fatalf("the call to undrain is answered with %d", code)
 	}
 	waitUntil(t, "both processes to accept clients again", alwaysAnswers(http.StatusOK))
 	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
--- a/cmd/simadapter/instance.go
+++ b/cmd/simadapter/instance.go
@@ -10,7 +10,7 @@
 // instance is one sidecar of the simulated fleet: a balancer and an implementation of balancer.Actions, which writes the
 // balancer's actions to the reply of the batch.
 type instance struct {
-	reply    *simwire.Reply     // the host's; while this instance handles its events, it is the one selected in the reply
+	reply    *simwire.Reply     // the host's; the host selects this instance in it before it passes an event
 	balancer *balancer.Balancer // nil before a start, after a stop and after a fault
 }
 
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -145,7 +145,7 @@
 func TestEmptyBatchGetsAnEmptyReply(t *testing.T) {
 	output, _, err := runBatches(t, newBatch(1, 100))
 	if err != nil || output != "\x00\x00\x00\x01\x00\x00\x00\x0c\x00\x00\x00\x00" {
-		t.Errorf("%x %v", output, err)
+		t.Errorf("output %x, error %v; want a reply without actions", output, err)
 	}
 }
 
@@ -157,7 +157,7 @@
 	}
 	batch, codes := decodeReply(t, []byte(output))
 	if batch != 7 || codes[0] != simwire.ActionSelectInstance || count(codes, simwire.ActionStartAttempt) != 1 {
-		t.Errorf("batch %d, codes %v", batch, codes)
+		t.Errorf("batch %d, codes %v; want batch 7 with a selected instance and one started attempt", batch, codes)
 	}
 }
 
@@ -208,7 +208,7 @@
 	together, _, _ := runBatches(t, requestScript(1, 2)...)
 	again, _, _ := runBatches(t, requestScript(1, 2)...)
 	if together != again {
-		t.Fatal("two runs differ")
+		t.Fatal("two runs with the same input differ")
 	}
 	alone := ""
 	for _, i := range []uint32{1, 2} {
@@ -240,10 +240,10 @@
 	} {
 		output, _, err := runBatches(t, valid, c.input)
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", c.name, err)
+			t.Errorf("%s: error %v, want one line with %q", c.name, err, c.want)
 		}
 		if batch, _ := decodeReply(t, []byte(output)); batch != 1 {
-			t.Errorf("%s: something was written for the malformed batch", c.name)
+			t.Errorf("%s: the first reply is not that to batch 1", c.name)
 		}
 	}
 }
@@ -251,7 +251,7 @@
 func TestUnknownEventIsLoggedOnce(t *testing.T) {
 	_, logged, err := runBatches(t, newBatch(1, 1000, newRecord(99, uint32(1)), newRecord(99), instanceRecord(3), startRecord(settings)))
 	if err != nil || strings.Count(logged, "\n") != 1 || !strings.Contains(logged, "event 99") {
-		t.Errorf("%q %v", logged, err)
+		t.Errorf("logged %q, error %v; want one line about event 99", logged, err)
 	}
 }
 
@@ -265,7 +265,7 @@
 			t.Fatal(err)
 		}
 		if _, codes := decodeReply(t, []byte(output)); codes[len(codes)-1] != simwire.ActionReportFault {
-			t.Errorf("codes %v", codes)
+			t.Errorf("codes %v, want a reported fault as the last action", codes)
 		}
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,7 +23,7 @@
 	Name             string // stays the same across restarts
 	ListenAddress    string // host:port for clients
 	DiscoveryAddress string // host:port of the discovery service
-	AdminAddress     string // host:port for the operators' calls; "" if it accepts none
+	AdminAddress     string // host:port for the operators' calls; "" if the sidecar accepts none
 
 	StateDir       string        // folder in which state is persisted; "" if it is not persisted
 	MaxSnapshotAge time.Duration // a persisted endpoint list older than this is not used
@@ -60,8 +60,8 @@
 )
 
 // MaxConnections returns the maximum number of a sidecar's connections with clients. The maximum for
-// connections with endpoints is the same, because each client's request has one attempt at a time. The
-// descriptors that other parts need are subtracted before the rest is divided.
+// connections with endpoints is the same, because each client's request has one attempt at a time.
+// Descriptors that other parts need are reserved; clients and endpoints share the rest equally.
 func (l Limits) MaxConnections(hasAdminAddress bool) int {
 	reserved := ReservedSockets
 	if hasAdminAddress {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	} else if cfg.Settings.Limits.MaxRetryAfter != 1_500_000 || len(cfg.Settings.Classes) != 4 ||
 		cfg.Settings.Classes[1].RetrySafety != balancer.IdempotentWithKey || len(cfg.Settings.LoadReportFields) != 2 || !cfg.Settings.MustSubscribe {
-		t.Errorf("settings %+v", cfg.Settings)
+		t.Errorf("parsed settings %+v, want the values of the configuration", cfg.Settings)
 	}
 	for _, c := range []struct{ old, new, key string }{
 		{`"listen":"127.0.0.1:1"`, `"listen":"here"`, "listen"},
@@ -125,11 +125,11 @@
 	var malformed *discovery.MalformedError
 	_, err := Parse(fullConfigWith(t, "known.hosts.0.dial", `"x"`))
 	if !errors.As(err, &malformed) || malformed.Index != 0 || malformed.Field != "dial" {
-		t.Errorf("an invalid list of known endpoints: %v", err)
+		t.Errorf("an invalid list of known endpoints: error %v, want one for the field dial of entry 0", err)
 	}
 	var setting *balancer.SettingError
 	if _, err := Parse(fullConfigWith(t, "settings.limits.most-tries", `0`)); !errors.As(err, &setting) {
-		t.Errorf("an invalid setting: %v", err)
+		t.Errorf("an invalid setting: error %v, want a *balancer.SettingError", err)
 	}
 }
 
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -70,22 +70,22 @@
 	line("over-share-worth", s.OverQuotaWeight)
 	line("value-by", map[bool]string{false: "request", true: "work"}[s.PriorityPerWork])
 	for i, c := range s.Classes {
-		at := fmt.Sprintf("classes.%d.", i)
-		line(at+"name", c.Name)
-		line(at+"repeat", map[balancer.RetrySafety]string{balancer.Idempotent: "pure", balancer.IdempotentWithKey: "token", balancer.NonIdempotent: "side_effect"}[c.RetrySafety])
-		line(at+"group", map[balancer.DedupScope]string{balancer.DedupScopeFleet: "all", balancer.DedupScopeZone: "zone", balancer.DedupScopePod: "cell"}[c.DedupScope])
-		line(at+"window", c.DedupWindow)
-		line(at+"target", c.LatencyObjective)
-		line(at+"give-up", c.ClientTimeout)
-		line(at+"credit", c.PriorityWeight)
-		line(at+"late-value", c.LateWeight)
-		line(at+"stream", c.Streaming)
+		prefix := fmt.Sprintf("classes.%d.", i)
+		line(prefix+"name", c.Name)
+		line(prefix+"repeat", map[balancer.RetrySafety]string{balancer.Idempotent: "pure", balancer.IdempotentWithKey: "token", balancer.NonIdempotent: "side_effect"}[c.RetrySafety])
+		line(prefix+"group", map[balancer.DedupScope]string{balancer.DedupScopeFleet: "all", balancer.DedupScopeZone: "zone", balancer.DedupScopePod: "cell"}[c.DedupScope])
+		line(prefix+"window", c.DedupWindow)
+		line(prefix+"target", c.LatencyObjective)
+		line(prefix+"give-up", c.ClientTimeout)
+		line(prefix+"credit", c.PriorityWeight)
+		line(prefix+"late-value", c.LateWeight)
+		line(prefix+"stream", c.Streaming)
 	}
 	for i, tenant := range s.Tenants {
-		at := fmt.Sprintf("tenants.%d.", i)
-		line(at+"name", tenant.Name)
-		line(at+"allowance-per-s", tenant.Quota)
-		line(at+"share", tenant.Fraction)
+		prefix := fmt.Sprintf("tenants.%d.", i)
+		line(prefix+"name", tenant.Name)
+		line(prefix+"allowance-per-s", tenant.Quota)
+		line(prefix+"share", tenant.Fraction)
 	}
 	for i, f := range s.LoadReportFields {
 		line(fmt.Sprintf("reporting.fields.%d", i), map[balancer.LoadField]string{balancer.LoadFieldUnknown: "(another)",
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -13,10 +13,10 @@
 	"bramblestand/internal/simwire"
 )
 
-// socketSettings holds the settings that only a sidecar with real sockets needs. limits.dial-timeout is
-// another such setting, but is read by simwire.ParseSettings, as all other settings are. That function
-// ignores keys that nothing needs: callers, family-info, kind-of-service, stages, tier, weight-kind,
-// limits.cpu-*, limits.multiplex and further prices.
+// socketSettings holds the settings that only a sidecar with real sockets needs, except for
+// limits.dial-timeout. That one and all other settings are read by simwire.ParseSettings, which ignores
+// keys that nothing needs: callers, family-info, kind-of-service, stages, tier, weight-kind, limits.cpu-*,
+// limits.multiplex and further prices.
 type socketSettings struct {
 	Zones        []string `json:"areas"`
 	MachineTypes []string `json:"skus"`
--- a/internal/handover/store_test.go
+++ b/internal/handover/store_test.go
@@ -142,7 +142,8 @@
 			}
 			for name, got := range map[string]State{"this": s.Load(), "another": openTestStore(t, dir, "n0").Load()} {
 				if got.Revision != c.wantRevision || (len(got.Banned) == 1) != c.wantBanned || got.Drained != c.wantDrain {
-					t.Errorf("%s process has %+v", name, got)
+					t.Errorf("%s process has the state %+v, want revision %d, a ban: %v, drained: %v",
+						name, got, c.wantRevision, c.wantBanned, c.wantDrain)
 				}
 			}
 		})
--- a/internal/simwire/events_test.go
+++ b/internal/simwire/events_test.go
@@ -55,7 +55,7 @@
 	request := balancer.Request{ID: 0x5bf975d3a91c4, Key: 0x91f03b7c55d20a64, Deadline: 0x8405da, CostHint: 12000, HasCostHint: true}
 	if len(events) != 5 || events[0].Instance != 3 || events[1].Request != request || events[2].TimerToken != 77 ||
 		events[3].Instance != 5 || events[4].RequestID != 0xbf5a10e6f2b19 {
-		t.Errorf("decoded %+v", events)
+		t.Errorf("decoded %+v, want the five events of the example", events)
 	}
 	events = decodeAll(t, new(Decoder), newFrame(fromHex(t, exampleResponseStarted, exampleOutcome, exampleProbeResult,
 		exampleGossip, exampleEndpointList, exampleUpdate)))
@@ -65,19 +65,19 @@
 	}
 	if got := events[1].Outcome; got.ID != 0x5bf975d3a91c4 || got.Endpoint != 0x3124a07 || got.Status != balancer.OK ||
 		got.Latency != 0x4844 || !got.RequestDone || len(got.LoadReport) != 0 {
-		t.Errorf("outcome %+v", got)
+		t.Errorf("outcome %+v, want that of the example", got)
 	}
 	if got := events[2].LoadProbeResult; got.Endpoint != 0x2c9011f2 || got.Status != balancer.OK || got.Latency != 1400 ||
 		!slices.Equal(got.LoadReport, []float32{7, 140, 0.62}) {
-		t.Errorf("load probe result %+v", got)
+		t.Errorf("load probe result %+v, want that of the example", got)
 	}
 	if got := events[3].Gossip; got.Sender != 2 || string(got.Message) != "hi 7" {
-		t.Errorf("gossip %+v", got)
+		t.Errorf("gossip %+v, want that of the example", got)
 	}
 	update := events[5].EndpointUpdate
 	if update.Kind != balancer.UpdateCached || len(update.Endpoints) != 2 || update.Endpoints[1].Weight != 1.5 ||
 		update.Endpoints[1].Zone != 1 || update.Endpoints[1].StartTime != 0x5d1420 {
-		t.Errorf("endpoint update %+v", update)
+		t.Errorf("endpoint update %+v, want that of the example", update)
 	}
 }
 
@@ -99,7 +99,7 @@
 	events := decodeAll(t, decoder, newFrame(fromHex(t, one, exampleUpdate, two, exampleUpdate)))
 	first, second := events[1].EndpointUpdate.Endpoints[0], events[3].EndpointUpdate.Endpoints[0]
 	if first.ID != 1 || second.ID != 2 || second.State != balancer.Draining {
-		t.Errorf("%+v", events)
+		t.Errorf("decoded %+v, want updates with endpoint 1 and then with endpoint 2, which drains", events)
 	}
 	events = decodeAll(t, decoder, newFrame(fromHex(t, "11 00000006 00000029 00 04", "11 00000006 00000029 09 02")))
 	if full := events[0].EndpointUpdate; full.Kind != balancer.UpdateFull || full.Endpoints[0].ID != 2 {
@@ -140,7 +140,8 @@
 		var malformed *DecodeError
 		if !errors.As(err, &malformed) || malformed.Record != c.record || malformed.Field != c.field ||
 			malformed.Offset != batchHeaderSize+c.offset || !strings.Contains(malformed.Reason, c.reason) {
-			t.Errorf("%s: %+v", c.name, err)
+			t.Errorf("%s: error %+v, want one for record %q, field %q, byte %d with %q",
+				c.name, err, c.record, c.field, batchHeaderSize+c.offset, c.reason)
 		}
 	}
 }
@@ -167,7 +168,7 @@
 				return
 			}
 			if count > len(records) {
-				t.Fatal("more records than bytes")
+				t.Fatal("the decoder returned more records than the frame has bytes")
 			}
 		}
 	})
--- a/internal/simwire/frames_test.go
+++ b/internal/simwire/frames_test.go
@@ -54,7 +54,7 @@
 		_, err := ReadFrame(bytes.NewReader(fromHex(t, text)), nil)
 		var malformed *DecodeError
 		if !errors.As(err, &malformed) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want a *DecodeError", name, err)
 		}
 	}
 	if _, err := ReadFrame(bytes.NewReader(nil), nil); err != io.EOF {
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -33,7 +33,8 @@
 // Reset starts the reply to a batch.
 func (w *Reply) Reset(batch uint32) {
 	w.buffer = binary.BigEndian.AppendUint32(w.buffer[:0], batch)
-	w.uint32(0) // this placeholder for the frame's size and the next one, for the number of records, are filled in by Bytes
+	// Placeholders for the frame's size and the number of records. Bytes fills them in.
+	w.uint32(0)
 	w.uint32(0)
 	w.recordCount = 0
 }
--- a/internal/simwire/reply_test.go
+++ b/internal/simwire/reply_test.go
@@ -11,7 +11,7 @@
 	var reply Reply
 	reply.Reset(1)
 	if got := reply.Bytes(); !bytes.Equal(got, fromHex(t, "00000001 0000000c 00000000")) {
-		t.Errorf("empty reply %x", got)
+		t.Errorf("the reply without actions is %x, want a header alone", got)
 	}
 	reply.Reset(12)
 	reply.SelectInstance(3)
@@ -52,6 +52,6 @@
 	records := reply.Bytes()[replyHeaderSize:]
 	const secondDelay = 18
 	if binary.BigEndian.Uint32(records[recordHeaderSize:]) != 0 || binary.BigEndian.Uint32(records[secondDelay:]) != math.MaxUint32 {
-		t.Errorf("%x", records)
+		t.Errorf("records %x, want the delays 0 and %d", records, uint32(math.MaxUint32))
 	}
 }
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -45,11 +45,11 @@
 		s.Classes[1].DedupScope != balancer.DedupScopeZone || s.Classes[1].DedupWindow != 400000 || !s.MustSubscribe ||
 		!s.PriorityPerWork || s.Zones != 2 || s.Limits.MaxAttempts != 3 || s.Objective.Overall != 0.6 ||
 		s.Tenants[0].Quota != 137 || s.Costs.LoadProbe != 0.002 {
-		t.Errorf("%+v", s)
+		t.Errorf("parsed %+v, want the values of the text", s)
 	}
 	if len(s.LoadReportFields) != 3 || s.LoadReportFields[0] != balancer.LoadFieldInFlight ||
 		s.LoadReportFields[2] != balancer.LoadFieldUnknown {
-		t.Errorf("fields %v", s.LoadReportFields)
+		t.Errorf("load report fields %v, want three: a known one first and an unknown one last", s.LoadReportFields)
 	}
 	if _, err := balancer.New(s, 1, nil); err != nil {
 		t.Errorf("balancer.New rejects the settings: %v", err)
@@ -81,7 +81,7 @@
 		_, err := ParseSettings(text)
 		var invalid *balancer.SettingError
 		if !errors.As(err, &invalid) || invalid.Key != c.key {
-			t.Errorf("%s -> %s: %v", c.old, c.new, err)
+			t.Errorf("with %q in place of %q: error %v, want a SettingError for the key %q", c.new, c.old, err, c.key)
 		}
 	}
 }
@@ -93,12 +93,12 @@
 	addFields(fields, reflect.TypeFor[balancer.Settings](), "")
 	for field := range fields {
 		if _, ok := settingKeys[field]; !ok {
-			t.Errorf("no key for %s", field)
+			t.Errorf("the field %s of balancer.Settings has no key", field)
 		}
 	}
 	for field := range settingKeys {
 		if !fields[field] {
-			t.Errorf("no field %s", field)
+			t.Errorf("balancer.Settings has no field %s, but settingKeys has a key for it", field)
 		}
 	}
 }
--- a/internal/state/errors.go
+++ b/internal/state/errors.go
@@ -30,11 +30,11 @@
 // it after it has tried to rename the file.
 type FileError struct {
 	Path   string
-	Record string // key of the record; empty where the file as a whole is at fault
+	Record string // key of the record; empty if the file as a whole is at fault
 	Err    error
 
-	RenamedTo string // the file's new base name; empty where it could not be renamed
-	RenameErr error  // why it could not be renamed
+	RenamedTo string // the file's new base name; empty if it could not be renamed
+	RenameErr error  // why the file could not be renamed; nil if it was renamed
 }
 
 // Error gives the file and the record, the reason, and whether the file was renamed.
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -60,9 +60,9 @@
 	Membership   json.RawMessage // last stable membership, as encoded by internal/fleet; nil for none
 }
 
-// IsFresh reports whether a list that was confirmed at listedAt may still be used at now. It must be younger than maxAge
-// and must not be dated more than a minute in the future, as it is if the clock was set back or the file comes from
-// another machine.
+// IsFresh reports whether a list that was confirmed at listedAt may still be used at now. The list must be younger than
+// maxAge and must not be dated more than a minute in the future. A later date means that the clock was set back, or that
+// the file comes from another machine.
 func IsFresh(listedAt, now time.Time, maxAge time.Duration) bool {
 	age := now.Sub(listedAt)
 	return age < maxAge && age > -maxClockSkew
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -76,10 +76,10 @@
 	mustSave(t, dir, want)
 	got, err := Load(dir, "n1")
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Fatalf("loaded %+v, %v", got, err)
+		t.Fatalf("loaded %+v, error %v; want %+v", got, err, want)
 	}
 	if _, err := Load(dir, "n2"); err != ErrNotFound {
-		t.Fatalf("another sidecar's state: %v", err)
+		t.Fatalf("loading another sidecar's state: error %v, want %v", err, ErrNotFound)
 	}
 }
 
@@ -106,16 +106,16 @@
 			_, err := Load(dir, "n1")
 			var invalid *FileError
 			if !errors.As(err, &invalid) || !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), "set aside as n1.db.bad-") {
-				t.Fatalf("error %v", err)
+				t.Fatalf("error %v, want a *FileError with %q and the new name of the file", err, c.want)
 			}
 			if c.reason != nil && !errors.Is(err, c.reason) {
 				t.Errorf("error %v does not wrap %v", err, c.reason)
 			}
 			if renamed, _ := filepath.Glob(Path(dir, "n1") + ".bad-*"); len(renamed) != 1 {
-				t.Fatalf("renamed: %v", renamed)
+				t.Fatalf("renamed files %v, want one", renamed)
 			}
 			if _, err := Load(dir, "n1"); err != ErrNotFound {
-				t.Fatalf("after the renaming: %v", err)
+				t.Fatalf("loading after the renaming: error %v, want %v", err, ErrNotFound)
 			}
 		})
 	}
@@ -193,7 +193,7 @@
 		os.WriteFile(path, image, 0o600)
 		got, err := Load(dir, "n1")
 		if err != nil || (got.ListVersion != 1 && got.ListVersion != 2) || len(got.EndpointStates) != 300+100*int(got.ListVersion-1) {
-			t.Fatalf("image %d: %v", imageIndex, err)
+			t.Fatalf("image %d is not read as one of the two snapshots: error %v", imageIndex, err)
 		}
 		seen[got.ListVersion]++
 	}
@@ -231,7 +231,7 @@
 		last := uint64(0)
 		for range 20 + rand.IntN(20) {
 			if !p.Scan() {
-				t.Fatal("a saving process ended")
+				t.Fatal("a saving process ended before it was killed")
 			}
 			version, err := strconv.ParseUint(p.Text(), 10, 64)
 			if err != nil {
@@ -263,10 +263,10 @@
 		last = p.Text()
 	}
 	if !strings.HasPrefix(last, "error") {
-		t.Fatalf("the saving process ended with %q", last)
+		t.Fatalf("the last line of the saving process is %q, want an error", last)
 	}
 	if got, err := Load(dir, "w"); err != nil || got.ListVersion == 0 {
-		t.Fatalf("after a full disk: %v", err)
+		t.Fatalf("loading after a full disk: error %v, want a saved snapshot", err)
 	}
 }
 
@@ -280,10 +280,10 @@
 	t.Cleanup(func() { os.Chmod(dir, 0o700) })
 	os.Chmod(Path(dir, "n1"), 0o400)
 	if _, err := Save(dir, newSnapshot("n1", 2, 5)); err == nil || !strings.Contains(err.Error(), Path(dir, "n1")) {
-		t.Fatalf("save into a read-only folder: %v", err)
+		t.Fatalf("saving to a read-only folder: error %v, want one that names the file", err)
 	}
 	if got, err := Load(dir, "n1"); err != nil || got.ListVersion != 1 {
-		t.Fatalf("load from a read-only folder: %v", err)
+		t.Fatalf("loading from a read-only folder: error %v, want the snapshot of version 1", err)
 	}
 }
 
@@ -338,6 +338,6 @@
 	mustSave(t, dir, &Snapshot{SidecarName: "n0", Admin: AdminSettings{Revision: 1}, ListVersion: 9})
 	s, err := Load(dir, "n0")
 	if err != nil || s.ListVersion != 9 || !reflect.DeepEqual(s.Admin, newer) {
-		t.Errorf("%+v, %v", s, err)
+		t.Errorf("loaded %+v, error %v; want list version 9 and the admin settings %+v", s, err, newer)
 	}
 }
