--- a/internal/lab/history/check.go
+++ b/internal/lab/history/check.go
@@ -12,32 +12,33 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// step is one operation on a register's text or a set's elements (sorted,
-// joined by commas), as an event changes or observes it.
+// step is the effect of one event on the checked object: a write or read of its
+// full value, or an add or removal of one element. The value of a set is its
+// sorted elements, joined by commas.
 type step struct {
 	kind  string // write, add, remove, read
 	value string
 }
 
-// unknownState is the state before a part of a history: the first step defines
-// or observes any value.
+// unknownState is the state before a part of a history. The first write defines
+// the state; a read before it may observe any value and defines the state too.
 const unknownState = "\x00"
 
-// model is both a register and a set: writes and reads are of the full value, adds and removes of an element.
+// model is an object that is both a register and a set: write and read use the full value, add and remove one element.
 var model = porcupine.Model{
 	Init: func() any { return unknownState },
 	Step: func(state, input, _ any) (bool, any) {
-		s, now := input.(step), state.(string)
+		s, current := input.(step), state.(string)
 		switch s.kind {
 		case "write":
 			return true, s.value
 		case "read":
-			return now == unknownState || now == s.value, s.value
+			return current == unknownState || current == s.value, s.value
 		}
-		if now == unknownState { // unknown elements stay unknown
-			return true, now
+		if current == unknownState { // unknown elements stay unknown
+			return true, current
 		}
-		elements := strings.FieldsFunc(now, func(r rune) bool { return r == ',' })
+		elements := strings.FieldsFunc(current, func(r rune) bool { return r == ',' })
 		at, found := slices.BinarySearch(elements, s.value)
 		switch {
 		case s.kind == "add" && !found:
@@ -49,10 +50,10 @@
 	},
 }
 
-// checkTimeout limits the search for an order of one history, which counts as legal after it.
+// checkTimeout limits the search for a legal order of one history. If the search times out, the history counts as legal.
 const checkTimeout = 5 * time.Second
 
-// operations is a history for porcupine, with the event of each operation.
+// operations is a history in porcupine's form. events[i] is the event behind operations[i].
 type operations struct {
 	operations []porcupine.Operation
 	events     []Event
@@ -81,19 +82,20 @@
 	return filtered
 }
 
-// shortest reduces an illegal history to its shortest illegal prefix, without
-// the operations that ended before all others began, and without unneeded
-// reads. Every step keeps a legal history legal.
-func (l *operations) shortest() *operations {
+// shrink reduces an illegal history. It cuts the history to its shortest illegal
+// prefix, then drops operations that ended before all others began, then drops
+// reads that are not needed. No reduction makes a legal history illegal, so an
+// illegal result proves that the full history is illegal.
+func (l *operations) shrink() *operations {
 	full := l
 	ends := make([]int64, 0, len(l.operations))
 	for _, e := range l.events {
 		ends = append(ends, e.Return)
 	}
 	slices.Sort(ends)
-	until := func(n int) *operations { // what was called before the nth response; operations in flight may still take effect
+	prefix := func(n int) *operations { // all that was called before the nth response; changes in flight may still take effect, reads in flight are left out
 		cut := full.filter(func(i int) bool { return full.events[i].Call <= ends[n] })
-		out := &operations{}
+		result := &operations{}
 		for i, op := range cut.operations {
 			if cut.events[i].Return > ends[n] {
 				if op.Input.(step).kind == "read" {
@@ -101,23 +103,23 @@
 				}
 				op.Return = math.MaxInt64
 			}
-			out.operations, out.events = append(out.operations, op), append(out.events, cut.events[i])
+			result.operations, result.events = append(result.operations, op), append(result.events, cut.events[i])
 		}
-		return out
+		return result
 	}
 	low, high := 0, len(ends)-1
-	for low < high { // a longer prefix of an illegal one is illegal
-		if mid := (low + high) / 2; until(mid).isIllegal() {
+	for low < high { // binary search: every longer prefix of an illegal prefix is illegal too
+		if mid := (low + high) / 2; prefix(mid).isIllegal() {
 			high = mid
 		} else {
 			low = mid + 1
 		}
 	}
-	best := until(low)
+	best := prefix(low)
 	if !best.isIllegal() {
 		return full
 	}
-	// From the latest point before which all had ended, except calls that may take effect at any time.
+	// Start at the latest call at which nothing else was in flight, apart from calls that may take effect at any time.
 	slices.SortStableFunc(best.operations, func(a, b porcupine.Operation) int { return cmp.Compare(a.Call, b.Call) })
 	slices.SortStableFunc(best.events, func(a, b Event) int { return cmp.Compare(a.Call, b.Call) })
 	for i := len(best.operations) - 1; i > 0; i-- {
@@ -144,69 +146,70 @@
 	return best
 }
 
-// Register checks that one value, which begins with initial, is linearizable.
-// act returns the operation of an event on it ("write" or "read" with the
-// value; for a set also "add" and "remove" with an element), or "" for an
-// unrelated event. Calls with outcome No have no effect; those with Unknown may
-// take effect at any time after their call.
-func Register(name, initial string, events []Event, act func(Event) (kind, value string)) *Violation {
+// Register checks that one value, which is initial at first, is linearizable.
+// stepOf returns what an event does to the value: "write" or "read" with the full
+// value, for a set also "add" or "remove" with an element, or "" if the event is
+// unrelated. Calls with outcome No have no effect. Calls with outcome Unknown
+// may take effect at any time after they were sent.
+func Register(name, initial string, events []Event, stepOf func(Event) (kind, value string)) *Violation {
 	l := &operations{}
 	l.add(Event{Kind: Wipe, Key: "initial", Value: initial, Call: math.MinInt64, Return: math.MinInt64}, step{"write", initial})
 	for _, e := range events {
 		if e.Kind == Call && e.Outcome == No {
 			continue
 		}
-		if kind, value := act(e); kind != "" {
+		if kind, value := stepOf(e); kind != "" {
 			l.add(e, step{kind, value})
 		}
 	}
 	if !l.isIllegal() {
 		return nil
 	}
-	part := l.shortest()
+	part := l.shrink()
 	return &Violation{Check: "linearizable", What: name + ": no order of the calls explains what was observed", Events: part.events}
 }
 
-// OneHolder checks that no two sidecars hold one lease at a time. A sidecar that
-// reports the same token of a lease in two consecutive observations held it
-// from the first one's response to the second one's request.
+// OneHolder checks that no two sidecars hold a lease at the same time. field
+// maps leases to fencing tokens. A sidecar that reports the same token of a
+// lease in two consecutive observations is known to hold the lease from the
+// first observation's response to the second observation's request.
 func OneHolder(field string, events []Event) *Violation {
-	type claim struct {
+	type hold struct {
 		from, to    int64
 		first, last Event
 	}
 	type key struct {
-		sidecar, thing string
+		sidecar, lease string
 		token          uint64
 	}
-	claims := map[string][]claim{} // by thing
-	open := map[key]Event{}
+	holds := map[string][]hold{} // by lease
+	reported := map[key]Event{}
 	for _, e := range events {
 		if e.Kind != Observe || e.Key != field {
 			continue
 		}
-		for k, before := range open { // one that is no longer reported has ended
+		for k, before := range reported { // a lease that the sidecar no longer reports has no further hold
 			if k.sidecar != e.Sidecar {
 				continue
 			}
-			if token, still := e.Tokens[k.thing]; still && token == k.token {
-				claims[k.thing] = append(claims[k.thing], claim{before.Return, e.Call, before, e})
+			if token, still := e.Tokens[k.lease]; still && token == k.token {
+				holds[k.lease] = append(holds[k.lease], hold{before.Return, e.Call, before, e})
 			}
-			delete(open, k)
+			delete(reported, k)
 		}
-		for thing, token := range e.Tokens {
-			open[key{e.Sidecar, thing, token}] = e
+		for lease, token := range e.Tokens {
+			reported[key{e.Sidecar, lease, token}] = e
 		}
 	}
-	for thing, list := range claims {
-		slices.SortFunc(list, func(a, b claim) int { return int(a.from - b.from) })
+	for lease, list := range holds {
+		slices.SortFunc(list, func(a, b hold) int { return int(a.from - b.from) })
 		for i, a := range list {
 			for _, b := range list[i+1:] {
 				if b.from >= a.to {
 					break
 				}
 				if a.first.Sidecar != b.first.Sidecar && b.from < b.to {
-					return &Violation{Check: "one holder", What: fmt.Sprintf("%s and %s both hold %s", a.first.Sidecar, b.first.Sidecar, thing),
+					return &Violation{Check: "one holder", What: fmt.Sprintf("%s and %s both hold %s", a.first.Sidecar, b.first.Sidecar, lease),
 						Events: []Event{a.first, b.first, b.last, a.last}}
 				}
 			}
@@ -215,56 +218,58 @@
 	return nil
 }
 
-// TokensIncrease checks that no token of a lease is reported after a larger one, by any sidecar, in real time.
+// TokensIncrease checks that no sidecar reports a token of a lease after any sidecar has reported a larger token of it:
+// the observation with the larger token must have ended before the other one began.
 func TokensIncrease(field string, events []Event) *Violation {
-	largest := map[string]Event{} // by lease, among the observations that had ended
-	var out []Event               // observations by their responses, not yet ended
+	largest := map[string]Event{} // by lease: the ended observation with the largest token
+	var pending []Event           // observations whose response came at or after the current request
 	for _, e := range events {
 		if e.Kind != Observe || e.Key != field {
 			continue
 		}
-		out = slices.DeleteFunc(out, func(o Event) bool {
+		pending = slices.DeleteFunc(pending, func(o Event) bool {
 			if o.Return >= e.Call {
 				return false
 			}
-			for thing, token := range o.Tokens {
-				if token > largest[thing].Tokens[thing] {
-					largest[thing] = o
+			for lease, token := range o.Tokens {
+				if token > largest[lease].Tokens[lease] {
+					largest[lease] = o
 				}
 			}
 			return true
 		})
-		for thing, token := range e.Tokens {
-			if before := largest[thing]; before.Tokens[thing] > token {
-				return &Violation{Check: "tokens grow", What: fmt.Sprintf("%s: token %d of %s after %d of %s", thing, token, e.Sidecar, before.Tokens[thing], before.Sidecar),
+		for lease, token := range e.Tokens {
+			if before := largest[lease]; before.Tokens[lease] > token {
+				return &Violation{Check: "tokens grow", What: fmt.Sprintf("%s: token %d reported by %s after token %d by %s", lease, token, e.Sidecar, before.Tokens[lease], before.Sidecar),
 					Events: []Event{before, e}}
 			}
 		}
-		out = append(out, e)
+		pending = append(pending, e)
 	}
 	return nil
 }
 
-// Converged checks that later than within after the last fault all observers
-// report one value of field, the same until the end, and that each reports one.
+// Converged checks that all observations of field that begin at least within
+// after the last fault show the same value, until the end of the history, and
+// that each observer made one of them.
 func Converged(field string, observers []string, within time.Duration, events []Event) *Violation {
-	var from int64
+	var start int64
 	for _, e := range events {
 		if e.Kind == Fault {
-			from = max(from, e.Call+within.Microseconds())
+			start = max(start, e.Call+within.Microseconds())
 		}
 	}
 	reported := map[string]bool{}
 	var first *Event
 	for i, e := range events {
-		if e.Kind != Observe || e.Key != field || e.Call < from {
+		if e.Kind != Observe || e.Key != field || e.Call < start {
 			continue
 		}
 		reported[e.Sidecar] = true
 		if first == nil {
 			first = &events[i]
-		} else if e.text() != first.text() {
-			return &Violation{Check: "settled", What: fmt.Sprintf("%s: two values later than %v after the last fault", field, within), Events: []Event{*first, e}}
+		} else if e.observedValue() != first.observedValue() {
+			return &Violation{Check: "settled", What: fmt.Sprintf("%s: two different values later than %v after the last fault", field, within), Events: []Event{*first, e}}
 		}
 	}
 	for _, o := range observers {
@@ -275,26 +280,27 @@
 	return nil
 }
 
-func (e Event) text() string {
+func (e Event) observedValue() string {
 	return fmt.Sprint(e.Value, e.Set, e.Tokens)
 }
 
-// Durable checks that an element that a confirmed call of op add added is in the
-// set field of every observation later than within after the response, by any
-// sidecar, unless a call of op remove for it was sent before that observation ended.
+// Durable checks that elements stay in the set field once their addition by a
+// call of op add is confirmed. Each observation of any sidecar that begins later
+// than within after the confirmation must contain the element, unless a call of
+// op remove for the element was sent before the observation ended.
 func Durable(field, add, remove string, within time.Duration, events []Event) *Violation {
 	for i, call := range events {
 		if call.Kind != Call || call.Op != add || call.Outcome != OK {
 			continue
 		}
-		ends := int64(math.MaxInt64)
+		removedAt := int64(math.MaxInt64)
 		for _, e := range events {
 			if e.Kind == Call && e.Op == remove && e.Key == call.Key && e.Outcome != No && e.Return >= call.Call {
-				ends = min(ends, e.Call)
+				removedAt = min(removedAt, e.Call)
 			}
 		}
 		for _, e := range events[i:] {
-			if e.Kind == Observe && e.Key == field && e.Call > call.Return+within.Microseconds() && e.Return < ends && !slices.Contains(e.Set, call.Key) {
+			if e.Kind == Observe && e.Key == field && e.Call > call.Return+within.Microseconds() && e.Return < removedAt && !slices.Contains(e.Set, call.Key) {
 				return &Violation{Check: "kept", What: fmt.Sprintf("%s of %s was confirmed and is missing", add, call.Key), Events: []Event{call, e}}
 			}
 		}
@@ -302,38 +308,39 @@
 	return nil
 }
 
-// MaxSilence is the longest time between two responses of a sidecar that counts as up.
+// MaxSilence is the longest gap between two responses of a sidecar that still counts as up.
 const MaxSilence = 1500 * time.Millisecond
 
-// Dropped checks that no sidecar that has responded for within, without a gap,
-// is missing from the field of more than half of the responding sidecars.
+// Dropped checks that no sidecar that has responded for at least within, without
+// a gap longer than MaxSilence, is missing from the set field of more than half
+// of the responding sidecars.
 func Dropped(field string, within time.Duration, events []Event) *Violation {
 	type state struct {
-		up   int64 // since when it responds
-		last Event
+		respondingSince int64 // when it began to respond without a gap, in microseconds
+		last            Event
 	}
-	all := map[string]*state{}
+	states := map[string]*state{}
 	for _, e := range events {
 		if e.Kind != Observe || e.Key != field {
 			continue
 		}
-		s := all[e.Sidecar]
+		s := states[e.Sidecar]
 		if s == nil || e.Call-s.last.Return > MaxSilence.Microseconds() {
-			s = &state{up: e.Call}
-			all[e.Sidecar] = s
+			s = &state{respondingSince: e.Call}
+			states[e.Sidecar] = s
 		}
 		s.last = e
-		responding := slices.DeleteFunc(slices.Sorted(maps.Keys(all)), func(name string) bool {
-			return e.Call-all[name].last.Return > MaxSilence.Microseconds()
+		responding := slices.DeleteFunc(slices.Sorted(maps.Keys(states)), func(name string) bool {
+			return e.Call-states[name].last.Return > MaxSilence.Microseconds()
 		})
 		for _, name := range responding {
-			if slices.Contains(e.Set, name) || e.Call-all[name].up < within.Microseconds() {
+			if slices.Contains(e.Set, name) || e.Call-states[name].respondingSince < within.Microseconds() {
 				continue
 			}
 			var part []Event
 			for _, other := range responding {
-				if !slices.Contains(all[other].last.Set, name) {
-					part = append(part, all[other].last)
+				if !slices.Contains(states[other].last.Set, name) {
+					part = append(part, states[other].last)
 				}
 			}
 			if 2*len(part) > len(responding) {
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -1,7 +1,7 @@
 // Package history records the admin calls of an experiment and the observed
 // states of its sidecars, with the times of request and response on the lab's
-// clock. Its checkers are functions that find a violation of a guarantee and
-// return the shortest part of the history that shows it.
+// clock. Each check is a function that returns nil or a violation of a
+// guarantee, with the part of the history that shows it.
 package history
 
 import (
@@ -18,29 +18,29 @@
 	Call    = "call"    // an admin call
 	Observe = "observe" // the response to a poll of a sidecar
 	Fault   = "fault"   // a fault began or ended
-	Wipe    = "wipe"    // a sidecar's disk and memory were erased between Call and Return by a fault
+	Wipe    = "wipe"    // a fault erased a sidecar's disk and memory between Call and Return
 )
 
 // The outcomes of a call.
 const (
 	OK      = "ok"      // confirmed: it has taken effect and is durable
 	No      = "no"      // rejected: it has not taken effect and will not
-	Unknown = "unknown" // no response, or an inconclusive one: it may take effect, now or later
+	Unknown = "unknown" // no response, or an inconclusive one: it may have taken effect or may still do so
 )
 
 // Event is one line of the history, a JSON object (JSONL, in order of Call).
 type Event struct {
 	Kind    string            `json:"kind"`
 	Sidecar string            `json:"sidecar,omitempty"`
-	Op      string            `json:"op,omitempty"`      // of a call, as "ban"; a fault's label
-	Key     string            `json:"key,omitempty"`     // what a call is about; the field of an observation
-	Call    int64             `json:"call_us"`           // when it was sent, microseconds from the load's start
-	Return  int64             `json:"return_us"`         // when the response was complete
+	Op      string            `json:"op,omitempty"`      // operation of a call, such as "ban"; label of a fault
+	Key     string            `json:"key,omitempty"`     // object of a call, such as a server; field that was observed
+	Call    int64             `json:"call_us"`           // when the request was sent, in microseconds since the start of the load
+	Return  int64             `json:"return_us"`         // when the response was complete, in the same unit
 	Outcome string            `json:"outcome,omitempty"` // of a call
-	Value   string            `json:"value,omitempty"`   // observed: a scalar field
-	Set     []string          `json:"set,omitempty"`     // observed: a list's elements, sorted
-	Tokens  map[string]uint64 `json:"tokens,omitempty"`  // observed: an object of numbers, as leases and their fencing tokens
-	Text    string            `json:"text,omitempty"`    // of the response
+	Value   string            `json:"value,omitempty"`   // observed value of a scalar field
+	Set     []string          `json:"set,omitempty"`     // observed elements of a list, sorted
+	Tokens  map[string]uint64 `json:"tokens,omitempty"`  // observed object of numbers, such as leases and their fencing tokens
+	Text    string            `json:"text,omitempty"`    // text of the response
 }
 
 // Log collects events; it is safe for concurrent use.
@@ -77,7 +77,7 @@
 	return buffered.Flush()
 }
 
-// Read reads what Write wrote; errors name the line.
+// Read reads events that Write has written. Errors name the line.
 func Read(r io.Reader) ([]Event, error) {
 	var events []Event
 	lines := bufio.NewScanner(r)
@@ -92,11 +92,11 @@
 	return events, lines.Err()
 }
 
-// Violation is a part of a history that violates a check.
+// Violation is a failed check, with the part of the history that shows it.
 type Violation struct {
 	Check  string  `json:"check"`
 	What   string  `json:"what"`
-	Events []Event `json:"part"` // the shortest part of the history that shows it
+	Events []Event `json:"part"` // the part of the history that shows it, as short as the check can make it
 }
 
 // String formats the violation, with one line per event.
--- a/internal/lab/history/history_test.go
+++ b/internal/lab/history/history_test.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// call builds an admin call of s0.
+// call returns an admin call to s0.
 func call(op, key, outcome string, from, to int64) Event {
 	return Event{Kind: Call, Sidecar: "s0", Op: op, Key: key, Outcome: outcome, Call: from, Return: to}
 }
 
-// saw builds an observation of the set of banned servers.
-func saw(sidecar string, from, to int64, set ...string) Event {
+// observed returns an observation of the set of banned servers.
+func observed(sidecar string, from, to int64, set ...string) Event {
 	return Event{Kind: Observe, Sidecar: sidecar, Key: "banned", Call: from, Return: to, Set: set}
 }
 
-// holds builds an observation of a lease and its token; 0 for none.
-func holds(sidecar string, token uint64, from, to int64) Event {
+// observedLease returns an observation of the lease "sweep" with its token; 0 for a sidecar that does not hold the lease.
+func observedLease(sidecar string, token uint64, from, to int64) Event {
 	e := Event{Kind: Observe, Sidecar: sidecar, Key: "duties", Call: from, Return: to}
 	if token > 0 {
 		e.Tokens = map[string]uint64{"sweep": token}
@@ -27,7 +27,7 @@
 	return e
 }
 
-// banSet is the operation of an event on the set of banned servers.
+// banSet returns the effect of an event on the set of banned servers, for Register.
 func banSet(e Event) (string, string) {
 	switch {
 	case e.Kind == Observe:
@@ -40,7 +40,7 @@
 	return "", ""
 }
 
-// Each checker accepts a history without a violation, and returns the part of one that shows a violation.
+// Each check accepts histories without a violation, and returns the violating part of others with the expected number of events.
 func TestCheckersFindViolations(t *testing.T) {
 	register := func(events []Event) *Violation { return Register("bans", "", events, banSet) }
 	holder := func(events []Event) *Violation { return OneHolder("duties", events) }
@@ -53,22 +53,22 @@
 	for name, c := range map[string]struct {
 		check  func([]Event) *Violation
 		events []Event
-		part   int // events of the violation; 0 for none
+		part   int // number of events in the violation; 0 for no violation
 	}{
-		"a read during a ban may see either": {register, []Event{call("ban", "v1", OK, 10, 20), saw("s0", 12, 14), saw("s0", 13, 19, "v1"), saw("s0", 30, 31, "v1")}, 0},
-		"a ban is lost": {register, []Event{call("ban", "v0", OK, 1, 2), saw("s0", 3, 4, "v0"), call("enable", "v0", OK, 5, 6), saw("s0", 7, 8),
-			call("ban", "v1", OK, 10, 20), saw("s0", 22, 23, "v1"), saw("s0", 30, 31)}, 2},
-		"a ban of unknown outcome may take effect late": {register, []Event{call("ban", "v1", Unknown, 10, 20), saw("s0", 30, 31), saw("s0", 40, 41, "v1")}, 0},
-		"a ban of unknown outcome does not return":      {register, []Event{call("ban", "v1", Unknown, 10, 20), saw("s0", 40, 41, "v1"), saw("s0", 50, 51)}, 3},
-		"a rejected ban has no effect":                  {register, []Event{call("ban", "v1", No, 10, 20), saw("s0", 30, 31, "v1")}, 2},
-		"a lease is transferred":                        {holder, []Event{holds("s0", 1, 10, 11), holds("s0", 1, 20, 21), holds("s1", 2, 22, 23), holds("s0", 0, 24, 25), holds("s1", 2, 30, 31)}, 0},
-		"two sidecars hold one lease":                   {holder, []Event{holds("s0", 1, 10, 11), holds("s1", 2, 12, 13), holds("s1", 2, 22, 23), holds("s0", 1, 24, 25)}, 4},
-		"tokens of observations that overlap":           {grow, []Event{holds("s1", 2, 10, 20), holds("s0", 1, 19, 21)}, 0},
-		"a token after a larger one":                    {grow, []Event{holds("s1", 2, 10, 20), holds("s0", 1, 21, 22)}, 2},
-		"converged in time":                             {converged, []Event{saw("s0", 1, 2), fault, saw("s0", 105, 106), saw("s0", 111, 112, "v1"), saw("s1", 120, 121, "v1")}, 0},
-		"two values":                                    {converged, []Event{fault, saw("s0", 111, 112, "v1"), saw("s1", 120, 121)}, 2},
-		"present until removed":                         {durable, []Event{call("ban", "v1", OK, 1, 2), saw("s1", 4, 5), saw("s1", 9, 10, "v1"), call("enable", "v1", Unknown, 20, 21), saw("s1", 30, 31)}, 0},
-		"missing":                                       {durable, []Event{call("ban", "v1", OK, 1, 2), saw("s1", 9, 10)}, 2},
+		"a read during a ban may see either": {register, []Event{call("ban", "v1", OK, 10, 20), observed("s0", 12, 14), observed("s0", 13, 19, "v1"), observed("s0", 30, 31, "v1")}, 0},
+		"a ban is lost": {register, []Event{call("ban", "v0", OK, 1, 2), observed("s0", 3, 4, "v0"), call("enable", "v0", OK, 5, 6), observed("s0", 7, 8),
+			call("ban", "v1", OK, 10, 20), observed("s0", 22, 23, "v1"), observed("s0", 30, 31)}, 2},
+		"a ban of unknown outcome may take effect late": {register, []Event{call("ban", "v1", Unknown, 10, 20), observed("s0", 30, 31), observed("s0", 40, 41, "v1")}, 0},
+		"a ban of unknown outcome does not return":      {register, []Event{call("ban", "v1", Unknown, 10, 20), observed("s0", 40, 41, "v1"), observed("s0", 50, 51)}, 3},
+		"a rejected ban has no effect":                  {register, []Event{call("ban", "v1", No, 10, 20), observed("s0", 30, 31, "v1")}, 2},
+		"a lease is transferred":                        {holder, []Event{observedLease("s0", 1, 10, 11), observedLease("s0", 1, 20, 21), observedLease("s1", 2, 22, 23), observedLease("s0", 0, 24, 25), observedLease("s1", 2, 30, 31)}, 0},
+		"two sidecars hold one lease":                   {holder, []Event{observedLease("s0", 1, 10, 11), observedLease("s1", 2, 12, 13), observedLease("s1", 2, 22, 23), observedLease("s0", 1, 24, 25)}, 4},
+		"tokens of observations that overlap":           {grow, []Event{observedLease("s1", 2, 10, 20), observedLease("s0", 1, 19, 21)}, 0},
+		"a token after a larger one":                    {grow, []Event{observedLease("s1", 2, 10, 20), observedLease("s0", 1, 21, 22)}, 2},
+		"converged in time":                             {converged, []Event{observed("s0", 1, 2), fault, observed("s0", 105, 106), observed("s0", 111, 112, "v1"), observed("s1", 120, 121, "v1")}, 0},
+		"two values":                                    {converged, []Event{fault, observed("s0", 111, 112, "v1"), observed("s1", 120, 121)}, 2},
+		"present until removed":                         {durable, []Event{call("ban", "v1", OK, 1, 2), observed("s1", 4, 5), observed("s1", 9, 10, "v1"), call("enable", "v1", Unknown, 20, 21), observed("s1", 30, 31)}, 0},
+		"missing":                                       {durable, []Event{call("ban", "v1", OK, 1, 2), observed("s1", 9, 10)}, 2},
 	} {
 		found := c.check(c.events)
 		switch {
@@ -80,14 +80,14 @@
 			t.Errorf("%s: %d events show it, want %d: %v", name, len(found.Events), c.part, found)
 		}
 	}
-	if found := converged([]Event{fault, saw("s0", 111, 112)}); found == nil || !strings.Contains(found.What, "s1") {
+	if found := converged([]Event{fault, observed("s0", 111, 112)}); found == nil || !strings.Contains(found.What, "s1") {
 		t.Errorf("an observer that reports nothing: %v", found)
 	}
 }
 
 func TestHistoryIsReadAsWritten(t *testing.T) {
 	log := &Log{}
-	log.Add(saw("s1", 9, 10, "v1"))
+	log.Add(observed("s1", 9, 10, "v1"))
 	log.Add(call("ban", "v1", OK, 1, 2))
 	var text bytes.Buffer
 	if err := Write(&text, log.Events()); err != nil {
