--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -12,56 +12,56 @@
 	"time"
 )
 
-// Times of a client.
+// Times of a client. Pauses are drawn between 0 and the maximum.
 const (
-	maxThinkTime = 40 * time.Millisecond  // between requests
-	maxPause     = 60 * time.Millisecond  // between pieces of a request
-	dialTimeout  = time.Second            // of a connection
-	readSlack    = 300 * time.Millisecond // after which no response counts as none
+	maxThinkTime = 40 * time.Millisecond  // between two requests
+	maxPause     = 60 * time.Millisecond  // between two pieces of a request
+	dialTimeout  = time.Second            // for a dial or an admin call; added to the deadline for writes
+	readSlack    = 300 * time.Millisecond // beyond the latest allowed time, how long a client waits for a response
 )
 
-// longUpload is the size in bytes of a body that is forwarded as it comes.
-const longUpload = 200 << 10
+// longUploadSize is the size in bytes of a request body that the sidecar streams, as it is larger than its buffer.
+const longUploadSize = 200 << 10
 
-// pipelined is how many requests are sent at once.
-const pipelined = 3
+// pipelineLength is the number of requests that a pipelining client sends at once.
+const pipelineLength = 3
 
 // requestKind is how a client sends a request.
 type requestKind int
 
 const (
 	kindRead         requestKind = iota
-	kindUnsafe                   // may not run twice
-	kindUpload                   // with a long body
-	kindLongResponse             // with a long body
-	kindPieces                   // sent with pauses
-	kindPipelined                // several at once
-	kindLeaving                  // the client leaves before the response
-	requestKinds
+	kindUnsafe                   // must not run twice
+	kindUpload                   // with a body of longUploadSize; must not run twice
+	kindLongResponse             // gets a body of longResponseSize
+	kindPieces                   // written in pieces with pauses between them
+	kindPipelined                // several requests, written at once
+	kindDisconnect               // the client disconnects before the response
+	requestKindCount
 )
 
-// String returns the kind for a report.
+// String returns the kind's name in reports.
 func (k requestKind) String() string {
 	return [...]string{"read", "unsafe", "upload", "long response", "in pieces", "pipelined", "leaving"}[k]
 }
 
 // client is one client of the sidecar, with one connection at a time.
 type client struct {
-	number  int
-	run     *run
-	random  *rand.Rand
-	conn    net.Conn // nil without one
-	in      *bufio.Reader
-	isFresh bool // no request was sent on the connection
-	counter int
+	number       int
+	run          *run
+	random       *rand.Rand
+	conn         net.Conn // nil if there is none
+	reader       *bufio.Reader
+	isFresh      bool // no request was sent on the connection yet
+	requestCount int
 }
 
 func newClient(number int, r *run) *client {
 	return &client{number: number, run: r, random: rand.New(rand.NewPCG(r.scenario.Seed, uint64(number)))}
 }
 
-// use sends requests until ctx ends, or until there is no connection and none may be opened.
-func (c *client) use(ctx context.Context) {
+// sendRequests sends requests until ctx ends, or until there is no connection and none may be opened.
+func (c *client) sendRequests(ctx context.Context) {
 	defer c.disconnect()
 	for ctx.Err() == nil {
 		if !c.connect() {
@@ -71,7 +71,7 @@
 			time.Sleep(maxThinkTime)
 			continue
 		}
-		c.request(requestKind(c.random.IntN(int(requestKinds))))
+		c.request(requestKind(c.random.IntN(int(requestKindCount))))
 		time.Sleep(time.Duration(c.random.Int64N(int64(maxThinkTime))))
 	}
 }
@@ -88,7 +88,7 @@
 	if err != nil {
 		return false
 	}
-	c.conn, c.in, c.isFresh = conn, bufio.NewReader(conn), true
+	c.conn, c.reader, c.isFresh = conn, bufio.NewReader(conn), true
 	return true
 }
 
@@ -99,41 +99,41 @@
 	c.conn = nil
 }
 
-// request sends a request and waits for the response, or several.
+// request sends a request, or several for kindPipelined, and waits for the response unless the client is to disconnect early.
 func (c *client) request(kind requestKind) {
 	if kind == kindPipelined {
 		c.pipeline()
 		return
 	}
 	r, text := c.newRequest(kind)
-	c.run.ledger.begin(r)
+	c.run.recorder.recordStart(r)
 	if !c.write(kind, text) {
-		c.run.ledger.end(r, Unsent)
+		c.run.recorder.recordOutcome(r, Unsent)
 		c.readRejection()
 		c.disconnect()
 		return
 	}
-	c.run.ledger.sent(r)
-	if kind == kindLeaving {
-		c.leave(r)
+	c.run.recorder.recordSent(r)
+	if kind == kindDisconnect {
+		c.disconnectEarly(r)
 		return
 	}
 	c.receive(r)
 }
 
-// newRequest returns a request and its text.
+// newRequest returns a new request's record and its text in HTTP.
 func (c *client) newRequest(kind requestKind) (*request, string) {
-	c.counter++
-	r := &request{id: fmt.Sprintf("%x-%d-%d", c.run.scenario.Seed, c.number, c.counter), kind: kind, isFresh: c.isFresh}
+	c.requestCount++
+	r := &request{id: fmt.Sprintf("%x-%d-%d", c.run.scenario.Seed, c.number, c.requestCount), kind: kind, isFresh: c.isFresh}
 	c.isFresh = false
 	method, class, query, body := "GET", "read", "", ""
 	switch kind {
 	case kindUnsafe:
 		method, class, body, r.isUnsafe = "POST", "order", "x", true
 	case kindUpload:
-		method, class, body, r.isUnsafe = "POST", "order", strings.Repeat("x", longUpload), true
+		method, class, body, r.isUnsafe = "POST", "order", strings.Repeat("x", longUploadSize), true
 	case kindLongResponse:
-		query = fmt.Sprintf("?size=%d", longResponse)
+		query = fmt.Sprintf("?size=%d", longResponseSize)
 	}
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s /%s/%s%s HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %s\r\nX-Service-Class: %s\r\nX-Time-Left-Ms: %d\r\n",
@@ -145,7 +145,7 @@
 	return r, text.String()
 }
 
-// write writes a request's text to its last byte, and reports whether it could.
+// write writes a request's text, and reports whether all of it was written.
 func (c *client) write(kind requestKind, text string) bool {
 	c.conn.SetWriteDeadline(time.Now().Add(dialTimeout + c.run.scenario.Deadline))
 	if kind == kindPieces {
@@ -162,47 +162,47 @@
 	return err == nil
 }
 
-// readRejection reads a response that came before the request's last byte was written.
+// readRejection reads and discards a response that the sidecar sent before the whole request was written.
 func (c *client) readRejection() {
 	c.conn.SetReadDeadline(time.Now().Add(readSlack))
-	io.Copy(io.Discard, c.in)
+	io.Copy(io.Discard, c.reader)
 }
 
-// leave ends the connection before the response.
-func (c *client) leave(r *request) {
+// disconnectEarly closes the connection after a random time, with a reset in half of the cases.
+func (c *client) disconnectEarly(r *request) {
 	time.Sleep(time.Duration(c.random.Int64N(int64(maxServiceTime))))
 	if tcp, ok := c.conn.(*net.TCPConn); ok && c.random.IntN(2) == 0 {
 		tcp.SetLinger(0)
 	}
-	c.run.ledger.end(r, Left)
+	c.run.recorder.recordOutcome(r, Disconnected)
 	c.disconnect()
 }
 
-// receive reads the response to a request and enters the outcome.
+// receive reads the response to a request and records the outcome.
 func (c *client) receive(r *request) {
-	outcome, isOver := c.read(r)
-	c.run.ledger.end(r, outcome)
-	if isOver {
+	outcome, mustClose := c.readResponse(r)
+	c.run.recorder.recordOutcome(r, outcome)
+	if mustClose {
 		c.disconnect()
 	}
 }
 
-// read reads the response to a request, and reports whether the connection is over.
-func (c *client) read(r *request) (outcome Outcome, isOver bool) {
+// readResponse reads the response to a request, and reports whether the client must close the connection.
+func (c *client) readResponse(r *request) (outcome Outcome, mustClose bool) {
 	limit := r.sentAt.Add(c.run.scenario.Deadline + latenessAllowed + readSlack)
 	c.conn.SetReadDeadline(limit)
-	if _, err := c.in.Peek(1); err != nil {
+	if _, err := c.reader.Peek(1); err != nil {
 		if isTimeout(err) {
 			return Silent, true
 		}
 		return Ended, true
 	}
-	response, err := http.ReadResponse(c.in, nil)
+	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return BrokenOff, true
 	}
 	isLate := time.Since(r.sentAt) > c.run.scenario.Deadline+latenessAllowed
-	c.conn.SetReadDeadline(time.Now().Add(maxDeadline)) // a response that has begun may take its time
+	c.conn.SetReadDeadline(time.Now().Add(maxDeadline)) // a response that has begun may take this much longer
 	body, err := io.ReadAll(response.Body)
 	switch {
 	case err != nil:
@@ -216,7 +216,7 @@
 	}
 }
 
-// outcomeOf returns the outcome of a whole response that came in time.
+// outcomeOf returns the outcome of a complete response that came in time.
 func outcomeOf(statusCode int) Outcome {
 	switch statusCode {
 	case http.StatusOK:
@@ -228,7 +228,7 @@
 	}
 }
 
-// isResponseTo reports whether a body is one that an endpoint wrote for a request.
+// isResponseTo reports whether body is the one that an endpoint writes for the request id.
 func isResponseTo(id, body string) bool {
 	return body != "" && body == responseBody(id, len(body))
 }
@@ -238,16 +238,16 @@
 	return ok && netErr.Timeout()
 }
 
-// pipeline sends several requests at once, and reads their responses. Those behind a response that ends the connection were never
-// read, and count as unsent.
+// pipeline sends several requests at once, and reads their responses. If a response ends the connection, the requests behind it were
+// never read and count as unsent.
 func (c *client) pipeline() {
 	var requests []*request
 	var text strings.Builder
-	for range pipelined {
-		r, one := c.newRequest(kindPipelined)
-		c.run.ledger.begin(r)
+	for range pipelineLength {
+		r, requestText := c.newRequest(kindPipelined)
+		c.run.recorder.recordStart(r)
 		requests = append(requests, r)
-		text.WriteString(one)
+		text.WriteString(requestText)
 	}
 	if !c.write(kindRead, text.String()) {
 		c.readRejection()
@@ -258,10 +258,10 @@
 		if c.conn == nil {
 			break
 		}
-		if i > 0 { // a pipelined request's time counts from when it could be read
+		if i > 0 { // the sidecar can read a pipelined request only after the response to the one before, so its time starts here
 			r.isFresh = false
 		}
-		c.run.ledger.sent(r)
+		c.run.recorder.recordSent(r)
 		c.receive(r)
 	}
 }
--- a/internal/lab/soak/endpoint.go
+++ b/internal/lab/soak/endpoint.go
@@ -14,42 +14,42 @@
 	"bramblestand/internal/lab"
 )
 
-// Times of an endpoint.
+// Times of an endpoint. Each is drawn between 0 and the maximum.
 const (
 	maxServiceTime = 25 * time.Millisecond
-	maxBreakDelay  = 400 * time.Millisecond // before a connection is broken off without a response
+	maxBreakDelay  = 400 * time.Millisecond // until an endpoint that breaks connections off does so
 )
 
-// longResponse is the size in bytes of a response that is forwarded as it comes.
-const longResponse = 300 << 10
+// longResponseSize is the size in bytes of a response body that the sidecar streams, as it is larger than its buffer.
+const longResponseSize = 300 << 10
 
-// endpointMode is how an endpoint treats requests.
+// endpointMode is how an endpoint responds to requests.
 type endpointMode int32
 
 const (
 	endpointServes  endpointMode = iota
-	endpointHangs                // reads requests, and stays silent
-	endpointBreaks               // breaks connections off
-	endpointStopped              // after the run
+	endpointHangs                // reads requests and never responds
+	endpointBreaks               // closes connections without a response or in the middle of it
+	endpointStopped              // closed after the run
 )
 
-// endpoint is a fake endpoint.
+// endpoint is a fake endpoint that records the requests it gets.
 type endpoint struct {
-	name   string
-	ledger *ledger
-	mode   atomic.Int32
-	server *http.Server
-	port   net.Listener
-	// unusableSince is when it was first known to drain, or to be banned; Unix nanoseconds, 0 for never.
+	name     string
+	recorder *recorder
+	mode     atomic.Int32
+	server   *http.Server
+	listener net.Listener
+	// unusableSince is when the sidecar could first know that the endpoint drains or is banned, in Unix nanoseconds; 0 for never.
 	unusableSince atomic.Int64
 }
 
-func newEndpoint(name string, l *ledger) (*endpoint, error) {
+func newEndpoint(name string, rec *recorder) (*endpoint, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	e := &endpoint{name: name, ledger: l, port: listener}
+	e := &endpoint{name: name, recorder: rec, listener: listener}
 	e.server = &http.Server{Handler: e}
 	go e.server.Serve(listener)
 	return e, nil
@@ -63,13 +63,13 @@
 
 // instance returns the endpoint's entry in discovery's list.
 func (e *endpoint) instance(health string) lab.Instance {
-	return lab.Instance{Name: e.name, Address: e.port.Addr().String(), Zone: "a", MachineType: "m", Health: health, Weight: 1}
+	return lab.Instance{Name: e.name, Address: e.listener.Addr().String(), Zone: "a", MachineType: "m", Health: health, Weight: 1}
 }
 
-// markUnusable notes that the sidecar knows by now that nothing may be sent to the endpoint, after the grace.
+// markUnusable records that the sidecar can know by now that the endpoint drains or is banned, so that the grace begins.
 func (e *endpoint) markUnusable() { e.unusableSince.CompareAndSwap(0, time.Now().UnixNano()) }
 
-// ServeHTTP answers a load probe or a request.
+// ServeHTTP responds to a liveness check, a load probe or a request.
 func (e *endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/health/live":
@@ -79,7 +79,7 @@
 		return
 	}
 	id := r.Header.Get("X-Correlation-Id")
-	a, isKnown := e.ledger.arrive(id, e.name)
+	a, isKnown := e.recorder.recordArrival(id, e.name)
 	if !isKnown {
 		http.Error(w, "no client sent this id", http.StatusBadRequest)
 		return
@@ -87,7 +87,7 @@
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return
 	}
-	e.ledger.arriveWhole(a)
+	e.recorder.recordComplete(a)
 	switch endpointMode(e.mode.Load()) {
 	case endpointHangs:
 		<-r.Context().Done()
@@ -97,9 +97,9 @@
 		if rand.N(2) == 0 {
 			panic(http.ErrAbortHandler)
 		}
-		e.ledger.breakOff(id)
-		w.Header().Set("Content-Length", strconv.Itoa(longResponse))
-		io.WriteString(w, responseBody(id, longResponse/2))
+		e.recorder.recordBreakOff(id)
+		w.Header().Set("Content-Length", strconv.Itoa(longResponseSize))
+		io.WriteString(w, responseBody(id, longResponseSize/2))
 		panic(http.ErrAbortHandler)
 	}
 	time.Sleep(rand.N(maxServiceTime))
@@ -110,7 +110,7 @@
 	io.WriteString(w, body)
 }
 
-// responseBody is the body for a request, of size bytes at least.
+// responseBody returns the response body for a request: lines with the request's id, at least one, and at least size bytes in all.
 func responseBody(id string, size int) string {
 	line := "ok:" + id + "\n"
 	return strings.Repeat(line, max(1, (size+len(line)-1)/len(line)))
--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -16,24 +16,24 @@
 	"bramblestand/internal/lab"
 )
 
-// readyPollInterval is the time between questions whether a process is ready.
+// readyPollInterval is the time between two polls for a process's readiness.
 const readyPollInterval = 10 * time.Millisecond
 
-// process is one process of the sidecar.
+// process is one sidecar process.
 type process struct {
 	cmd          *exec.Cmd
 	adminAddress string
 	logPath      string
 	startedAt    time.Time
-	readyAt      time.Time // zero if it never was
-	termAt       time.Time // of the first SIGTERM; zero without one
-	killedAt     time.Time // of SIGKILL; zero if it had ended before
+	readyAt      time.Time // zero if it was never ready
+	termAt       time.Time // of the first SIGTERM; zero if there was none
+	killedAt     time.Time // of SIGKILL; zero if it had exited before
 	exitedAt     time.Time
 	exitErr      error
-	exited       chan struct{}
+	exited       chan struct{} // closed after exitedAt and exitErr are set
 }
 
-// startProcess starts a process of the sidecar.
+// startProcess starts a sidecar process and adds it to the run's processes.
 func (r *run) startProcess() (*process, error) {
 	n := len(r.processes)
 	p := &process{logPath: filepath.Join(r.folder, fmt.Sprintf("sidecar-%d.log", n)), exited: make(chan struct{})}
@@ -63,7 +63,7 @@
 	return p, nil
 }
 
-// awaitReady waits until a process answers that it is ready, or has ended, or maxStartTime is long over.
+// awaitReady waits until a process reports that it is ready, has exited, or has run for twice maxStartTime.
 func (r *run) awaitReady(p *process) {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	isSignalDue := r.scenario.SignalAtStart
@@ -84,7 +84,7 @@
 	}
 }
 
-// hasExited reports whether the process has ended.
+// hasExited reports whether the process has exited.
 func (p *process) hasExited() bool {
 	select {
 	case <-p.exited:
@@ -100,7 +100,7 @@
 	p.cmd.Process.Signal(syscall.SIGTERM)
 }
 
-// kill sends SIGKILL unless the process has ended, and waits for its end.
+// kill sends SIGKILL unless the process has exited, and waits for its exit.
 func (p *process) kill() {
 	if !p.hasExited() {
 		p.killedAt = time.Now()
@@ -109,8 +109,8 @@
 	<-p.exited
 }
 
-// endAfter waits for the end of a process that got SIGTERM, and sends SIGKILL when that may come.
-func (p *process) endAfter(killAfter time.Duration) {
+// awaitExit waits for the exit of a process that got SIGTERM, and sends SIGKILL once killAfter has passed since SIGTERM.
+func (p *process) awaitExit(killAfter time.Duration) {
 	select {
 	case <-p.exited:
 	case <-time.After(time.Until(p.termAt.Add(killAfter))):
@@ -118,8 +118,8 @@
 	p.kill()
 }
 
-// call makes an operators' call, and reports whether it was answered yes.
-func (p *process) call(path, body string) bool {
+// postAdmin makes an admin call, and reports whether the response was 200.
+func (p *process) postAdmin(path, body string) bool {
 	client := &http.Client{Timeout: dialTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Post("http://"+p.adminAddress+path, "", strings.NewReader(body))
 	if err != nil {
@@ -129,7 +129,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// failure returns what is wrong with a process's end, if anything.
+// failure returns how a process broke RuleProcess: in its start, its exit or its log. It returns nil if it did not.
 func (p *process) failure() error {
 	var exit *exec.ExitError
 	wasSignalled := errors.As(p.exitErr, &exit) && exit.Sys().(syscall.WaitStatus).Signaled()
@@ -139,12 +139,12 @@
 	case p.readyAt.Sub(p.startedAt) > maxStartTime:
 		return fmt.Errorf("a process was ready after %v", p.readyAt.Sub(p.startedAt))
 	case p.killedAt.IsZero() && p.termAt.IsZero():
-		return fmt.Errorf("a process ended by itself: %v", p.exitErr)
+		return fmt.Errorf("a process exited before SIGTERM: %v", p.exitErr)
 	case p.killedAt.IsZero() && p.exitErr != nil, !p.killedAt.IsZero() && p.exitErr != nil && !wasSignalled:
-		return fmt.Errorf("a process ended with %v", p.exitErr)
+		return fmt.Errorf("a process exited with an error: %v", p.exitErr)
 	}
 	if log, err := os.ReadFile(p.logPath); err != nil || bytes.Contains(log, []byte("panic")) {
-		return fmt.Errorf("a process's log has a panic, or can't be read (%v)", err)
+		return fmt.Errorf("a process's log contains a panic or can't be read (error: %v)", err)
 	}
 	return nil
 }
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -16,33 +16,33 @@
 	"bramblestand/internal/lab"
 )
 
-// bootTime is how long clients go on after a process has taken over from another one.
-const bootTime = 300 * time.Millisecond
+// loadAfterUpgrade is how long the clients send requests after an upgrade, before the new process gets SIGTERM.
+const loadAfterUpgrade = 300 * time.Millisecond
 
-// run is a scenario that is played.
+// run is the execution of one scenario.
 type run struct {
 	scenario   Scenario
 	program    string
 	folder     string
-	listen     string // the clients' address
+	listen     string // the address that clients connect to
 	configPath string
 
-	ledger    *ledger
-	lateness  lateness
-	endpoints []*endpoint
-	discovery *lab.FakeDiscovery
-	processes []*process
+	recorder         *recorder
+	schedulingDelays schedulingDelays
+	endpoints        []*endpoint
+	discovery        *lab.FakeDiscovery
+	processes        []*process
 
-	connectUntil atomic.Int64 // Unix nanoseconds; 0 for no limit
+	connectUntil atomic.Int64 // when clients stop opening connections, in Unix nanoseconds; 0 for no limit
 }
 
-// Run plays a scenario with a sidecar's program. The sidecar's logs and configuration are written to folder. An error says that the
-// scenario could not be played.
+// Run executes a scenario with processes of the given sidecar program. The sidecar's logs and configuration are written to folder. An
+// error means that the scenario could not be executed; breaches of the rules are in the report.
 func Run(ctx context.Context, program string, scenario Scenario, folder string) (*Report, error) {
-	r := &run{scenario: scenario, program: program, folder: folder, ledger: newLedger()}
+	r := &run{scenario: scenario, program: program, folder: folder, recorder: newRecorder()}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	closeAll, err := r.open()
+	closeAll, err := r.setUp()
 	defer closeAll()
 	if err != nil {
 		return nil, err
@@ -52,30 +52,31 @@
 			p.kill()
 		}
 	}()
-	go r.lateness.watch(ctx)
+	go r.schedulingDelays.watch(ctx)
 	first, err := r.startProcess()
 	if err != nil {
 		return nil, err
 	}
 	r.awaitReady(first)
 	if first.readyAt.IsZero() {
-		return r.judge()
+		return r.check()
 	}
 	var clients sync.WaitGroup
-	usage, stopUsage := context.WithCancel(ctx)
-	defer stopUsage()
-	r.startClients(usage, &clients)
-	err = r.play(ctx, first)
-	stopUsage()
+	clientCtx, stopClients := context.WithCancel(ctx)
+	defer stopClients()
+	r.startClients(clientCtx, &clients)
+	err = r.execute(ctx, first)
+	stopClients()
 	clients.Wait()
 	if err != nil {
 		return nil, err
 	}
-	return r.judge()
+	return r.check()
 }
 
-// open starts discovery and the endpoints, and writes the configuration. What it started is closed by the returned function.
-func (r *run) open() (closeAll func(), err error) {
+// setUp starts the discovery service and the endpoints, and writes the sidecar's configuration. closeAll closes what was started,
+// and is not nil even after an error.
+func (r *run) setUp() (closeAll func(), err error) {
 	r.discovery = lab.NewFakeDiscoveryHandler(r.scenario.Seed)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -92,7 +93,7 @@
 	exp := lab.Experiment{Seed: r.scenario.Seed, Fleet: lab.Fleet{Sidecars: 1, Zones: []string{"a"}, Sockets: sidecarSockets}}
 	exp.Load.Deadline.Duration = r.scenario.Deadline
 	for n := range endpointCount {
-		e, err := newEndpoint(fmt.Sprintf("e%d", n), r.ledger)
+		e, err := newEndpoint(fmt.Sprintf("e%d", n), r.recorder)
 		if err != nil {
 			return closeAll, err
 		}
@@ -114,36 +115,36 @@
 	return until == 0 || time.Now().UnixNano() < until
 }
 
-// startClients starts the clients, and the crowd and floods among them. They end with ctx.
+// startClients starts the clients and the scenario's idle connections and floods. They end with ctx.
 func (r *run) startClients(ctx context.Context, clients *sync.WaitGroup) {
-	start := func(use func(context.Context)) {
+	start := func(task func(context.Context)) {
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
-			use(ctx)
+			task(ctx)
 		}()
 	}
 	for n := range clientCount {
-		start(newClient(n, r).use)
+		start(newClient(n, r).sendRequests)
 	}
-	if r.scenario.HasCrowd {
-		start(r.crowd)
+	if r.scenario.HasIdleConns {
+		start(r.holdIdleConnections)
 	}
 	for _, kind := range r.scenario.Floods {
 		start(func(ctx context.Context) { r.flood(ctx, kind) })
 	}
 }
 
-// play carries out what happens to the processes, up to the last one's end.
-func (r *run) play(ctx context.Context, current *process) (err error) {
+// execute carries out the scenario's events, from the start of the load to the exit of the last process.
+func (r *run) execute(ctx context.Context, current *process) (err error) {
 	if r.scenario.Crash {
 		if current, err = r.crash(ctx, current); err != nil || current.readyAt.IsZero() {
 			return err
 		}
 	}
-	sleep(ctx, r.scenario.Load-r.scenario.FaultLead)
-	r.operate(current)
-	r.beginFaults()
+	sleep(ctx, r.scenario.LoadTime-r.scenario.FaultLead)
+	r.makeAdminCalls(current)
+	r.startFaults()
 	sleep(ctx, r.scenario.FaultLead)
 	if r.scenario.Upgrade {
 		if current, err = r.upgrade(ctx, current); err != nil || current.readyAt.IsZero() {
@@ -154,9 +155,9 @@
 	return ctx.Err()
 }
 
-// crash kills a process amid the load and starts another one.
+// crash kills a process in the middle of the load and starts another one.
 func (r *run) crash(ctx context.Context, p *process) (*process, error) {
-	sleep(ctx, r.scenario.Load/2)
+	sleep(ctx, r.scenario.LoadTime/2)
 	p.kill()
 	next, err := r.startProcess()
 	if err != nil {
@@ -166,7 +167,7 @@
 	return next, nil
 }
 
-// upgrade starts a second process beside one, and ends the first once the second is ready.
+// upgrade starts a second process and terminates the old one once the second is ready.
 func (r *run) upgrade(ctx context.Context, old *process) (*process, error) {
 	next, err := r.startProcess()
 	if err != nil {
@@ -177,12 +178,12 @@
 		return next, nil
 	}
 	r.terminate(ctx, old, false)
-	sleep(ctx, bootTime)
+	sleep(ctx, loadAfterUpgrade)
 	return next, nil
 }
 
-// terminate ends a process with SIGTERM, the scenario's other signals around it and SIGKILL at its earliest. After the last process
-// clients have nowhere to connect to.
+// terminate sends a process SIGTERM, the scenario's other signals before and after it, and SIGKILL at the earliest time that the
+// protocol allows. For the last process it also limits how long clients open connections.
 func (r *run) terminate(ctx context.Context, p *process, isLast bool) {
 	var signals sync.WaitGroup
 	defer signals.Wait()
@@ -204,7 +205,7 @@
 	}
 	sleep(ctx, lead)
 	if isLast {
-		r.connectUntil.Store(time.Now().Add(r.scenario.Connect).UnixNano())
+		r.connectUntil.Store(time.Now().Add(r.scenario.ConnectTime).UnixNano())
 	}
 	p.terminate()
 	for _, signal := range r.scenario.Signals {
@@ -212,31 +213,31 @@
 			schedule(signal.After, signal.Signal)
 		}
 	}
-	p.endAfter(r.scenario.killAfter())
+	p.awaitExit(r.scenario.killAfter())
 }
 
-// operate makes the operators' calls.
-func (r *run) operate(p *process) {
+// makeAdminCalls bans an endpoint and drains the sidecar, as far as the scenario has it.
+func (r *run) makeAdminCalls(p *process) {
 	if r.scenario.BanEndpoint {
 		banned := r.endpoints[endpointCount-1]
-		if p.call("/pin-servers/disable", banned.name) {
+		if p.postAdmin("/pin-servers/disable", banned.name) {
 			banned.markUnusable()
 		}
 	}
 	if r.scenario.DrainSidecar {
-		p.call("/drain", "")
+		p.postAdmin("/drain", "")
 	}
 }
 
-// beginFaults begins the faults of endpoints and discovery.
-func (r *run) beginFaults() {
+// startFaults starts the faults of endpoints and of discovery.
+func (r *run) startFaults() {
 	if r.scenario.DrainEndpoint {
 		drained := r.endpoints[endpointCount-2]
-		announced := drained.markUnusable
+		onListed := drained.markUnusable
 		if r.scenario.DiscoveryDown {
-			announced = nil // a change that discovery may not have written before it falls silent is not told
+			onListed = nil // discovery may be down before the sidecar gets the change, so the grace never begins
 		}
-		r.discovery.Set(drained.instance("Terminating"), announced)
+		r.discovery.Set(drained.instance("Terminating"), onListed)
 	}
 	if r.scenario.DiscoveryDown {
 		r.discovery.SetDown(true)
@@ -252,6 +253,7 @@
 	}
 }
 
+// sleep waits for duration or until ctx ends.
 func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-time.After(duration):
--- a/internal/lab/soak/scenario.go
+++ b/internal/lab/soak/scenario.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// Limits of what the protocol lets the platform do.
+// Limits that the protocol sets on what the platform does.
 const (
 	maxDeadline       = 3 * time.Second
-	killAfterDeadline = 700 * time.Millisecond // SIGKILL follows SIGTERM at the longest deadline and this, at the earliest
-	minConnectTime    = 200 * time.Millisecond // clients open connections for that long after SIGTERM
-	maxConnectTime    = 400 * time.Millisecond
+	killAfterDeadline = 700 * time.Millisecond // SIGKILL follows SIGTERM no earlier than the longest deadline plus this
+	minConnectTime    = 200 * time.Millisecond // clients open connections for at least this long after SIGTERM
+	maxConnectTime    = 400 * time.Millisecond // and for at most this long
 )
 
 // Sizes of a scenario.
 const (
 	endpointCount  = 4
 	clientCount    = 14
-	sidecarSockets = 256
-	crowdSize      = 300 // idle connections, more than the descriptors allow
+	sidecarSockets = 256 // limit of the sidecar's sockets, in its settings
+	idleConnCount  = 300 // more idle connections than sidecarSockets allows
 )
 
 // FloodKind is what each connection of a flood sends.
@@ -29,7 +29,7 @@
 
 // The kinds of floods.
 const (
-	FloodSilent      FloodKind = "silent"
+	FloodSilent      FloodKind = "silent" // sends nothing
 	FloodPartialHead FloodKind = "partial head"
 	FloodInvalid     FloodKind = "invalid request"
 	FloodMalformed   FloodKind = "malformed request"
@@ -37,7 +37,7 @@
 
 var floodKinds = []FloodKind{FloodSilent, FloodPartialHead, FloodInvalid, FloodMalformed}
 
-// text returns what is sent.
+// text returns what each connection sends.
 func (k FloodKind) text() string {
 	switch k {
 	case FloodPartialHead:
@@ -51,52 +51,52 @@
 	}
 }
 
-// TimedSignal is a signal to a process.
+// TimedSignal is a signal that a process gets at a time relative to SIGTERM.
 type TimedSignal struct {
-	After  time.Duration // after SIGTERM; negative for before
+	After  time.Duration // time after SIGTERM; negative for before
 	Signal syscall.Signal
 }
 
-// Scenario is what happens in one run. Its times vary with the machine; what is drawn does not.
+// Scenario is what happens in one run. It depends on the seed alone; when the events really occur varies with the machine.
 type Scenario struct {
-	Seed     uint64
-	Deadline time.Duration // of every request
-	Load     time.Duration // before the end begins
-	Connect  time.Duration // clients open connections for that long after SIGTERM
-
-	Crash   bool // kill -9 and a restart in the middle of the load
-	Upgrade bool // a second process takes over before the end
-
-	HasCrowd  bool
-	Floods    []FloodKind
-	FaultLead time.Duration // endpoints' faults begin that long before SIGTERM
-	Hanging   int           // endpoints that read requests and stay silent
-	Breaking  int           // endpoints that break connections off instead of responding
-
-	DiscoveryDown bool // silent from just before SIGTERM
-	DrainEndpoint bool // a list that drains an endpoint is in flight at SIGTERM
-	BanEndpoint   bool // an operator bans one before SIGTERM
-	DrainSidecar  bool // an operator drains the sidecar before SIGTERM
-
-	Signals       []TimedSignal
-	SignalAtStart bool // SIGHUP as soon as a process has an admin address
+	Seed        uint64
+	Deadline    time.Duration // time that every request has for its response
+	LoadTime    time.Duration // time under load before SIGTERM
+	ConnectTime time.Duration // how long clients open connections after SIGTERM
+
+	Crash   bool // SIGKILL and a restart in the middle of the load
+	Upgrade bool // a second process replaces the first before the last SIGTERM
+
+	HasIdleConns bool // idleConnCount idle connections
+	Floods       []FloodKind
+	FaultLead    time.Duration // how long before SIGTERM the faults begin
+	Hanging      int           // number of endpoints that read requests and never respond
+	Breaking     int           // number of endpoints that break connections off without a complete response
+
+	DiscoveryDown bool // discovery does not respond from FaultLead before SIGTERM on
+	DrainEndpoint bool // discovery lists an endpoint as draining from FaultLead before SIGTERM on
+	BanEndpoint   bool // an operator bans an endpoint FaultLead before SIGTERM
+	DrainSidecar  bool // an operator drains the sidecar FaultLead before SIGTERM
+
+	Signals       []TimedSignal // besides SIGTERM and SIGKILL
+	SignalAtStart bool          // SIGHUP as soon as a process's admin server responds
 }
 
-// Draw draws the scenario of a seed.
+// Draw returns the random scenario of a seed, which is always the same for a seed.
 func Draw(seed uint64) Scenario {
 	random := rand.New(rand.NewPCG(seed, 0x50a4))
 	oneIn := func(n int) bool { return random.IntN(n) == 0 }
 	between := func(from, to time.Duration) time.Duration { return from + time.Duration(random.Int64N(int64(to-from))) }
 	deadlines := []time.Duration{300, 600, 1000, 2000, 3000} // milliseconds
 	s := Scenario{
-		Seed:      seed,
-		Deadline:  deadlines[random.IntN(len(deadlines))] * time.Millisecond,
-		Load:      between(500*time.Millisecond, 1500*time.Millisecond),
-		Connect:   between(minConnectTime, maxConnectTime),
-		FaultLead: between(0, 300*time.Millisecond),
-		Hanging:   random.IntN(3),
-		Breaking:  random.IntN(2),
-		HasCrowd:  oneIn(3),
+		Seed:         seed,
+		Deadline:     deadlines[random.IntN(len(deadlines))] * time.Millisecond,
+		LoadTime:     between(500*time.Millisecond, 1500*time.Millisecond),
+		ConnectTime:  between(minConnectTime, maxConnectTime),
+		FaultLead:    between(0, 300*time.Millisecond),
+		Hanging:      random.IntN(3),
+		Breaking:     random.IntN(2),
+		HasIdleConns: oneIn(3),
 	}
 	if oneIn(3) {
 		for _, kind := range floodKinds {
@@ -118,22 +118,22 @@
 	return s
 }
 
-// killAfter returns when SIGKILL follows SIGTERM.
+// killAfter returns how long after SIGTERM SIGKILL follows.
 func (s *Scenario) killAfter() time.Duration { return min(s.Deadline, maxDeadline) + killAfterDeadline }
 
-// String describes the scenario in a line.
+// String describes the scenario in one line.
 func (s *Scenario) String() string {
-	parts := []string{fmt.Sprintf("seed %d: deadline %v, SIGTERM after %v", s.Seed, s.Deadline, s.Load.Round(time.Millisecond))}
+	parts := []string{fmt.Sprintf("seed %d: deadline %v, SIGTERM after %v", s.Seed, s.Deadline, s.LoadTime.Round(time.Millisecond))}
 	for _, part := range []struct {
-		isOn bool
-		text string
+		applies bool
+		text    string
 	}{
-		{s.Crash, "crash"}, {s.Upgrade, "upgrade"}, {s.HasCrowd, "crowd"}, {len(s.Floods) > 0, fmt.Sprintf("floods %q", s.Floods)},
+		{s.Crash, "crash"}, {s.Upgrade, "upgrade"}, {s.HasIdleConns, "crowd"}, {len(s.Floods) > 0, fmt.Sprintf("floods %q", s.Floods)},
 		{s.Hanging > 0, fmt.Sprintf("%d hang", s.Hanging)}, {s.Breaking > 0, fmt.Sprintf("%d break off", s.Breaking)},
 		{s.DiscoveryDown, "discovery down"}, {s.DrainEndpoint, "endpoint drained"}, {s.BanEndpoint, "endpoint banned"},
 		{s.DrainSidecar, "sidecar drained"}, {s.SignalAtStart, "SIGHUP at start"}, {len(s.Signals) > 0, fmt.Sprintf("%d more signals", len(s.Signals))},
 	} {
-		if part.isOn {
+		if part.applies {
 			parts = append(parts, part.text)
 		}
 	}
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -17,10 +17,11 @@
 const (
 	ciSeeds        = 12
 	ciParallel     = 3
-	maxMutantSeeds = 8 // runs in which a broken program has to be found
+	maxMutantSeeds = 8 // runs within which a mutant has to be found
 )
 
-// mutants are the programs that are built wrong on purpose, with the rule that each breaks and what a scenario needs for that.
+// mutants are the build tags of sidecars with a deliberate fault. Each has the rule that its fault breaks, and prepare, which changes a
+// drawn scenario so that the fault can show.
 var mutants = []struct {
 	tag, rule string
 	prepare   func(*Scenario)
@@ -29,13 +30,13 @@
 	{"mutant_evicts_requests", RuleLost, func(s *Scenario) { s.Floods = floodKinds }},
 	{"mutant_ignores_draining", RuleDrain, func(s *Scenario) {
 		s.DrainEndpoint, s.DiscoveryDown, s.DrainSidecar, s.Upgrade, s.Deadline = true, false, false, false, maxDeadline
-		s.Load, s.FaultLead = 2*time.Second, 2*time.Second
+		s.LoadTime, s.FaultLead = 2*time.Second, 2*time.Second
 	}},
-	{"mutant_ignores_disconnects", RuleDeparture, func(s *Scenario) { s.Breaking, s.Deadline = 2, maxDeadline }},
+	{"mutant_ignores_disconnects", RuleDisconnect, func(s *Scenario) { s.Breaking, s.Deadline = 2, maxDeadline }},
 	{"mutant_repeats_unsafe", RuleDuplicate, func(s *Scenario) { s.Breaking, s.Deadline = 2, maxDeadline }},
 }
 
-var programs string // the folder with the sidecar and the mutants, built once
+var programFolder string // the folder with the programs of the sidecar and of the mutants, which TestMain builds
 
 func TestMain(m *testing.M) {
 	folder, err := os.MkdirTemp("", "soak")
@@ -51,7 +52,7 @@
 		os.Stderr.WriteString("build of the programs: " + err.Error() + "\n")
 		os.Exit(1)
 	}
-	programs = folder
+	programFolder = folder
 	code := m.Run()
 	os.RemoveAll(folder)
 	os.Exit(code)
@@ -63,11 +64,11 @@
 	return command.Run()
 }
 
-// The first scenarios break no rule.
+// The scenarios of the first ciSeeds seeds break no rule and get responses from endpoints.
 func TestSoak(t *testing.T) {
 	var mu sync.Mutex
 	lab.ForEach(ciSeeds, ciParallel, func(n int) {
-		report, err := Run(context.Background(), filepath.Join(programs, "sidecar"), Draw(uint64(n+1)), t.TempDir())
+		report, err := Run(context.Background(), filepath.Join(programFolder, "sidecar"), Draw(uint64(n+1)), t.TempDir())
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil {
@@ -79,12 +80,12 @@
 			t.Errorf("seed %d: %d breaches", n+1, len(report.Breaches))
 		}
 		if report.Outcomes[Served] == 0 {
-			t.Errorf("seed %d: nothing was served", n+1)
+			t.Errorf("seed %d: no request was served", n+1)
 		}
 	})
 }
 
-// Each rule's check finds a program that breaks it.
+// Each mutant breaks its rule in one of its first scenarios, so that the checks are known to find such faults.
 func TestSoakFindsBrokenPrograms(t *testing.T) {
 	for _, mutant := range mutants {
 		t.Run(mutant.tag, func(t *testing.T) {
@@ -92,7 +93,7 @@
 			for seed := range uint64(maxMutantSeeds) {
 				scenario := Draw(seed + 1)
 				mutant.prepare(&scenario)
-				report, err := Run(context.Background(), filepath.Join(programs, mutant.tag), scenario, t.TempDir())
+				report, err := Run(context.Background(), filepath.Join(programFolder, mutant.tag), scenario, t.TempDir())
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -100,20 +101,20 @@
 					return
 				}
 			}
-			t.Errorf("no %q in %d runs", mutant.rule, maxMutantSeeds)
+			t.Errorf("no breach of rule %q in %d runs", mutant.rule, maxMutantSeeds)
 		})
 	}
 }
 
-// What is drawn depends on the seed alone, and keeps within what the platform does.
+// A scenario depends on the seed alone, and stays within the limits of the protocol.
 func TestDraw(t *testing.T) {
 	for seed := range uint64(500) {
 		s := Draw(seed)
-		if again := Draw(seed); s.String() != again.String() || s.Load != again.Load {
-			t.Fatalf("drawn twice: %v and %v", &s, &again)
+		if again := Draw(seed); s.String() != again.String() || s.LoadTime != again.LoadTime {
+			t.Fatalf("two scenarios from one seed: %v and %v", &s, &again)
 		}
-		if s.Connect < minConnectTime || s.Connect > maxConnectTime || s.Deadline > maxDeadline || s.Hanging+s.Breaking >= endpointCount {
-			t.Errorf("out of range: %v", &s)
+		if s.ConnectTime < minConnectTime || s.ConnectTime > maxConnectTime || s.Deadline > maxDeadline || s.Hanging+s.Breaking >= endpointCount {
+			t.Errorf("scenario out of range: %v", &s)
 		}
 		if s.killAfter() != s.Deadline+killAfterDeadline {
 			t.Errorf("SIGKILL comes %v after SIGTERM, want its earliest, %v", s.killAfter(), s.Deadline+killAfterDeadline)
