--- a/cmd/faultlab/control.go
+++ b/cmd/faultlab/control.go
@@ -16,22 +16,22 @@
 	"bramblestand/internal/lab"
 )
 
-// control measures the control traffic by number of servers and rate of requests.
+// control measures the control traffic of sidecars for each combination of number of servers, call rate and probe price.
 func control(args []string) error {
 	flags := flag.NewFlagSet("control", flag.ContinueOnError)
 	out := flags.String("out", "lab-out", "folder for control.json and the logs")
 	program := flags.String("sidecar", "bin/sidecar", "the sidecar's program")
-	sidecars := flags.Int("sidecars", 1, "of each run, 1 to 300")
-	servers := flags.String("servers", "6,60,240,960", "in the list, separated by commas, each 1 to 1000")
-	rates := flags.String("rates", "0,0.1,1,47", "calls per second of a sidecar, separated by commas")
-	prices := flags.String("prices", "1,0.0014", "of a probe, separated by commas: prices.probe of the settings, as fleet.probe_price")
-	duration := flags.Duration("duration", 60*time.Second, "of a run, at least 20s: steady is from 15 s on")
-	parallel := flags.Int("parallel", 1, "runs at a time; with 1, estimated bytes are compared with the kernel's in rows without calls")
+	sidecars := flags.Int("sidecars", 1, "sidecars in each run, 1 to 300")
+	servers := flags.String("servers", "6,60,240,960", "numbers of servers in the list, separated by commas, each 1 to 1000")
+	rates := flags.String("rates", "0,0.1,1,47", "calls per second to each sidecar, separated by commas")
+	prices := flags.String("prices", "1,0.0014", "prices of a load probe (prices.probe of the settings), separated by commas, each above 0")
+	duration := flags.Duration("duration", 60*time.Second, "duration of a run, 20s to 1h; the steady state is measured from 15 s on")
+	parallel := flags.Int("parallel", 1, "runs at a time; with 1, rows without calls compare the estimated bytes with the kernel's count")
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
 	if flags.NArg() > 0 {
-		return fmt.Errorf("control takes flags alone\n%s", usage)
+		return fmt.Errorf("control takes only flags, no arguments\n%s", usage)
 	}
 	if *duration < 20*time.Second || *duration > time.Hour {
 		return fmt.Errorf("-duration: %v is not within 20s to 1h", *duration)
@@ -39,28 +39,28 @@
 	if *parallel < 1 || *parallel > 64 {
 		return fmt.Errorf("-parallel: %d is not within 1 to 64", *parallel)
 	}
-	var listed []int
+	var serverCounts []int
 	for _, text := range strings.Split(*servers, ",") {
 		n, err := strconv.Atoi(text)
 		if err != nil || n < 1 || n > 1000 {
 			return fmt.Errorf("-servers: %q is not within 1 to 1000", text)
 		}
-		listed = append(listed, n)
+		serverCounts = append(serverCounts, n)
 	}
-	calls, err := numbers("-rates", *rates)
+	callRates, err := numbers("-rates", *rates)
 	if err != nil {
 		return err
 	}
-	each, err := numbers("-prices", *prices)
+	probePrices, err := numbers("-prices", *prices)
 	if err != nil {
 		return err
 	}
-	if slices.Contains(each, 0) {
-		return fmt.Errorf("-prices: 0 means the lab's default, which is 1")
+	if slices.Contains(probePrices, 0) {
+		return fmt.Errorf("-prices: 0 is not a price: fleet.probe_price = 0 selects the default, 1")
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	table, err := lab.MeasureControl(ctx, *program, filepath.Join(*out, "logs"), *sidecars, listed, calls, each, *duration, *parallel,
+	table, err := lab.MeasureControl(ctx, *program, filepath.Join(*out, "logs"), *sidecars, serverCounts, callRates, probePrices, *duration, *parallel,
 		func(line string) { fmt.Fprintln(os.Stderr, line) })
 	if err != nil {
 		return err
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// numbers parses numbers separated by commas; the error names the flag.
+// numbers parses numbers from 0 to 10000 that are separated by commas. Errors begin with name, the flag that holds them.
 func numbers(name, text string) (all []float64, err error) {
 	for _, part := range strings.Split(text, ",") {
 		v, err := strconv.ParseFloat(part, 64)
--- a/cmd/faultlab/main.go
+++ b/cmd/faultlab/main.go
@@ -1,20 +1,21 @@
-// Command faultlab runs experiments on many real sidecars with fake servers, a
-// fake discovery service and faults between them.
+// Command faultlab runs experiments on sidecars, with fake servers, a fake
+// discovery service and injected faults.
 //
 //	faultlab run [-out DIR] [-sidecar PATH] [-repeat N] EXPERIMENT.toml   writes DIR/result.json, DIR/plot.png, DIR/logs/
-//	faultlab search [-seeds N] [-for D] EXPERIMENT.toml                     draws faults, keeps and shrinks what breaks a rule
-//	faultlab report [-plot FILE] RESULT.json                                prints a result, and plots it again
-//	faultlab compare A.json B.json                                          two results, or repeats, side by side
-//	faultlab chain [-levels N] [-fails S,S]                                 attempts over services in a row, DIR/chain.json
-//	faultlab latency [-rates R,R] [-plays N]                                the latency that a sidecar adds to a call, DIR/latency.json
-//	faultlab control [-servers N,N] [-rates R,R]                            the control traffic, DIR/control.json
-//	faultlab soak [-seeds N] [-first SEED] [-for D]                         ends sidecars under use, by the platform's rules
+//	faultlab search [-seeds N] [-for D] EXPERIMENT.toml                     draws faults; saves and shrinks schedules that break a rule
+//	faultlab report [-plot FILE] RESULT.json                                prints a result, and can plot it again
+//	faultlab compare A.json B.json                                          prints two results, or two sets of repeats, side by side
+//	faultlab chain [-levels N] [-fails S,S]                                 attempts across a chain of services; writes DIR/chain.json
+//	faultlab latency [-rates R,R] [-plays N]                                latency that a sidecar adds to a call; writes DIR/latency.json
+//	faultlab control [-servers N,N] [-rates R,R]                            control traffic of sidecars; writes DIR/control.json
+//	faultlab soak [-seeds N] [-first SEED] [-for D]                         terminates sidecars under load and checks the platform's rules
 //	faultlab scale [-out DIR] [-rungs N,N]                                  fleets of hollow sidecars up to 1,920, see docs/design-scale.md
-//	faultlab scale -agree [-out DIR]                                        hollow sidecars held against real processes
+//	faultlab scale -agree [-out DIR]                                        compares hollow sidecars with real processes
 //
-// run, search and soak exit 1 on a bad experiment or a failed start, and 3 when a
-// rule was broken (lost, forged, run twice, sent after a drain or a ban, a
-// check that the history violates).
+// The exit code is 1 for an invalid argument or experiment or a failed run, and 2
+// without a subcommand. run, search, control, chain and soak exit with 3 when a
+// rule was broken: for instance, a request was lost, got a forged response, ran
+// twice or was sent after a drain or a ban, or the history violates a check.
 package main
 
 import (
@@ -70,7 +71,7 @@
 		err = soakRuns(os.Args[2:])
 	case "scale":
 		err = scaleRun(os.Args[2:])
-	case "scale-rung": // for scale's own use
+	case "scale-rung": // internal: scale starts it in child processes
 		err = scaleRung(os.Args[2:])
 	default:
 		err = fmt.Errorf("%q is not a subcommand\n%s", os.Args[1], usage)
@@ -86,14 +87,14 @@
 	}
 }
 
-// breachError is the number of breaches of the rules, which main maps to an exit code of its own.
+// breachError is the number of breaches of the rules. main exits with 3 on it.
 type breachError int
 
-// Error says how many rules were broken.
+// Error returns the number of breaches as text.
 func (b breachError) Error() string { return fmt.Sprintf("%d breaches of the rules", int(b)) }
 
-// load reads an experiment; program, where not empty, overrides its sidecar.
-func load(flags *flag.FlagSet, program string) (*lab.Experiment, error) {
+// loadExperiment reads the experiment file that the flags' only argument names. Unless empty, program overrides the experiment's sidecar.
+func loadExperiment(flags *flag.FlagSet, program string) (*lab.Experiment, error) {
 	if flags.NArg() != 1 {
 		return nil, fmt.Errorf("%s takes one experiment file\n%s", flags.Name(), usage)
 	}
@@ -108,19 +109,19 @@
 	return exp, err
 }
 
-// run runs an experiment, once or with several seeds.
+// run runs an experiment once, or several times with consecutive seeds.
 func run(args []string) error {
 	flags := flag.NewFlagSet("run", flag.ContinueOnError)
 	out := flags.String("out", "lab-out", "folder for the result, the plot and the logs")
-	program := flags.String("sidecar", "", "the sidecar's program; overrides the experiment's")
+	program := flags.String("sidecar", "", "the sidecar's program; overrides the experiment's sidecar")
 	state := flags.String("state", "", `"on" or "off": whether sidecars persist state; overrides the experiment's fleet.state`)
 	view := flags.String("view", "", `"on" or "off": whether sidecars maintain a membership view; overrides the experiment's fleet.view`)
-	parallel := flags.Int("parallel", 1, "runs at a time, of those of -repeat")
-	repeat := flags.Int("repeat", 1, "runs, with consecutive seeds; figures as distributions in DIR/repeat.json")
+	parallel := flags.Int("parallel", 1, "how many runs of -repeat run at a time")
+	repeat := flags.Int("repeat", 1, "number of runs, with consecutive seeds; above 1, DIR/repeat.json has the distributions of their figures")
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
-	exp, err := load(flags, *program)
+	exp, err := loadExperiment(flags, *program)
 	if err != nil {
 		return err
 	}
@@ -167,8 +168,8 @@
 	return nil
 }
 
-// runAll runs an experiment with repeat consecutive seeds, parallel at a time. None begins after ctx's end or an
-// error. It returns the results of those that ended.
+// runAll runs an experiment with repeat consecutive seeds, parallel of them at a time. No run begins after ctx has ended
+// or another run has failed. It returns the results of the completed runs.
 func runAll(ctx context.Context, exp *lab.Experiment, out string, repeat, parallel int) ([]*lab.Result, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -177,14 +178,14 @@
 		if ctx.Err() != nil {
 			return
 		}
-		one, folder := *exp, out
+		experiment, folder := *exp, out
 		if repeat > 1 {
-			one.Seed += uint64(n)
+			experiment.Seed += uint64(n)
 			folder = filepath.Join(out, fmt.Sprintf("run-%d", n))
 		}
-		result, err := runOnce(ctx, &one, folder)
+		result, err := runOnce(ctx, &experiment, folder)
 		switch {
-		case ctx.Err() != nil && repeat > 1: // cut short
+		case ctx.Err() != nil && repeat > 1: // interrupted: has no complete result
 			return
 		case err != nil:
 			errs[n] = err
@@ -192,7 +193,7 @@
 			return
 		}
 		if results[n] = result; repeat > 1 {
-			fmt.Fprintf(os.Stderr, "run %d of %d, seed %d: %d breaches\n", n+1, repeat, one.Seed, result.Breaches())
+			fmt.Fprintf(os.Stderr, "run %d of %d, seed %d: %d breaches\n", n+1, repeat, experiment.Seed, result.Breaches())
 		}
 	})
 	return slices.DeleteFunc(results, func(r *lab.Result) bool { return r == nil }), errors.Join(errs...)
@@ -214,7 +215,7 @@
 	return result, result.Plot(filepath.Join(folder, "plot.png"))
 }
 
-// runExperiment runs an experiment, with the lab's own log beside the sidecars'.
+// runExperiment runs an experiment. The lab's own log, lab.log, goes to the folder of the sidecars' logs.
 func runExperiment(ctx context.Context, exp *lab.Experiment, logs string) (*lab.Result, error) {
 	if err := os.MkdirAll(logs, 0o755); err != nil {
 		return nil, err
@@ -227,26 +228,26 @@
 	return lab.Run(ctx, exp, exp.Sidecar, logs, slog.New(slog.NewJSONHandler(labLog, nil)).With("lab", exp.Name))
 }
 
-// search looks for schedules of faults that break a rule.
+// search draws schedules of faults and runs them to find those that break a rule.
 func search(args []string) error {
 	flags := flag.NewFlagSet("search", flag.ContinueOnError)
-	out := flags.String("out", "lab-out", "folder for search.json and, by seed, what broke a rule")
-	program := flags.String("sidecar", "", "the sidecar's program; overrides the experiment's")
+	out := flags.String("out", "lab-out", "folder for search.json and, by seed, the schedules that broke a rule")
+	program := flags.String("sidecar", "", "the sidecar's program; overrides the experiment's sidecar")
 	var o lab.SearchOptions
-	flags.IntVar(&o.Seeds, "seeds", 20, "schedules to draw")
+	flags.IntVar(&o.Seeds, "seeds", 20, "number of schedules to draw, one for each seed")
 	flags.Uint64Var(&o.FirstSeed, "first", 1, "the first seed")
-	flags.DurationVar(&o.MaxDuration, "for", 0, "no run begins later than this; 0 for no limit")
+	flags.DurationVar(&o.MaxDuration, "for", 0, "time after which no further run begins; 0 for no limit")
 	flags.IntVar(&o.Parallel, "parallel", 3, "runs at a time")
-	flags.Func("kinds", "kinds of faults to draw, separated by commas; default all that the experiment allows", func(text string) error {
+	flags.Func("kinds", "kinds of faults to draw, separated by commas (default: all that the experiment allows)", func(text string) error {
 		o.Kinds = strings.Split(text, ",")
 		return nil
 	})
-	flags.IntVar(&o.MaxFindings, "stop", 0, "findings after which no more seeds are run; 0 for no limit")
-	flags.IntVar(&o.Attempts, "tries", 2, "runs of a smaller schedule, one of which must break the same rule")
+	flags.IntVar(&o.MaxFindings, "stop", 0, "number of findings after which no further seed is run; 0 for no limit")
+	flags.IntVar(&o.Attempts, "tries", 2, "number of runs of each smaller schedule; it is accepted if one of them breaks the same rule")
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
-	exp, err := load(flags, *program)
+	exp, err := loadExperiment(flags, *program)
 	if err != nil {
 		return err
 	}
@@ -286,10 +287,10 @@
 	return nil
 }
 
-// report prints a result, and plots it again.
+// report prints a result and, with -plot, plots it.
 func report(args []string) error {
 	flags := flag.NewFlagSet("report", flag.ContinueOnError)
-	plotPath := flags.String("plot", "", "file for the plot (PNG)")
+	plotPath := flags.String("plot", "", "file to write the plot to (PNG)")
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
--- a/cmd/faultlab/main_test.go
+++ b/cmd/faultlab/main_test.go
@@ -19,7 +19,7 @@
 	os.Exit(m.Run())
 }
 
-// invoke runs the command with these arguments and gives its exit code and output.
+// invoke runs faultlab in a child process and returns its exit code and combined output.
 func invoke(t *testing.T, args ...string) (int, string) {
 	t.Helper()
 	c := exec.Command(os.Args[0])
@@ -32,8 +32,8 @@
 	return 0, string(out)
 }
 
-// report reads a recorded result and draws it again; bad calls and bad
-// experiments end with 1 or 2 and say what is wrong.
+// report and compare read recorded results, and report plots one again. An invalid
+// argument or experiment leads to exit code 1 and a message that names it.
 func TestReportAndBadCalls(t *testing.T) {
 	plot := filepath.Join(t.TempDir(), "again.png")
 	code, out := invoke(t, "report", "-plot", plot, "../../docs/lab/fleet50-result.json")
@@ -52,7 +52,7 @@
 	for _, c := range []struct {
 		args []string
 		code int
-		says string
+		want string
 	}{
 		{[]string{"fly"}, 1, "not a subcommand"},
 		{[]string{"run", bad}, 1, "fleet.sidecars"},
@@ -71,7 +71,7 @@
 		{[]string{"latency", "-warm", "-1s"}, 1, "-warm"},
 		{[]string{"latency", "-duration", "1ms"}, 1, "-duration"},
 		{[]string{"latency", "-price", "-1"}, 1, "-price"},
-		{[]string{"latency", "more"}, 1, "flags alone"},
+		{[]string{"latency", "more"}, 1, "only flags"},
 		{[]string{"control", "-servers", "0"}, 1, "-servers"},
 		{[]string{"control", "-rates", "1,x"}, 1, "-rates"},
 		{[]string{"control", "-prices", "-1"}, 1, "-prices"},
@@ -80,8 +80,8 @@
 		{[]string{"control", "-sidecars", "0"}, 1, "fleet.sidecars"},
 		{[]string{"run", "-repeat", "0", "../../lab/search.toml"}, 1, "-repeat"},
 	} {
-		if code, out := invoke(t, c.args...); code != c.code || !strings.Contains(out, c.says) {
-			t.Errorf("%v: %d, %q; want %d and %q", c.args, code, out, c.code, c.says)
+		if code, out := invoke(t, c.args...); code != c.code || !strings.Contains(out, c.want) {
+			t.Errorf("%v: %d, %q; want %d and %q", c.args, code, out, c.code, c.want)
 		}
 	}
 }
--- a/cmd/faultlab/soak.go
+++ b/cmd/faultlab/soak.go
@@ -15,7 +15,7 @@
 	"bramblestand/internal/lab/soak"
 )
 
-// soakTotals adds up the reports of soakRuns.
+// soakTotals is the sum of the reports of several runs.
 type soakTotals struct {
 	runs, requests, unread, cut, unclear, killed, breaches int
 }
@@ -32,14 +32,14 @@
 	t.breaches += len(report.Breaches)
 }
 
-// soakRuns plays the scenarios of consecutive seeds.
+// soakRuns runs the scenarios of consecutive seeds.
 func soakRuns(args []string) error {
 	flags := flag.NewFlagSet("soak", flag.ContinueOnError)
 	out := flags.String("out", "lab-out", "folder for the sidecars' logs, by seed")
 	program := flags.String("sidecar", "bin/sidecar", "the sidecar's program")
-	seeds := flags.Int("seeds", 10, "scenarios to draw")
+	seeds := flags.Int("seeds", 10, "number of scenarios, one for each seed")
 	first := flags.Uint64("first", 1, "the first seed")
-	limit := flags.Duration("for", 0, "no run begins later than this; 0 for no limit")
+	limit := flags.Duration("for", 0, "time after which no further run begins; 0 for no limit")
 	parallel := flags.Int("parallel", 2, "runs at a time")
 	if err := flags.Parse(args); err != nil {
 		return err
@@ -50,7 +50,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	start := time.Now()
-	var mu sync.Mutex // guards the two below and the output
+	var mu sync.Mutex // guards totals, firstErr and the output
 	var totals soakTotals
 	var firstErr error
 	lab.ForEach(*seeds, *parallel, func(n int) {
@@ -77,7 +77,7 @@
 	return firstErr
 }
 
-// soakOnce plays one scenario.
+// soakOnce runs the scenario of one seed. The sidecars' logs go to folder.
 func soakOnce(ctx context.Context, program string, seed uint64, folder string) (*soak.Report, error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, err
