--- a/internal/lab/history/check.go
+++ b/internal/lab/history/check.go
@@ -149,13 +149,13 @@
 // Register checks that one value, which is initial at first, is linearizable.
 // stepOf returns what an event does to the value: "write" or "read" with the full
 // value, for a set also "add" or "remove" with an element, or "" if the event is
-// unrelated. Calls with outcome No have no effect. Calls with outcome Unknown
+// unrelated. Calls with outcome Rejected have no effect. Calls with outcome Unknown
 // may take effect at any time after they were sent.
 func Register(name, initial string, events []Event, stepOf func(Event) (kind, value string)) *Violation {
 	l := &operations{}
 	l.add(Event{Kind: Wipe, Key: "initial", Value: initial, Call: math.MinInt64, Return: math.MinInt64}, step{"write", initial})
 	for _, e := range events {
-		if e.Kind == Call && e.Outcome == No {
+		if e.Kind == Call && e.Outcome == Rejected {
 			continue
 		}
 		if kind, value := stepOf(e); kind != "" {
@@ -295,7 +295,7 @@
 		}
 		removedAt := int64(math.MaxInt64)
 		for _, e := range events {
-			if e.Kind == Call && e.Op == remove && e.Key == call.Key && e.Outcome != No && e.Return >= call.Call {
+			if e.Kind == Call && e.Op == remove && e.Key == call.Key && e.Outcome != Rejected && e.Return >= call.Call {
 				removedAt = min(removedAt, e.Call)
 			}
 		}
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -23,9 +23,9 @@
 
 // The outcomes of a call.
 const (
-	OK      = "ok"      // confirmed: it has taken effect and is durable
-	No      = "no"      // rejected: it has not taken effect and will not
-	Unknown = "unknown" // no response, or an inconclusive one: it may have taken effect or may still do so
+	OK       = "ok"      // confirmed: it has taken effect and is durable
+	Rejected = "no"      // rejected: it has not taken effect and will not
+	Unknown  = "unknown" // no response, or an inconclusive one: it may have taken effect or may still do so
 )
 
 // Event is one line of the history, a JSON object (JSONL, in order of Call).
--- a/internal/lab/history/history_test.go
+++ b/internal/lab/history/history_test.go
@@ -60,7 +60,7 @@
 			call("ban", "v1", OK, 10, 20), observed("s0", 22, 23, "v1"), observed("s0", 30, 31)}, 2},
 		"a ban of unknown outcome may take effect late": {register, []Event{call("ban", "v1", Unknown, 10, 20), observed("s0", 30, 31), observed("s0", 40, 41, "v1")}, 0},
 		"a ban of unknown outcome does not return":      {register, []Event{call("ban", "v1", Unknown, 10, 20), observed("s0", 40, 41, "v1"), observed("s0", 50, 51)}, 3},
-		"a rejected ban has no effect":                  {register, []Event{call("ban", "v1", No, 10, 20), observed("s0", 30, 31, "v1")}, 2},
+		"a rejected ban has no effect":                  {register, []Event{call("ban", "v1", Rejected, 10, 20), observed("s0", 30, 31, "v1")}, 2},
 		"a lease is transferred":                        {holder, []Event{observedLease("s0", 1, 10, 11), observedLease("s0", 1, 20, 21), observedLease("s1", 2, 22, 23), observedLease("s0", 0, 24, 25), observedLease("s1", 2, 30, 31)}, 0},
 		"two sidecars hold one lease":                   {holder, []Event{observedLease("s0", 1, 10, 11), observedLease("s1", 2, 12, 13), observedLease("s1", 2, 22, 23), observedLease("s0", 1, 24, 25)}, 4},
 		"tokens of observations that overlap":           {grow, []Event{observedLease("s1", 2, 10, 20), observedLease("s0", 1, 19, 21)}, 0},
--- a/internal/lab/history_checks.go
+++ b/internal/lab/history_checks.go
@@ -88,7 +88,7 @@
 		}
 		until := int64(1<<63 - 1)
 		for _, e := range events {
-			if e.Sidecar == ban.Sidecar && e.Return >= ban.Call && (e.Kind == history.Wipe || e.Kind == history.Call && e.Op == "enable" && e.Key == ban.Key && e.Outcome != history.No) {
+			if e.Sidecar == ban.Sidecar && e.Return >= ban.Call && (e.Kind == history.Wipe || e.Kind == history.Call && e.Op == "enable" && e.Key == ban.Key && e.Outcome != history.Rejected) {
 				until = min(until, e.Call)
 			}
 		}
--- a/internal/lab/operators.go
+++ b/internal/lab/operators.go
@@ -112,7 +112,7 @@
 	case status >= 200 && status < 300:
 		e.Outcome = history.OK
 	case status >= 400 && status < 500 || status < 0:
-		e.Outcome = history.No
+		e.Outcome = history.Rejected
 	default: // 503, or no response: it may have taken effect
 		e.Outcome = history.Unknown
 	}
