--- a/internal/sidecar/admin_busy_test.go
+++ b/internal/sidecar/admin_busy_test.go
@@ -52,45 +52,45 @@
 
 // Guards against an operators' call that is answered "could not be carried out" by a busy sidecar and takes effect all the same.
 func TestAnswerOfABusySidecarAgreesWithTheEffect(t *testing.T) {
-	w := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
-	w.openAdmin()
-	go w.server.pollHandover(w.loop.ctx)
+	s := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
+	s.openAdmin()
+	go s.server.pollHandover(s.loop.ctx)
 
-	release := w.blockLoop()
-	got := w.callAdmin("POST", "/pin-servers/disable", "s-1")
+	release := s.blockLoop()
+	got := s.callAdmin("POST", "/pin-servers/disable", "s-1")
 	if got.status != http.StatusServiceUnavailable || got.text != admin.ErrBusy.Error() || got.duration > maxAdminAnswerTime {
 		t.Errorf("a ban that was not recorded: %+v", got)
 	}
 	release()
 	time.Sleep(300 * time.Millisecond) // several polls of the handover file
-	w.onLoop(func() {
-		if len(w.loop.banned) > 0 {
+	s.onLoop(func() {
+		if len(s.loop.banned) > 0 {
 			t.Error("the ban that was not carried out is in force")
 		}
 	})
 
-	release = w.blockLoop()
-	got = w.callAdmin("POST", "/drain", "")
+	release = s.blockLoop()
+	got = s.callAdmin("POST", "/drain", "")
 	if got.status != http.StatusServiceUnavailable || got.text != admin.ErrUnconfirmed.Error() || got.duration > maxAdminAnswerTime {
 		t.Errorf("a drain that was recorded: %+v", got)
 	}
 	release()
-	w.await("the recorded drain", w.server.isDrained.Load)
-	if got := w.callAdmin("POST", "/drain", ""); got.status != http.StatusOK {
+	s.await("the recorded drain", s.server.isDrained.Load)
+	if got := s.callAdmin("POST", "/drain", ""); got.status != http.StatusOK {
 		t.Errorf("the same call again: %+v", got)
 	}
 }
 
 // Guards against an answer that comes late, or never, because each step of the call waits for a loop that is busy again.
 func TestAdminAnswersComeInTimeFromABusyLoop(t *testing.T) {
-	w := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
-	w.openAdmin()
-	go w.server.pollHandover(w.loop.ctx)
+	s := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
+	s.openAdmin()
+	go s.server.pollHandover(s.loop.ctx)
 	for range 10 {
-		w.loop.post(func(balancer.Micros) { time.Sleep(600 * time.Millisecond) })
+		s.loop.post(func(balancer.Micros) { time.Sleep(600 * time.Millisecond) })
 	}
 	for _, path := range []string{"/pin-servers/disable", "/pin-servers/enable"} {
-		if got := w.callAdmin("POST", path, "s-1"); got.duration > maxAdminAnswerTime {
+		if got := s.callAdmin("POST", path, "s-1"); got.duration > maxAdminAnswerTime {
 			t.Errorf("%s: %+v", path, got)
 		}
 	}
--- a/internal/sidecar/admin_golden_test.go
+++ b/internal/sidecar/admin_golden_test.go
@@ -24,7 +24,7 @@
 // transcript collects admin calls and their answers in the form of testdata/admin_calls.txt, which release 21.0 wrote.
 type transcript struct {
 	t         *testing.T
-	w         *testSidecar
+	sidecar   *testSidecar
 	text      strings.Builder
 	normalize func(string) string // replaces what differs from run to run
 }
@@ -35,11 +35,11 @@
 // call makes a call and adds it with status, headers and body of the answer.
 func (tr *transcript) call(method, path, body string) {
 	tr.t.Helper()
-	r, err := http.NewRequest(method, "http://"+tr.w.adminAddress+path, strings.NewReader(body))
+	r, err := http.NewRequest(method, "http://"+tr.sidecar.adminAddress+path, strings.NewReader(body))
 	if err != nil {
 		tr.t.Fatal(err)
 	}
-	got := tr.w.send(r)
+	got := tr.sidecar.send(r)
 	if got.err != nil {
 		tr.t.Fatalf("%s %s: %v", method, path, got.err)
 	}
@@ -53,7 +53,7 @@
 // callRaw sends these bytes and no more, and adds the answer.
 func (tr *transcript) callRaw(data string) {
 	tr.t.Helper()
-	conn, err := net.Dial("tcp", tr.w.adminAddress)
+	conn, err := net.Dial("tcp", tr.sidecar.adminAddress)
 	if err != nil {
 		tr.t.Fatal(err)
 	}
@@ -100,20 +100,20 @@
 	endpoints := []discovery.Endpoint{readyEndpoint("s-1", "127.0.0.1:1"), readyEndpoint("s-2", "127.0.0.1:1"), readyEndpoint("s-3", "127.0.0.1:1")}
 	plain := startSidecar(t, nil, endpoints...) // counts no control traffic and has no fleet
 	plain.openAdmin()
-	w := startFleetMember(t, endpoints...)
-	call := w.openAdmin()
-	tr := &transcript{t: t, w: w, normalize: w.normalizeAnswer}
+	s := startFleetMember(t, endpoints...)
+	call := s.openAdmin()
+	tr := &transcript{t: t, sidecar: s, normalize: s.normalizeAnswer}
 
 	tr.callReadiness()
 	tr.callSettings()
 	tr.callRejected()
 	tr.section("control")
 	tr.call("GET", "/control", "")
-	tr.w = plain
+	tr.sidecar = plain
 	tr.call("GET", "/control", "")
 	tr.section("fleet")
 	tr.call("GET", "/fleet", "")
-	tr.w = w
+	tr.sidecar = s
 	tr.callFleet()
 	tr.callFailing()
 	if code := call("GET", "/ready", ""); code != 200 {
@@ -132,8 +132,8 @@
 // startFleetMember runs a sidecar that has a fleet, though it has not joined it, and counts control traffic.
 func startFleetMember(t *testing.T, endpoints ...discovery.Endpoint) *testSidecar {
 	t.Helper()
-	w := &testSidecar{t: t, registry: newFakeRegistry(t, endpoints...)}
-	cfg := newTestConfig(t, w.registry.address, nil, endpoints...)
+	s := &testSidecar{t: t, registry: newFakeRegistry(t, endpoints...)}
+	cfg := newTestConfig(t, s.registry.address, nil, endpoints...)
 	cfg.AdminAddress = "127.0.0.1:0" // control traffic is counted
 	cfg.Fleet = fleet.Settings{Enabled: true, StabilizationSeconds: 1, ProbeIntervalMillis: 400, MaxMembers: 10, MaxDatagramsPerSecond: 100}
 	socket, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -142,9 +142,9 @@
 	}
 	cfg.PeerListen = netip.MustParseAddrPort(socket.LocalAddr().String())
 	socket.Close()
-	w.launch(cfg)
-	w.await("serving", func() bool { return w.server.isServing() })
-	return w
+	s.launch(cfg)
+	s.await("serving", func() bool { return s.server.isServing() })
+	return s
 }
 
 // normalizeAnswer puts words in place of times, counts, addresses, the program's version and the folder.
@@ -164,9 +164,9 @@
 	tr.t.Helper()
 	tr.section("ready")
 	tr.call("GET", "/ready", "")
-	tr.w.server.isListening.Store(false)
+	tr.sidecar.server.isListening.Store(false)
 	tr.call("GET", "/ready", "")
-	tr.w.server.isListening.Store(true)
+	tr.sidecar.server.isListening.Store(true)
 }
 
 func (tr *transcript) callSettings() {
@@ -210,10 +210,10 @@
 	tr.call("GET", "/fleet", "")
 	ctx, leave := context.WithCancel(context.Background())
 	left := make(chan struct{})
-	go func() { defer close(left); tr.w.server.runMembership(ctx) }()
+	go func() { defer close(left); tr.sidecar.server.runMembership(ctx) }()
 	tr.t.Cleanup(func() { leave(); <-left })
-	tr.w.await("the membership", func() bool {
-		member := tr.w.loop.fleet.Load()
+	tr.sidecar.await("the membership", func() bool {
+		member := tr.sidecar.loop.fleet.Load()
 		if member == nil {
 			return false
 		}
@@ -231,12 +231,12 @@
 	tr.t.Helper()
 	tr.section("calls that cannot be carried out")
 	blocked, release := make(chan struct{}), make(chan struct{})
-	tr.w.loop.post(func(balancer.Micros) { close(blocked); <-release })
+	tr.sidecar.loop.post(func(balancer.Micros) { close(blocked); <-release })
 	<-blocked
 	tr.call("POST", "/pin-servers/disable", "s-1")
 	close(release)
 
-	obstacle := filepath.Join(tr.w.handoverFolder, "pinedale-n0.json.new")
+	obstacle := filepath.Join(tr.sidecar.handoverFolder, "pinedale-n0.json.new")
 	if err := os.Mkdir(obstacle, 0o700); err != nil {
 		tr.t.Fatal(err)
 	}
@@ -245,7 +245,7 @@
 		tr.t.Fatal(err)
 	}
 
-	tr.w.server.handover.Close()
+	tr.sidecar.server.handover.Close()
 	tr.call("POST", "/pin-servers/disable", "s-1")
 	tr.call("POST", "/undrain", "")
 }
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -46,8 +46,8 @@
 }
 
 func TestRejectedAdminCallsChangeNothing(t *testing.T) {
-	w := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
-	call := w.openAdmin()
+	s := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
+	call := s.openAdmin()
 	for _, c := range []struct {
 		method, path, body string
 		code               int
@@ -68,7 +68,7 @@
 		if code := call(c.method, c.path, c.body); code != c.code {
 			t.Errorf("%s %s: %d, want %d", c.method, c.path, code, c.code)
 		}
-		if now := w.server.handover.Load(); now.Revision != 0 {
+		if now := s.server.handover.Load(); now.Revision != 0 {
 			t.Fatalf("%s %s changed something: %+v", c.method, c.path, now)
 		}
 	}
@@ -76,11 +76,11 @@
 
 // Callers that send no complete call are disconnected, and never keep others out.
 func TestStalledAdminCallersAreDisconnected(t *testing.T) {
-	w := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
-	call := w.openAdmin()
+	s := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
+	call := s.openAdmin()
 	var stalled []net.Conn
 	for i := range 2 * config.MaxAdminConnections {
-		conn, err := net.Dial("tcp", w.adminAddress)
+		conn, err := net.Dial("tcp", s.adminAddress)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -97,16 +97,16 @@
 			t.Errorf("a stalled caller: %v, want the connection closed", err)
 		}
 	}
-	if w.server.isDrained.Load() {
+	if s.server.isDrained.Load() {
 		t.Error("an incomplete call was carried out")
 	}
 }
 
 // clientConnection is a client's connection that is used for several requests.
 type clientConnection struct {
-	world *testSidecar
-	conn  net.Conn
-	in    *bufio.Reader
+	sidecar *testSidecar
+	conn    net.Conn
+	in      *bufio.Reader
 }
 
 // connect opens a client's connection, which the test's end closes.
@@ -118,26 +118,26 @@
 }
 
 // roundTrip sends a request and reads the response.
-func (k *clientConnection) roundTrip() *http.Response {
-	k.world.t.Helper()
-	k.world.request("read", "", time.Minute).Write(k.conn)
-	response, err := http.ReadResponse(k.in, nil)
+func (c *clientConnection) roundTrip() *http.Response {
+	c.sidecar.t.Helper()
+	c.sidecar.request("read", "", time.Minute).Write(c.conn)
+	response, err := http.ReadResponse(c.in, nil)
 	if err != nil {
-		k.world.t.Fatal(err)
+		c.sidecar.t.Fatal(err)
 	}
 	io.Copy(io.Discard, response.Body)
 	return response
 }
 
 func TestDrainAndUndrain(t *testing.T) {
-	w := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
-	w.server.acceptDuration = time.Minute // idle connections stay open in this test until they are used
-	call := w.openAdmin()
+	s := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
+	s.server.acceptDuration = time.Minute // idle connections stay open in this test until they are used
+	call := s.openAdmin()
 	readiness := func() int {
-		r, _ := http.NewRequest("GET", w.url+"/health/ready", nil)
-		return w.send(r).statusCode
+		r, _ := http.NewRequest("GET", s.url+"/health/ready", nil)
+		return s.send(r).statusCode
 	}
-	first, second := w.connect(), w.connect()
+	first, second := s.connect(), s.connect()
 	first.roundTrip()
 	second.roundTrip()
 	for range 2 { // repeated calls are harmless
@@ -154,7 +154,7 @@
 	if got := first.roundTrip(); got.StatusCode != 200 || !got.Close {
 		t.Errorf("an open connection in a drain: %d, close %v; want 200 and the connection closed", got.StatusCode, got.Close)
 	}
-	if got := w.connect().roundTrip(); got.StatusCode != 200 || !got.Close {
+	if got := s.connect().roundTrip(); got.StatusCode != 200 || !got.Close {
 		t.Errorf("a new connection in a drain: %d, close %v; want 200 and the connection closed", got.StatusCode, got.Close)
 	}
 	for range 2 {
@@ -174,15 +174,15 @@
 
 // A drain closes idle connections, but not one on which a request is arriving.
 func TestDrainClosesIdleConnections(t *testing.T) {
-	w := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
-	w.server.acceptDuration = 0
-	call := w.openAdmin()
-	idle, sending := w.connect(), w.connect()
+	s := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
+	s.server.acceptDuration = 0
+	call := s.openAdmin()
+	idle, sending := s.connect(), s.connect()
 	idle.roundTrip()
 	sending.roundTrip()
-	w.await("both idle", func() bool { return w.server.clients.counts().idle == 2 })
+	s.await("both idle", func() bool { return s.server.clients.counts().idle == 2 })
 	var header strings.Builder
-	w.request("read", "", time.Minute).Write(&header)
+	s.request("read", "", time.Minute).Write(&header)
 	io.WriteString(sending.conn, header.String()[:10])
 	call("POST", "/drain", "")
 	if _, err := idle.in.ReadByte(); err != io.EOF {
@@ -199,23 +199,23 @@
 func TestBannedEndpointGetsNoRequests(t *testing.T) {
 	one, two := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)), endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
 	hosts := []discovery.Endpoint{readyEndpoint("s-1", one.Address), readyEndpoint("s-2", two.Address)}
-	w := startSidecar(t, nil, hosts...)
-	call := w.openAdmin()
+	s := startSidecar(t, nil, hosts...)
+	call := s.openAdmin()
 	for range 2 {
 		if code := call("POST", "/pin-servers/disable", "s-1\n"); code != 200 {
 			t.Fatalf("disable: %d", code)
 		}
 	}
-	lists := w.listCount()
-	w.registry.change(func() {
-		w.registry.list.Version++
+	lists := s.listCount()
+	s.registry.change(func() {
+		s.registry.list.Version++
 		hosts[0].StartedAtMillis = time.Now().UnixMilli()
-		w.registry.list.Endpoints = hosts
+		s.registry.list.Endpoints = hosts
 	})
-	w.await("the list that reports its restart", func() bool { return w.listCount() > lists })
+	s.await("the list that reports its restart", func() bool { return s.listCount() > lists })
 	before, _ := one.Counts()
 	for range 20 {
-		if got := w.send(w.request("read", "", 3*time.Second)); got.statusCode != 200 {
+		if got := s.send(s.request("read", "", 3*time.Second)); got.statusCode != 200 {
 			t.Fatalf("with one of two endpoints banned: %+v", got)
 		}
 	}
@@ -225,8 +225,8 @@
 	if code := call("POST", "/pin-servers/enable", "s-1"); code != 200 {
 		t.Fatalf("enable: %d", code)
 	}
-	w.await("the endpoint to be used again", func() bool {
-		w.send(w.request("read", "", 3*time.Second))
+	s.await("the endpoint to be used again", func() bool {
+		s.send(s.request("read", "", 3*time.Second))
 		n, _ := one.Counts()
 		return n > before
 	})
@@ -241,15 +241,15 @@
 
 // A call whose change cannot be stored is answered 503, and changes nothing.
 func TestCallThatIsNotPersistedFails(t *testing.T) {
-	w := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
-	call := w.openAdmin()
-	w.server.handover.Close()
+	s := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
+	call := s.openAdmin()
+	s.server.handover.Close()
 	for path, body := range map[string]string{"/drain": "", "/pin-servers/disable": "s-1"} {
 		if code := call("POST", path, body); code != 503 {
 			t.Errorf("%s: %d, want 503", path, code)
 		}
 	}
-	if w.server.isDrained.Load() || len(w.loop.banned) != 0 {
+	if s.server.isDrained.Load() || len(s.loop.banned) != 0 {
 		t.Error("a call that was answered 503 changed something")
 	}
 }
@@ -257,11 +257,11 @@
 // Readiness follows bans at once, without word from discovery. Guards against a sidecar that is asked for requests with all its
 // endpoints banned, or that goes on refusing them after the ban.
 func TestReadinessFollowsBans(t *testing.T) {
-	w := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
-	call := w.openAdmin()
+	s := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
+	call := s.openAdmin()
 	readiness := func() int {
-		r, _ := http.NewRequest("GET", w.url+"/health/ready", nil)
-		return w.send(r).statusCode
+		r, _ := http.NewRequest("GET", s.url+"/health/ready", nil)
+		return s.send(r).statusCode
 	}
 	for range 2 {
 		for _, c := range []struct {
--- a/internal/sidecar/attempts_test.go
+++ b/internal/sidecar/attempts_test.go
@@ -20,13 +20,13 @@
 // A connection to an endpoint carries one request after another, of any class.
 func TestConnectionsToEndpointsAreReused(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	for _, class := range []string{"read", "pay", "close", "order"} {
 		body := "body of " + class
 		if class == "read" {
 			body = ""
 		}
-		if got := w.send(w.request(class, body, 3*time.Second)); got.statusCode != http.StatusOK || got.body != "done" {
+		if got := s.send(s.request(class, body, 3*time.Second)); got.statusCode != http.StatusOK || got.body != "done" {
 			t.Errorf("%s: got %+v", class, got)
 		}
 	}
@@ -75,18 +75,18 @@
 			if c.move != nil {
 				second = c.move(second)
 			}
-			w := startSidecar(t, nil, readyEndpoint("s-1", e.Address), second)
-			got := w.send(w.request(c.class, "x", 3*time.Second))
+			s := startSidecar(t, nil, readyEndpoint("s-1", e.Address), second)
+			got := s.send(s.request(c.class, "x", 3*time.Second))
 			if n, _ := e.Counts(); got.statusCode != c.statusCode || n != c.attempts || got.err != nil {
 				t.Errorf("status %d (%v) after %d attempts, want %d after %d", got.statusCode, got.err, n, c.statusCode, c.attempts)
 			}
 			if got.statusCode == http.StatusOK && got.body != "done" {
 				t.Errorf("body %q", got.body)
 			}
-			w.await("the outcomes", func() bool { return len(w.recorder.statuses()) == c.attempts })
-			w.recorder.mu.Lock()
-			defer w.recorder.mu.Unlock()
-			outcomes := w.recorder.outcomes
+			s.await("the outcomes", func() bool { return len(s.recorder.statuses()) == c.attempts })
+			s.recorder.mu.Lock()
+			defer s.recorder.mu.Unlock()
+			outcomes := s.recorder.outcomes
 			if c.move != nil && outcomes[0].Status == balancer.Reset && outcomes[1].Endpoint != outcomes[0].Endpoint {
 				t.Error("a request that may have run was retried in another pod")
 			}
@@ -97,33 +97,33 @@
 // The balancer gets one outcome of each attempt, in order, and the last one says that the request is done.
 func TestEachAttemptHasOneOutcomeInOrder(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.FirstThen(endpointtest.RejectedResponse, endpointtest.OKResponse))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address), readyEndpoint("s-2", e.Address))
-	w.send(w.request("order", "x", 3*time.Second))
-	w.await("two outcomes", func() bool { return len(w.recorder.statuses()) >= 2 })
-	w.recorder.mu.Lock()
-	defer w.recorder.mu.Unlock()
-	if len(w.recorder.outcomes) != 2 {
-		t.Fatalf("%d outcomes, want 2", len(w.recorder.outcomes))
+	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address), readyEndpoint("s-2", e.Address))
+	s.send(s.request("order", "x", 3*time.Second))
+	s.await("two outcomes", func() bool { return len(s.recorder.statuses()) >= 2 })
+	s.recorder.mu.Lock()
+	defer s.recorder.mu.Unlock()
+	if len(s.recorder.outcomes) != 2 {
+		t.Fatalf("%d outcomes, want 2", len(s.recorder.outcomes))
 	}
-	first, second := w.recorder.outcomes[0], w.recorder.outcomes[1]
+	first, second := s.recorder.outcomes[0], s.recorder.outcomes[1]
 	if first.Attempt != 0 || first.Status != balancer.Rejected || first.RequestDone ||
 		second.Attempt != 1 || second.Status != balancer.OK || !second.RequestDone ||
 		first.ID != second.ID || first.Endpoint == second.Endpoint {
-		t.Errorf("outcomes %+v", w.recorder.outcomes)
+		t.Errorf("outcomes %+v", s.recorder.outcomes)
 	}
 }
 
 // A request that an endpoint answers 400 is not retried, and does not count as a failure of the endpoint.
 func TestBadRequestDoesNotCountAgainstTheEndpoint(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Always("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address), readyEndpoint("s-2", e.Address))
-	if got := w.send(w.request("pay", "x", time.Minute)); got.statusCode != http.StatusBadRequest {
+	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address), readyEndpoint("s-2", e.Address))
+	if got := s.send(s.request("pay", "x", time.Minute)); got.statusCode != http.StatusBadRequest {
 		t.Errorf("response %+v, want the endpoint's 400", got)
 	}
-	w.await("the outcome", func() bool { return len(w.recorder.statuses()) > 0 })
-	w.recorder.mu.Lock()
-	defer w.recorder.mu.Unlock()
-	if o := w.recorder.outcomes; len(o) != 1 || o[0].Status != balancer.Cancelled || !o[0].RequestDone {
+	s.await("the outcome", func() bool { return len(s.recorder.statuses()) > 0 })
+	s.recorder.mu.Lock()
+	defer s.recorder.mu.Unlock()
+	if o := s.recorder.outcomes; len(o) != 1 || o[0].Status != balancer.Cancelled || !o[0].RequestDone {
 		t.Errorf("outcomes %+v, want one, cancelled and done", o)
 	}
 }
@@ -134,24 +134,24 @@
 	for class, statusCode := range map[string]int{"read": 503, "pay": 503, "close": 502, "order": 502} {
 		t.Run(class, func(t *testing.T) {
 			e := endpointtest.NewServer(t, endpointtest.Silent)
-			w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+			s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 			const timeout = 400 * time.Millisecond
-			sentAt := w.loop.clock.now()
-			got := w.send(w.request(class, "x", timeout))
+			sentAt := s.loop.clock.now()
+			got := s.send(s.request(class, "x", timeout))
 			if got.statusCode != statusCode {
 				t.Errorf("status %d (%v), want %d", got.statusCode, got.err, statusCode)
 			}
-			w.await("the outcome", func() bool { return len(w.recorder.statuses()) > 0 })
-			if all := w.recorder.statuses(); !slices.Equal(all, []balancer.Status{balancer.Timeout}) {
+			s.await("the outcome", func() bool { return len(s.recorder.statuses()) > 0 })
+			if all := s.recorder.statuses(); !slices.Equal(all, []balancer.Status{balancer.Timeout}) {
 				t.Errorf("outcomes %v, want one timeout", all)
 			}
-			w.await("the timer", func() bool {
-				w.recorder.mu.Lock()
-				defer w.recorder.mu.Unlock()
-				return slices.Contains(w.recorder.events, eventTimer)
+			s.await("the timer", func() bool {
+				s.recorder.mu.Lock()
+				defer s.recorder.mu.Unlock()
+				return slices.Contains(s.recorder.events, eventTimer)
 			})
-			w.onLoop(func() {
-				if len(w.loop.requests) != 0 {
+			s.onLoop(func() {
+				if len(s.loop.requests) != 0 {
 					t.Error("the request is still in the table")
 				}
 			})
@@ -159,7 +159,7 @@
 			if maxTimeLeft := timeout - maxResponseMargin; forwarded <= 0 || forwarded > maxTimeLeft.Milliseconds() {
 				t.Errorf("the endpoint was given %d ms of %v, want at most %v", forwarded, timeout, maxTimeLeft)
 			}
-			if took := time.Duration(w.loop.clock.now()-sentAt) * time.Microsecond; took < timeout/2 {
+			if took := time.Duration(s.loop.clock.now()-sentAt) * time.Microsecond; took < timeout/2 {
 				t.Errorf("the request was answered after %v of %v", took, timeout)
 			}
 		})
@@ -169,9 +169,9 @@
 // A request that the balancer rejects is answered at once, with the time after which it may be retried.
 func TestRejectionIsImmediateWithRetryAfter(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.RejectedResponse))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	began := time.Now()
-	got := w.send(w.request("read", "", time.Minute))
+	got := s.send(s.request("read", "", time.Minute))
 	after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 	if got.statusCode != http.StatusServiceUnavailable || err != nil || after <= 0 || after > 1.5 {
 		t.Errorf("status %d, Retry-After %q", got.statusCode, got.header.Get("Retry-After"))
@@ -189,24 +189,24 @@
 		in.ReadByte() // until the sidecar closes the connection
 		close(closed)
 	})
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	ctx, cancel := context.WithCancel(context.Background())
-	go w.send(w.request("pay", "x", time.Minute).WithContext(ctx))
-	w.await("the attempt", func() bool { n, _ := e.Counts(); return n == 1 })
+	go s.send(s.request("pay", "x", time.Minute).WithContext(ctx))
+	s.await("the attempt", func() bool { n, _ := e.Counts(); return n == 1 })
 	cancel()
 	select {
 	case <-closed:
 	case <-time.After(testTimeout):
 		t.Fatal("the attempt's connection stays open")
 	}
-	w.await("the outcome", func() bool { return len(w.recorder.statuses()) == 1 })
-	w.recorder.mu.Lock()
-	defer w.recorder.mu.Unlock()
-	if o := w.recorder.outcomes[0]; o.Status != balancer.Cancelled || !o.RequestDone {
+	s.await("the outcome", func() bool { return len(s.recorder.statuses()) == 1 })
+	s.recorder.mu.Lock()
+	defer s.recorder.mu.Unlock()
+	if o := s.recorder.outcomes[0]; o.Status != balancer.Cancelled || !o.RequestDone {
 		t.Errorf("outcome %+v, want cancelled and done", o)
 	}
-	if w.recorder.events[0] != eventDisconnected {
-		t.Errorf("events %v, want the disconnect first", w.recorder.events)
+	if s.recorder.events[0] != eventDisconnected {
+		t.Errorf("events %v, want the disconnect first", s.recorder.events)
 	}
 }
 
@@ -214,10 +214,10 @@
 // made.
 func TestHalfClosedClientGetsNoResponse(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Silent)
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
-	conn := w.dial()
-	w.request("pay", "x", time.Minute).Write(conn)
-	w.await("the attempt", func() bool { n, _ := e.Counts(); return n == 1 })
+	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	conn := s.dial()
+	s.request("pay", "x", time.Minute).Write(conn)
+	s.await("the attempt", func() bool { n, _ := e.Counts(); return n == 1 })
 	conn.(*net.TCPConn).CloseWrite()
 	conn.SetReadDeadline(time.Now().Add(testTimeout))
 	if got, err := io.ReadAll(conn); len(got) > 0 {
@@ -234,21 +234,21 @@
 		io.WriteString(conn, endpointtest.OKResponse)
 	})
 	// The settings forbid to cancel attempts: this one goes on after the disconnect.
-	w := startSidecar(t, func(s map[string]any) { s["limits"].(map[string]any)["cancel"] = false }, readyEndpoint("s-1", e.Address))
+	s := startSidecar(t, func(s map[string]any) { s["limits"].(map[string]any)["cancel"] = false }, readyEndpoint("s-1", e.Address))
 	ctx, cancel := context.WithCancel(context.Background())
-	go w.send(w.request("pay", "x", time.Minute).WithContext(ctx))
-	w.await("the attempt", func() bool { n, _ := e.Counts(); return n == 1 })
+	go s.send(s.request("pay", "x", time.Minute).WithContext(ctx))
+	s.await("the attempt", func() bool { n, _ := e.Counts(); return n == 1 })
 	cancel()
-	w.await("the disconnect", func() bool {
-		w.recorder.mu.Lock()
-		defer w.recorder.mu.Unlock()
-		return slices.Contains(w.recorder.events, eventDisconnected)
+	s.await("the disconnect", func() bool {
+		s.recorder.mu.Lock()
+		defer s.recorder.mu.Unlock()
+		return slices.Contains(s.recorder.events, eventDisconnected)
 	})
 	close(respond)
-	w.await("the outcome", func() bool { return len(w.recorder.statuses()) == 1 })
-	w.recorder.mu.Lock()
-	defer w.recorder.mu.Unlock()
-	if o := w.recorder.outcomes[0]; o.Status != balancer.OK || !o.RequestDone {
+	s.await("the outcome", func() bool { return len(s.recorder.statuses()) == 1 })
+	s.recorder.mu.Lock()
+	defer s.recorder.mu.Unlock()
+	if o := s.recorder.outcomes[0]; o.Status != balancer.OK || !o.RequestDone {
 		t.Errorf("outcome %+v, want OK and done", o)
 	}
 }
@@ -257,9 +257,9 @@
 func TestEndpointDrainingDuringDialGetsNoRequest(t *testing.T) {
 	first := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
 	second := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
-	w := startSidecar(t, nil, readyEndpoint("s-1", first.Address))
+	s := startSidecar(t, nil, readyEndpoint("s-1", first.Address))
 	dialling, release := make(chan struct{}), make(chan struct{})
-	w.loop.upstream.Dialer.Control = func(_, address string, _ syscall.RawConn) error {
+	s.loop.upstream.Dialer.Control = func(_, address string, _ syscall.RawConn) error {
 		if address == first.Address {
 			close(dialling)
 			<-release
@@ -267,17 +267,17 @@
 		return nil
 	}
 	response := make(chan clientResponse)
-	go func() { response <- w.send(w.request("order", "x", time.Minute)) }()
+	go func() { response <- s.send(s.request("order", "x", time.Minute)) }()
 	<-dialling
 	draining := readyEndpoint("s-1", first.Address)
 	draining.Health = "Terminating"
-	w.registry.change(func() {
-		w.registry.list = discovery.List{Version: 1, IsFull: true, Endpoints: []discovery.Endpoint{draining, readyEndpoint("s-2", second.Address)}}
+	s.registry.change(func() {
+		s.registry.list = discovery.List{Version: 1, IsFull: true, Endpoints: []discovery.Endpoint{draining, readyEndpoint("s-2", second.Address)}}
 	})
-	w.await("the new list", func() bool {
+	s.await("the new list", func() bool {
 		isApplied := false
-		w.onLoop(func() {
-			isApplied = w.loop.targets[w.loop.endpointIDs.assign("s-1")] == nil && w.loop.targets[w.loop.endpointIDs.assign("s-2")] != nil
+		s.onLoop(func() {
+			isApplied = s.loop.targets[s.loop.endpointIDs.assign("s-1")] == nil && s.loop.targets[s.loop.endpointIDs.assign("s-2")] != nil
 		})
 		return isApplied
 	})
@@ -288,7 +288,7 @@
 	if n, _ := first.Counts(); n != 0 {
 		t.Errorf("the draining endpoint got %d requests", n)
 	}
-	if all := w.recorder.statuses(); !slices.Equal(all, []balancer.Status{balancer.NotSent, balancer.OK}) {
+	if all := s.recorder.statuses(); !slices.Equal(all, []balancer.Status{balancer.NotSent, balancer.OK}) {
 		t.Errorf("outcomes %v, want one not sent and one OK", all)
 	}
 }
--- a/internal/sidecar/client_conn_eviction_test.go
+++ b/internal/sidecar/client_conn_eviction_test.go
@@ -230,10 +230,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
-			w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
-			w.flood(func(conn net.Conn) { io.WriteString(conn, sent) })
+			s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+			s.flood(func(conn net.Conn) { io.WriteString(conn, sent) })
 			for i := range 40 {
-				if got := w.send(w.request("read", "", 3*time.Second)); got.statusCode != http.StatusOK {
+				if got := s.send(s.request("read", "", 3*time.Second)); got.statusCode != http.StatusOK {
 					t.Fatalf("request %d: %+v", i, got)
 				}
 			}
@@ -241,13 +241,13 @@
 	}
 	t.Run("valid requests", func(t *testing.T) {
 		e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
-		w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
-		request := w.request("read", "", 3*time.Second)
+		s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+		request := s.request("read", "", 3*time.Second)
 		var text strings.Builder
 		request.Write(&text)
 		var answered atomic.Int64
 		failures := make(chan error, 1)
-		w.flood(func(conn net.Conn) {
+		s.flood(func(conn net.Conn) {
 			io.WriteString(conn, text.String())
 			response, err := http.ReadResponse(bufio.NewReader(conn), request)
 			if err == nil && response.StatusCode != http.StatusOK && response.StatusCode != http.StatusServiceUnavailable {
@@ -261,7 +261,7 @@
 			}
 			answered.Add(1)
 		})
-		w.await("many requests to be answered", func() bool { return answered.Load() > 3000 })
+		s.await("many requests to be answered", func() bool { return answered.Load() > 3000 })
 		select {
 		case err := <-failures:
 			t.Errorf("a valid request got no response: %v", err)
--- a/internal/sidecar/client_conn_idle_test.go
+++ b/internal/sidecar/client_conn_idle_test.go
@@ -19,13 +19,13 @@
 		t.Run(name, func(t *testing.T) {
 			release := make(chan struct{})
 			e := endpointtest.NewServer(t, endpointtest.HoldPath("/pay", release))
-			w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
-			w.await("no connection", func() bool { return w.server.clients.count() == 0 })
-			client := w.connect()
+			s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+			s.await("no connection", func() bool { return s.server.clients.count() == 0 })
+			client := s.connect()
 			client.roundTrip()
-			selected := w.awaitIdleConn()
-			w.request("pay", "x", time.Minute).Write(client.conn)
-			w.await("the request at the endpoint", func() bool { n, _ := e.Counts(); return n == 2 })
+			selected := s.awaitIdleConn()
+			s.request("pay", "x", time.Minute).Write(client.conn)
+			s.await("the request at the endpoint", func() bool { n, _ := e.Counts(); return n == 2 })
 			closeSelected(selected)
 			close(release)
 			response, err := http.ReadResponse(client.in, nil)
@@ -41,24 +41,24 @@
 func TestClosingIdleConnectionsLosesNoReadRequest(t *testing.T) {
 	const connections, rounds = 60, 20
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
-	w.await("no connection", func() bool { return w.server.clients.count() == 0 })
+	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	s.await("no connection", func() bool { return s.server.clients.count() == 0 })
 	served := 0
 	for range rounds {
 		clients := make([]*clientConnection, connections)
 		for i := range clients {
-			clients[i] = w.connect()
+			clients[i] = s.connect()
 			clients[i].roundTrip()
 		}
 		served += connections
-		w.await("all to be idle", func() bool { return w.server.clients.counts().idle == connections })
+		s.await("all to be idle", func() bool { return s.server.clients.counts().idle == connections })
 		var wait sync.WaitGroup
 		var mu sync.Mutex
 		for _, client := range clients {
 			wait.Add(1)
 			go func() {
 				defer wait.Done()
-				w.request("read", "", time.Minute).Write(client.conn)
+				s.request("read", "", time.Minute).Write(client.conn)
 				if response, err := http.ReadResponse(client.in, nil); err == nil && response.StatusCode == http.StatusOK {
 					mu.Lock()
 					served++
@@ -67,11 +67,11 @@
 				client.conn.Close()
 			}()
 		}
-		for w.server.clients.counts().idle > 0 {
-			w.server.clients.closeIdle(0)
+		for s.server.clients.counts().idle > 0 {
+			s.server.clients.closeIdle(0)
 		}
 		wait.Wait()
-		w.await("all to end", func() bool { return w.server.clients.count() == 0 })
+		s.await("all to end", func() bool { return s.server.clients.count() == 0 })
 	}
 	if n, _ := e.Counts(); n != served {
 		t.Errorf("%d requests reached the endpoint, %d got its response", n, served)
--- a/internal/sidecar/client_conn_test.go
+++ b/internal/sidecar/client_conn_test.go
@@ -55,12 +55,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
-			w.await("no connection", func() bool { return w.server.clients.count() == 0 })
-			client := w.connect()
+			s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+			s.await("no connection", func() bool { return s.server.clients.count() == 0 })
+			client := s.connect()
 			io.WriteString(client.conn, c.sent+strings.Repeat("z", 64<<10))
-			w.awaitOnlyConn()
-			w.await("the connection's end", func() bool { return w.server.clients.count() == 0 })
+			s.awaitOnlyConn()
+			s.await("the connection's end", func() bool { return s.server.clients.count() == 0 })
 			got, err := io.ReadAll(client.in)
 			if err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 "+c.code) {
 				t.Errorf("read %.40q, %v; want a response %s and a clean end", got, err, c.code)
@@ -73,31 +73,31 @@
 // connection, and sends the request again elsewhere.
 func TestRequestAfterTheIdleCheckIsNeverRead(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
-	w.await("no connection", func() bool { return w.server.clients.count() == 0 })
-	client := w.connect()
+	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	s.await("no connection", func() bool { return s.server.clients.count() == 0 })
+	client := s.connect()
 	client.roundTrip()
-	conn := w.awaitIdleConn()
+	conn := s.awaitIdleConn()
 	conn.closeIf(func() bool {
 		if conn.hasRequestInProgressLocked() || !socket.IsQuiet(conn.Conn) {
 			t.Error("the connection is not idle")
 		}
-		w.request("read", "", time.Minute).Write(client.conn)
-		w.await("the request in the socket's buffer", func() bool { return !socket.IsQuiet(conn.Conn) })
+		s.request("read", "", time.Minute).Write(client.conn)
+		s.await("the request in the socket's buffer", func() bool { return !socket.IsQuiet(conn.Conn) })
 		return true
 	})
 	if got, err := io.ReadAll(client.in); err != nil || len(got) > 0 {
 		t.Errorf("the client read %q, %v; want the end", got, err)
 	}
-	w.request("read", "", time.Minute).Write(client.conn)
+	s.request("read", "", time.Minute).Write(client.conn)
 	if n, err := conn.Read(make([]byte, 1)); n > 0 || err != io.EOF {
 		t.Errorf("after the close %d bytes are read (%v)", n, err)
 	}
 	client.conn.Close()
-	w.await("the connection's end", func() bool { return w.server.clients.count() == 0 })
-	w.onLoop(func() {
-		if w.loop.lastRequestID != 1 {
-			t.Errorf("%d requests were taken, want 1", w.loop.lastRequestID)
+	s.await("the connection's end", func() bool { return s.server.clients.count() == 0 })
+	s.onLoop(func() {
+		if s.loop.lastRequestID != 1 {
+			t.Errorf("%d requests were taken, want 1", s.loop.lastRequestID)
 		}
 	})
 	if n, _ := e.Counts(); n != 1 {
@@ -108,18 +108,18 @@
 // An idle connection is not closed if part of a request was read before the check, even a single byte.
 func TestIdleCloseSparesARequestInProgress(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
-	w.await("no connection", func() bool { return w.server.clients.count() == 0 })
-	client := w.connect()
+	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	s.await("no connection", func() bool { return s.server.clients.count() == 0 })
+	client := s.connect()
 	for n := range 4 {
 		client.roundTrip()
-		conn := w.awaitIdleConn()
+		conn := s.awaitIdleConn()
 		var head bytes.Buffer
-		w.request("read", "", time.Minute).Write(&head)
+		s.request("read", "", time.Minute).Write(&head)
 		first := head.Next(n + 1)
 		client.conn.Write(first)
 		conn.closeIdle() // whether they were read by now or not
-		w.await("the first bytes to be read", conn.hasRequestInProgress)
+		s.await("the first bytes to be read", conn.hasRequestInProgress)
 		conn.closeIdle()
 		client.conn.Write(head.Bytes())
 		if got, err := http.ReadResponse(client.in, nil); err != nil || got.StatusCode != 200 {
@@ -133,21 +133,21 @@
 // Input that arrives after a connection is closed is never read as a request, even during a shutdown.
 func TestNothingIsReadAfterTheClose(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
-	w.await("no connection", func() bool { return w.server.clients.count() == 0 })
-	w.server.acceptDuration = 0
-	client := w.connect()
+	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	s.await("no connection", func() bool { return s.server.clients.count() == 0 })
+	s.server.acceptDuration = 0
+	client := s.connect()
 	client.roundTrip()
-	w.awaitIdleConn()
-	w.stop()
+	s.awaitIdleConn()
+	s.stop()
 	if got, err := io.ReadAll(client.in); err != nil || len(got) > 0 {
 		t.Fatalf("the client read %q, %v; want the end", got, err)
 	}
 	for range 3 { // a client that goes on sending
-		w.request("read", "", time.Minute).Write(client.conn)
+		s.request("read", "", time.Minute).Write(client.conn)
 	}
 	client.conn.Close()
-	w.expectCleanEnd()
+	s.expectCleanEnd()
 	if n, _ := e.Counts(); n != 1 {
 		t.Errorf("%d requests reached the endpoint, want 1", n)
 	}
@@ -229,10 +229,10 @@
 // stop. Others are served meanwhile.
 func TestMisbehavingClientsAreDisconnected(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	var ended [3]chan error
 	for i, sends := range []string{"no request\r\n\r\n", "POST /pay HTTP/1.1\r\nHost: x\r\nContent-Length: 60000000\r\n\r\n", ""} {
-		client, done := w.connect(), make(chan error, 1)
+		client, done := s.connect(), make(chan error, 1)
 		ended[i] = done
 		if sends == "" {
 			client.roundTrip()
@@ -270,19 +270,19 @@
 			case <-time.After(testTimeout):
 				t.Fatalf("misbehaving client %d is not disconnected", i)
 			default:
-				if got := w.send(w.request("read", "", 3*time.Second)); got.statusCode != http.StatusOK {
+				if got := s.send(s.request("read", "", 3*time.Second)); got.statusCode != http.StatusOK {
 					t.Fatalf("a request meanwhile: %+v", got)
 				}
 			}
 		}
 	}
-	w.await("their connections to be gone", func() bool { return w.server.clients.count() == 0 })
+	s.await("their connections to be gone", func() bool { return s.server.clients.count() == 0 })
 }
 
 // With few descriptors, other clients are served during a flood of misbehaving connections of every kind.
 func TestConnectionFloodLeavesRoomForClients(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	stop := make(chan struct{})
 	defer close(stop)
 	for i := range 8 {
@@ -293,7 +293,7 @@
 					return
 				default:
 				}
-				conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
+				conn, err := net.Dial("tcp", strings.TrimPrefix(s.url, "http://"))
 				if err != nil {
 					continue
 				}
@@ -313,11 +313,11 @@
 		}()
 	}
 	for range 50 {
-		if got := w.send(w.request("read", "", 3*time.Second)); got.statusCode != http.StatusOK {
+		if got := s.send(s.request("read", "", 3*time.Second)); got.statusCode != http.StatusOK {
 			t.Fatalf("a request: %+v", got)
 		}
-		if n := w.server.clients.count(); n > w.server.clients.maxConns {
-			t.Fatalf("%d connections are held, %d at most", n, w.server.clients.maxConns)
+		if n := s.server.clients.count(); n > s.server.clients.maxConns {
+			t.Fatalf("%d connections are held, %d at most", n, s.server.clients.maxConns)
 		}
 	}
 }
--- a/internal/sidecar/client_conns_test.go
+++ b/internal/sidecar/client_conns_test.go
@@ -14,12 +14,12 @@
 // Silent connections, however many, are evicted to make room for the application's connections, which stay open.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
-	application := w.dial() // idle between its requests
+	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	application := s.dial() // idle between its requests
 	in := bufio.NewReader(application)
 	use := func() {
 		t.Helper()
-		w.request("read", "", 3*time.Second).Write(application)
+		s.request("read", "", 3*time.Second).Write(application)
 		application.SetReadDeadline(time.Now().Add(testTimeout))
 		response, err := http.ReadResponse(in, nil)
 		if err != nil {
@@ -30,16 +30,16 @@
 		}
 	}
 	use()
-	for range 2 * w.server.clients.maxConns {
-		w.dial()
+	for range 2 * s.server.clients.maxConns {
+		s.dial()
 	}
-	w.await("all to be accepted", func() bool {
-		return w.server.clients.counts().accepted > 2*w.server.clients.maxConns
+	s.await("all to be accepted", func() bool {
+		return s.server.clients.counts().accepted > 2*s.server.clients.maxConns
 	})
-	if n := w.server.clients.count(); n > w.server.clients.maxConns {
-		t.Errorf("%d connections are open, %d at most", n, w.server.clients.maxConns)
+	if n := s.server.clients.count(); n > s.server.clients.maxConns {
+		t.Errorf("%d connections are open, %d at most", n, s.server.clients.maxConns)
 	}
-	if got := w.send(w.request("read", "", 3*time.Second)); got.statusCode != http.StatusOK {
+	if got := s.send(s.request("read", "", 3*time.Second)); got.statusCode != http.StatusOK {
 		t.Errorf("on a new connection: %+v", got)
 	}
 	use()
@@ -48,29 +48,29 @@
 // If no connection may be evicted, the sidecar rejects a request on a connection beyond the limit and closes that connection.
 func TestClientConnectionsAreLimited(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
-	w.server.clients.mu.Lock()
-	w.server.clients.minIdle = time.Hour
-	w.server.clients.mu.Unlock()
+	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	s.server.clients.mu.Lock()
+	s.server.clients.minIdle = time.Hour
+	s.server.clients.mu.Unlock()
 	var connections []net.Conn
-	for range w.server.clients.maxConns {
-		conn := w.dial()
+	for range s.server.clients.maxConns {
+		conn := s.dial()
 		connections = append(connections, conn)
-		w.request("read", "", time.Minute).Write(conn)
+		s.request("read", "", time.Minute).Write(conn)
 		conn.SetReadDeadline(time.Now().Add(testTimeout))
 		if response, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || response.StatusCode != http.StatusOK {
 			t.Fatalf("within the limit: %v, %v", response, err)
 		}
 	}
-	got := w.send(w.request("read", "", 3*time.Second))
+	got := s.send(s.request("read", "", 3*time.Second))
 	if got.statusCode != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
 		t.Errorf("beyond the limit: %+v", got)
 	}
 	for _, conn := range connections {
 		conn.Close()
 	}
-	w.await("the connections to end", func() bool { return w.server.clients.count() == 0 })
-	if got := w.send(w.request("read", "", 3*time.Second)); got.statusCode != http.StatusOK {
+	s.await("the connections to end", func() bool { return s.server.clients.count() == 0 })
+	if got := s.send(s.request("read", "", 3*time.Second)); got.statusCode != http.StatusOK {
 		t.Errorf("below the limit again: %+v", got)
 	}
 }
--- a/internal/sidecar/control_traffic_test.go
+++ b/internal/sidecar/control_traffic_test.go
@@ -221,27 +221,27 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			peers := &trafficPeers{releaseWatch: make(chan struct{})}
-			w := startBesidePeers(t, peers, c.alter)
-			w.await("lists and probes", func() bool {
+			s := startBesidePeers(t, peers, c.alter)
+			s.await("lists and probes", func() bool {
 				return peers.receivedMessages(&peers.discovery) >= 1 && peers.receivedMessages(&peers.probes) >= 2
 			})
 			for range 3 {
-				if got := w.send(w.request("read", "", 2*time.Second)); got.statusCode != http.StatusOK {
+				if got := s.send(s.request("read", "", 2*time.Second)); got.statusCode != http.StatusOK {
 					t.Fatalf("a request: %+v", got)
 				}
 			}
-			peers.callAdmin(t, w.adminAddress, "GET /pin-servers HTTP/1.1\r\nHost: o\r\n\r\n")
-			peers.callAdmin(t, w.adminAddress, "POST /pin-servers/disable HTTP/1.1\r\nHost: o\r\nContent-Length: 3\r\n\r\ns-9")
-			peers.callAdmin(t, w.adminAddress, "GET /control HTTP/1.1\r\nHost: o\r\n\r\n")
+			peers.callAdmin(t, s.adminAddress, "GET /pin-servers HTTP/1.1\r\nHost: o\r\n\r\n")
+			peers.callAdmin(t, s.adminAddress, "POST /pin-servers/disable HTTP/1.1\r\nHost: o\r\nContent-Length: 3\r\n\r\ns-9")
+			peers.callAdmin(t, s.adminAddress, "GET /control HTTP/1.1\r\nHost: o\r\n\r\n")
 			close(peers.releaseWatch)
 
 			for _, kind := range []string{controltraffic.KindLoadProbe, controltraffic.KindDiscovery, controltraffic.KindAdmin} {
 				switch {
 				case kind == c.wrongKind:
-					requireMiscount(t, peers, w.loop, kind)
+					requireMiscount(t, peers, s.loop, kind)
 				case kind == controltraffic.KindLoadProbe && c.wrongKind != "": // some miscounts take probes away
 				default: // all is counted once nothing is on its way: the counts are equal at some time, or never
-					w.await("the right count of "+kind, func() bool { return peers.agreesWith(w.loop, kind) })
+					s.await("the right count of "+kind, func() bool { return peers.agreesWith(s.loop, kind) })
 				}
 			}
 			peers.mu.Lock()
@@ -261,10 +261,10 @@
 		settings["prices"] = map[string]any{"probe": 1.0}
 	})
 	cfg.AdminAddress = "127.0.0.1:0"
-	w := &testSidecar{t: t, configureLoop: alter}
-	w.launch(cfg)
-	w.openAdmin()
-	return w
+	s := &testSidecar{t: t, configureLoop: alter}
+	s.launch(cfg)
+	s.openAdmin()
+	return s
 }
 
 // requireMiscount fails the test if the counts of a kind agree before two more load probes have come: by now there was
@@ -297,13 +297,13 @@
 
 // GET /control has every kind and their sum, and calls of discovery at a changed address are counted like the first.
 func TestControlStatusCoversEveryKindAndAChangedDiscovery(t *testing.T) {
-	w := &testSidecar{t: t, registry: newFakeRegistry(t, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))}
-	cfg := newTestConfig(t, w.registry.address, nil)
+	s := &testSidecar{t: t, registry: newFakeRegistry(t, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))}
+	cfg := newTestConfig(t, s.registry.address, nil)
 	cfg.AdminAddress = "127.0.0.1:0"
-	w.launch(cfg)
-	w.openAdmin()
-	w.await("a list", func() bool { return w.controlStatus().Kinds[controltraffic.KindDiscovery].Received.Messages > 0 })
-	status := w.controlStatus()
+	s.launch(cfg)
+	s.openAdmin()
+	s.await("a list", func() bool { return s.controlStatus().Kinds[controltraffic.KindDiscovery].Received.Messages > 0 })
+	status := s.controlStatus()
 	sum := uint64(0)
 	for _, kind := range controltraffic.Kinds {
 		traffic, ok := status.Kinds[kind]
@@ -320,9 +320,9 @@
 	}
 	opened := status.Kinds[controltraffic.KindDiscovery].Opened
 	second := newFakeRegistry(t, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
-	w.onLoop(func() { w.loop.switchDiscovery(second.address) })
-	w.await("calls of the new discovery", func() bool {
-		return second.callCount() > 0 && w.controlStatus().Kinds[controltraffic.KindDiscovery].Opened > opened
+	s.onLoop(func() { s.loop.switchDiscovery(second.address) })
+	s.await("calls of the new discovery", func() bool {
+		return second.callCount() > 0 && s.controlStatus().Kinds[controltraffic.KindDiscovery].Opened > opened
 	})
 }
 
--- a/internal/sidecar/disconnect_test.go
+++ b/internal/sidecar/disconnect_test.go
@@ -258,30 +258,30 @@
 	address, forwarded := newForwardCounter(t, name)
 	endpoints := repeatEndpoint(clients, address)
 	noticed := newDisconnectLog()
-	w := &testSidecar{t: t, registry: newFakeRegistry(t, endpoints...), log: noticed}
-	w.launch(newTestConfig(t, w.registry.address, func(settings map[string]any) {
+	s := &testSidecar{t: t, registry: newFakeRegistry(t, endpoints...), log: noticed}
+	s.launch(newTestConfig(t, s.registry.address, func(settings map[string]any) {
 		settings["limits"].(map[string]any)["cancel"] = wait != waitForUncancellable
 	}, endpoints...))
-	w.await("the list", func() bool { return w.loop.hasEndpoints.Load() })
-	waitingCount, release := w.holdRequests(wait)
+	s.await("the list", func() bool { return s.loop.hasEndpoints.Load() })
+	waitingCount, release := s.holdRequests(wait)
 	defer release()
 	var conns []net.Conn
 	for i := range clients {
-		conn := w.dial()
+		conn := s.dial()
 		conns = append(conns, conn)
-		conn.Write(w.partialRequest(fmt.Sprint(name, i), unread))
+		conn.Write(s.partialRequest(fmt.Sprint(name, i), unread))
 	}
-	w.await("all requests to wait", func() bool { return waitingCount() >= clients })
+	s.await("all requests to wait", func() bool { return waitingCount() >= clients })
 	for _, conn := range conns {
 		switch unread {
 		case pipelinedRequest:
-			w.request("pay", "x", time.Minute).Write(conn)
+			s.request("pay", "x", time.Minute).Write(conn)
 		case floodBehind:
 			conn.Write(bytes.Repeat([]byte("z"), 32<<10))
 		}
 	}
 	if wait == waitForLoop { // the goroutines that notice the disconnects cannot post them either
-		w.fillEventQueue()
+		s.fillEventQueue()
 	}
 	start := time.Now()
 	for _, conn := range conns {
@@ -292,7 +292,7 @@
 	}
 	delays := noticed.delaysSince(start)
 	release()
-	w.awaitNoRequests()
+	s.awaitNoRequests()
 	t.Logf("noticed %d of %d, p50 %v, p99 %v, max %v; forwarded %d", len(delays), clients, percentile(delays, 0.5),
 		percentile(delays, 0.99), percentile(delays, 1), forwarded.Load())
 	if forwarded.Load() > 0 || len(delays) < clients {
--- a/internal/sidecar/disconnect_unread_test.go
+++ b/internal/sidecar/disconnect_unread_test.go
@@ -18,29 +18,29 @@
 			prefix := fmt.Sprint("unread-", reset, "-")
 			address, forwarded := newForwardCounter(t, prefix)
 			endpoints := repeatEndpoint(clients, address)
-			w := &testSidecar{t: t, registry: newFakeRegistry(t, endpoints...)}
-			w.launch(newTestConfig(t, w.registry.address, func(map[string]any) {}, endpoints...))
-			w.await("the list", func() bool { return w.loop.hasEndpoints.Load() })
-			dialCount, release := w.holdDials()
+			s := &testSidecar{t: t, registry: newFakeRegistry(t, endpoints...)}
+			s.launch(newTestConfig(t, s.registry.address, func(map[string]any) {}, endpoints...))
+			s.await("the list", func() bool { return s.loop.hasEndpoints.Load() })
+			dialCount, release := s.holdDials()
 			defer release()
 			var conns []net.Conn
 			for i := range clients {
-				conn := w.dial()
+				conn := s.dial()
 				conns = append(conns, conn)
-				r := w.request("pay", "", time.Minute)
+				r := s.request("pay", "", time.Minute)
 				r.Header.Set(requestIDHeader, fmt.Sprint(prefix, i))
 				r.Write(conn)
 			}
-			w.await("all requests to wait", func() bool {
-				return countAwaitingResponse(w.server.clients) >= clients && dialCount() >= clients
+			s.await("all requests to wait", func() bool {
+				return countAwaitingResponse(s.server.clients) >= clients && dialCount() >= clients
 			})
-			unlock := lockReads(w.server.clients)
+			unlock := lockReads(s.server.clients)
 			defer unlock()
 			for _, conn := range conns {
 				disconnect(conn, reset)
 			}
 			release()
-			w.awaitNoRequests()
+			s.awaitNoRequests()
 			if n := forwarded.Load(); n > 0 {
 				t.Errorf("%d of %d requests were forwarded", n, clients)
 			}
--- a/internal/sidecar/event_loop_test.go
+++ b/internal/sidecar/event_loop_test.go
@@ -50,19 +50,19 @@
 
 // Urgent events, operators' calls, do not wait behind the other events.
 func TestUrgentEventsAreHandledAheadOfOthers(t *testing.T) {
-	w := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
+	s := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
 	release, blocked := make(chan struct{}), make(chan struct{})
-	w.loop.post(func(balancer.Micros) { close(blocked); <-release })
+	s.loop.post(func(balancer.Micros) { close(blocked); <-release })
 	<-blocked
 	var order []string
 	last := make(chan struct{})
 	for range 5 {
-		w.loop.post(func(balancer.Micros) { order = append(order, "event") })
+		s.loop.post(func(balancer.Micros) { order = append(order, "event") })
 	}
-	w.loop.post(func(balancer.Micros) { close(last) })
+	s.loop.post(func(balancer.Micros) { close(last) })
 	handled := make(chan error, 1)
-	go func() { handled <- w.loop.postUrgent(func(balancer.Micros) { order = append(order, "call") }) }()
-	w.await("the call to be queued", func() bool { return len(w.loop.urgent) == 1 })
+	go func() { handled <- s.loop.postUrgent(func(balancer.Micros) { order = append(order, "call") }) }()
+	s.await("the call to be queued", func() bool { return len(s.loop.urgent) == 1 })
 	close(release)
 	if err := <-handled; err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -12,14 +12,14 @@
 
 // A process beside another admits as many clients as there can be: soon all of them connect to it.
 func TestNewProcessAdmitsAllClients(t *testing.T) {
-	w := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
-	w.server.clients.mu.Lock()
-	w.server.clients.minIdle = 0 // idle connections may be closed at once to make room
-	w.server.clients.mu.Unlock()
-	w.server.splitLimits(true)
+	s := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
+	s.server.clients.mu.Lock()
+	s.server.clients.minIdle = 0 // idle connections may be closed at once to make room
+	s.server.clients.mu.Unlock()
+	s.server.splitLimits(true)
 	var clients []*clientConnection
-	for range w.loop.cfg.Limits.Sockets / clientsDescriptorDivisor {
-		clients = append(clients, w.connect())
+	for range s.loop.cfg.Limits.Sockets / clientsDescriptorDivisor {
+		clients = append(clients, s.connect())
 	}
 	for _, client := range clients {
 		if got := client.roundTrip(); got.StatusCode != http.StatusOK || got.Close {
--- a/internal/sidecar/rejections_test.go
+++ b/internal/sidecar/rejections_test.go
@@ -14,25 +14,25 @@
 func TestLogNamesTheReasonOfARejection(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.RejectedResponse))
 	log := &endpointtest.LogBuffer{}
-	w := &testSidecar{t: t, registry: newFakeRegistry(t, readyEndpoint("s-1", e.Address)), log: slog.NewTextHandler(log, nil)}
-	w.launch(newTestConfig(t, w.registry.address, nil, readyEndpoint("s-1", e.Address)))
-	w.await("the list", func() bool { return w.loop.hasEndpoints.Load() })
+	s := &testSidecar{t: t, registry: newFakeRegistry(t, readyEndpoint("s-1", e.Address)), log: slog.NewTextHandler(log, nil)}
+	s.launch(newTestConfig(t, s.registry.address, nil, readyEndpoint("s-1", e.Address)))
+	s.await("the list", func() bool { return s.loop.hasEndpoints.Load() })
 	expect := func(what string) {
 		t.Helper()
-		w.await(what+" in the log", func() bool { return strings.Contains(log.String(), what) })
+		s.await(what+" in the log", func() bool { return strings.Contains(log.String(), what) })
 	}
 	reject := func(class string) {
 		t.Helper()
-		if got := w.send(w.request(class, "", time.Minute)); got.statusCode != http.StatusServiceUnavailable {
+		if got := s.send(s.request(class, "", time.Minute)); got.statusCode != http.StatusServiceUnavailable {
 			t.Errorf("%+v, want 503", got)
 		}
 	}
 	reject("order")
 	expect("reason=attempt_failed retry_after=")
-	w.onLoop(func() { w.loop.setBans(w.loop.clock.now(), []string{"s-1"}) })
+	s.onLoop(func() { s.loop.setBans(s.loop.clock.now(), []string{"s-1"}) })
 	reject("read")
 	expect("reason=no_endpoint retry_after=")
-	w.server.requests.bodies.abort()
+	s.server.requests.bodies.abort()
 	reject("read")
 	expect("reason=shutting_down retry_after=50ms")
 	expect("rejected_attempt_failed=1 rejected_no_endpoint=1 rejected_shutting_down=1")
--- a/internal/sidecar/request_body_test.go
+++ b/internal/sidecar/request_body_test.go
@@ -32,7 +32,7 @@
 			io.WriteString(conn, endpointtest.OKResponse)
 		}
 	})
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	for name, c := range map[string]struct {
 		length int64
 		alter  func(r *http.Request)
@@ -49,20 +49,20 @@
 			r.Header.Set("Expect", "100-continue")
 		}},
 	} {
-		r := w.request("pay", "", time.Minute)
+		r := s.request("pay", "", time.Minute)
 		r.Body = io.NopCloser(&patternReader{end: c.length})
 		c.alter(r)
-		if got := w.send(r); got.statusCode != http.StatusOK || got.body != "done" {
+		if got := s.send(r); got.statusCode != http.StatusOK || got.body != "done" {
 			t.Errorf("%s: %+v", name, got)
 		}
 		if got, want := <-sums, digest(t, &patternReader{end: c.length}); got != want {
 			t.Errorf("%s: the endpoint got %s, want %s", name, got, want)
 		}
 	}
-	w.await("all resources to be freed", func() bool {
-		open, idle := w.loop.upstream.ConnectionCounts()
+	s.await("all resources to be freed", func() bool {
+		open, idle := s.loop.upstream.ConnectionCounts()
 		var left int
-		w.onLoop(func() { left = len(w.loop.requests) })
+		s.onLoop(func() { left = len(s.loop.requests) })
 		return open == idle && left == 0
 	})
 }
@@ -73,9 +73,9 @@
 	t.Parallel()
 	receivedWhole := make(chan bool, 2)
 	e := endpointtest.NewServer(t, endpointtest.ReadOne(receivedWhole))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	for name, stops := range map[string]bool{"breaks off": false, "stops": true} {
-		conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
+		conn, err := net.Dial("tcp", strings.TrimPrefix(s.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -95,15 +95,15 @@
 			t.Errorf("%s: the endpoint received a complete request", name)
 		}
 	}
-	w.await("both outcomes", func() bool { return len(w.recorder.statuses()) == 2 })
-	for _, got := range w.recorder.statuses() {
+	s.await("both outcomes", func() bool { return len(s.recorder.statuses()) == 2 })
+	for _, got := range s.recorder.statuses() {
 		if got != balancer.Cancelled {
 			t.Errorf("an attempt counts as %v, want cancelled", got)
 		}
 	}
-	w.await("all resources to be freed", func() bool {
-		open, _ := w.loop.upstream.ConnectionCounts()
-		return open == 0 && w.server.clients.count() == 0
+	s.await("all resources to be freed", func() bool {
+		open, _ := s.loop.upstream.ConnectionCounts()
+		return open == 0 && s.server.clients.count() == 0
 	})
 }
 
@@ -122,12 +122,12 @@
 		}
 	})
 	dead := endpointtest.ClosedAddress(t)
-	w := startSidecar(t, nil, readyEndpoint("s-1", dead), readyEndpoint("s-2", good.Address))
+	s := startSidecar(t, nil, readyEndpoint("s-1", dead), readyEndpoint("s-2", good.Address))
 	want := digest(t, &patternReader{end: longBodyLength})
 	for range 6 {
-		r := w.request("pay", "", time.Minute)
+		r := s.request("pay", "", time.Minute)
 		r.Body, r.ContentLength = io.NopCloser(&patternReader{end: longBodyLength}), longBodyLength
-		if got := w.send(r); got.statusCode != http.StatusOK {
+		if got := s.send(r); got.statusCode != http.StatusOK {
 			t.Fatalf("with an endpoint that refuses connections: %+v", got)
 		}
 		if got := <-sums; got != want {
@@ -141,14 +141,14 @@
 			io.CopyN(io.Discard, r.Body, 4*upstream.MaxBufferedBody)
 		}
 	})
-	w = startSidecar(t, nil, readyEndpoint("s-1", resetting.Address))
-	r := w.request("pay", "", time.Minute)
+	s = startSidecar(t, nil, readyEndpoint("s-1", resetting.Address))
+	r := s.request("pay", "", time.Minute)
 	r.Body, r.ContentLength = io.NopCloser(&patternReader{end: longBodyLength}), longBodyLength
-	if got := w.send(r); got.err == nil && got.statusCode != http.StatusServiceUnavailable { // the client may also get an error because its connection ended
+	if got := s.send(r); got.err == nil && got.statusCode != http.StatusServiceUnavailable { // the client may also get an error because its connection ended
 		t.Errorf("reset during a body: %+v, want 503", got)
 	}
-	w.await("its outcome", func() bool { return len(w.recorder.statuses()) == 1 })
-	if got := w.recorder.statuses()[0]; got != balancer.ConnectFailed || attempts.Load() != 1 {
+	s.await("its outcome", func() bool { return len(s.recorder.statuses()) == 1 })
+	if got := s.recorder.statuses()[0]; got != balancer.ConnectFailed || attempts.Load() != 1 {
 		t.Errorf("the attempt counts as %v, %d tries; want a failed connect and one", got, attempts.Load())
 	}
 }
@@ -157,12 +157,12 @@
 func TestTooLongBodyIsRejected(t *testing.T) {
 	receivedWhole := make(chan bool, 1)
 	e := endpointtest.NewServer(t, endpointtest.ReadOne(receivedWhole))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	for name, framing := range map[string]string{
 		"with a length": fmt.Sprintf("Content-Length: %d\r\n\r\n", maxRequestBody+1),
 		"in chunks":     fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", maxRequestBody+1),
 	} {
-		client := w.connect()
+		client := s.connect()
 		io.WriteString(client.conn, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\n"+
 			"X-Time-Left-Ms: 900\r\nIdempotency-Key: 1\r\n"+framing)
 		if name == "in chunks" {
@@ -180,12 +180,12 @@
 
 // If a request with a long body is rejected early, the client receives the response although it first writes the whole body.
 func TestRejectionDuringABody(t *testing.T) {
-	w := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.ClosedAddress(t)))
+	s := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.ClosedAddress(t)))
 	for name, framing := range map[string]string{
 		"with a length": fmt.Sprintf("Content-Length: %d\r\n\r\n", longBodyLength),
 		"in chunks":     "Transfer-Encoding: chunked\r\n\r\n",
 	} {
-		client := w.connect()
+		client := s.connect()
 		io.WriteString(client.conn, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\n"+
 			"X-Time-Left-Ms: 9000\r\nIdempotency-Key: 1\r\n"+framing)
 		body := io.Writer(struct{ io.Writer }{client.conn})
@@ -193,7 +193,7 @@
 			body = httputil.NewChunkedWriter(client.conn)
 		}
 		io.CopyN(body, &patternReader{end: longBodyLength}, 2*upstream.MaxBufferedBody)
-		w.await("the request to be ended", func() bool { var n int; w.onLoop(func() { n = len(w.loop.requests) }); return n == 0 })
+		s.await("the request to be ended", func() bool { var n int; s.onLoop(func() { n = len(s.loop.requests) }); return n == 0 })
 		if _, err := io.Copy(body, &patternReader{at: 2 * upstream.MaxBufferedBody, end: longBodyLength}); err != nil {
 			t.Errorf("%s: writing the body: %v", name, err)
 		}
@@ -210,18 +210,18 @@
 func TestTerminationDuringABody(t *testing.T) {
 	for name, length := range map[string]int{"kept": upstream.MaxBufferedBody, "passed on": longBodyLength} {
 		e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
-		w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
-		w.server.acceptDuration = 0
-		client := w.connect()
+		s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+		s.server.acceptDuration = 0
+		client := s.connect()
 		fmt.Fprintf(client.conn, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\n"+
 			"X-Time-Left-Ms: 9000\r\nIdempotency-Key: 1\r\nContent-Length: %d\r\n\r\n", length)
 		io.CopyN(client.conn, &patternReader{end: longBodyLength}, upstream.MaxBufferedBody/2)
-		w.await("the body to be awaited", func() bool {
-			w.server.requests.bodies.mu.Lock()
-			defer w.server.requests.bodies.mu.Unlock()
-			return len(w.server.requests.bodies.incomplete) == 1
+		s.await("the body to be awaited", func() bool {
+			s.server.requests.bodies.mu.Lock()
+			defer s.server.requests.bodies.mu.Unlock()
+			return len(s.server.requests.bodies.incomplete) == 1
 		})
-		w.stop()
+		s.stop()
 		got, err := http.ReadResponse(client.in, nil)
 		if err != nil || got.StatusCode != http.StatusServiceUnavailable || !got.Close || got.Header.Get("Retry-After") == "" {
 			t.Errorf("%s: %v, %v; want 503, Retry-After and the end", name, got, err)
@@ -231,7 +231,7 @@
 		}
 		client.conn.Close()
 		select {
-		case <-w.ended:
+		case <-s.ended:
 		case <-time.After(testTimeout):
 			t.Errorf("%s: the sidecar does not end", name)
 		}
@@ -248,18 +248,18 @@
 			io.WriteString(conn, endpointtest.OKResponse)
 		}
 	})
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
-	w.server.requests.bodies.setMaxBytes(2*bodybuffer.Size + upstream.MaxBufferedBody)
+	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	s.server.requests.bodies.setMaxBytes(2*bodybuffer.Size + upstream.MaxBufferedBody)
 	first := make(chan clientResponse)
-	go func() { first <- w.send(w.request("pay", strings.Repeat("x", upstream.MaxBufferedBody), time.Minute)) }()
-	w.await("the first to be in flight", func() bool { n, _ := e.Counts(); return n == 1 })
+	go func() { first <- s.send(s.request("pay", strings.Repeat("x", upstream.MaxBufferedBody), time.Minute)) }()
+	s.await("the first to be in flight", func() bool { n, _ := e.Counts(); return n == 1 })
 	for _, length := range []int64{upstream.MaxBufferedBody, -1, longBodyLength} {
-		r := w.request("pay", "", time.Minute)
+		r := s.request("pay", "", time.Minute)
 		r.Body, r.ContentLength = io.NopCloser(&patternReader{end: upstream.MaxBufferedBody}), length
 		if length == longBodyLength {
 			r.Body = io.NopCloser(&patternReader{end: longBodyLength})
 		}
-		if got := w.send(r); got.statusCode != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
+		if got := s.send(r); got.statusCode != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
 			t.Errorf("a body of %d without memory for it: %+v, want 503 and Retry-After", length, got)
 		}
 	}
@@ -267,8 +267,8 @@
 	if got := <-first; got.statusCode != http.StatusOK {
 		t.Errorf("the first: %+v", got)
 	}
-	w.await("free memory", func() bool {
-		return w.send(w.request("pay", strings.Repeat("x", upstream.MaxBufferedBody), time.Minute)).statusCode == http.StatusOK
+	s.await("free memory", func() bool {
+		return s.send(s.request("pay", strings.Repeat("x", upstream.MaxBufferedBody), time.Minute)).statusCode == http.StatusOK
 	})
 	if n, _ := e.Counts(); n != 2 {
 		t.Errorf("%d requests reached the endpoint, want 2", n)
@@ -280,11 +280,11 @@
 func TestConnectionOfAnUploadIsReused(t *testing.T) {
 	const uploads = 5
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	_, before := e.Counts()
 	for range uploads {
 		body := strings.Repeat("x", 2*upstream.MaxBufferedBody)
-		if got := w.send(w.request("pay", body, time.Minute)); got.statusCode != http.StatusOK || got.body != "done" {
+		if got := s.send(s.request("pay", body, time.Minute)); got.statusCode != http.StatusOK || got.body != "done" {
 			t.Fatalf("an upload: %+v", got)
 		}
 	}
--- a/internal/sidecar/request_handler_test.go
+++ b/internal/sidecar/request_handler_test.go
@@ -23,10 +23,10 @@
 		<-respond
 		io.WriteString(conn, endpointtest.OKResponse)
 	})
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	pending := make(chan clientResponse, 1)
-	go func() { pending <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.await("the request in flight", func() bool { n, _ := e.Counts(); return n == 1 })
+	go func() { pending <- s.send(s.request("pay", "x", time.Minute)) }()
+	s.await("the request in flight", func() bool { n, _ := e.Counts(); return n == 1 })
 
 	head := "POST /pay HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\nX-Time-Left-Ms: 900\r\n"
 	for name, sent := range map[string]string{
@@ -38,7 +38,7 @@
 		"a broken chunk":   head + "Idempotency-Key: 1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
 		"noise":            "\x16\x03\x01\x02\x00\r\n\r\n",
 	} {
-		conn := w.dial()
+		conn := s.dial()
 		io.WriteString(conn, sent)
 		conn.SetReadDeadline(time.Now().Add(testTimeout))
 		if got, err := io.ReadAll(conn); err != nil || len(got) > 0 && !strings.HasPrefix(string(got), "HTTP/1.1 4") {
@@ -57,7 +57,7 @@
 // A request inside the body of another is not served, however the body's length is given.
 func TestRequestInsideABodyIsNotServed(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	head := "POST /pay HTTP/1.1\r\nHost: x\r\nX-Service-Class: pay\r\nX-Time-Left-Ms: 9000\r\nIdempotency-Key: 1\r\n"
 	inner := head + "X-Correlation-Id: inner\r\nContent-Length: 0\r\n\r\n"
 	outer := head + "X-Correlation-Id: outer\r\n"
@@ -73,7 +73,7 @@
 		"an unknown coding": {outer + length + "Transfer-Encoding: xchunked\r\n\r\n" + inChunk, "501"},
 		"a malformed head":  {outer + "X-Time-Left-Ms : 5\r\n" + length + "\r\n" + inChunk, "400"},
 	} {
-		conn := w.dial()
+		conn := s.dial()
 		io.WriteString(conn, c.sent)
 		conn.SetReadDeadline(time.Now().Add(testTimeout))
 		// The connection may end with a reset, since it may be closed with unread input.
@@ -96,8 +96,8 @@
 
 // The sidecar closes the connection of a readiness check after its response.
 func TestReadinessCheckEndsItsConnection(t *testing.T) {
-	w := startSidecar(t, nil, readyEndpoint("s-1", "127.0.0.1:1"))
-	conn := w.dial()
+	s := startSidecar(t, nil, readyEndpoint("s-1", "127.0.0.1:1"))
+	conn := s.dial()
 	io.WriteString(conn, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 	conn.SetReadDeadline(time.Now().Add(clientIdleTimeout / 2))
 	if got, err := io.ReadAll(conn); err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 200") {
--- a/internal/sidecar/request_parser_test.go
+++ b/internal/sidecar/request_parser_test.go
@@ -12,14 +12,14 @@
 
 // However short a client's timeout is, most of it is left for the request. A fixed margin would leave nothing of 10 ms.
 func TestResponseMarginIsAFractionOfShortTimeouts(t *testing.T) {
-	w := startSidecar(t, nil, readyEndpoint("s-1", "127.0.0.1:1"))
+	s := startSidecar(t, nil, readyEndpoint("s-1", "127.0.0.1:1"))
 	for timeout, want := range map[time.Duration]time.Duration{
 		0:                      0,
 		10 * time.Millisecond:  9500 * time.Microsecond,
 		100 * time.Millisecond: 95 * time.Millisecond,
 		2 * time.Second:        1990 * time.Millisecond,
 	} {
-		request, err := w.server.requests.parser.parse(w.request("pay", "x", timeout))
+		request, err := s.server.requests.parser.parse(s.request("pay", "x", timeout))
 		if err != nil || request.Deadline != want.Microseconds() {
 			t.Errorf("of %v the request gets %d us (%v), want %v", timeout, request.Deadline, err, want)
 		}
@@ -29,7 +29,7 @@
 // The response to an invalid request names what is wrong, and the request is not forwarded.
 func TestInvalidRequestsAreRejectedWithTheReason(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
-	w := startSidecar(t, func(s map[string]any) {
+	s := startSidecar(t, func(s map[string]any) {
 		s["tenants"] = []any{map[string]any{"name": "acme", "share": 1, "allowance-per-s": 10}}
 	}, readyEndpoint("s-1", e.Address))
 	for _, c := range []struct {
@@ -50,21 +50,21 @@
 		{"bad hint", func(r *http.Request) { r.Header.Set(costHintHeader, "heavy") }, 400, "heavy"},
 		{"unknown tenant", func(r *http.Request) { r.Header.Set(tenantHeader, "nobody") }, 400, "nobody"},
 	} {
-		r := w.request("pay", "x", 3*time.Second)
+		r := s.request("pay", "x", 3*time.Second)
 		r.Header.Set(tenantHeader, "acme")
 		c.alter(r)
-		if got := w.send(r); got.statusCode != c.statusCode || !strings.Contains(got.body, c.reason) {
+		if got := s.send(r); got.statusCode != c.statusCode || !strings.Contains(got.body, c.reason) {
 			t.Errorf("%s: got %+v, want %d with %q", c.name, got, c.statusCode, c.reason)
 		}
 	}
 	if n, _ := e.Counts(); n != 0 {
 		t.Errorf("%d invalid requests reached the endpoint", n)
 	}
-	r := w.request("pay", strings.Repeat("x", upstream.MaxBufferedBody), 3*time.Second)
+	r := s.request("pay", strings.Repeat("x", upstream.MaxBufferedBody), 3*time.Second)
 	r.Header.Set(tenantHeader, "acme")
 	r.Header.Set(costHintHeader, "90000")
 	r.Header.Set(keyHeader, "7f3a9c21e0b4d655")
-	if got := w.send(r); got.statusCode != http.StatusOK {
+	if got := s.send(r); got.statusCode != http.StatusOK {
 		t.Errorf("a valid request with the largest body: %+v", got)
 	}
 }
--- a/internal/sidecar/response_stream_test.go
+++ b/internal/sidecar/response_stream_test.go
@@ -42,14 +42,14 @@
 		})
 		hosts = append(hosts, readyEndpoint(fmt.Sprint("s-", i), e.Address))
 	}
-	w := startSidecar(t, nil, hosts...)
+	s := startSidecar(t, nil, hosts...)
 	want := digest(t, &patternReader{end: length})
 	runtime.GC()
 	before := liveHeap()
 	results := make(chan string, count)
 	for range count {
 		go func() {
-			r := w.request("read", "", time.Minute)
+			r := s.request("read", "", time.Minute)
 			r.Close = true
 			response, err := http.DefaultClient.Do(r)
 			if err != nil {
@@ -106,8 +106,8 @@
 			body.Write(data[1000:])
 			io.WriteString(conn, end)
 		})
-		w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
-		response, err := http.DefaultClient.Do(w.request("read", "", time.Minute))
+		s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+		response, err := http.DefaultClient.Do(s.request("read", "", time.Minute))
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
@@ -120,8 +120,8 @@
 			t.Errorf("%s: the client got %s, want %s", name, got, want)
 		}
 		response.Body.Close()
-		w.await("its outcome", func() bool { return len(w.recorder.statuses()) == 1 })
-		if got := w.recorder.statuses()[0]; got != balancer.OK {
+		s.await("its outcome", func() bool { return len(s.recorder.statuses()) == 1 })
+		if got := s.recorder.statuses()[0]; got != balancer.OK {
 			t.Errorf("%s: the attempt counts as %v", name, got)
 		}
 	}
@@ -139,8 +139,8 @@
 			io.WriteString(conn, head)
 			io.CopyN(conn, &patternReader{end: longBodyLength}, 2*upstream.MaxBufferedBody)
 		})
-		w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
-		response, err := http.DefaultClient.Do(w.request("read", "", time.Minute))
+		s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+		response, err := http.DefaultClient.Do(s.request("read", "", time.Minute))
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
@@ -148,9 +148,9 @@
 			t.Errorf("%s: the client read %d bytes and %v, want an incomplete response", name, n, err)
 		}
 		response.Body.Close()
-		w.await("its outcome", func() bool { return len(w.recorder.statuses()) == 1 })
-		if n, _ := e.Counts(); n != 1 || w.recorder.statuses()[0] != balancer.Reset {
-			t.Errorf("%s: %d requests, outcomes %v; want one, reset", name, n, w.recorder.statuses())
+		s.await("its outcome", func() bool { return len(s.recorder.statuses()) == 1 })
+		if n, _ := e.Counts(); n != 1 || s.recorder.statuses()[0] != balancer.Reset {
+			t.Errorf("%s: %d requests, outcomes %v; want one, reset", name, n, s.recorder.statuses())
 		}
 	}
 }
@@ -164,19 +164,19 @@
 		io.Copy(struct{ io.Writer }{conn}, &patternReader{end: 1 << 40})
 		close(ended)
 	})
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
-	response, err := http.DefaultClient.Do(w.request("read", "", time.Minute))
+	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	response, err := http.DefaultClient.Do(s.request("read", "", time.Minute))
 	if err != nil {
 		t.Fatal(err)
 	}
 	io.CopyN(io.Discard, response.Body, 4*upstream.MaxBufferedBody)
 	response.Body.Close()
 	<-ended
-	w.await("its outcome", func() bool { return len(w.recorder.statuses()) == 1 })
-	if got := w.recorder.statuses()[0]; got != balancer.Cancelled {
+	s.await("its outcome", func() bool { return len(s.recorder.statuses()) == 1 })
+	if got := s.recorder.statuses()[0]; got != balancer.Cancelled {
 		t.Errorf("the attempt counts as %v, want cancelled", got)
 	}
-	w.await("all resources to be freed", func() bool { open, _ := w.loop.upstream.ConnectionCounts(); return open == 0 })
+	s.await("all resources to be freed", func() bool { open, _ := s.loop.upstream.ConnectionCounts(); return open == 0 })
 }
 
 // On SIGTERM during a long response, the response is still forwarded to its end, even long after the deadline of its class.
@@ -192,20 +192,20 @@
 		}
 	})
 	const classDeadline = 200 * time.Millisecond
-	w := startSidecar(t, func(settings map[string]any) {
+	s := startSidecar(t, func(settings map[string]any) {
 		for _, c := range settings["classes"].([]any) {
 			c.(map[string]any)["give-up"], c.(map[string]any)["target"] = classDeadline.Microseconds(), classDeadline.Microseconds()
 		}
 	}, readyEndpoint("s-1", e.Address))
-	w.server.acceptDuration = 0
-	response, err := http.DefaultClient.Do(w.request("read", "", time.Minute))
+	s.server.acceptDuration = 0
+	response, err := http.DefaultClient.Do(s.request("read", "", time.Minute))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer response.Body.Close()
-	w.stop()
+	s.stop()
 	select {
-	case err := <-w.ended:
+	case err := <-s.ended:
 		t.Fatalf("the sidecar ended during a response: %v", err)
 	case <-time.After(3 * classDeadline):
 	}
@@ -213,5 +213,5 @@
 	if got, want := digest(t, response.Body), digest(t, &patternReader{end: longBodyLength}); got != want {
 		t.Errorf("the client got %s, want %s", got, want)
 	}
-	w.expectCleanEnd()
+	s.expectCleanEnd()
 }
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -19,10 +19,10 @@
 func TestShutdownServesWhatWasAccepted(t *testing.T) {
 	respond := make(chan struct{})
 	e := endpointtest.NewServer(t, endpointtest.HoldPath("/pay", respond))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
-	w.server.acceptDuration = 3 * time.Second // long enough to connect on a busy machine
-	idle := w.dial()
-	w.request("read", "", time.Minute).Write(idle)
+	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	s.server.acceptDuration = 3 * time.Second // long enough to connect on a busy machine
+	idle := s.dial()
+	s.request("read", "", time.Minute).Write(idle)
 	in := bufio.NewReader(idle)
 	response, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -31,17 +31,17 @@
 	io.Copy(io.Discard, response.Body)
 
 	pending := make(chan clientResponse)
-	go func() { pending <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.await("the request in flight", func() bool { n, _ := e.Counts(); return n == 2 })
-	w.stop()
+	go func() { pending <- s.send(s.request("pay", "x", time.Minute)) }()
+	s.await("the request in flight", func() bool { n, _ := e.Counts(); return n == 2 })
+	s.stop()
 	// New connections are still served, one request each.
-	conn := w.dial()
-	w.request("read", "", time.Minute).Write(conn)
+	conn := s.dial()
+	s.request("read", "", time.Minute).Write(conn)
 	conn.SetReadDeadline(time.Now().Add(testTimeout))
 	if late, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || late.StatusCode != http.StatusOK || !late.Close {
 		t.Errorf("a request after SIGTERM: %v, %v; want 200 and Connection: close", late, err)
 	}
-	w.awaitEndOfAccepting()
+	s.awaitEndOfAccepting()
 	idle.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := in.ReadByte(); err != io.EOF {
 		t.Errorf("the idle connection: %v, want its end", err)
@@ -50,30 +50,30 @@
 	if got := <-pending; got.statusCode != http.StatusOK || got.body != "done" {
 		t.Errorf("the request in flight: %+v", got)
 	}
-	w.expectCleanEnd()
+	s.expectCleanEnd()
 }
 
 // A request that becomes complete only after accepting has ended gets a 503 rather than a closed connection. It is not forwarded,
 // because the process may be killed before an endpoint responds.
 func TestRequestCompletedDuringShutdownIsRejected(t *testing.T) {
-	w := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
-	w.server.acceptDuration = 0
-	client := w.connect()
+	s := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
+	s.server.acceptDuration = 0
+	client := s.connect()
 	client.roundTrip()
-	w.await("the connection to be idle", func() bool { return w.server.clients.counts().idle == 1 })
+	s.await("the connection to be idle", func() bool { return s.server.clients.counts().idle == 1 })
 	var header strings.Builder
-	w.request("read", "", time.Minute).Write(&header)
+	s.request("read", "", time.Minute).Write(&header)
 	io.WriteString(client.conn, header.String()[:10])
-	w.await("the start of the header to be read", func() bool {
-		w.server.clients.mu.Lock()
-		defer w.server.clients.mu.Unlock()
-		for conn := range w.server.clients.conns {
+	s.await("the start of the header to be read", func() bool {
+		s.server.clients.mu.Lock()
+		defer s.server.clients.mu.Unlock()
+		for conn := range s.server.clients.conns {
 			return conn.hasRequestInProgress()
 		}
 		return false
 	})
-	w.stop()
-	w.awaitEndOfAccepting()
+	s.stop()
+	s.awaitEndOfAccepting()
 	time.Sleep(10 * shutdownCheckInterval) // time in which a faulty idle check would close the connection
 	io.WriteString(client.conn, header.String()[10:])
 	if got, err := http.ReadResponse(client.in, nil); err != nil || got.StatusCode != http.StatusServiceUnavailable ||
@@ -87,17 +87,17 @@
 func TestIdleClientsDoNotDelayTheEnd(t *testing.T) {
 	const maxDelay = time.Second
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
-	w.server.acceptDuration = 0
+	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	s.server.acceptDuration = 0
 	for range 20 {
-		w.dial()                // never used
-		w.connect().roundTrip() // used once
+		s.dial()                // never used
+		s.connect().roundTrip() // used once
 	}
 	time.Sleep(minFirstByteWait) // after which an unused connection counts as idle
-	w.await("all to be idle", func() bool { counts := w.server.clients.counts(); return counts.idle == 20 && counts.unused == 20 })
+	s.await("all to be idle", func() bool { counts := s.server.clients.counts(); return counts.idle == 20 && counts.unused == 20 })
 	start := time.Now()
-	w.stop()
-	w.expectCleanEnd()
+	s.stop()
+	s.expectCleanEnd()
 	if took := time.Since(start); took > maxDelay {
 		t.Errorf("the process ended after %v, want %v at most", took, maxDelay)
 	}
@@ -128,21 +128,21 @@
 // against a process that ends between the accept and the registration of the connection.
 func TestShutdownAwaitsTheLastAccept(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
-	w := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
+	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.server.acceptDuration = 0
+	s.server.acceptDuration = 0
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- w.server.serve(ctx, &lateListener{Listener: inner, closed: make(chan struct{})}) }()
+	go func() { ended <- s.server.serve(ctx, &lateListener{Listener: inner, closed: make(chan struct{})}) }()
 	conn, err := net.Dial("tcp", inner.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	w.request("read", "", time.Minute).Write(conn)
+	s.request("read", "", time.Minute).Write(conn)
 	time.Sleep(20 * time.Millisecond) // time for the connection to be accepted
 	stop()
 	conn.SetDeadline(time.Now().Add(testTimeout))
