--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -20,20 +20,20 @@
 )
 
 const (
-	adminTimeout = 2 * time.Second // for reading a whole call, and for its answer
-	// adminCallTime is how long a call may wait for the event loop, in all: operators are owed an answer in 1 s.
-	adminCallTime = 800 * time.Millisecond
+	adminTimeout = 2 * time.Second // for reading a whole call, and for writing its answer
+	// adminCallTimeout limits how long a call waits for the event loop in total. Operators must get an answer within 1 s.
+	adminCallTimeout = 800 * time.Millisecond
 )
 
-// adminServer serves the operators' calls at an address of their own. It bounds their connections as the clients' are
-// bounded, so that callers who send nothing keep nobody out.
+// adminServer serves the operators' calls at a separate address. It limits the number of connections in the same way as for
+// clients, so that callers that send nothing cannot keep others out.
 type adminServer struct {
 	log         *slog.Logger
 	http        http.Server
 	connections *clientConns
 }
 
-// listenAdmin opens the operators' address of a configuration that has one.
+// listenAdmin opens the operators' address. The configuration must have one.
 func listenAdmin(cfg *config.Config) (net.Listener, error) {
 	listener, err := net.Listen("tcp", cfg.AdminAddress)
 	if err != nil {
@@ -49,7 +49,7 @@
 	}
 	calls := admin.NewHandler(adminController{s}, a.log, a.retainConnection)
 	a.http = http.Server{
-		Handler:        a.counted(calls),
+		Handler:        a.countCalls(calls),
 		ReadTimeout:    adminTimeout,
 		WriteTimeout:   adminTimeout,
 		MaxHeaderBytes: upstream.MaxHeaderBytes,
@@ -61,13 +61,13 @@
 	return a
 }
 
-// retainConnection protects the connection of a complete call when others are closed to make room.
+// retainConnection protects the connection of a complete call from being closed to make room for others.
 func (a *adminServer) retainConnection(in *http.Request) {
 	a.connections.markValidRequest(clientConnOf(in))
 }
 
-// counted counts each call and its answer as control traffic, besides the bytes that the connections count.
-func (a *adminServer) counted(calls http.Handler) http.Handler {
+// countCalls counts each call and each answer as a message of control traffic. The connections count the bytes.
+func (a *adminServer) countCalls(calls http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, in *http.Request) {
 		a.connections.traffic.AddReceived(0, true)
 		defer a.connections.traffic.AddSent(0, true)
@@ -84,22 +84,22 @@
 	}
 }
 
-// adminController carries the operators' calls out. It implements admin.Controller.
+// adminController carries out the operators' calls. It implements admin.Controller.
 type adminController struct{ server *server }
 
 // IsServing reports whether this process serves clients.
 func (c adminController) IsServing() bool { return c.server.isServing() }
 
-// Settings returns what operators ordered in either process of this sidecar.
+// Settings returns the operators' settings, whichever process of this sidecar received them.
 func (c adminController) Settings() admin.Settings {
 	settings := c.server.handover.Load()
 	return admin.Settings{Banned: settings.Banned, Drained: settings.Drained}
 }
 
-// SetBanned bans an endpoint that was ever listed to this process, or lifts its ban.
+// SetBanned bans an endpoint, or lifts its ban. The endpoint must have been listed in this process at some time.
 func (c adminController) SetBanned(endpoint string, banned bool) error {
 	var isKnown bool
-	deadline := time.Now().Add(adminCallTime)
+	deadline := time.Now().Add(adminCallTimeout)
 	err := c.server.loop.postUrgentBefore(deadline, func(balancer.Micros) { _, isKnown = c.server.loop.endpointIDs.lookup(endpoint) })
 	if err != nil {
 		return err
@@ -115,9 +115,9 @@
 	})
 }
 
-// SetDrained sends clients to other sidecars, or admits them again.
+// SetDrained starts a drain, which sends clients to other sidecars, or ends it.
 func (c adminController) SetDrained(drained bool) error {
-	return c.server.updateSettings(time.Now().Add(adminCallTime), func(settings *handover.State) { settings.Drained = drained })
+	return c.server.updateSettings(time.Now().Add(adminCallTimeout), func(settings *handover.State) { settings.Drained = drained })
 }
 
 // FleetStatus returns the fleet as this process sees it.
@@ -133,7 +133,7 @@
 	return status, nil
 }
 
-// ControlTraffic returns what control has cost since the start of this process.
+// ControlTraffic returns the control traffic since the start of this process.
 func (c adminController) ControlTraffic() (controltraffic.Status, error) {
 	if c.server.loop.controlTraffic == nil {
 		return controltraffic.Status{}, admin.ErrTrafficNotCounted
--- a/internal/sidecar/attempts.go
+++ b/internal/sidecar/attempts.go
@@ -10,8 +10,8 @@
 	"bramblestand/internal/upstream"
 )
 
-// StartAttempt starts an attempt in a goroutine of its own. The attempt ends by timeout, if that is positive, and by the request's
-// deadline.
+// StartAttempt starts an attempt in its own goroutine. The attempt ends at the request's deadline, or after timeout if that is
+// positive and earlier. If the request body is streamed, the deadline that bodySent returns applies instead.
 func (l *eventLoop) StartAttempt(id uint64, endpoint uint32, timeout balancer.Micros) {
 	r := l.requests[id]
 	now := l.clock.now()
@@ -36,25 +36,25 @@
 	go a.run()
 }
 
-// attempt is one attempt to have a request served, from StartAttempt to its outcome. Its own goroutine, in run, owns it once it is
-// started, and hands it back to the loop's goroutine with the outcome.
+// attempt is one attempt to get a request served, from StartAttempt until its outcome is reported. After the start, its own
+// goroutine (run) owns it, until run passes it back to the loop's goroutine together with the result.
 type attempt struct {
 	loop    *eventLoop
 	request *pendingRequest
 	target  *upstream.Target // nil if no request may be sent to the endpoint
 	outcome balancer.Outcome // completed by finish
 
-	ctx      context.Context // without a deadline
+	ctx      context.Context // ends when the attempt is canceled; has no deadline
 	cancel   context.CancelFunc
-	deadline balancer.Micros // of a request whose body is buffered; for others see bodySent
+	deadline balancer.Micros // if the request body is buffered; for a streamed body, see bodySent
 
-	startedAt   balancer.Micros // of the attempt's latency: the start, or the last byte of a streamed request body
+	startedAt   balancer.Micros // latency is measured from here: the start, or the last byte of a streamed request body
 	respondedAt balancer.Micros // when a streamed response started; 0 if none did
 
-	unwatchClient func() bool // ends watchClient, and reports whether the client was connected until now
+	unwatchClient func() bool // undoes watchClient, and reports whether the client was still connected
 }
 
-// watchClient cancels the attempt if the client disconnects.
+// watchClient cancels the attempt if the client disconnects before unwatchClient is called.
 func (a *attempt) watchClient() {
 	if a.request.clientCtx == nil {
 		a.unwatchClient = func() bool { return true }
@@ -63,10 +63,10 @@
 	a.unwatchClient = context.AfterFunc(a.request.clientCtx, a.cancel)
 }
 
-// run is the attempt's goroutine.
+// run sends the request and posts the result to the loop. It is the attempt's goroutine.
 func (a *attempt) run() {
 	defer a.cancel()
-	defer func() { a.unwatchClient() }() // the one of the last watchClient
+	defer func() { a.unwatchClient() }() // read at the end, because startResponse replaces it
 	result := a.send()
 	a.loop.post(func(now balancer.Micros) { a.finish(now, result) })
 }
@@ -91,15 +91,16 @@
 }
 
 // mayStart reports whether the client is still connected. From here on a disconnect does not end the attempt by itself: the
-// balancer decides.
+// balancer decides whether to cancel it.
 func (a *attempt) mayStart() bool {
 	if a.request.checkDisconnect != nil {
-		a.request.checkDisconnect() // the read that notices a disconnect may come late if many clients disconnect at once
+		a.request.checkDisconnect() // the read that notices a disconnect may be late if many clients disconnect at once
 	}
 	return a.unwatchClient() && !a.request.isClientDisconnected()
 }
 
-// bodySent notes that the last byte of a streamed request body was sent, and returns the request's deadline, which counts from now.
+// bodySent records that the last byte of a streamed request body was sent. It returns the request's deadline, which is timeLeft
+// from now.
 func (a *attempt) bodySent() time.Time {
 	a.startedAt = a.loop.clock.now()
 	deadline := a.startedAt + a.request.timeLeft
@@ -110,7 +111,8 @@
 	return a.loop.clock.wallTime(deadline)
 }
 
-// startResponse gives the beginning of a streamed response to the client, for whom alone the rest is read.
+// startResponse gives the client the beginning of a streamed response. The rest is read only for this client, so from here on a
+// disconnect cancels the attempt again.
 func (a *attempt) startResponse(response *http.Response, buffered []byte, stream *upstream.ResponseStream) {
 	a.respondedAt = a.loop.clock.now()
 	latency := a.respondedAt - a.startedAt
@@ -122,7 +124,7 @@
 	})
 }
 
-// finish completes the outcome. The loop's goroutine calls it.
+// finish completes the outcome and reports it. The loop's goroutine calls it.
 func (a *attempt) finish(now balancer.Micros, result upstream.Result) {
 	endedAt := a.respondedAt
 	if endedAt == 0 {
@@ -137,7 +139,7 @@
 	a.loop.attemptFinished(now, a.request, a.outcome, result)
 }
 
-// SendLoadProbe asks an endpoint for its load report in a goroutine of its own.
+// SendLoadProbe asks an endpoint for its load report, in a new goroutine.
 func (l *eventLoop) SendLoadProbe(endpoint uint32) {
 	t := l.targets[endpoint]
 	go func() {
--- a/internal/sidecar/clock.go
+++ b/internal/sidecar/clock.go
@@ -6,17 +6,17 @@
 	"bramblestand/balancer"
 )
 
-// clock gives the balancer's time: microseconds since the Unix epoch by the wall clock at the process's start, counted on by the
-// monotonic clock. It never runs backwards, and the start times of endpoints, which discovery gives by the wall clock, are
-// comparable with it.
+// clock gives the balancer's time in microseconds since the Unix epoch. It reads the wall clock once, at the process's start, and
+// adds the time that has passed since then by the monotonic clock. So it never runs backwards, and it can be compared with the
+// start times of endpoints, which discovery reports in wall-clock time.
 type clock struct{ start time.Time }
 
-// now returns the balancer's time.
+// now returns the current time.
 func (c clock) now() balancer.Micros {
 	return c.start.UnixMicro() + time.Since(c.start).Microseconds()
 }
 
-// wallTime returns the time.Time of a balancer's time, for deadlines.
+// wallTime converts a time of this clock to a time.Time, for deadlines.
 func (c clock) wallTime(at balancer.Micros) time.Time {
 	return c.start.Add(time.Duration(at-c.start.UnixMicro()) * time.Microsecond)
 }
--- a/internal/sidecar/discovery_watch.go
+++ b/internal/sidecar/discovery_watch.go
@@ -8,8 +8,8 @@
 	"bramblestand/internal/discovery"
 )
 
-// WatchEndpoints starts to watch the endpoint list, from the last version received on, or stops it. It implements balancer.Actions:
-// the loop's goroutine calls it.
+// WatchEndpoints starts to watch the endpoint list for versions after the last one received, or stops the watch. It implements
+// balancer.Actions. The loop's goroutine calls it.
 func (l *eventLoop) WatchEndpoints(on bool) {
 	l.stopWatch()
 	l.isWatching = on
@@ -28,8 +28,8 @@
 	go watch.Run(ctx)
 }
 
-// postEndpointUpdate queues an update of the watch that ends with watchCtx. It is dropped if the watch has been stopped meanwhile.
-// The watch's goroutine calls it.
+// postEndpointUpdate queues an update from a watch. watchCtx is the context of the watch: if the watch is stopped before the
+// update is handled, the update is dropped. The watch's goroutine calls it.
 func (l *eventLoop) postEndpointUpdate(watchCtx context.Context, kind balancer.UpdateKind, list discovery.List) {
 	l.post(func(now balancer.Micros) {
 		if watchCtx.Err() == nil {
@@ -54,8 +54,8 @@
 	}
 }
 
-// switchDiscovery changes the address of discovery. Versions there may not be the old address's, so a watch starts again with the
-// full list. The loop's goroutine calls it.
+// switchDiscovery changes the address of discovery. Versions at the new address are unrelated to those at the old one, so a watch
+// starts again with the full list. The loop's goroutine calls it.
 func (l *eventLoop) switchDiscovery(address string) {
 	l.log.Info("discovery address changed", "old_address", l.discoveryClient.Address(), "new_address", address)
 	old := l.discoveryClient
--- a/internal/sidecar/endpoint_ids.go
+++ b/internal/sidecar/endpoint_ids.go
@@ -2,8 +2,8 @@
 
 import "hash/fnv"
 
-// endpointIDs maps the names of endpoints to the balancer's IDs. An ID is the name's hash, so that it is the same at every sidecar
-// and gossip can refer to endpoints by it. The event loop's goroutine alone uses it.
+// endpointIDs maps the names of endpoints to the balancer's IDs. An ID is the hash of the name, so that all sidecars assign the
+// same ID and gossip can refer to endpoints by it. Only the event loop's goroutine uses it.
 type endpointIDs struct {
 	byName map[string]uint32
 	names  map[uint32]string // by ID
@@ -13,7 +13,7 @@
 	return endpointIDs{byName: map[string]uint32{}, names: map[uint32]string{}}
 }
 
-// assign returns the ID of a name, a new one if the name has none yet.
+// assign returns the ID of a name. A name that has none yet gets a new one.
 func (ids endpointIDs) assign(name string) uint32 {
 	if id, ok := ids.byName[name]; ok {
 		return id
@@ -21,8 +21,8 @@
 	hash := fnv.New32a()
 	hash.Write([]byte(name))
 	id := hash.Sum32()
-	// Of two names with one hash the later gets the next ID. Only gossip on that endpoint is lost: other sidecars may have met
-	// the names in another order.
+	// If two names have the same hash, the later one gets the next ID. Other sidecars may have seen the names in another order and
+	// assigned the IDs differently; only gossip about that endpoint is lost then.
 	for ids.names[id] != "" {
 		id++
 	}
@@ -36,5 +36,5 @@
 	return id, ok
 }
 
-// name returns the name of an ID, "" if there is none.
+// name returns the name with this ID, or "" if there is none.
 func (ids endpointIDs) name(id uint32) string { return ids.names[id] }
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -9,14 +9,15 @@
 	"bramblestand/internal/upstream"
 )
 
-// listedEndpoint is what the last list that named an endpoint said of it. One that a full list no longer names is Removed.
+// listedEndpoint is the entry of an endpoint in the last list that contained it. If a later full list does not contain the
+// endpoint, only the state is set, to Removed.
 type listedEndpoint struct {
 	discovery.Endpoint
 	state balancer.EndpointState
 }
 
-// applyEndpointUpdate passes a list, or the failure to get one, to the balancer, and brings the targets in line with it first, so
-// that the balancer's attempts go to where the endpoints are now. The loop's goroutine calls it.
+// applyEndpointUpdate passes a list, or the failure to get one, to the balancer. It updates the targets first, so that the
+// attempts that the balancer then starts go to the current addresses. The loop's goroutine calls it.
 func (l *eventLoop) applyEndpointUpdate(now balancer.Micros, kind balancer.UpdateKind, list discovery.List) {
 	if kind == balancer.UpdateFailed {
 		l.balancer.UpdateEndpoints(now, kind, nil)
@@ -27,9 +28,9 @@
 	if kind != balancer.UpdateDelta {
 		l.removeEndpointsExcept(entries)
 	}
-	l.noteTargets()
+	l.updateHasEndpoints()
 	if kind != balancer.UpdateCached {
-		l.noteListReceived()
+		l.recordListReceived()
 	}
 	l.balancer.UpdateEndpoints(now, kind, entries)
 }
@@ -62,10 +63,10 @@
 	}
 }
 
-// microsPerMilli converts the list's times to the balancer's.
+// microsPerMilli converts the list's times, which are in milliseconds, to the balancer's.
 const microsPerMilli = 1000
 
-// removeEndpointsExcept removes the endpoints that a full list does not name.
+// removeEndpointsExcept removes the endpoints that a full list does not contain. entries are those of the list.
 func (l *eventLoop) removeEndpointsExcept(entries []balancer.Endpoint) {
 	isListed := make(map[uint32]bool, len(entries))
 	for _, entry := range entries {
@@ -78,8 +79,8 @@
 	}
 }
 
-// noteListReceived notes that discovery has given a list.
-func (l *eventLoop) noteListReceived() {
+// recordListReceived records that discovery has sent a list, and when.
+func (l *eventLoop) recordListReceived() {
 	l.listedAt = time.Now().UTC()
 	if !l.hasReceivedList {
 		l.hasReceivedList = true
@@ -87,8 +88,8 @@
 	}
 }
 
-// updateTarget directs an endpoint's ID to where it is reached now. The target of an endpoint that is draining, removed, banned or
-// restarted is retired, so that no attempt on its way there starts.
+// updateTarget updates where requests to an endpoint are sent. The old target is retired if the endpoint is draining, removed or
+// banned, has restarted or has another address: an attempt that is still connecting to it then sends no request.
 func (l *eventLoop) updateTarget(id uint32, to listedEndpoint) {
 	l.listedEndpoints[id] = to
 	isUsable := to.state == balancer.Ready && !l.banned[id]
@@ -105,10 +106,10 @@
 	}
 }
 
-// noteTargets lets readiness follow a change of the targets, once it is complete.
-func (l *eventLoop) noteTargets() { l.hasEndpoints.Store(len(l.targets) > 0) }
+// updateHasEndpoints updates hasEndpoints, on which readiness depends. It is called when a change of the targets is complete.
+func (l *eventLoop) updateHasEndpoints() { l.hasEndpoints.Store(len(l.targets) > 0) }
 
-// setBans bans the endpoints of these names, and lifts the bans of all others. The loop's goroutine calls it.
+// setBans bans the endpoints with these names and lifts all other bans. The loop's goroutine calls it.
 func (l *eventLoop) setBans(now balancer.Micros, names []string) {
 	isWanted := map[uint32]bool{}
 	for _, name := range names {
@@ -123,7 +124,7 @@
 			l.liftBan(now, id)
 		}
 	}
-	l.noteTargets()
+	l.updateHasEndpoints()
 }
 
 func (l *eventLoop) ban(now balancer.Micros, id uint32) {
@@ -140,7 +141,7 @@
 	l.log.Info("endpoint ban lifted", "endpoint_name", l.endpointIDs.name(id), "endpoint", id)
 }
 
-// refreshTarget updates the target of an endpoint whose ban has changed, if it was ever listed.
+// refreshTarget updates the target of an endpoint whose ban has changed. It does nothing if the endpoint was never listed.
 func (l *eventLoop) refreshTarget(id uint32) {
 	if listed, ok := l.listedEndpoints[id]; ok {
 		l.updateTarget(id, listed)
--- a/internal/sidecar/event_loop.go
+++ b/internal/sidecar/event_loop.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	// maxQueuedEvents is how many events may wait for the loop before whoever posts another one blocks.
+	// maxQueuedEvents is how many events may be queued before post blocks.
 	maxQueuedEvents = 1024
-	// urgentTimeout limits the wait for the loop to begin with an urgent event.
+	// urgentTimeout limits how long postUrgent waits until the loop starts to handle the event.
 	urgentTimeout = 900 * time.Millisecond
-	// pruneInterval is between two closings of expired idle connections to endpoints.
+	// pruneInterval is how often expired idle connections to endpoints are closed.
 	pruneInterval = time.Second
 )
 
-// event is carried out by the loop's goroutine, at the time now.
+// event is a function that the loop's goroutine calls with the current time.
 type event func(now balancer.Micros)
 
-// loadBalancer makes the decisions. It is what the loop calls of a *balancer.Balancer; tests and the lab wrap it to observe the
-// calls. The loop's goroutine alone may call it.
+// loadBalancer makes the load-balancing decisions. It has the methods of *balancer.Balancer that the loop calls; tests and the
+// lab wrap it to observe the calls. Only the loop's goroutine may call it.
 type loadBalancer interface {
 	Start(now balancer.Micros)
 	UpdateEndpoints(now balancer.Micros, kind balancer.UpdateKind, entries []balancer.Endpoint)
@@ -51,52 +51,52 @@
 	Restore(now balancer.Micros, persisted []balancer.EndpointSnapshot)
 }
 
-// eventLoop is the one owner of the balancer: a single goroutine, in run, passes it every event and carries out its actions
-// (balancer.Actions, which eventLoop implements). The goroutine never waits for the network: calls of endpoints and of discovery
-// run in goroutines of their own and report by events.
+// eventLoop owns the balancer. A single goroutine (run) passes every event to the balancer and carries out the balancer's
+// actions; eventLoop implements balancer.Actions. That goroutine never waits for the network: calls to endpoints and to discovery
+// run in their own goroutines, which post the results as events.
 type eventLoop struct {
-	ctx      context.Context // run and all that it starts end with it
+	ctx      context.Context // ends run and everything that the loop has started
 	cfg      *config.Config
 	log      *slog.Logger
 	clock    clock
 	upstream *upstream.Client
 
-	events chan event // in the order of their posting
-	urgent chan event // operators' calls, ahead of events
+	events chan event // handled in the order in which they were posted
+	urgent chan event // operators' calls, which are handled ahead of events
 
-	// Set before run, and only read from then on.
-	controlTraffic     *controltraffic.Accounting // nil without operators
-	snapshots          *state.Writer              // nil where no state is persisted
-	adminSettings      func() *handover.State     // the operators' settings in force; nil without operators
-	restoredMembership json.RawMessage            // the membership's view that an earlier process persisted
+	// Set before run starts, and only read after that.
+	controlTraffic     *controltraffic.Accounting // nil without an admin address
+	snapshots          *state.Writer              // nil if no state is persisted
+	adminSettings      func() *handover.State     // returns the operators' settings in force; nil without an admin address
+	restoredMembership json.RawMessage            // the membership snapshot that an earlier process persisted; nil if there is none
 
-	// For any goroutine.
+	// Any goroutine may use these.
 	rejections   rejectionCounts
-	hasEndpoints atomic.Bool                 // requests may be sent to an endpoint: one is listed, ready and not banned
-	listReceived chan struct{}               // closed with the first list from discovery
-	fleet        atomic.Pointer[fleet.Fleet] // nil without a fleet, and until it is joined
+	hasEndpoints atomic.Bool                 // at least one endpoint is listed, ready and not banned, so that requests can be sent
+	listReceived chan struct{}               // closed when discovery has sent its first list
+	fleet        atomic.Pointer[fleet.Fleet] // nil without a fleet, and before it is joined
 
-	// For the loop's goroutine alone.
+	// Only the loop's goroutine may use these.
 	balancer         loadBalancer
-	restoredSnapshot *state.Snapshot // what an earlier process persisted; nil once the loop has started
+	restoredSnapshot *state.Snapshot // what an earlier process persisted, if anything; nil once the loop has started
 
 	requests      map[uint64]*pendingRequest // by request ID
 	lastRequestID uint64
 
 	endpointIDs     endpointIDs
-	targets         map[uint32]*upstream.Target // by endpoint ID, of those that requests may be sent to
-	listedEndpoints map[uint32]listedEndpoint   // by endpoint ID, all that were ever listed
+	targets         map[uint32]*upstream.Target // by endpoint ID; only of endpoints that requests may be sent to
+	listedEndpoints map[uint32]listedEndpoint   // by endpoint ID; all that were ever listed
 	banned          map[uint32]bool             // by endpoint ID
 
 	discoveryClient *discovery.Client
-	listVersion     *uint64            // nil before the first list
-	listedAt        time.Time          // wall clock at the last list from discovery
+	listVersion     *uint64            // of the last list; nil before the first one and after a change of the discovery address
+	listedAt        time.Time          // wall-clock time of the last list from discovery
 	hasReceivedList bool               // listReceived is closed
-	isWatching      bool               // the balancer wants the list watched
-	stopWatch       context.CancelFunc // of the present watch; never nil
+	isWatching      bool               // a watch of the endpoint list is wanted
+	stopWatch       context.CancelFunc // ends the current watch; never nil
 }
 
-// newEventLoop returns a loop whose goroutine is not started yet: see run.
+// newEventLoop returns a loop that handles no events until run is called.
 func newEventLoop(ctx context.Context, cfg *config.Config, log *slog.Logger) (*eventLoop, error) {
 	l := &eventLoop{
 		ctx:      ctx,
@@ -163,7 +163,7 @@
 	}
 }
 
-// start starts the balancer with what was persisted and configured.
+// start starts the balancer with the persisted state and the configured endpoints.
 func (l *eventLoop) start(now balancer.Micros) {
 	l.balancer.Start(now)
 	if list := l.restoreSnapshot(now, l.restoredSnapshot); len(list.Endpoints) > 0 {
@@ -187,7 +187,8 @@
 	}
 }
 
-// nextSave returns a channel that receives when the next snapshot is due: never where no state is persisted.
+// nextSave returns a channel that receives a value when the next snapshot is due. It is nil, and so never receives one, if no
+// state is persisted.
 func (l *eventLoop) nextSave() <-chan time.Time {
 	if l.snapshots == nil {
 		return nil
@@ -195,7 +196,7 @@
 	return time.After(l.snapshots.NextSave())
 }
 
-// post queues an event. It blocks while the queue is full, and does nothing once the loop has ended. The loop's goroutine must not
+// post queues an event. It blocks while the queue is full, and does nothing if the loop has ended. The loop's goroutine must not
 // call it.
 func (l *eventLoop) post(e event) {
 	select {
@@ -204,8 +205,8 @@
 	}
 }
 
-// postForClient queues an event and returns true, or returns false if the client disconnects while the queue is full. The loop's
-// goroutine must not call it.
+// postForClient queues an event and returns true. It returns false if the queue is full and the client's context ends first. The
+// loop's goroutine must not call it.
 func (l *eventLoop) postForClient(client context.Context, e event) bool {
 	select {
 	case l.events <- e:
@@ -215,16 +216,16 @@
 	}
 }
 
-// postUrgent is postUrgentBefore with a deadline after urgentTimeout.
+// postUrgent calls postUrgentBefore with a deadline that is urgentTimeout from now.
 func (l *eventLoop) postUrgent(e event) error {
 	return l.postUrgentBefore(time.Now().Add(urgentTimeout), e)
 }
 
-// postUrgentBefore has an event handled ahead of those that are queued, and waits for it. If the loop has not begun with it by the
-// deadline, the event will never be handled and admin.ErrBusy is returned; if the loop has ended, its context's error. The loop's
-// goroutine must not call it.
+// postUrgentBefore has an event handled ahead of the queued ones and waits until it is handled. If the loop has not started to
+// handle it by the deadline, the event is dropped and postUrgentBefore returns admin.ErrBusy. If the loop has ended, it returns
+// the error of the loop's context. The loop's goroutine must not call it.
 func (l *eventLoop) postUrgentBefore(deadline time.Time, e event) error {
-	var isClaimed atomic.Bool // by the loop, which handles the event, or by the deadline, which drops it
+	var isClaimed atomic.Bool // by the loop, which then handles the event, or at the deadline, after which the event is dropped
 	handled := make(chan struct{})
 	timeout := time.NewTimer(time.Until(deadline))
 	defer timeout.Stop()
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -15,12 +15,12 @@
 	"bramblestand/internal/mutant"
 )
 
-// heapTenths is how much of the platform's memory limit the heap may take; the rest is for what the runtime does not
-// count.
+// heapTenths is how many tenths of the platform's memory limit the heap may use. The rest is for memory that the Go runtime does
+// not count.
 const heapTenths = 8
 
-// openHandover opens the file that this process shares with another of this sidecar, and restores into it what was
-// persisted. Run calls it before the event loop starts.
+// openHandover opens the handover file, which the processes of this sidecar share, and writes the persisted operators' settings
+// into it. Run calls it before the event loop starts.
 func (s *server) openHandover() {
 	l := s.loop
 	s.handover = handover.Open(os.TempDir(), l.cfg.Name, l.log)
@@ -35,9 +35,9 @@
 	l.adminSettings = s.handover.Cached
 }
 
-// applySettings brings this process in line with the operators' settings and with the presence of another process of
-// this sidecar. Settings that are not newer than those in force do nothing. It returns admin.ErrBusy if the event loop does not
-// get to it before the deadline.
+// applySettings applies the operators' settings to this process, and adapts its limits to whether another process of this sidecar
+// runs. Settings that are not newer than those in force are ignored. It returns admin.ErrBusy if the event loop does not start to
+// handle the change by the deadline.
 func (s *server) applySettings(deadline time.Time, settings handover.State, hasOtherProcess bool) error {
 	s.applyMu.Lock()
 	defer s.applyMu.Unlock()
@@ -60,14 +60,14 @@
 	return nil
 }
 
-// pollHandover applies what the other process changes, until ctx ends.
+// pollHandover applies the settings that the other process changes, and adapts the limits when it starts or ends, until ctx ends.
 func (s *server) pollHandover(ctx context.Context) {
 	ticker := time.NewTicker(handover.PollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			deadline := time.Now().Add(handover.PollInterval) // an operators' call may wait for this one
+			deadline := time.Now().Add(handover.PollInterval) // short, because an operators' call may have to wait for this poll
 			err := s.applySettings(deadline, s.handover.Load(), s.handover.HasOtherProcess())
 			if err != nil && ctx.Err() == nil {
 				s.loop.log.Warn("handover state not applied yet; it will be tried again", "error", err)
@@ -78,9 +78,11 @@
 	}
 }
 
-// updateSettings changes the operators' settings for this process and the other. Where state is persisted the change is
-// on disk before any process applies it: a call that was answered 200 has to outlive the machine's power. After an error nothing
-// is changed, but for admin.ErrUnconfirmed: then the change is shared, and this process follows it with the next poll.
+// updateSettings changes the operators' settings for all processes of this sidecar. If state is persisted, the change is on disk
+// before any process applies it, because a change that was answered 200 must survive a power failure.
+//
+// If updateSettings returns an error, nothing has changed. The exception is admin.ErrUnconfirmed: the change is shared, and this
+// process applies it with the next poll.
 func (s *server) updateSettings(deadline time.Time, alter func(*handover.State)) error {
 	persist := func(settings handover.State) error { return s.loop.persistAdminSettings(deadline, settings) }
 	settings, err := s.handover.Update(alter, persist)
@@ -94,7 +96,7 @@
 	return err
 }
 
-// processCount is how many processes of this sidecar run.
+// processCount returns how many processes of this sidecar run.
 func processCount(hasOtherProcess bool) int {
 	if hasOtherProcess {
 		return 2
@@ -102,10 +104,12 @@
 	return 1
 }
 
-// splitLimits keeps this process to its part of the platform's limits: all of them, or half while another process runs.
-// Descriptors are no exact half: each process may have clients on a third of them, and each client one attempt. A process
-// that was alone cannot give up its clients' connections at once, and soon all clients connect to the new process, which
-// must not reject them. Only the idle connections to endpoints are split.
+// splitLimits sets this process's share of the platform's limits: all of them, or half while another process runs.
+//
+// Descriptors are not split exactly in half. While two processes run, each may have as many clients as a third of the
+// descriptors, and one attempt for each client. A process that was alone cannot close its clients' connections at once. The new
+// process must not reject clients either, because all of them will soon connect to it. Only the idle connections to endpoints are
+// split.
 func (s *server) splitLimits(hasOtherProcess bool) {
 	limits := s.loop.cfg.Limits
 	maxConnections := s.loop.cfg.MaxConnections()
--- a/internal/sidecar/membership.go
+++ b/internal/sidecar/membership.go
@@ -11,9 +11,10 @@
 	"bramblestand/internal/handover"
 )
 
-const openRetryInterval = time.Second // between attempts to open the peers' socket
+const openRetryInterval = time.Second // between attempts to open the socket to the peers
 
-// fleetOptions returns the configuration's options with the restored view and with handlers that post to the event loop.
+// fleetOptions returns the configured options, with the restored membership snapshot and with handlers that post to the event
+// loop.
 func (l *eventLoop) fleetOptions() fleet.Options {
 	o := l.cfg.FleetOptions()
 	if l.cfg.AdminAddress != "" { // a second process may share the address during an upgrade
@@ -31,8 +32,8 @@
 	return o
 }
 
-// openGossip begins to receive and send gossip where the membership is disabled: then both processes of an upgrade may.
-// Otherwise runMembership does. The socket is closed when ctx ends.
+// openGossip starts to receive and send gossip if membership is disabled; both processes may then do so during an upgrade. If
+// membership is enabled, runMembership starts gossip. The socket is closed when ctx ends.
 func (l *eventLoop) openGossip(ctx context.Context) error {
 	o := l.fleetOptions()
 	if l.cfg.Fleet.Enabled || !hasGossip(o) {
@@ -46,17 +47,17 @@
 	return nil
 }
 
-// hasGossip reports whether the options are those of a sidecar that sends and receives gossip.
+// hasGossip reports whether a sidecar with these options sends and receives gossip.
 func hasGossip(o fleet.Options) bool { return o.Listen.IsValid() && o.OnGossip != nil }
 
-// SendGossip sends data to all other sidecars. It is the balancer's action.
+// SendGossip sends data to all other sidecars. It implements balancer.Actions.
 func (l *eventLoop) SendGossip(data []byte) {
 	if f := l.fleet.Load(); f != nil {
 		f.SendGossip(data)
 	}
 }
 
-// membershipSnapshot returns the membership's view to persist: the present one, else what was restored.
+// membershipSnapshot returns the membership snapshot to persist: the current one or, if there is none, the restored one.
 func (l *eventLoop) membershipSnapshot() json.RawMessage {
 	if f := l.fleet.Load(); f != nil {
 		if snapshot := f.Snapshot(); snapshot != nil {
@@ -66,8 +67,8 @@
 	return l.restoredMembership
 }
 
-// runMembership takes part in the fleet's membership until ctx ends. The two processes of an upgrade are one member: the
-// later one takes over when the earlier is told to end. Gossip is received on until the event loop's end.
+// runMembership takes part in the fleet's membership until ctx ends. During an upgrade the two processes count as one member: the
+// new process takes over the membership when the old one is told to shut down. Gossip is received until the event loop ends.
 func (s *server) runMembership(ctx context.Context) {
 	if !s.acquireMembership(ctx) {
 		return
@@ -85,7 +86,7 @@
 	}
 }
 
-// acquireMembership waits until no other process of this sidecar is the member; false when ctx ended first.
+// acquireMembership waits until no other process of this sidecar is the member. It returns false if ctx ends first.
 func (s *server) acquireMembership(ctx context.Context) bool {
 	for s.handover != nil && !s.handover.AcquireFleetMembership() {
 		if !sleep(ctx, handover.PollInterval) {
@@ -95,11 +96,11 @@
 	return true
 }
 
-// openFleet opens the fleet, again and again until it succeeds; nil when ctx ended first.
+// openFleet opens the fleet, and tries again until it succeeds. It returns nil if ctx ends first.
 func (s *server) openFleet(ctx context.Context) *fleet.Fleet {
 	l := s.loop
 	o := l.fleetOptions()
-	if s.handover != nil { // a process of an earlier release may still have a socket of this address
+	if s.handover != nil { // a process of an earlier release may still have a socket at this address
 		o.OnSocket = func(socket syscall.Conn) {
 			if err := preferSocket(socket); err != nil {
 				l.log.Warn("datagrams not directed to this process", "error", err)
@@ -118,7 +119,7 @@
 	}
 }
 
-// sleep waits for a duration; false when ctx ended first.
+// sleep waits for a duration. It returns false if ctx ends first.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-time.After(duration):
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -13,23 +13,23 @@
 // errClientDisconnected ends a streamed response whose client has disconnected.
 var errClientDisconnected = errors.New("client disconnected")
 
-// pendingRequest is an entry of the event loop's request table: a request without a final response, or with attempts that are
-// outstanding. The goroutine that serves the client makes it and hands it over with admitRequest; from then on the loop's goroutine
-// owns it, but for what is marked.
+// pendingRequest is an entry of the event loop's request table: a request that has no final response yet, or has outstanding
+// attempts. The goroutine that serves the client makes it and hands it over with admitRequest. From then on only the loop's
+// goroutine may use it, except for what is marked as usable by any goroutine.
 type pendingRequest struct {
 	id       uint64
 	outgoing *upstream.Request
 	deadline balancer.Micros
-	timeLeft balancer.Micros // from the last byte of a streamed request body to the deadline
+	timeLeft balancer.Micros // time from the last byte of a streamed request body to the deadline
 
-	response  chan finalResponse // receives the one final response; has room for it
-	clientCtx context.Context    // ends when the client disconnects, which the loop may learn late; nil in tests
-	// checkDisconnect asks the system whether the client has disconnected, and ends clientCtx if so. It is nil where there is no
+	response  chan finalResponse // receives the only final response; buffered, so that sending it does not block
+	clientCtx context.Context    // ends when the client disconnects, of which the loop may learn later; nil in some tests
+	// checkDisconnect asks the system whether the client has disconnected, and ends clientCtx if so. It is nil if there is no
 	// connection. Any goroutine may call it.
 	checkDisconnect func()
 
 	isDone         bool                 // the final response was given, or the client has disconnected
-	cancelAttempts []context.CancelFunc // by attempt
+	cancelAttempts []context.CancelFunc // by the attempt's number
 	outstanding    int                  // attempts without an outcome
 }
 
@@ -38,19 +38,19 @@
 	return r.clientCtx != nil && r.clientCtx.Err() != nil
 }
 
-// finalResponse is the one response to a client's request.
+// finalResponse is the only response that a client's request gets.
 type finalResponse struct {
 	statusCode int
-	retryAfter balancer.Micros // with status 503
+	retryAfter balancer.Micros // sent with status 503
 	reason     string          // of a rejection, for the log
 	header     http.Header
 	body       []byte
-	stream     *upstream.ResponseStream // of the rest of the body; nil if body is all of it
+	stream     *upstream.ResponseStream // the rest of the body; nil if body is complete
 }
 
-// The methods below are events of a request. The loop's goroutine calls them.
+// The methods below handle the events of a request. The loop's goroutine calls them.
 
-// admitRequest enters a new request in the table and passes it to the balancer.
+// admitRequest adds a new request to the table and passes it to the balancer.
 func (l *eventLoop) admitRequest(now balancer.Micros, r *pendingRequest, in balancer.Request) {
 	l.lastRequestID++
 	r.id, in.ID, r.deadline = l.lastRequestID, l.lastRequestID, in.Deadline
@@ -59,7 +59,8 @@
 	l.releaseRequest(r)
 }
 
-// clientDisconnected ends a request whose client has disconnected. A response that was given meanwhile is dropped.
+// clientDisconnected ends a request whose client has disconnected. If the request already has a response that the client has not
+// received, the response is dropped.
 func (l *eventLoop) clientDisconnected(now balancer.Micros, r *pendingRequest) {
 	if !r.isDone {
 		r.isDone = true
@@ -93,12 +94,12 @@
 	l.respond(r, response)
 }
 
-// attemptFinished takes the outcome of an attempt: exactly once for each attempt, also after the request's end, when the balancer
-// still learns from it.
+// attemptFinished handles the outcome of an attempt. It is called exactly once for each attempt, even after the end of the
+// request, because the balancer still learns from the outcome.
 func (l *eventLoop) attemptFinished(now balancer.Micros, r *pendingRequest, outcome balancer.Outcome, res upstream.Result) {
 	r.outstanding--
 	if r.isClientDisconnected() {
-		l.clientDisconnected(now, r) // before the balancer would retry
+		l.clientDisconnected(now, r) // must come first, so that the balancer does not retry
 	}
 	switch {
 	case res.Status == balancer.OK:
@@ -114,7 +115,7 @@
 	l.releaseRequest(r)
 }
 
-// clientErrorResponse returns the response to a request that failed by the client's fault.
+// clientErrorResponse returns the response to a request that failed because of the client.
 func clientErrorResponse(statusCode int) finalResponse {
 	response := finalResponse{statusCode: statusCode}
 	if statusCode == http.StatusServiceUnavailable {
@@ -129,17 +130,17 @@
 		"endpoint", outcome.Endpoint, "outcome", res.Status, "duration", time.Duration(outcome.Latency)*time.Microsecond, "error", res.Err)
 }
 
-// respond gives the final response, unless the request is done. A nil request, one that has left the table, is done.
+// respond gives the final response, unless the request is done. A nil request is done, too: it has left the table.
 func (l *eventLoop) respond(r *pendingRequest, response finalResponse) {
 	if r == nil || r.isDone {
 		return
 	}
 	r.isDone = true
 	r.response <- response
-	l.releaseRequest(r) // a rejection may come of a timer or a load probe, with no attempt outstanding
+	l.releaseRequest(r) // a timer or a load probe may cause a rejection while no attempt is outstanding
 }
 
-// releaseRequest takes a request that is done and has no outstanding attempt from the table.
+// releaseRequest removes a request from the table if it is done and has no outstanding attempts.
 func (l *eventLoop) releaseRequest(r *pendingRequest) {
 	if r.isDone && r.outstanding == 0 {
 		delete(l.requests, r.id)
--- a/internal/sidecar/snapshot.go
+++ b/internal/sidecar/snapshot.go
@@ -15,8 +15,8 @@
 	"bramblestand/internal/state"
 )
 
-// loadSnapshot reads what an earlier process of this sidecar persisted. It returns nil where there is nothing, or
-// nothing usable: then it logs why.
+// loadSnapshot loads the state that an earlier process of this sidecar persisted. It returns nil if there is none or it is not
+// usable, and logs why; it logs nothing if the configuration persists no state.
 func loadSnapshot(cfg *config.Config, log *slog.Logger) *state.Snapshot {
 	if cfg.StateDir == "" {
 		return nil
@@ -24,7 +24,7 @@
 	if err := os.MkdirAll(cfg.StateDir, 0o700); err != nil {
 		log.Error("state folder not created; nothing will be persisted", "error", err)
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	s, err := state.Load(cfg.StateDir, cfg.Name)
 	switch {
 	case errors.Is(err, state.ErrNotFound):
@@ -36,13 +36,14 @@
 	}
 	log.Info("state snapshot restored", "file", state.Path(cfg.StateDir, cfg.Name), "list_version", s.ListVersion,
 		"endpoints", len(s.Endpoints), "banned", len(s.Admin.Banned), "drained", s.Admin.Drained, "listed_at", s.ListedAt,
-		"duration", time.Since(began))
+		"duration", time.Since(startedAt))
 	return s
 }
 
-// restoreSnapshot gives the balancer what an earlier process persisted, before its first event: the bans whatever their age,
-// and, as a cached list that is probed before it is trusted, the persisted list. It returns the list to begin with:
-// the persisted one, or the configuration's where that is newer or the persisted one is too old or not valid.
+// restoreSnapshot restores the persisted bans, however old they are, and returns the endpoint list to start with. That is the
+// persisted list, or the configured one if it is newer or if the persisted list is missing, too old or not valid. The caller
+// passes it to the balancer as a cached list, whose endpoints are probed before they are trusted. All this happens before
+// the balancer's first event.
 func (l *eventLoop) restoreSnapshot(now balancer.Micros, persisted *state.Snapshot) discovery.List {
 	known := l.cfg.KnownEndpoints
 	if persisted == nil {
@@ -65,7 +66,7 @@
 	return list
 }
 
-// restoreEndpointStates gives the balancer what was learned of the endpoints that it now lists.
+// restoreEndpointStates passes to the balancer what an earlier process has learned about the endpoints that are known now.
 func (l *eventLoop) restoreEndpointStates(now balancer.Micros, persisted *state.Snapshot) {
 	if persisted == nil {
 		return
@@ -80,9 +81,9 @@
 	l.balancer.Restore(now, endpoints)
 }
 
-// persistAdminSettings saves the operators' settings, with the rest of a snapshot, and returns nil once they are on
-// disk, or where no state is persisted. An operator's call waits for it; it returns admin.ErrBusy if the event loop does not get to
-// it before the deadline.
+// persistAdminSettings saves the operators' settings as part of a snapshot, for an operator's call that waits for it. It returns
+// nil once the snapshot is on disk, or if no state is persisted. It returns admin.ErrBusy if the event loop has not started to
+// take the snapshot by the deadline.
 func (l *eventLoop) persistAdminSettings(deadline time.Time, settings handover.State) error {
 	if l.snapshots == nil {
 		return nil
@@ -96,7 +97,7 @@
 	return err
 }
 
-// snapshot returns what is to be persisted. The loop's goroutine calls it.
+// snapshot returns the state to persist. The loop's goroutine calls it.
 func (l *eventLoop) snapshot(now balancer.Micros) *state.Snapshot {
 	s := &state.Snapshot{SidecarName: l.cfg.Name, ListedAt: l.listedAt, IsFullList: true, Membership: l.membershipSnapshot()}
 	if l.listVersion != nil {
@@ -111,7 +112,7 @@
 	if l.adminSettings != nil {
 		s.Admin = state.AdminSettings(*l.adminSettings())
 	} else {
-		s.Admin.Banned = l.bannedNames() // without operators the bans of an earlier process stay in force
+		s.Admin.Banned = l.bannedNames() // without an admin address the bans of an earlier process stay in force
 	}
 	for _, e := range l.balancer.Snapshot(now) {
 		s.EndpointStates = append(s.EndpointStates, state.EndpointState{Name: l.endpointIDs.name(e.ID), LatencyBaseline: e.LatencyBaseline,
@@ -120,7 +121,7 @@
 	return s
 }
 
-// bannedNames returns the names of the banned endpoints, sorted; nil for none. The loop's goroutine calls it.
+// bannedNames returns the names of the banned endpoints, sorted, or nil if there are none. The loop's goroutine calls it.
 func (l *eventLoop) bannedNames() []string {
 	var names []string
 	for id := range l.banned {
--- a/internal/sidecar/status_log.go
+++ b/internal/sidecar/status_log.go
@@ -9,13 +9,13 @@
 	"bramblestand/internal/datagram"
 )
 
-// Log lines of the sidecar's state.
+// Intervals of the log lines on the sidecar's state.
 const (
-	statusLogInterval  = time.Second
-	controlLogInterval = 10 // control traffic is logged with every tenth status
+	statusLogInterval     = time.Second
+	statusesPerControlLog = 10 // control traffic is logged with every tenth status line
 )
 
-// logStatusPeriodically logs the sidecar's connections, requests and goroutines until ctx ends.
+// logStatusPeriodically logs the status, and at longer intervals the control traffic, until ctx ends.
 func (s *server) logStatusPeriodically(ctx context.Context) {
 	ticker := time.NewTicker(statusLogInterval)
 	defer ticker.Stop()
@@ -23,7 +23,7 @@
 		select {
 		case <-ticker.C:
 			s.loop.post(s.logStatus)
-			if s.loop.controlTraffic != nil && n%controlLogInterval == 0 {
+			if s.loop.controlTraffic != nil && n%statusesPerControlLog == 0 {
 				s.loop.controlTraffic.Log(s.loop.log, s.loop.datagramCounts())
 			}
 		case <-ctx.Done():
@@ -32,7 +32,7 @@
 	}
 }
 
-// logStatus logs the counts. The event loop calls it.
+// logStatus logs the counts of requests, connections, queued events and goroutines. The loop's goroutine calls it.
 func (s *server) logStatus(balancer.Micros) {
 	clients := s.clients.counts()
 	open, idle := s.loop.upstream.ConnectionCounts()
@@ -47,8 +47,8 @@
 	s.loop.log.Info("status", attributes...)
 }
 
-// datagramCounts returns the datagrams by channel since the start; nil where there is no transport, or not yet. Any
-// goroutine may call it.
+// datagramCounts returns the datagram counts of each channel since the start, or nil if the sidecar has no fleet or has not
+// joined it yet. Any goroutine may call it.
 func (l *eventLoop) datagramCounts() map[datagram.Channel]datagram.ChannelCounts {
 	if f := l.fleet.Load(); f != nil {
 		return f.Counts()
