--- a/internal/sidecar/admin_busy_test.go
+++ b/internal/sidecar/admin_busy_test.go
@@ -12,7 +12,7 @@
 	"bramblestand/internal/endpointtest"
 )
 
-// maxAdminAnswerTime is within what operators are owed an answer, under any load.
+// maxAdminAnswerTime is the time within which operators must get an answer, under any load.
 const maxAdminAnswerTime = time.Second
 
 // adminAnswer is the answer to an operators' call.
@@ -22,7 +22,7 @@
 	duration time.Duration
 }
 
-// callAdmin makes a call whose answer may be any.
+// callAdmin makes an operators' call and returns the answer, whatever its status.
 func (s *testSidecar) callAdmin(method, path, body string) adminAnswer {
 	s.t.Helper()
 	request, err := http.NewRequest(method, "http://"+s.adminAddress+path, strings.NewReader(body))
@@ -50,7 +50,8 @@
 	return func() { close(released) }
 }
 
-// Guards against an operators' call that is answered "could not be carried out" by a busy sidecar and takes effect all the same.
+// A call that a busy sidecar answers with ErrBusy must not take effect later. A call that it answers with ErrUnconfirmed must
+// take effect.
 func TestAnswerOfABusySidecarAgreesWithTheEffect(t *testing.T) {
 	s := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
 	s.openAdmin()
@@ -81,7 +82,8 @@
 	}
 }
 
-// Guards against an answer that comes late, or never, because each step of the call waits for a loop that is busy again.
+// A call consists of several steps that each wait for the event loop. If the loop is busy again at every step, the call must
+// still be answered in time.
 func TestAdminAnswersComeInTimeFromABusyLoop(t *testing.T) {
 	s := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
 	s.openAdmin()
--- a/internal/sidecar/admin_golden_test.go
+++ b/internal/sidecar/admin_golden_test.go
@@ -21,7 +21,7 @@
 	"bramblestand/internal/fleet"
 )
 
-// transcript collects admin calls and their answers in the form of testdata/admin_calls.txt, which release 21.0 wrote.
+// transcript collects admin calls and their answers in the format of testdata/admin_calls.txt, which was written by release 21.0.
 type transcript struct {
 	t         *testing.T
 	sidecar   *testSidecar
@@ -29,10 +29,10 @@
 	normalize func(string) string // replaces what differs from run to run
 }
 
-// section begins a part of the transcript.
+// section starts a section of the transcript.
 func (tr *transcript) section(title string) { fmt.Fprintf(&tr.text, "## %s\n\n", title) }
 
-// call makes a call and adds it with status, headers and body of the answer.
+// call makes a call and adds it to the transcript, with the status, headers and body of the answer.
 func (tr *transcript) call(method, path, body string) {
 	tr.t.Helper()
 	r, err := http.NewRequest(method, "http://"+tr.sidecar.adminAddress+path, strings.NewReader(body))
@@ -47,10 +47,10 @@
 		body = fmt.Sprintf("(%d bytes)", len(body))
 	}
 	fmt.Fprintf(&tr.text, "> %s %s %q\n", method, path, body)
-	tr.answer(got.statusCode, got.header, got.body)
+	tr.addAnswer(got.statusCode, got.header, got.body)
 }
 
-// callRaw sends these bytes and no more, and adds the answer.
+// callRaw sends exactly these bytes, and adds them and the answer to the transcript.
 func (tr *transcript) callRaw(data string) {
 	tr.t.Helper()
 	conn, err := net.Dial("tcp", tr.sidecar.adminAddress)
@@ -70,11 +70,11 @@
 		tr.t.Fatal(err)
 	}
 	fmt.Fprintf(&tr.text, "> %q\n", data)
-	tr.answer(response.StatusCode, response.Header, string(body))
+	tr.addAnswer(response.StatusCode, response.Header, string(body))
 }
 
-// answer adds an answer, the headers sorted. A length that may differ from run to run is left out.
-func (tr *transcript) answer(code int, header http.Header, body string) {
+// addAnswer adds an answer with its headers sorted. It omits the date, and the length of a body that differs from run to run.
+func (tr *transcript) addAnswer(code int, header http.Header, body string) {
 	fmt.Fprintf(&tr.text, "< %d\n", code)
 	normal := tr.normalize(body)
 	var lines []string
@@ -94,9 +94,9 @@
 	volatileAge    = regexp.MustCompile(`heard -?\d+ ms`)
 )
 
-// Every admin call, the rejected ones too, is answered as release 21.0 answered it.
+// Every admin call, including the rejected ones, is answered as release 21.0 answered it.
 func TestAnswersOfAnEarlierRelease(t *testing.T) {
-	// One more than are banned: a list that arrives while all endpoints are banned makes the sidecar not ready.
+	// One endpoint more than the test bans, because a sidecar whose endpoints are all banned is not ready.
 	endpoints := []discovery.Endpoint{readyEndpoint("s-1", "127.0.0.1:1"), readyEndpoint("s-2", "127.0.0.1:1"), readyEndpoint("s-3", "127.0.0.1:1")}
 	plain := startSidecar(t, nil, endpoints...) // counts no control traffic and has no fleet
 	plain.openAdmin()
@@ -117,7 +117,7 @@
 	tr.callFleet()
 	tr.callFailing()
 	if code := call("GET", "/ready", ""); code != 200 {
-		t.Errorf("after all: %d, want 200", code)
+		t.Errorf("GET /ready after all other calls: %d, want 200", code)
 	}
 
 	want, err := os.ReadFile("testdata/admin_calls.txt")
@@ -129,7 +129,7 @@
 	}
 }
 
-// startFleetMember runs a sidecar that has a fleet, though it has not joined it, and counts control traffic.
+// startFleetMember runs a sidecar that counts control traffic and whose fleet is enabled but not joined yet.
 func startFleetMember(t *testing.T, endpoints ...discovery.Endpoint) *testSidecar {
 	t.Helper()
 	s := &testSidecar{t: t, registry: newFakeRegistry(t, endpoints...)}
@@ -147,7 +147,7 @@
 	return s
 }
 
-// normalizeAnswer puts words in place of times, counts, addresses, the program's version and the folder.
+// normalizeAnswer replaces times, counts, addresses, the program's version and the folder with placeholders.
 func (s *testSidecar) normalizeAnswer(text string) string {
 	address := s.loop.cfg.PeerListen.String()
 	text = strings.ReplaceAll(text, s.handoverFolder, "DIR")
@@ -204,7 +204,7 @@
 	tr.callRaw("POST /drain HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nabc")
 }
 
-// callFleet asks for the fleet before the sidecar has joined it and after that, in all forms.
+// callFleet asks for the fleet's status in all formats, before and after the sidecar has joined the fleet.
 func (tr *transcript) callFleet() {
 	tr.t.Helper()
 	tr.call("GET", "/fleet", "")
@@ -217,8 +217,8 @@
 		if member == nil {
 			return false
 		}
-		status, isOn := member.Status(false)
-		return isOn && len(status.StableMembers) == 1 && len(status.Members) == 1
+		status, isEnabled := member.Status(false)
+		return isEnabled && len(status.StableMembers) == 1 && len(status.Members) == 1
 	})
 	tr.call("GET", "/fleet", "")
 	tr.call("GET", "/fleet?brief=1", "")
@@ -250,7 +250,7 @@
 	tr.call("POST", "/undrain", "")
 }
 
-// firstDifference returns the first line in which two texts differ.
+// firstDifference returns the first line that differs between two texts.
 func firstDifference(got, want string) string {
 	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(want, "\n")
 	for i := range min(len(gotLines), len(wantLines)) {
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// Callers that send no complete call are disconnected, and never keep others out.
+// Callers that do not send a complete call are disconnected, and never keep others out.
 func TestStalledAdminCallersAreDisconnected(t *testing.T) {
 	s := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
 	call := s.openAdmin()
@@ -89,7 +89,7 @@
 		stalled = append(stalled, conn)
 	}
 	if code := call("GET", "/ready", ""); code != 200 {
-		t.Errorf("beside stalled callers: %d, want 200", code)
+		t.Errorf("while other callers are stalled: %d, want 200", code)
 	}
 	for _, conn := range stalled {
 		conn.SetReadDeadline(time.Now().Add(testTimeout))
@@ -109,7 +109,7 @@
 	in      *bufio.Reader
 }
 
-// connect opens a client's connection, which the test's end closes.
+// connect opens a client's connection. It is closed when the test ends.
 func (s *testSidecar) connect() *clientConnection {
 	s.t.Helper()
 	conn := s.dial()
@@ -149,13 +149,13 @@
 		t.Errorf("readiness while drained: %d, want 503", code)
 	}
 	if code := call("GET", "/ready", ""); code != 200 {
-		t.Errorf("a drained process serves all the same: %d, want 200", code)
+		t.Errorf("GET /ready of a drained process, which still serves: %d, want 200", code)
 	}
 	if got := first.roundTrip(); got.StatusCode != 200 || !got.Close {
-		t.Errorf("an open connection in a drain: %d, close %v; want 200 and the connection closed", got.StatusCode, got.Close)
+		t.Errorf("an open connection during a drain: %d, close %v; want 200 and the connection closed", got.StatusCode, got.Close)
 	}
 	if got := s.connect().roundTrip(); got.StatusCode != 200 || !got.Close {
-		t.Errorf("a new connection in a drain: %d, close %v; want 200 and the connection closed", got.StatusCode, got.Close)
+		t.Errorf("a new connection during a drain: %d, close %v; want 200 and the connection closed", got.StatusCode, got.Close)
 	}
 	for range 2 {
 		if code := call("POST", "/undrain", ""); code != 200 {
@@ -167,7 +167,7 @@
 	}
 	for range 2 {
 		if got := second.roundTrip(); got.StatusCode != 200 || got.Close {
-			t.Errorf("a connection that was open over the drain: %d, close %v; want 200 and it stays open", got.StatusCode, got.Close)
+			t.Errorf("a connection that was open before and after the drain: %d, close %v; want 200 and the connection kept open", got.StatusCode, got.Close)
 		}
 	}
 }
@@ -198,8 +198,8 @@
 // A banned endpoint gets no requests, whatever the list reports, until the ban ends.
 func TestBannedEndpointGetsNoRequests(t *testing.T) {
 	one, two := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)), endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
-	hosts := []discovery.Endpoint{readyEndpoint("s-1", one.Address), readyEndpoint("s-2", two.Address)}
-	s := startSidecar(t, nil, hosts...)
+	endpoints := []discovery.Endpoint{readyEndpoint("s-1", one.Address), readyEndpoint("s-2", two.Address)}
+	s := startSidecar(t, nil, endpoints...)
 	call := s.openAdmin()
 	for range 2 {
 		if code := call("POST", "/pin-servers/disable", "s-1\n"); code != 200 {
@@ -209,8 +209,8 @@
 	lists := s.listCount()
 	s.registry.change(func() {
 		s.registry.list.Version++
-		hosts[0].StartedAtMillis = time.Now().UnixMilli()
-		s.registry.list.Endpoints = hosts
+		endpoints[0].StartedAtMillis = time.Now().UnixMilli()
+		s.registry.list.Endpoints = endpoints
 	})
 	s.await("the list that reports its restart", func() bool { return s.listCount() > lists })
 	before, _ := one.Counts()
@@ -232,14 +232,14 @@
 	})
 }
 
-// listCount counts the endpoint lists that the balancer received.
+// listCount returns how many updates of the endpoint list the balancer has received, including failed ones.
 func (s *testSidecar) listCount() int {
 	s.recorder.mu.Lock()
 	defer s.recorder.mu.Unlock()
 	return len(s.recorder.updateKinds)
 }
 
-// A call whose change cannot be stored is answered 503, and changes nothing.
+// A call whose change cannot be stored is answered 503 and changes nothing.
 func TestCallThatIsNotPersistedFails(t *testing.T) {
 	s := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
 	call := s.openAdmin()
@@ -254,8 +254,8 @@
 	}
 }
 
-// Readiness follows bans at once, without word from discovery. Guards against a sidecar that is asked for requests with all its
-// endpoints banned, or that goes on refusing them after the ban.
+// Readiness follows bans at once, without a new list from discovery. Otherwise a sidecar would still be sent requests while all
+// its endpoints are banned, or would go on reporting that it is not ready after the bans are lifted.
 func TestReadinessFollowsBans(t *testing.T) {
 	s := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
 	call := s.openAdmin()
--- a/internal/sidecar/attempts_test.go
+++ b/internal/sidecar/attempts_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Whether a request is retried, and where, depends on its retry safety and on the outcome of the attempt before. The client sees one
-// final response in any case.
+// Whether a request is retried, and where, depends on its retry safety and on the outcome of the previous attempt. The client
+// gets one final response in any case.
 func TestRetriesFollowRetrySafety(t *testing.T) {
 	reset := func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
 		for e.ReadRequest(in) != nil {
@@ -53,7 +53,7 @@
 	for _, c := range []struct {
 		name, class string
 		first       func(*endpointtest.Server, net.Conn, *bufio.Reader)
-		move        func(discovery.Endpoint) discovery.Endpoint // the second endpoint; nil leaves it
+		alterSecond func(discovery.Endpoint) discovery.Endpoint // returns the second endpoint to use; nil leaves it as it is
 		statusCode  int
 		attempts    int
 	}{
@@ -72,8 +72,8 @@
 			// Both endpoints have one address: whichever is picked first, the first attempt ends as scripted.
 			e := endpointtest.NewServer(t, c.first)
 			second := readyEndpoint("s-2", e.Address)
-			if c.move != nil {
-				second = c.move(second)
+			if c.alterSecond != nil {
+				second = c.alterSecond(second)
 			}
 			s := startSidecar(t, nil, readyEndpoint("s-1", e.Address), second)
 			got := s.send(s.request(c.class, "x", 3*time.Second))
@@ -87,14 +87,14 @@
 			s.recorder.mu.Lock()
 			defer s.recorder.mu.Unlock()
 			outcomes := s.recorder.outcomes
-			if c.move != nil && outcomes[0].Status == balancer.Reset && outcomes[1].Endpoint != outcomes[0].Endpoint {
+			if c.alterSecond != nil && outcomes[0].Status == balancer.Reset && outcomes[1].Endpoint != outcomes[0].Endpoint {
 				t.Error("a request that may have run was retried in another pod")
 			}
 		})
 	}
 }
 
-// The balancer gets one outcome of each attempt, in order, and the last one says that the request is done.
+// The balancer gets one outcome for each attempt, in order, and the last one says that the request is done.
 func TestEachAttemptHasOneOutcomeInOrder(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.FirstThen(endpointtest.RejectedResponse, endpointtest.OKResponse))
 	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address), readyEndpoint("s-2", e.Address))
@@ -128,8 +128,8 @@
 	}
 }
 
-// A request whose endpoint does not respond is answered before the client's timeout. The outcome is a timeout, even if the balancer's
-// timer for the same instant cancels the attempt first.
+// A request whose endpoint does not respond is answered before the client's timeout. The outcome is a timeout, even if the
+// balancer's timer for the same time cancels the attempt first.
 func TestRequestIsAnsweredBeforeItsDeadline(t *testing.T) {
 	for class, statusCode := range map[string]int{"read": 503, "pay": 503, "close": 502, "order": 502} {
 		t.Run(class, func(t *testing.T) {
@@ -170,18 +170,19 @@
 func TestRejectionIsImmediateWithRetryAfter(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Always(endpointtest.RejectedResponse))
 	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
-	began := time.Now()
+	sentAt := time.Now()
 	got := s.send(s.request("read", "", time.Minute))
 	after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 	if got.statusCode != http.StatusServiceUnavailable || err != nil || after <= 0 || after > 1.5 {
 		t.Errorf("status %d, Retry-After %q", got.statusCode, got.header.Get("Retry-After"))
 	}
-	if took := time.Since(began); took > 30*time.Second {
+	if took := time.Since(sentAt); took > 30*time.Second {
 		t.Errorf("the response took %v of a minute", took)
 	}
 }
 
-// A disconnect of the client cancels the attempt by closing its connection. The balancer still gets the outcome, with the request done.
+// If the client disconnects, the attempt is canceled by closing its connection. The balancer still gets the outcome, with the
+// request done.
 func TestDisconnectCancelsTheAttempt(t *testing.T) {
 	closed := make(chan struct{})
 	e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
@@ -210,8 +211,8 @@
 	}
 }
 
-// A client that has closed its side of the connection counts as disconnected, and must not read a complete response that no endpoint
-// made.
+// A client that has closed its side of the connection counts as disconnected. It must not get a response, because no endpoint has
+// sent one.
 func TestHalfClosedClientGetsNoResponse(t *testing.T) {
 	e := endpointtest.NewServer(t, endpointtest.Silent)
 	s := startSidecar(t, nil, readyEndpoint("s-1", e.Address))
@@ -225,7 +226,7 @@
 	}
 }
 
-// The balancer gets the outcome of an attempt that ends after the client has disconnected, with the request done.
+// If an attempt ends after the client has disconnected, the balancer still gets its outcome, with the request done.
 func TestOutcomeAfterDisconnectReachesTheBalancer(t *testing.T) {
 	respond := make(chan struct{})
 	e := endpointtest.NewServer(t, func(e *endpointtest.Server, conn net.Conn, in *bufio.Reader) {
@@ -233,7 +234,7 @@
 		<-respond
 		io.WriteString(conn, endpointtest.OKResponse)
 	})
-	// The settings forbid to cancel attempts: this one goes on after the disconnect.
+	// These settings do not allow attempts to be canceled, so the attempt goes on after the disconnect.
 	s := startSidecar(t, func(s map[string]any) { s["limits"].(map[string]any)["cancel"] = false }, readyEndpoint("s-1", e.Address))
 	ctx, cancel := context.WithCancel(context.Background())
 	go s.send(s.request("pay", "x", time.Minute).WithContext(ctx))
@@ -253,7 +254,7 @@
 	}
 }
 
-// An endpoint that the list reports as draining while an attempt dials it gets no request: another endpoint does.
+// An endpoint that is reported as draining while an attempt connects to it gets no request. Another endpoint gets it.
 func TestEndpointDrainingDuringDialGetsNoRequest(t *testing.T) {
 	first := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
 	second := endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse))
--- a/internal/sidecar/control_traffic_test.go
+++ b/internal/sidecar/control_traffic_test.go
@@ -19,35 +19,35 @@
 	"bramblestand/internal/endpointtest"
 )
 
-// exchanged is one kind of traffic as counted at one end of its connections. Sent and received are as the sidecar
-// names them, at either end.
-type exchanged struct {
+// trafficCount counts one kind of traffic, at either end of its connections. Sent and received are always as seen by the sidecar.
+type trafficCount struct {
 	sentMessages, sentBytes         uint64
 	receivedMessages, receivedBytes uint64
 	connections                     uint64
 }
 
-// add counts a request to the sidecar's peer and its response, or an operator's call the other way round.
-func (e *exchanged) add(sentBytes, receivedBytes uint64) {
+// add counts one message that the sidecar sent and one that it received: a request to a peer and the response, or the answer to
+// an operators' call and the call.
+func (e *trafficCount) add(sentBytes, receivedBytes uint64) {
 	e.sentMessages++
 	e.sentBytes += sentBytes
 	e.receivedMessages++
 	e.receivedBytes += receivedBytes
 }
 
-func exchangedBySidecar(t controltraffic.Traffic) exchanged {
-	return exchanged{t.Sent.Messages, t.Sent.Bytes, t.Received.Messages, t.Received.Bytes, t.Opened + t.Accepted}
+func sidecarCount(t controltraffic.Traffic) trafficCount {
+	return trafficCount{t.Sent.Messages, t.Sent.Bytes, t.Received.Messages, t.Received.Bytes, t.Opened + t.Accepted}
 }
 
-// trafficPeers are an endpoint, a discovery service and an operator that count what they exchange with a sidecar.
+// trafficPeers are an endpoint, a discovery service and an operator that count their traffic with a sidecar.
 type trafficPeers struct {
 	mu        sync.Mutex // guards the counts
-	probes    exchanged
-	requests  exchanged
-	discovery exchanged
-	admin     exchanged
+	probes    trafficCount
+	requests  trafficCount
+	discovery trafficCount
+	admin     trafficCount
 
-	releaseWatch chan struct{} // closed to answer a call that waits for changes
+	releaseWatch chan struct{} // closed to answer the calls that wait for changes
 }
 
 // countingReader counts the bytes read through it.
@@ -62,8 +62,9 @@
 	return n, err
 }
 
-// listen serves requests with the text that respond gives, and counts each under the kind that it is of.
-func (p *trafficPeers) listen(t *testing.T, respond func(*http.Request) string, kindOf func(*http.Request) *exchanged) (address string) {
+// listen serves requests with the responses that respond returns. countOf returns the count that a request and its response
+// belong to.
+func (p *trafficPeers) listen(t *testing.T, respond func(*http.Request) string, countOf func(*http.Request) *trafficCount) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -76,17 +77,17 @@
 			if err != nil {
 				return
 			}
-			go p.serve(conn, respond, kindOf)
+			go p.serve(conn, respond, countOf)
 		}
 	}()
 	return listener.Addr().String()
 }
 
-func (p *trafficPeers) serve(conn net.Conn, respond func(*http.Request) string, kindOf func(*http.Request) *exchanged) {
+func (p *trafficPeers) serve(conn net.Conn, respond func(*http.Request) string, countOf func(*http.Request) *trafficCount) {
 	defer conn.Close()
 	counting := &countingReader{Reader: conn}
 	in := bufio.NewReader(counting)
-	requestsEnd := uint64(0) // the bytes of all requests read so far
+	requestsEnd := uint64(0) // bytes of all requests read so far
 	for isFirst := true; ; isFirst = false {
 		request, err := http.ReadRequest(in)
 		if err != nil {
@@ -97,26 +98,26 @@
 		requestsEnd = counting.bytes - uint64(in.Buffered())
 		response := respond(request)
 		p.mu.Lock()
-		kind := kindOf(request)
-		kind.add(requestsEnd-requestStart, uint64(len(response)))
+		count := countOf(request)
+		count.add(requestsEnd-requestStart, uint64(len(response)))
 		if isFirst {
-			kind.connections++
+			count.connections++
 		}
 		p.mu.Unlock()
-		io.WriteString(conn, response) // after it is counted, so that the sidecar never knows more
+		io.WriteString(conn, response) // after it is counted, so that the sidecar's count is never ahead
 	}
 }
 
-// listenEndpoint serves requests of the application and load probes.
+// listenEndpoint serves the application's requests and load probes.
 func (p *trafficPeers) listenEndpoint(t *testing.T) (address string) {
 	t.Helper()
 	isProbe := func(r *http.Request) bool { return r.URL.Path == "/stats" }
 	return p.listen(t, func(r *http.Request) string {
 		if isProbe(r) {
-			return httpAnswer("failed_ps=0,pending=1")
+			return okResponse("failed_ps=0,pending=1")
 		}
-		return httpAnswer("done")
-	}, func(r *http.Request) *exchanged {
+		return okResponse("done")
+	}, func(r *http.Request) *trafficCount {
 		if isProbe(r) {
 			return &p.probes
 		}
@@ -124,7 +125,7 @@
 	})
 }
 
-// listenDiscovery serves a list of one endpoint. One call that waits for changes is answered once they are released.
+// listenDiscovery serves a list of one endpoint. Calls that wait for changes are answered once releaseWatch is closed.
 func (p *trafficPeers) listenDiscovery(t *testing.T, endpointAddress string) (address string) {
 	t.Helper()
 	list, err := json.Marshal(discovery.List{Version: 7, IsFull: true, Endpoints: []discovery.Endpoint{readyEndpoint("s-1", endpointAddress)}})
@@ -133,17 +134,17 @@
 	}
 	return p.listen(t, func(r *http.Request) string {
 		if r.FormValue("after") == "" {
-			return httpAnswer(string(list))
+			return okResponse(string(list))
 		}
 		if r.FormValue("wait_ms") != "0" {
 			<-p.releaseWatch
 		}
-		return httpAnswer(`{"seq":7,"whole":false,"hosts":[]}`)
-	}, func(*http.Request) *exchanged { return &p.discovery })
+		return okResponse(`{"seq":7,"whole":false,"hosts":[]}`)
+	}, func(*http.Request) *trafficCount { return &p.discovery })
 }
 
-// callAdmin makes an operator's call and reads the response to its end. The sidecar receives the call and sends the
-// response.
+// callAdmin makes an operators' call, reads the answer to its end, and counts both. The call is what the sidecar receives, the
+// answer what it sends.
 func (p *trafficPeers) callAdmin(t *testing.T, address, request string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -163,29 +164,29 @@
 	p.admin.connections++
 }
 
-func (p *trafficPeers) receivedMessages(kind *exchanged) uint64 {
+func (p *trafficPeers) receivedMessages(count *trafficCount) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return kind.receivedMessages
+	return count.receivedMessages
 }
 
-// agreesWith says whether the sidecar counted the same of a kind as its peers had when they were asked first.
+// agreesWith reports whether the sidecar and its peers have the same count of a kind of traffic. The peers' count is read first.
 func (p *trafficPeers) agreesWith(l *eventLoop, kind string) bool {
 	p.mu.Lock()
-	counted := map[string]exchanged{
+	counted := map[string]trafficCount{
 		controltraffic.KindLoadProbe: p.probes,
 		controltraffic.KindDiscovery: p.discovery,
 		controltraffic.KindAdmin:     p.admin,
 	}[kind]
 	p.mu.Unlock()
-	return exchangedBySidecar(l.controlTraffic.Status(nil).Kinds[kind]) == counted
+	return sidecarCount(l.controlTraffic.Status(nil).Kinds[kind]) == counted
 }
 
-func httpAnswer(body string) string {
+func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// Ways of counting that are wrong, for a test that has to notice them.
+// The functions below make a sidecar count its traffic wrongly. The test must notice it.
 func uncountProbes(l *eventLoop)          { l.upstream.LoadProbeTraffic = nil }
 func countProbesAsDiscovery(l *eventLoop) { l.upstream.LoadProbeTraffic = &l.controlTraffic.Discovery }
 func countDiscoveryElsewhere(l *eventLoop) {
@@ -205,12 +206,13 @@
 	l.discoveryClient = discovery.NewClient(l.discoveryClient.Address(), options)
 }
 
-// Messages, bytes and connections of load probes, discovery calls and operators' calls are what the peers count, with
-// requests of the application on the same connections; a sidecar that leaves out a kind, or counts one twice, differs.
+// The sidecar counts the same messages, bytes and connections of load probes, discovery calls and operators' calls as its peers
+// do, even though the application's requests use the same connections. A sidecar that leaves out a kind, or counts one twice,
+// does not.
 func TestControlTrafficEqualsWhatItsPeersCount(t *testing.T) {
 	for name, c := range map[string]struct {
 		alter     func(l *eventLoop)
-		wrongKind string // the kind that is miscounted
+		wrongKind string // the kind that is miscounted, if any
 	}{
 		"right":                      {func(*eventLoop) {}, ""},
 		"leaves out probes":          {uncountProbes, controltraffic.KindLoadProbe},
@@ -221,7 +223,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			peers := &trafficPeers{releaseWatch: make(chan struct{})}
-			s := startBesidePeers(t, peers, c.alter)
+			s := startWithPeers(t, peers, c.alter)
 			s.await("lists and probes", func() bool {
 				return peers.receivedMessages(&peers.discovery) >= 1 && peers.receivedMessages(&peers.probes) >= 2
 			})
@@ -239,8 +241,8 @@
 				switch {
 				case kind == c.wrongKind:
 					requireMiscount(t, peers, s.loop, kind)
-				case kind == controltraffic.KindLoadProbe && c.wrongKind != "": // some miscounts take probes away
-				default: // all is counted once nothing is on its way: the counts are equal at some time, or never
+				case kind == controltraffic.KindLoadProbe && c.wrongKind != "": // some of the miscounts leave out load probes, too
+				default: // the counts agree once no message is in transit any more
 					s.await("the right count of "+kind, func() bool { return peers.agreesWith(s.loop, kind) })
 				}
 			}
@@ -253,8 +255,8 @@
 	}
 }
 
-// startBesidePeers runs a sidecar that sends load probes and has an operators' address, with its peers.
-func startBesidePeers(t *testing.T, peers *trafficPeers, alter func(*eventLoop)) *testSidecar {
+// startWithPeers runs a sidecar that sends load probes and has an admin address, and starts its peers.
+func startWithPeers(t *testing.T, peers *trafficPeers, alter func(*eventLoop)) *testSidecar {
 	t.Helper()
 	cfg := newTestConfig(t, peers.listenDiscovery(t, peers.listenEndpoint(t)), func(settings map[string]any) {
 		settings["limits"].(map[string]any)["probes"] = true
@@ -267,20 +269,20 @@
 	return s
 }
 
-// requireMiscount fails the test if the counts of a kind agree before two more load probes have come: by now there was
-// some of every kind, and what is miscounted stays so.
+// requireMiscount fails the test if the counts of a kind agree at any time before two more load probes have arrived. It must be
+// called after there was traffic of every kind: from then on, a miscount stays.
 func requireMiscount(t *testing.T, peers *trafficPeers, l *eventLoop, kind string) {
 	t.Helper()
 	probes := peers.receivedMessages(&peers.probes)
 	for peers.receivedMessages(&peers.probes) < probes+2 {
 		if peers.agreesWith(l, kind) {
-			t.Fatalf("%s is counted as it should be", kind)
+			t.Fatalf("the sidecar counts %s like its peers, want a miscount", kind)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// Without an operators' address nothing is counted, and discovery is called on the system's connections.
+// Without an admin address no control traffic is counted, and discovery is called on connections that are not wrapped.
 func TestControlTrafficIsNotCountedWithoutAnAdminAddress(t *testing.T) {
 	l, err := newEventLoop(context.Background(), newTestConfig(t, "127.0.0.1:1", nil), slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -290,12 +292,12 @@
 	if l.controlTraffic != nil || l.upstream.LoadProbeTraffic != nil || options.Traffic != nil {
 		t.Errorf("counted: %v, %v, %v", l.controlTraffic, l.upstream.LoadProbeTraffic, options.Traffic)
 	}
-	if options.Dial != nil || options.Transport != nil { // without them connections are bare, as the client's own test shows
-		t.Errorf("discovery is called through %+v, want the system's connections", options)
+	if options.Dial != nil || options.Transport != nil { // without them connections are not wrapped, as the test of the discovery client shows
+		t.Errorf("discovery is called through %+v, want connections that are not wrapped", options)
 	}
 }
 
-// GET /control has every kind and their sum, and calls of discovery at a changed address are counted like the first.
+// GET /control reports every kind of traffic and their sum. Calls to discovery are still counted after its address has changed.
 func TestControlStatusCoversEveryKindAndAChangedDiscovery(t *testing.T) {
 	s := &testSidecar{t: t, registry: newFakeRegistry(t, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))}
 	cfg := newTestConfig(t, s.registry.address, nil)
--- a/internal/sidecar/discovery_outage_test.go
+++ b/internal/sidecar/discovery_outage_test.go
@@ -22,41 +22,40 @@
 	"bramblestand/internal/discovery"
 )
 
-// outage is the way in which discovery cannot be reached.
+// outage is the way in which a discovery service fails.
 type outage int
 
 const (
 	refusesConnections  outage = iota
-	dropsHandshakes            // connections are not established: the system tries again after 1, 3, 7, 15 ... s
-	neverResponds              // calls are read and never answered; on connections of before the end also after it
-	closesLate                 // calls are closed just before they would time out
+	dropsHandshakes            // no connection is established; the system tries again after 1, 3, 7, 15 ... s
+	neverResponds              // calls are read and never answered, even after the outage on connections that were opened before its end
+	closesLate                 // the connection of a call is closed just before the call would time out
 	respondsUnavailable        // calls are answered with 503 at once
-	stallsMidResponse          // half a response arrives
+	stallsMidResponse          // only a part of the response arrives
 	outageKinds
 )
 
 func (o outage) String() string {
 	return [...]string{"refuses connections", "drops handshakes", "never responds", "closes late", "responds 503",
-		"stalls amid its response"}[o]
+		"stalls in the middle of a response"}[o]
 }
 
 var errConnectionRefused = errors.New("connection refused")
 
-// outageService is a discovery service in virtual time, on pipes in place of sockets. It cannot be reached from one
-// instant to another, and has a new list from the end of that on. The first list is version 1 with s-1; the new one has
-// s-2, too.
+// outageService is a discovery service in virtual time, on pipes in place of sockets. It cannot be reached from downFrom to
+// upFrom, and has a new list from upFrom on. The first list has version 1 and contains s-1; the new list contains s-2, too.
 type outageService struct {
 	outage   outage
 	downFrom time.Time
 	upFrom   time.Time
-	// restartsVersions says that the new list has version 0, and that it is not sent in full before fullListFrom.
+	// restartsVersions makes versions start again: the new list has version 0 and is not sent in full before fullListFrom.
 	restartsVersions bool
 	fullListFrom     time.Time
-	responseDelay    time.Duration // of each response after upFrom
+	responseDelay    time.Duration // delay of each response after upFrom
 
 	mu            sync.Mutex // guards what is below
 	conns         []net.Conn
-	lastWaitingAt time.Time // of the latest call before upFrom, if that is one that may wait for changes
+	lastWaitingAt time.Time // time of the last call before upFrom; zero if that call does not wait for changes
 }
 
 func (s *outageService) isDown(now time.Time) bool {
@@ -86,8 +85,8 @@
 	return clientEnd, nil
 }
 
-// begin closes what is open when the outage begins, unless it is one that leaves connections open.
-func (s *outageService) begin() {
+// beginOutage closes all open connections, unless this kind of outage leaves them open.
+func (s *outageService) beginOutage() {
 	if s.outage != neverResponds && s.outage != dropsHandshakes {
 		s.closeAll()
 	}
@@ -111,15 +110,15 @@
 			return
 		}
 		now := time.Now()
-		s.noteCall(request, now)
+		s.recordCall(request, now)
 		if !s.respond(conn, request, openedAt, now) {
 			return
 		}
 	}
 }
 
-// noteCall keeps when a call before the outage's end came, if it may wait.
-func (s *outageService) noteCall(request *http.Request, now time.Time) {
+// recordCall records the time of a call before upFrom, if the call may wait for changes.
+func (s *outageService) recordCall(request *http.Request, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !now.Before(s.upFrom) {
@@ -131,15 +130,15 @@
 	}
 }
 
-// respond answers a call, or leaves it without an answer until the sidecar closes the connection. It returns false where
-// the connection is over.
+// respond answers a call, or leaves it unanswered until the connection is closed. It returns false if the connection cannot be
+// used any more.
 func (s *outageService) respond(conn net.Conn, request *http.Request, openedAt, now time.Time) bool {
 	switch {
 	case s.isDown(now):
 		return s.respondDown(conn)
 	case now.Before(s.downFrom):
 		if mayWaitAfter(request, 1) {
-			return awaitClose(conn) // also when the outage begins
+			return awaitClose(conn) // by the sidecar, or by beginOutage
 		}
 		writeList(conn, http.StatusOK, discovery.List{Version: 1, IsFull: true, Endpoints: []discovery.Endpoint{readyEndpoint("s-1", "127.0.0.1:1")}})
 		return true
@@ -185,12 +184,12 @@
 	return true
 }
 
-// mayWaitAfter says whether a call waits for what is newer than this version.
+// mayWaitAfter reports whether a call waits for changes after this version.
 func mayWaitAfter(request *http.Request, version uint64) bool {
 	return request.FormValue("wait_ms") != "0" && request.FormValue("after") == fmt.Sprint(version)
 }
 
-// awaitClose returns false, once the sidecar has closed the connection.
+// awaitClose waits until either end closes the connection, and returns false.
 func awaitClose(conn net.Conn) bool {
 	conn.Read(make([]byte, 1))
 	return false
@@ -201,13 +200,13 @@
 	fmt.Fprintf(conn, "HTTP/1.1 %d x\r\nContent-Length: %d\r\n\r\n%s", code, len(body), body)
 }
 
-// updateRecorder keeps when the balancer first learned of an endpoint.
+// updateRecorder records when the balancer first got an update that contains an endpoint.
 type updateRecorder struct {
 	loadBalancer
 	endpoint  uint32
-	learnedAt chan time.Time // buffered for the one
+	learnedAt chan time.Time // receives one time; buffered for it
 	timers    int
-	abort     func() // called where the balancer sets timers without end: virtual time would hardly advance
+	abort     func() // called after maxTimers timers: if the balancer sets timers without end, virtual time hardly advances
 }
 
 const maxTimers = 5000
@@ -234,13 +233,15 @@
 type outageRun struct {
 	alterSettings func(map[string]any)
 	service       *outageService
-	// moveAfter is when the sidecar turns from a first discovery service to the one above, as by SIGHUP; 0 for never.
+	// moveAfter is how long after the start the sidecar switches from a first discovery service to the one above, as it does on
+	// SIGHUP. 0 means never.
 	moveAfter time.Duration
 	knowsList bool // the sidecar starts with version 1 of the list
 }
 
-// learnedAt runs the sidecar and returns when it had the new list; an hour after the start if it did not within 2 minutes.
-func (run outageRun) learnedAt(t *testing.T) time.Time {
+// awaitNewList runs the sidecar and returns when it got the new list, or an hour after the start if it did not get it within 2
+// minutes.
+func (run outageRun) awaitNewList(t *testing.T) time.Time {
 	t.Helper()
 	start := time.Now()
 	ctx, stop := context.WithCancel(context.Background())
@@ -256,7 +257,7 @@
 		l.post(func(balancer.Micros) { l.switchDiscovery("127.0.0.1:2") })
 	} else if run.service.downFrom.After(start) {
 		time.Sleep(run.service.downFrom.Sub(start))
-		run.service.begin()
+		run.service.beginOutage()
 	}
 	learnedAt := start.Add(time.Hour)
 	select {
@@ -275,7 +276,8 @@
 	return learnedAt
 }
 
-// newLoop returns a loop that dials the run's service, or, where it moves to that later, the first one at port 1.
+// newLoop returns a loop that calls the run's service. If the sidecar is to switch to that service later, the loop calls the
+// first service, at port 1, until then.
 func (run outageRun) newLoop(ctx context.Context, t *testing.T, first *outageService) *eventLoop {
 	t.Helper()
 	known := []discovery.Endpoint{}
@@ -302,8 +304,8 @@
 	return l
 }
 
-// pollSettings are settings that decide when discovery is called: lists that are pushed, and lists that are polled, with
-// several values for the longest interval.
+// pollSettings are the settings that decide when discovery is called: lists that are pushed, and lists that are polled with
+// several values of the longest interval.
 var pollSettings = newPollSettings()
 
 func newPollSettings() map[string]func(map[string]any) {
@@ -316,19 +318,19 @@
 	return all
 }
 
-// By the protocol a change counts as known maxUpdateDelay after discovery had it and could be reached, whatever calls
-// failed before, and what a waiting call missed maxDelayAfterWait after the end of its wait, if that is later. The
-// margins are for responses on their way and for a busy machine.
+// By the protocol, a sidecar counts as knowing a change maxUpdateDelay after discovery has the change and can be reached, whatever
+// calls have failed before. If a waiting call missed the change, the sidecar counts as knowing it maxDelayAfterWait after the end of
+// the wait, if that is later. The margins allow for responses in transit and for a busy machine.
 const (
 	maxUpdateDelay, updateMargin       = 6 * time.Second, time.Second
 	maxDelayAfterWait, afterWaitMargin = 2 * time.Second, 300 * time.Millisecond
 )
 
-// Whatever calls of discovery failed, were refused or timed out, a change is known well before it counts as known: at a
-// start, during a watch, and after SIGHUP, with every kind of outage, and at whichever instant of the sidecar's calls and
-// pauses it ends. Time and connections are virtual.
+// A sidecar knows a change well before it counts as knowing it, even if calls to discovery failed, were refused or timed out
+// before. The test covers outages of every kind at a start, during a watch and after SIGHUP, which end at many points of the
+// sidecar's sequence of calls and pauses. Time and connections are virtual.
 func TestChangeIsKnownInTimeAfterAnyOutage(t *testing.T) {
-	const eventDelay = 5 * time.Second // of an outage during a watch, and of SIGHUP
+	const eventDelay = 5 * time.Second // from the start to an outage during a watch, or to SIGHUP
 	for name, alterSettings := range pollSettings {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -336,9 +338,9 @@
 			var worstCase string
 			for kind := range outageKinds {
 				for _, phase := range []string{"start", "start without a list", "watch", "SIGHUP"} {
-					longest := 12 * time.Second // cycles of calls and pauses
+					longest := 12 * time.Second // several cycles of calls and pauses
 					if kind == dropsHandshakes {
-						longest = 26 * time.Second // the system's attempts are ever further apart
+						longest = 26 * time.Second // the pauses between the system's attempts to connect get longer
 					}
 					for length := 50 * time.Millisecond; length < longest; length += 1430 * time.Millisecond {
 						synctest.Test(t, func(t *testing.T) {
@@ -351,7 +353,7 @@
 							case "SIGHUP":
 								run.moveAfter, service.upFrom = eventDelay, start.Add(eventDelay+length)
 							}
-							learnedAt := run.learnedAt(t)
+							learnedAt := run.awaitNewList(t)
 							delay := learnedAt.Sub(service.upFrom)
 							delayAfterWait := learnedAt.Sub(service.lastWaitingAt.Add(discovery.MaxWait))
 							switch {
@@ -374,8 +376,8 @@
 	}
 }
 
-// Versions that start anew are no reason to wait for longer: the call for the full list does not wait for changes, and
-// times out as such a call does.
+// If discovery restarts and its versions start again, the sidecar must not wait longer for the new list. The call for the full
+// list does not wait for changes, and has the timeout of a call that does not wait.
 func TestFullListIsRequestedAgainSoonAfterARestart(t *testing.T) {
 	for name, alterSettings := range pollSettings {
 		synctest.Test(t, func(t *testing.T) {
@@ -383,21 +385,21 @@
 			service := &outageService{outage: refusesConnections, downFrom: start, upFrom: start.Add(10 * time.Millisecond),
 				restartsVersions: true, fullListFrom: start.Add(1500 * time.Millisecond)}
 			run := outageRun{alterSettings: alterSettings, service: service, knowsList: true}
-			if delay := run.learnedAt(t).Sub(service.fullListFrom); delay > maxUpdateDelay-updateMargin {
+			if delay := run.awaitNewList(t).Sub(service.fullListFrom); delay > maxUpdateDelay-updateMargin {
 				t.Errorf("%s: known %v after the full list could be had", name, delay)
 			}
 		})
 	}
 }
 
-// A call that discovery is slow to answer is not cut off, whatever interval the settings give for the next.
+// A call that discovery answers slowly is not aborted, whatever poll interval the settings give.
 func TestSlowResponseIsAwaited(t *testing.T) {
 	for name, alterSettings := range pollSettings {
 		synctest.Test(t, func(t *testing.T) {
 			start := time.Now()
 			service := &outageService{outage: refusesConnections, downFrom: start, upFrom: start, responseDelay: 3 * time.Second}
 			run := outageRun{alterSettings: alterSettings, service: service}
-			if delay := run.learnedAt(t).Sub(start); delay > maxUpdateDelay-updateMargin {
+			if delay := run.awaitNewList(t).Sub(start); delay > maxUpdateDelay-updateMargin {
 				t.Errorf("%s: known %v after the start", name, delay)
 			}
 		})
--- a/internal/sidecar/endpoint_ids_test.go
+++ b/internal/sidecar/endpoint_ids_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Gossip refers to endpoints by ID, so that every release has to assign the same one to a name.
+// Gossip refers to endpoints by ID, so every release must assign the same ID to a name.
 func TestEndpointIDIsTheHashOfTheName(t *testing.T) {
 	ids := newEndpointIDs()
 	for _, c := range []struct {
--- a/internal/sidecar/event_loop_test.go
+++ b/internal/sidecar/event_loop_test.go
@@ -9,7 +9,7 @@
 	"bramblestand/internal/endpointtest"
 )
 
-// timerRejecter rejects every request on a timer, as the balancer does with one whose load probes are not answered.
+// timerRejecter rejects every request on a timer, as the balancer does if load probes are not answered.
 type timerRejecter struct {
 	loadBalancer
 	loop *eventLoop
@@ -25,8 +25,8 @@
 
 func (r *timerRejecter) Start(balancer.Micros) {}
 
-// A request that is rejected without an attempt leaves the request table, whichever event the rejection comes of: else its body
-// would stay in memory for good.
+// A request that is rejected without an attempt leaves the request table, whichever event caused the rejection. Otherwise its
+// body would stay in memory forever.
 func TestRequestRejectedByATimerLeavesTheTable(t *testing.T) {
 	l := newIdleLoop(t, newTestConfig(t, "127.0.0.1:1", nil))
 	l.balancer = &timerRejecter{loadBalancer: l.balancer, loop: l}
@@ -48,7 +48,7 @@
 	}
 }
 
-// Urgent events, operators' calls, do not wait behind the other events.
+// Urgent events, which are operators' calls, do not wait behind other events.
 func TestUrgentEventsAreHandledAheadOfOthers(t *testing.T) {
 	s := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
 	release, blocked := make(chan struct{}), make(chan struct{})
--- a/internal/sidecar/event_recorder_test.go
+++ b/internal/sidecar/event_recorder_test.go
@@ -13,19 +13,20 @@
 	eventDisconnected = "disconnected"
 )
 
-// minRequestTimer is the least timer token that names a request.
+// minRequestTimer is the smallest timer token that belongs to a request.
 const minRequestTimer = 1 << 20
 
-// eventRecorder passes all events on to the balancer and records some of them. The loop's goroutine calls the events.
+// eventRecorder passes all events on to the balancer and records some of them. The loop's goroutine calls the methods that pass
+// events on.
 type eventRecorder struct {
 	loadBalancer
 
 	mu          sync.Mutex // guards the fields below
 	outcomes    []balancer.Outcome
-	events      []string // by the names above, in order
+	events      []string // names as above, in order
 	updateKinds []balancer.UpdateKind
-	probes      []balancer.Status // by load probe
-	loads       [][]float32       // by load probe
+	probes      []balancer.Status // status of each load probe
+	loads       [][]float32       // load report of each load probe
 }
 
 func (r *eventRecorder) AttemptFinished(now balancer.Micros, o balancer.Outcome) {
@@ -76,7 +77,7 @@
 	return statuses
 }
 
-// updates returns how many updates of a kind the balancer was given.
+// updates returns how many updates of a kind the balancer has received.
 func (r *eventRecorder) updates(kind balancer.UpdateKind) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/sidecar/fake_registry_test.go
+++ b/internal/sidecar/fake_registry_test.go
@@ -12,19 +12,19 @@
 	"bramblestand/internal/discovery"
 )
 
-// fakeRegistry is a discovery service with one list. A call for what is newer than its version waits for a change.
+// fakeRegistry is a discovery service with one list. A call that asks for changes after the list's version waits for a change.
 type fakeRegistry struct {
 	address string
 
 	mu        sync.Mutex // guards the fields below
 	list      discovery.List
 	isDown    bool          // calls are answered 503
-	malformed string        // the response in place of the list, if not empty
-	calls     []string      // their queries
+	malformed string        // sent in place of the list, if not empty
+	calls     []string      // query of each call
 	changed   chan struct{} // closed and replaced by each change
 }
 
-// newFakeRegistry starts a registry that ends with the test.
+// newFakeRegistry starts a registry that runs until the test ends.
 func newFakeRegistry(t *testing.T, endpoints ...discovery.Endpoint) *fakeRegistry {
 	t.Helper()
 	f := &fakeRegistry{list: discovery.List{IsFull: true, Endpoints: endpoints}, changed: make(chan struct{})}
@@ -59,8 +59,8 @@
 	}
 }
 
-// awaitChange records a call and waits for a change if the call is for what is newer than the list. It returns false if the caller
-// disconnects first.
+// awaitChange records a call. If the call asks for changes after the list's version, it waits for one. It returns false if the
+// caller disconnects first.
 func (f *fakeRegistry) awaitChange(r *http.Request) bool {
 	f.mu.Lock()
 	f.calls = append(f.calls, r.URL.RawQuery)
@@ -79,7 +79,7 @@
 	}
 }
 
-// change alters the registry, with f.mu held, and ends the wait of its calls.
+// change calls alter with f.mu held, and ends the wait of the waiting calls.
 func (f *fakeRegistry) change(alter func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -88,14 +88,14 @@
 	f.changed = make(chan struct{})
 }
 
-// callCount returns how many calls have come.
+// callCount returns how many calls the registry has received.
 func (f *fakeRegistry) callCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.calls)
 }
 
-// readyEndpoint returns the list's entry for an endpoint that is ready.
+// readyEndpoint returns the list's entry for a ready endpoint.
 func readyEndpoint(name, address string) discovery.Endpoint {
 	return discovery.Endpoint{Name: name, Address: address, Zone: "a", MachineType: "m1", Health: "Ready", Weight: 1}
 }
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -10,7 +10,7 @@
 	"bramblestand/internal/endpointtest"
 )
 
-// A process beside another admits as many clients as there can be: soon all of them connect to it.
+// While two processes run, the new one admits as many clients as its limit allows, because all clients will soon connect to it.
 func TestNewProcessAdmitsAllClients(t *testing.T) {
 	s := startSidecar(t, nil, readyEndpoint("s-1", endpointtest.NewServer(t, endpointtest.Always(endpointtest.OKResponse)).Address))
 	s.server.clients.mu.Lock()
@@ -23,12 +23,12 @@
 	}
 	for _, client := range clients {
 		if got := client.roundTrip(); got.StatusCode != http.StatusOK || got.Close {
-			t.Fatalf("a client of %d: %d, close %v", len(clients), got.StatusCode, got.Close)
+			t.Fatalf("one of %d clients: %d, close %v", len(clients), got.StatusCode, got.Close)
 		}
 	}
 }
 
-// All new connections go to the later of two listeners while both are open, and to the remaining one after that.
+// All new connections go to the newer of two listeners while both are open. After one is closed, they go to the other.
 func TestNewConnectionsGoToTheNewestProcess(t *testing.T) {
 	cfg := &config.Config{ListenAddress: "127.0.0.1:0", AdminAddress: "127.0.0.1:0"}
 	earlier, err := listen(cfg)
@@ -67,7 +67,7 @@
 	acceptAll(later)
 	earlier.Close()
 	acceptAll(later)
-	next, err := listen(cfg) // the following upgrade
+	next, err := listen(cfg) // the next upgrade
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,6 +76,6 @@
 		t.Fatal(err)
 	}
 	acceptAll(next)
-	next.Close() // the upgrade is given up
+	next.Close() // the upgrade is aborted
 	acceptAll(later)
 }
--- a/internal/sidecar/snapshot_test.go
+++ b/internal/sidecar/snapshot_test.go
@@ -25,18 +25,18 @@
 	return l
 }
 
-// A restart begins with the persisted list where that is fresh, valid and not older than the configuration's; the bans
-// are in force in any case.
+// After a restart the sidecar starts with the persisted list if that is fresh, valid and not older than the configured one. The
+// persisted bans are in force in any case.
 func TestRestoreChoosesTheFirstList(t *testing.T) {
 	persistedEndpoint, knownEndpoint := readyEndpoint("s-1", "127.0.0.1:1"), readyEndpoint("s-2", "127.0.0.1:2")
 	invalidEndpoint := readyEndpoint("s-1", "no port")
 	for _, c := range []struct {
-		name         string
-		age          time.Duration
-		version      uint64
-		endpoint     discovery.Endpoint
-		isInUse      bool
-		knownVersion uint64
+		name           string
+		age            time.Duration
+		version        uint64
+		endpoint       discovery.Endpoint
+		wantsPersisted bool
+		knownVersion   uint64
 	}{
 		{"fresh and newer", time.Minute, 7, persistedEndpoint, true, 6},
 		{"fresh and the same version", time.Minute, 7, persistedEndpoint, true, 7},
@@ -54,11 +54,11 @@
 				Admin: state.AdminSettings{Banned: []string{"s-1"}},
 			})
 			want := cfg.KnownEndpoints
-			if c.isInUse {
+			if c.wantsPersisted {
 				want = discovery.List{Version: c.version, IsFull: true, Endpoints: []discovery.Endpoint{c.endpoint}}
 			}
 			if !reflect.DeepEqual(list, want) {
-				t.Errorf("the list to begin with is %+v, want %+v", list, want)
+				t.Errorf("the list to start with is %+v, want %+v", list, want)
 			}
 			if names := l.bannedNames(); !reflect.DeepEqual(names, []string{"s-1"}) {
 				t.Errorf("banned: %v, want s-1", names)
@@ -67,7 +67,7 @@
 	}
 }
 
-// What one process persists another restores: list, bans and what was learned of the endpoints on the list.
+// A process restores what an earlier one persisted: the list, the bans, and what was learned about the listed endpoints.
 func TestSnapshotIsRestored(t *testing.T) {
 	listed, removed := readyEndpoint("s-1", "127.0.0.1:1"), readyEndpoint("s-2", "127.0.0.1:2")
 	first := newIdleLoop(t, newTestConfig(t, "127.0.0.1:1", nil))
