--- a/internal/lab/analysis.go
+++ b/internal/lab/analysis.go
@@ -11,27 +11,29 @@
 )
 
 const (
-	// removalGrace is how long after discovery reported a drain, or a ban was confirmed, requests may still arrive at a server.
+	// removalGrace is how long requests may still arrive at a server after discovery reported its drain or a sidecar
+	// confirmed its ban.
 	removalGrace = 1500 * time.Millisecond
-	// latenessTolerance is how much longer than its deadline a request may take and not be late.
+	// latenessTolerance is how far a request may exceed its deadline without counting as late.
 	latenessTolerance = 50 * time.Millisecond
-	maxExamples       = 10 // of each breach, in a result
+	// maxExamples is the maximum number of examples of each kind of breach in a result.
+	maxExamples = 10
 )
 
-// analysis is a result in the making, with the examples of each breach.
+// analysis accumulates the result of one run.
 type analysis struct {
 	exp      *Experiment
 	requests *RequestTable
 	late     *lateness
 	result   *Result
 
-	all       *hdrhistogram.Histogram // of latencies, in microseconds
-	bySecond  map[int]*hdrhistogram.Histogram
-	series    map[int]*Second
-	breachIDs map[string][]string // by breach, ids of requests
+	all       *hdrhistogram.Histogram         // latencies of served and late requests, in microseconds
+	bySecond  map[int]*hdrhistogram.Histogram // the same, by the second in which requests were sent
+	series    map[int]*Second                 // by second
+	breachIDs map[string][]string             // ids of requests, by kind of breach
 }
 
-// analyze makes the result of a run from the table of requests and the history.
+// analyze computes the result of a run from the request table and the history.
 func analyze(exp *Experiment, t *RequestTable, late *lateness, outages discoveryOutages, marks []Mark, restarts []Restart, events []history.Event) *Result {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -67,7 +69,7 @@
 	return r
 }
 
-// newResult returns the result of a run without its requests.
+// newResult returns a result with those fields set that do not depend on the requests.
 func newResult(exp *Experiment, late Lateness, marks []Mark, events []history.Event) *Result {
 	r := &Result{
 		Format: resultFormat, Name: exp.Name, Seed: exp.Seed, Sidecars: exp.Fleet.Sidecars, Servers: exp.Fleet.Servers,
@@ -82,7 +84,8 @@
 	return r
 }
 
-// countLateArrivals counts requests that reached a server too long after its drain or its ban.
+// countLateArrivals counts the requests that reached a server longer than removalGrace after its drain or ban. Arrivals
+// after a drain are excused if stalls of the lab explain them, or if the sidecar was cut off from discovery meanwhile.
 func (a *analysis) countLateArrivals(outages discoveryOutages, events []history.Event) {
 	r := a.result
 	r.Requests, r.UnknownIDs = len(a.requests.records), len(a.requests.unknownIDs)
@@ -99,7 +102,8 @@
 	a.breachIDs["after_drain"], a.breachIDs["after_ban"] = afterDrain, afterBan
 }
 
-// addRequest counts one request by its outcome, which may be excused first, its second and its breaches.
+// addRequest counts one request by outcome, by the second in which it was sent, and by its breaches. An excused request
+// counts with the outcome Excused instead of its own.
 func (a *analysis) addRequest(id string, rec *record) {
 	r := a.result
 	if a.isExcused(rec) {
@@ -120,14 +124,14 @@
 	}
 }
 
-// isExcused reports whether a request is late, or was given up by its client, only because the lab itself ran late.
+// isExcused reports whether a request was late, or timed out at its client, only because the lab itself stalled.
 func (a *analysis) isExcused(rec *record) bool {
 	isLate := rec.outcome == Late || rec.outcome == Lost && rec.clientTimedOut
 	limit := a.exp.Load.Deadline.Duration + latenessTolerance
 	return isLate && rec.duration-a.late.stalledWithin(rec.sent, rec.sent+rec.duration) <= limit
 }
 
-// addToSecond counts one request in the second in which it was sent.
+// addToSecond counts one request, and records its latency, in the second in which it was sent.
 func (a *analysis) addToSecond(rec *record) {
 	at := int(rec.sent / time.Second)
 	if a.series[at] == nil {
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// client is the application of one sidecar.
+// client generates the load of one sidecar. It stands for the application that the sidecar serves.
 type client struct {
 	index    int
 	exp      *Experiment
@@ -29,8 +29,8 @@
 	return &client{index: index, exp: exp, requests: ledger, sidecars: sidecars, lateness: late, http: &http.Client{Transport: transport}}
 }
 
-// run sends the sidecar's arrivals open-loop, each at its time, and returns
-// when every one has an outcome.
+// run sends a request at each of the arrival times, open-loop: no request waits for an earlier response. It returns when
+// every request has an outcome.
 func (c *client) run(ctx context.Context, arrivals []time.Duration) {
 	var wg sync.WaitGroup
 	for i, at := range arrivals {
@@ -41,7 +41,7 @@
 		id := fmt.Sprintf("%02x%06x%08x", c.index, i, uint32(c.exp.Seed))
 		order := float64(i%1000)/1000 < c.exp.Load.OrderShare
 		if !c.sidecars.IsAccepting(c.index) {
-			c.requests.recordUnsent(c.index) // an application stops and starts with its sidecar
+			c.requests.recordUnsent(c.index) // the application is down while its sidecar is
 			continue
 		}
 		wg.Add(1)
@@ -53,6 +53,7 @@
 	wg.Wait()
 }
 
+// send sends one request and records its outcome. An order is of the class that must never run twice.
 func (c *client) send(id string, order bool) {
 	deadline := c.exp.Load.Deadline.Duration
 	method, class, body := http.MethodGet, "read", io.Reader(http.NoBody)
@@ -89,9 +90,8 @@
 	}
 }
 
-// failure returns the outcome of a request without a complete response:
-// unreached if there was no connection, cut if its sidecar was killed or paused
-// meanwhile, else lost.
+// failure returns the outcome of a request without a complete response: Unreached if the connection could not be
+// opened, Cut if the sidecar was killed or paused since the request was sent, otherwise Lost.
 func (c *client) failure(id string, err error, sent time.Duration) Outcome {
 	if errors.Is(err, context.DeadlineExceeded) {
 		c.requests.recordClientTimeout(id)
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -10,17 +10,17 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Repeated is the figures of several runs of one experiment, with consecutive seeds.
+// Repeated summarizes several runs of one experiment with consecutive seeds.
 type Repeated struct {
 	Format  int               `json:"format"`
 	Name    string            `json:"name"`
 	Runs    int               `json:"runs"`
 	Seeds   []uint64          `json:"seeds"`
 	Figures map[string]Spread `json:"figures"`
-	Late    int               `json:"late_runs"` // in which the lab itself was short of CPU
+	Late    int               `json:"late_runs"` // runs in which the lab itself was short of CPU
 }
 
-// Spread is one figure over runs.
+// Spread is the distribution of one figure over several runs.
 type Spread struct {
 	Min float64 `json:"min"`
 	P50 float64 `json:"p50"`
@@ -28,8 +28,8 @@
 	Max float64 `json:"max"`
 }
 
-// Figures are the numbers of a result worth comparing: counts, milliseconds
-// (_ms), seconds (_s) and megabytes (_mb).
+// Figures returns the numbers of a result that are compared between runs, by name: counts, milliseconds (_ms), seconds
+// (_s) and megabytes (_mb).
 func (r *Result) Figures() map[string]float64 {
 	f := map[string]float64{"requests": float64(r.Requests), "breaches": float64(r.Breaches()), "copies": float64(r.Copies),
 		"p50_ms": r.Latency.P50, "p99_ms": r.Latency.P99, "p99.9_ms": r.Latency.P999, "max_ms": r.Latency.Max,
@@ -48,7 +48,7 @@
 	return f
 }
 
-// Repeat summarizes runs of one experiment, of which there must be at least one.
+// Repeat summarizes the results of one experiment's runs. There must be at least one.
 func Repeat(results []*Result) *Repeated {
 	r := &Repeated{Format: resultFormat, Name: results[0].Name, Runs: len(results), Figures: map[string]Spread{}}
 	values := map[string]*hdrhistogram.Histogram{}
@@ -59,7 +59,7 @@
 		}
 		for name, v := range result.Figures() {
 			if values[name] == nil {
-				values[name] = hdrhistogram.New(1, 1_000_000_000_000, 4) // thousandths
+				values[name] = hdrhistogram.New(1, 1_000_000_000_000, 4) // in thousandths of the figure's unit
 			}
 			values[name].RecordValue(int64(math.Round(v * 1000)))
 		}
@@ -71,7 +71,8 @@
 	return r
 }
 
-// ReadRepeated reads what run -repeat wrote, or the result of one run; errors name the file.
+// ReadRepeated reads a summary written by "run -repeat", or the result of one run, which it summarizes. Errors name the
+// file.
 func ReadRepeated(path string) (*Repeated, error) {
 	var r Repeated
 	if err := readJSON(path, &r, &r.Format); err != nil {
@@ -85,7 +86,7 @@
 		return nil, err
 	}
 	if one.Name == "" && one.Requests == 0 {
-		return nil, fmt.Errorf("%s: neither a result nor a repeat", path)
+		return nil, fmt.Errorf("%s: neither the result of a run nor a summary of repeated runs", path)
 	}
 	return Repeat([]*Result{one}), nil
 }
@@ -106,9 +107,9 @@
 	return text.String()
 }
 
-// Compare formats a side-by-side table: medians, b minus a, b over a. A line
-// says whether the ranges of the two overlap, so that the difference is within
-// the spread. With only one run of either the spread is unknown.
+// Compare formats a table of the figures of a and b: both medians, their difference b-a and their ratio b/a. If the
+// ranges of a figure overlap, its line says that the difference is within the spread. If a or b has only one run, the
+// spread is unknown, and each line says so.
 func Compare(a, b *Repeated) string {
 	var text strings.Builder
 	w := tabwriter.NewWriter(&text, 0, 4, 2, ' ', 0)
@@ -136,13 +137,15 @@
 	return text.String()
 }
 
-func formatMedian(s Spread, is bool) string {
-	if !is {
+// formatMedian formats a figure's median, "-" if the figure does not exist.
+func formatMedian(s Spread, exists bool) string {
+	if !exists {
 		return "-"
 	}
 	return fmt.Sprintf("%.4g", s.P50)
 }
 
+// figureNames returns the sorted names of the figures that are in a, b or both.
 func figureNames(a, b map[string]Spread) []string {
 	var names []string
 	for name := range a {
--- a/internal/lab/control.go
+++ b/internal/lab/control.go
@@ -14,38 +14,43 @@
 	"bramblestand/internal/controltraffic"
 )
 
-// When control traffic is sampled, on the lab's clock. Sidecars start before the load and probe all endpoints of their
-// first list: that burst has ended by startSpanEnd, and its connections are closed by steadySpanStart.
+// Times on the lab's clock at which control traffic is sampled, and limits of the samples. Sidecars start before the load
+// and probe all endpoints of their first list: that burst has ended by startSpanEnd, and its connections are closed by
+// steadySpanStart.
 const (
 	startSpanEnd      = 10 * time.Second
 	steadySpanStart   = 15 * time.Second
-	minSteadyDuration = 5 * time.Second // of the steady span
+	minSteadyDuration = 5 * time.Second // minimum duration of the steady span
 	maxControlCalls   = 16              // sidecars sampled at a time
-	controlSlack      = 2 * time.Second // maximum difference of a sidecar's and the lab's time between two samples; else it was restarted
+
+	// controlSlack is how far the time between two samples may differ between a sidecar's clock and the lab's. A larger
+	// difference means that the sidecar was restarted.
+	controlSlack = 2 * time.Second
 )
 
-// Control is the control traffic of the sidecars by their own counts, in runs with operators: from each process's start
-// to startSpanEnd, and from steadySpanStart to the load's end if that is at least minSteadyDuration.
+// Control is the control traffic that the sidecars counted themselves, in runs with operators. Start is the span from
+// each process's start to startSpanEnd. Steady is the span from steadySpanStart to the load's end, nil if that is shorter
+// than minSteadyDuration.
 type Control struct {
 	Start  ControlSpan  `json:"start"`
 	Steady *ControlSpan `json:"steady,omitempty"`
 }
 
-// ControlSpan is the means over the sidecars that were not restarted in it.
+// ControlSpan is the control traffic of one span, as means over the sidecars that were not restarted during it.
 type ControlSpan struct {
 	Sidecars  int                    `json:"sidecars"`
 	Seconds   float64                `json:"seconds"`              // mean duration
-	WireBytes float64                `json:"wire_bytes_per_s"`     // of a sidecar, all kinds in both directions, with estimated headers
+	WireBytes float64                `json:"wire_bytes_per_s"`     // per sidecar, all kinds in both directions, with estimated headers
 	MaxBytes  float64                `json:"wire_bytes_per_s_max"` // of the sidecar with the maximum
 	Kinds     map[string]ControlRate `json:"kinds"`
-	CPU       float64                `json:"cpu_share"` // cores used by the process, for all of its work
-	// What the kernel counted on the loopback interface meanwhile, of all that used it, without Ethernet's frames,
-	// which loopback does not count.
+	CPU       float64                `json:"cpu_share"` // cores used by the sidecar's processes for all of their work
+	// What the kernel counted on the loopback interface during the span, for all of its users. Ethernet framing is not
+	// included, since loopback does not count it.
 	LoopbackBytes   float64 `json:"loopback_bytes_per_s"`
 	LoopbackPackets float64 `json:"loopback_packets_per_s"`
 }
 
-// ControlRate is the traffic of one kind, per sidecar and second.
+// ControlRate is the control traffic of one kind, per sidecar and second.
 type ControlRate struct {
 	Sent          float64 `json:"sent_per_s"` // messages
 	SentBytes     float64 `json:"sent_bytes_per_s"`
@@ -56,15 +61,17 @@
 	WireBytes     float64 `json:"wire_bytes_per_s"`  // estimated
 }
 
-// controlSample is the control traffic of all sidecars at one time.
+// controlSample is the control traffic that all sidecars counted up to one time. The maps are by sidecar, and lack those
+// that did not respond.
 type controlSample struct {
-	status   map[int]controltraffic.Status // by sidecar
-	at       map[int]time.Duration         // when it responded
-	cpu      map[int]time.Duration
-	loopback [2]uint64 // bytes, packets
+	status   map[int]controltraffic.Status
+	at       map[int]time.Duration // time of the response, on the lab's clock
+	cpu      map[int]time.Duration // CPU time used so far
+	loopback [2]uint64             // bytes and packets sent on the loopback interface
 }
 
-// measureControl samples all sidecars at the times above. before is the loopback's count before they started.
+// measureControl samples all sidecars at startSpanEnd, at steadySpanStart and at the load's end. before is what the
+// loopback interface had sent before the sidecars started. It returns nil if ctx ends before the first sample.
 func (o *operators) measureControl(ctx context.Context, before [2]uint64) *Control {
 	end := o.exp.Duration.Duration
 	if !o.requests.waitUntil(ctx, min(startSpanEnd, end)) {
@@ -103,7 +110,7 @@
 	return s
 }
 
-// spanBetween returns the rates between two samples; from an empty one, since each process's start.
+// spanBetween returns the rates between two samples. If from has no status, the rates are since each process's start.
 func spanBetween(from, to controlSample) ControlSpan {
 	s := ControlSpan{Kinds: map[string]ControlRate{}}
 	for i, now := range to.status {
@@ -111,7 +118,7 @@
 		seconds := now.Seconds - then.Seconds
 		off := time.Duration(seconds*float64(time.Second)) - (to.at[i] - from.at[i])
 		if from.status != nil && (!ok || off.Abs() > controlSlack) {
-			continue // it did not respond, or is another process
+			continue // it did not respond to both samples, or was restarted between them
 		}
 		s.Sidecars++
 		s.Seconds += seconds
@@ -143,7 +150,7 @@
 	return s
 }
 
-// loopbackSent returns the bytes and packets that the loopback interface has sent.
+// loopbackSent returns the numbers of bytes and packets that the loopback interface has sent, 0 if they can't be read.
 func loopbackSent() (n [2]uint64) {
 	text, _ := os.ReadFile("/proc/net/dev")
 	for _, line := range strings.Split(string(text), "\n") {
@@ -157,10 +164,10 @@
 	return n
 }
 
-// String describes it in two lines.
+// String formats the control traffic as one line per span.
 func (c *Control) String() string {
 	line := func(name string, s *ControlSpan) string {
-		text := fmt.Sprintf("control, %s of %.1f s, a sidecar: %.0f B/s (maximum %.0f)", name, s.Seconds, s.WireBytes, s.MaxBytes)
+		text := fmt.Sprintf("control traffic per sidecar, %s span of %.1f s: %.0f B/s (maximum %.0f)", name, s.Seconds, s.WireBytes, s.MaxBytes)
 		for _, kind := range controltraffic.Kinds {
 			text += fmt.Sprintf(", %s %.0f", kind, s.Kinds[kind].WireBytes)
 		}
--- a/internal/lab/control_table.go
+++ b/internal/lab/control_table.go
@@ -14,44 +14,44 @@
 	"bramblestand/internal/controltraffic"
 )
 
-// ControlTable is the control traffic by number of servers and rate of requests.
+// ControlTable is the control traffic by number of servers, request rate and probe price.
 type ControlTable struct {
 	Format   int          `json:"format"`
 	Cores    int          `json:"cores"`
-	Parallel int          `json:"parallel"` // runs at a time, each of them of Sidecars
+	Parallel int          `json:"parallel"` // runs at a time, each with as many sidecars as Sidecars
 	Sidecars int          `json:"sidecars"`
 	Duration Duration     `json:"duration"`
-	Settings string       `json:"settings"` // of the sidecars that decide how often they probe
+	Settings string       `json:"settings"` // the sidecars' settings that determine the probe rate
 	Rows     []ControlRow `json:"rows"`
 }
 
-// ControlRow is one run.
+// ControlRow is the result of one run.
 type ControlRow struct {
 	Servers    int             `json:"servers"`
-	Rate       float64         `json:"rate"`             // calls a second of a sidecar
+	Rate       float64         `json:"rate"`             // calls per second and sidecar
 	Price      float64         `json:"probe_price"`      // prices.probe of the settings
-	StartBytes float64         `json:"start_bytes"`      // on the wire in all, from the process's start to 10 s of the load
+	StartBytes float64         `json:"start_bytes"`      // bytes on the wire per sidecar, from the process's start to 10 s of the load
 	PeakMB     float64         `json:"peak_mb"`          // peak resident memory of the sidecar with the most
-	Ratio      [2]float64      `json:"reckoned_over_lo"` // estimated bytes over loopback's, start and steady; 0 if other traffic used it
+	Ratio      [2]float64      `json:"reckoned_over_lo"` // estimated bytes divided by those of the loopback interface, start and steady; 0 if other traffic used it
 	Outcomes   map[Outcome]int `json:"outcomes"`         // of the calls
-	Breaches   int             `json:"breaches"`         // of the rules, as requests lost on a machine that stalls
-	Late       bool            `json:"lab_ran_late"`     // then its times are not to be trusted
-	TimerP99   float64         `json:"lab_late_p99_ms"`  // of the lab's timers
+	Breaches   int             `json:"breaches"`         // of the rules, for instance requests lost on a machine that stalls
+	Late       bool            `json:"lab_ran_late"`     // the lab was short of CPU: the times are not reliable
+	TimerP99   float64         `json:"lab_late_p99_ms"`  // lateness of the lab's timers
 	Control                    // start and steady
 }
 
-// probeSettings describes the other settings of the lab that determine the probe rate.
+// probeSettings describes the sidecars' settings, besides the price of a probe, that determine the probe rate.
 const probeSettings = "limits.probes true, discovery subscribe, target of the classes 0.6 s, no peers: min(4, 0.005 / probe_price) probes a call and 1 a second at the least"
 
-// controlPoint is what the rows of a ControlTable vary.
+// controlPoint is the combination of parameters of one row of a ControlTable.
 type controlPoint struct {
 	servers     int
 	rate, price float64
 }
 
-// MeasureControl runs an experiment without faults for all combinations of servers, rates and prices, parallel of them at
-// a time, and calls progress with each row. If one runs at a time, rows without requests compare the estimated bytes with
-// the kernel's count, which is of all users of the loopback interface.
+// MeasureControl runs an experiment without faults for each combination of servers, rates and prices, at most parallel at
+// a time, and calls progress with each row. Rows without requests compare the estimated bytes with the kernel's count if
+// one experiment runs at a time, since the kernel counts all users of the loopback interface together.
 func MeasureControl(ctx context.Context, program, folder string, sidecars int, servers []int, rates, prices []float64, duration time.Duration,
 	parallel int, progress func(string)) (*ControlTable, error) {
 	t := &ControlTable{Format: resultFormat, Cores: runtime.NumCPU(), Parallel: parallel, Sidecars: sidecars, Duration: Duration{duration}, Settings: probeSettings}
@@ -82,7 +82,7 @@
 			errs[k] = err
 			return
 		case result.Control == nil || result.Control.Steady == nil || result.Control.Steady.Sidecars < sidecars:
-			errs[k] = fmt.Errorf("%d servers, %v calls/s: cut short, or a sidecar did not respond", p.servers, p.rate)
+			errs[k] = fmt.Errorf("%d servers, %v calls/s: the run was cut short, or a sidecar did not respond", p.servers, p.rate)
 			return
 		}
 		rows[k] = controlRow(p, result, parallel == 1 && p.rate == 0)
@@ -104,7 +104,7 @@
 	return Parse("control", []byte(text))
 }
 
-// controlRow returns the row of a run. isAlone is whether nothing else used the loopback interface.
+// controlRow returns the row of a run. isAlone tells whether only control traffic used the loopback interface.
 func controlRow(p controlPoint, r *Result, isAlone bool) ControlRow {
 	row := ControlRow{Servers: p.servers, Rate: p.rate, Price: p.price, StartBytes: math.Round(r.Control.Start.WireBytes * r.Control.Start.Seconds),
 		PeakMB: r.SidecarPeakMB, Outcomes: r.Outcomes, Breaches: r.Breaches(), Late: r.Lateness.Late, TimerP99: r.Lateness.Timers.P99, Control: *r.Control}
@@ -118,7 +118,7 @@
 	return row
 }
 
-// String describes it in one line.
+// String formats the row as one line.
 func (r ControlRow) String() string {
 	text := fmt.Sprintf("price %v, %d servers, %v calls/s: start %.0f bytes, steady %.0f B/s, %.2f%% of a core, %.1f MB", r.Price, r.Servers, r.Rate, r.StartBytes,
 		r.Steady.WireBytes, r.Steady.CPU*100, r.PeakMB)
@@ -128,7 +128,7 @@
 	return text
 }
 
-// Breaches counts them over the rows.
+// Breaches returns the number of breaches over all rows.
 func (t *ControlTable) Breaches() (n int) {
 	for _, r := range t.Rows {
 		n += r.Breaches
@@ -136,7 +136,7 @@
 	return n
 }
 
-// Table formats the rows: bytes on the wire with headers, of one sidecar.
+// Table formats the rows, one per line. Bytes are on the wire, with headers, per sidecar.
 func (t *ControlTable) Table() string {
 	var text strings.Builder
 	w := tabwriter.NewWriter(&text, 0, 4, 2, ' ', tabwriter.AlignRight)
--- a/internal/lab/datagram_relay.go
+++ b/internal/lab/datagram_relay.go
@@ -8,37 +8,35 @@
 	"time"
 )
 
-// maxDatagramSize is the protocol's limit of a datagram between sidecars, in bytes.
+// maxDatagramSize is the protocol's limit for a datagram between sidecars, in bytes.
 const maxDatagramSize = 256
 
 // relayBufferSize is the receive buffer of each of the relay's sockets, in bytes, large enough that only faults drop datagrams.
 const relayBufferSize = 4 << 20
 
+// relayAddress is the IP address of the hub and of all relay sockets.
 const relayAddress = "127.0.0.1"
 
-// DatagramRelay carries the datagrams between sidecars, through the network's faults.
-// A sidecar sends to the hub (its peers_all); the hub sends a copy to every
-// other sidecar from that sender's relay socket, the address that the others
-// know it by (its entry in their peers). What is sent to a relay socket goes
-// to its sidecar alone.
+// DatagramRelay carries the datagrams between sidecars and applies the network's faults to them. A sidecar sends to the
+// hub, its peers_all. The hub sends a copy to every other sidecar from the sender's relay socket, the address by which
+// the others know it (its entry in their peers). Datagrams sent to a relay socket go to its sidecar alone.
 type DatagramRelay struct {
 	hub    *net.UDPConn
-	relays []*net.UDPConn         // relays[i] is how the others address sidecar i
-	listen []netip.AddrPort       // where sidecar i receives datagrams
-	index  map[netip.AddrPort]int // listen address to sidecar
+	relays []*net.UDPConn         // relays[i] is the socket to which the others send datagrams for sidecar i
+	listen []netip.AddrPort       // listen[i] is where sidecar i receives datagrams
+	index  map[netip.AddrPort]int // sidecar by its listen address
 	net    *Network
 	subnet subnet
 
 	mu       sync.Mutex
 	relayed  int
 	dropped  int
-	oversize int // longer than the protocol allows: a breach
-	unknown  int // from no sidecar of the lab
+	oversize int // longer than maxDatagramSize, which is a breach
+	unknown  int // from senders that are not sidecars of this lab
 }
 
-// NewDatagramRelay opens the hub, a relay for each of n sidecars, and picks each
-// sidecar's own address, of the lab's subnet: what is sent to it must not
-// come to a sidecar of another lab that runs beside this one.
+// NewDatagramRelay opens the hub and a relay socket for each of n sidecars, and picks each sidecar's own address in the
+// lab's subnet. The subnet keeps datagrams from reaching a sidecar of another lab that runs at the same time.
 func NewDatagramRelay(n int, network *Network, sub subnet) (*DatagramRelay, error) {
 	open := func(address string) (*net.UDPConn, error) {
 		conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(address)})
@@ -52,7 +50,7 @@
 	if p.hub, err = open(relayAddress); err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	var owns []*net.UDPConn // free ports for the sidecars, released once all relays have theirs
+	var owns []*net.UDPConn // sockets that reserve the sidecars' ports until all relay sockets are open
 	defer func() {
 		for _, own := range owns {
 			own.Close()
@@ -103,7 +101,7 @@
 	return p.listen[i].String()
 }
 
-// ReassignAddress gives sidecar i another peer_listen, since its port is in use.
+// ReassignAddress gives sidecar i another peer_listen with a free port, for the case that its port is in use.
 func (p *DatagramRelay) ReassignAddress(i int) error {
 	own, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(p.subnet.address(i))})
 	if err != nil {
@@ -118,8 +116,9 @@
 	return nil
 }
 
-// serve relays the datagrams received by the hub (to is -1) to all other
-// sidecars, and those received by relay socket to only to that sidecar.
+// serve relays the datagrams that conn receives until it is closed. The hub's (to is -1) go to all sidecars except the
+// sender; those of a relay socket go only to sidecar to. Datagrams that are too long or of unknown senders are counted
+// and discarded.
 func (p *DatagramRelay) serve(conn *net.UDPConn, to int) {
 	buffer := make([]byte, 2048)
 	for {
@@ -148,6 +147,8 @@
 	}
 }
 
+// send sends a datagram from one sidecar to another under the network's faults: not at all, once or more often, each copy
+// after its delay.
 func (p *DatagramRelay) send(from, to int, data []byte) {
 	copies := p.net.datagramDelays(endpoint(from), endpoint(to))
 	p.mu.Lock()
@@ -167,8 +168,8 @@
 	}
 }
 
-// Counts returns the datagrams relayed, dropped by faults, too long, and from unknown senders.
-func (p *DatagramRelay) Counts() (relayed, dropped, oversize, strange int) {
+// Counts returns the numbers of datagrams relayed (each copy), dropped by faults, too long, and from unknown senders.
+func (p *DatagramRelay) Counts() (relayed, dropped, oversize, unknown int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.relayed, p.dropped, p.oversize, p.unknown
--- a/internal/lab/descriptors.go
+++ b/internal/lab/descriptors.go
@@ -11,22 +11,23 @@
 
 const (
 	sidecarSockets    = 1024 // limits.sockets of every sidecar's configuration
-	descriptorsSpare  = 64   // standard streams, the runtime's own, result files, closing connections
+	descriptorsSpare  = 64   // for standard streams, the Go runtime, result files and connections being closed
 	descriptorsExcess = 0.1  // fraction by which the estimate may exceed the limit, see CheckDescriptors
 )
 
-// Descriptors estimates the file descriptors that the lab's own process can need at once for the experiment:
+// Descriptors estimates the maximum number of file descriptors that the lab's own process needs at once for the
+// experiment. The parts are:
 //
-//	listeners    one a server and one for discovery
+//	listeners    one for each server and one for discovery
 //	servers      for each sidecar: a connection to every server, since it probes all new endpoints at its first list, or
 //	             one for each request in flight, whichever is more (requests reuse the probes' connections), limited by
-//	             its share of limits.sockets for endpoints; 2 to discovery
+//	             the part of limits.sockets that it uses for endpoints; 2 to discovery
 //	load         for each sidecar: requests in flight, at most rate x deadline times the factor of a burst, limited by
 //	             the sidecar's connections from clients; 1 for the lab's readiness check
 //	operators    with operators: one to each sidecar for observations, and one for calls
 //	datagrams    with peers or views: a relay socket for each sidecar, and the hub
 //	processes    for each sidecar, twice if the experiment upgrades any: its log file, the pipe to it, the process's handle
-//	disks        one a machine whose disk may be slow (the state file's lock)
+//	disks        one for each machine if any disk is slow (the state file's lock)
 //	spare        64
 func (e *Experiment) Descriptors() int {
 	f := &e.Fleet
@@ -62,9 +63,10 @@
 	return descriptorsSpare + f.Servers + 1 + f.Sidecars*perSidecar + slowDisks + 1
 }
 
-// CheckDescriptors returns an error for an experiment that, parallel times at once, needs more descriptors than this
-// process may have: the fake servers would stop accepting and the load would stop connecting, which would look like
-// failures of the sidecars. descriptorsExcess is tolerated, since the starts do not all reach their maximum at once.
+// CheckDescriptors returns an error if parallel runs of the experiment at a time need more file descriptors than this
+// process may have. Without descriptors the fake servers would stop accepting and the load would stop connecting, which
+// would look like failures of the sidecars. An excess of descriptorsExcess is tolerated, since the starting sidecars do
+// not all reach their maximum at once.
 func (e *Experiment) CheckDescriptors(parallel int) error {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
@@ -73,6 +75,7 @@
 	return e.checkDescriptors(parallel, limit.Cur)
 }
 
+// checkDescriptors is CheckDescriptors for a given limit.
 func (e *Experiment) checkDescriptors(parallel int, limit uint64) error {
 	need := parallel * e.Descriptors()
 	if float64(need) <= float64(limit)*(1+descriptorsExcess) {
--- a/internal/lab/disk.go
+++ b/internal/lab/disk.go
@@ -13,22 +13,24 @@
 )
 
 // disk is the disk of one machine: a folder with the persisted state of its
-// sidecars and their TMPDIR. Faults of one kind are counted, and end with the last.
+// sidecars and their TMPDIR. Faults of one kind may overlap: their effect lasts
+// until the last of them ends.
 type disk struct {
 	folder string
 
-	mu       sync.Mutex
-	full     int
-	readonly int
-	slow     map[int]func() // by fault, ends it
+	mu       sync.Mutex     // guards the fields below
+	full     int            // active faults that make it full
+	readonly int            // active faults that make it read-only
+	slow     map[int]func() // functions that end the active faults that make it slow, by fault
 }
 
-// newDisk makes the folder, or uses that of an earlier run.
+// newDisk creates the disk's folders, or uses those of an earlier run.
 func newDisk(folder string) (*disk, error) {
 	d := &disk{folder: folder, slow: map[int]func(){}}
 	return d, d.makeFolders()
 }
 
+// makeFolders creates the folders that do not exist.
 func (d *disk) makeFolders() error {
 	for _, f := range []string{d.state(), d.tmp()} {
 		if err := os.MkdirAll(f, 0o700); err != nil {
@@ -38,15 +40,19 @@
 	return nil
 }
 
+// state is the folder of the sidecars' persisted state.
 func (d *disk) state() string { return filepath.Join(d.folder, "state") }
 
+// tmp is the sidecars' TMPDIR.
 func (d *disk) tmp() string { return filepath.Join(d.folder, "tmp") }
 
-// reboot clears TMPDIR, as a loss of power does; replace empties the disk, as a new machine's is.
+// reboot clears TMPDIR, as a loss of power does.
 func (d *disk) reboot() error { return d.clear(d.tmp()) }
 
+// replace clears the whole disk, as the replacement of the machine does.
 func (d *disk) replace() error { return d.clear(d.folder) }
 
+// clear deletes a folder with its contents, creates the disk's folders again and applies the active faults to them.
 func (d *disk) clear(folder string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -59,11 +65,12 @@
 	return d.applyPermissions()
 }
 
-// applyPermissions sets the permissions of folders and files by the active faults. The caller holds d.mu.
+// applyPermissions sets the permissions of all folders and files: not writable while the disk is read-only. The caller
+// holds d.mu.
 func (d *disk) applyPermissions() error {
 	return filepath.WalkDir(d.folder, func(path string, e fs.DirEntry, err error) error {
 		if errors.Is(err, fs.ErrNotExist) {
-			return nil // a file that a sidecar renamed meanwhile
+			return nil // a sidecar has renamed the file meanwhile
 		} else if err != nil {
 			return err
 		}
@@ -81,7 +88,7 @@
 	})
 }
 
-// setReadonly begins or ends a fault that forbids writing.
+// setReadonly begins or ends a fault that makes the disk read-only.
 func (d *disk) setReadonly(on bool) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -89,14 +96,15 @@
 	return d.applyPermissions()
 }
 
-// setFull counts the faults that make the disk full; fileSizeLimit returns the effect.
+// setFull begins or ends a fault that makes the disk full. Its effect is the limit that fileSizeLimit returns.
 func (d *disk) setFull(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.full += sign(on)
 }
 
-// fileSizeLimit is the current file size limit of this machine's processes, in bytes.
+// fileSizeLimit returns the current file size limit for the processes of this machine, in bytes: 0 while the disk is
+// full, otherwise infinite.
 func (d *disk) fileSizeLimit() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -123,9 +131,9 @@
 	go d.lockPeriodically(delay, stop)
 }
 
-// lockPeriodically locks the state files for delay at a time, until stop is closed.
+// lockPeriodically locks the state files for delay at a time, with gaps, until stop is closed.
 func (d *disk) lockPeriodically(delay time.Duration, stop <-chan struct{}) {
-	const gap = 60 * time.Millisecond // longer than the 50 ms between two attempts of bbolt to lock
+	const gap = 60 * time.Millisecond // longer than the 50 ms between two of bbolt's attempts to lock a file
 	for {
 		locked := d.lockStateFiles()
 		isStopped := waitOrStop(delay, stop)
@@ -138,7 +146,7 @@
 	}
 }
 
-// lockStateFiles locks the state files of all sidecars, without those that stay locked.
+// lockStateFiles locks the state files of all sidecars and returns those that it could lock.
 func (d *disk) lockStateFiles() (locked []*os.File) {
 	paths, _ := filepath.Glob(filepath.Join(d.state(), "*.db"))
 	for _, path := range paths {
@@ -155,9 +163,10 @@
 	return locked
 }
 
-// lockFile locks a file, and reports whether it could. A save that holds the lock is short.
+// lockFile locks a file and reports whether it succeeded. It retries, since a sidecar holds the lock during a save, which
+// is short.
 func lockFile(f *os.File) bool {
-	const maxLockAttempts = 500 // one a millisecond
+	const maxLockAttempts = 500 // one every millisecond
 	for range maxLockAttempts {
 		if unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB) == nil {
 			return true
@@ -167,7 +176,7 @@
 	return false
 }
 
-// waitOrStop waits for a time, and reports whether stop was closed before.
+// waitOrStop waits for a duration, or until stop is closed, and reports whether stop was closed first.
 func waitOrStop(d time.Duration, stop <-chan struct{}) bool {
 	select {
 	case <-time.After(d):
@@ -177,7 +186,7 @@
 	}
 }
 
-// close ends the disk's faults and makes its files removable.
+// close ends the disk's faults and makes its files writable, so that they can be deleted.
 func (d *disk) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -188,6 +197,7 @@
 	d.applyPermissions()
 }
 
+// sign returns 1 if on, otherwise -1: the change of a counter of active faults.
 func sign(on bool) int {
 	if on {
 		return 1
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -7,9 +7,8 @@
 	"time"
 )
 
-// DrawFaults returns base with 2 to 7 random faults after those it has: their
-// kinds (of those given, or of all that base allows), times, targets and
-// durations, which may overlap, follow from the seed.
+// DrawFaults returns a copy of base with 2 to 7 random faults after those that it has. The seed determines their kinds
+// (of those given, or of all that base allows if none are given), times, durations and targets. They may overlap.
 func DrawFaults(base *Experiment, seed uint64, kinds []string) *Experiment {
 	exp := *base
 	exp.Seed = seed
@@ -24,11 +23,13 @@
 	return &exp
 }
 
+// faultGenerator draws random faults for an experiment.
 type faultGenerator struct {
 	exp    *Experiment
 	random *rand.Rand
 }
 
+// kinds returns the kinds of faults that the experiment allows.
 func (d *faultGenerator) kinds() []string {
 	kinds := []string{"kill", "pause", "term", "join", "partition", "delay", "reset", "drain", "discovery", "cut"}
 	if d.exp.Fleet.datagrams() {
@@ -44,17 +45,20 @@
 	return kinds
 }
 
+// duration draws a duration between minimum and maximum, rounded to milliseconds.
 func (d *faultGenerator) duration(minimum, maximum time.Duration) Duration {
 	return Duration{(minimum + time.Duration(d.random.Int64N(int64(max(maximum-minimum, 1))))).Round(time.Millisecond)}
 }
 
+// subset draws at least one and at most half of the numbers below n, and sorts them.
 func (d *faultGenerator) subset(n int) []int {
 	return slices.Sorted(slices.Values(d.random.Perm(n)[:1+d.random.IntN(max(1, n/2))]))
 }
 
+// choose draws one of the given values.
 func (d *faultGenerator) choose(of ...string) string { return of[d.random.IntN(len(of))] }
 
-// selectors returns the selectors of sidecars ("s") or servers ("v").
+// selectors returns the selectors of the sidecars (prefix "s") or servers (prefix "v") with the given numbers.
 func selectors(prefix string, numbers []int) []string {
 	var list []string
 	for _, i := range numbers {
@@ -63,6 +67,7 @@
 	return list
 }
 
+// fault draws a fault of one kind.
 func (d *faultGenerator) fault(kind string) Fault {
 	total := d.exp.Duration.Duration
 	f := Fault{Kind: kind, At: d.duration(total/10, total*6/10), For: d.duration(total/40, total/4)}
@@ -115,7 +120,7 @@
 		}
 	}
 	if (kind == "kill" || kind == "term" || kind == "machine-kill") && d.random.IntN(8) == 0 {
-		f.For = Duration{} // until the end
+		f.For = Duration{} // until the run's end
 	}
 	return f
 }
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -7,13 +7,13 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Experiment is what one TOML file describes. Durations are TOML strings in
-// Go's form ("1.5s", "200ms"); counts are integers; rates are per second.
+// Experiment is the content of one TOML file. Durations are strings in Go's
+// form ("1.5s", "200ms"); counts are integers; rates are per second.
 type Experiment struct {
 	Name     string   `toml:"name"`
 	Seed     uint64   `toml:"seed"`
 	Duration Duration `toml:"duration"` // of the load; the lab then waits for the requests in flight
-	Sidecar  string   `toml:"sidecar"`  // path of the program, relative to the file's folder or absolute
+	Sidecar  string   `toml:"sidecar"`  // path of the sidecar program, absolute or relative to the file's folder
 	Fleet    Fleet    `toml:"fleet"`
 	Server   Server   `toml:"server"`
 	Load     Load     `toml:"load"`
@@ -22,7 +22,7 @@
 	Ops      Ops      `toml:"ops"`
 	Calls    []Call   `toml:"call"`
 	Checks   []Check  `toml:"check"`
-	// Groups are names for lists of selectors, for faults on links.
+	// Groups are named lists of selectors, for use in faults on links.
 	Groups map[string][]string `toml:"groups"`
 }
 
@@ -34,31 +34,31 @@
 	Peers    bool     `toml:"peers"`    // sidecars gossip load reports by datagram, through the lab
 	View     bool     `toml:"view"`     // sidecars maintain a membership view, by datagrams through the lab
 	State    bool     `toml:"state"`    // sidecars persist state on their machine's disk, which survives their crashes
-	Machines int      `toml:"machines"` // sidecars are assigned round robin; 0 for one each
+	Machines int      `toml:"machines"` // sidecars are assigned round robin; 0 for one machine per sidecar
 	// ProbePrice is prices.probe of the settings, the cost of a load probe in requests; the probe rate depends on it.
 	ProbePrice float64 `toml:"probe_price"` // 0 for 1
 	// Sockets is limits.sockets of every sidecar's configuration, 0 for sidecarSockets. Experiment files can't set it.
 	Sockets int `toml:"-"`
-	// Known is the list in every sidecar's configuration. Experiment files can't set it.
+	// Known is the endpoint list in every sidecar's configuration. Experiment files can't set it.
 	Known []Instance `toml:"-"`
 }
 
 // datagrams reports whether sidecars send datagrams to each other.
 func (f *Fleet) datagrams() bool { return f.Peers || f.View }
 
-// Ops is the operators: with On every sidecar has an admin address, where the
-// lab observes its state and makes random calls.
+// Ops configures the operators. With On, every sidecar has an admin address,
+// through which the lab observes its state and makes admin calls.
 type Ops struct {
 	On           bool     `toml:"on"`
 	Rate         float64  `toml:"rate"`          // random calls a second, over the fleet; 0 for none
-	Calls        []string `toml:"calls"`         // drawn evenly; default ban, enable, drain, undrain
-	Servers      int      `toml:"servers"`       // bans are of the first so many servers; default 3
-	Observe      []string `toml:"observe"`       // paths polled at every sidecar, default /pin-servers; responses are JSON objects
+	Calls        []string `toml:"calls"`         // kinds of random calls, drawn with equal probability; default ban, enable, drain, undrain
+	Servers      int      `toml:"servers"`       // random calls ban and enable only the first so many servers; default 3
+	Observe      []string `toml:"observe"`       // paths polled at every sidecar, whose responses are JSON objects; default /pin-servers
 	ObserveEvery Duration `toml:"observe_every"` // default 200ms
 }
 
-// Call is one admin call at a set time: Op "ban" or "enable" of Server
-// (its number), "drain" or "undrain", at Sidecar.
+// Call is one admin call to Sidecar at a set time. Op is "ban" or "enable", both
+// of the server with the number Server, or "drain" or "undrain".
 type Call struct {
 	At      Duration `toml:"at"`
 	Op      string   `toml:"op"`
@@ -69,11 +69,11 @@
 // Check is a guarantee that the history is checked for. Kinds, and their fields:
 //
 //	register  bans and drain are linearizable at every sidecar (always on with operators)
-//	holder    Field: an object of leases and their fencing tokens; no two sidecars hold a lease at a time
-//	tokens    Field: as holder; no token is reported after a larger one
-//	settled   Field: later than Within after the last fault all running sidecars report one value
-//	dropped   Field: a list of sidecars; none that has responded for Within is missing from that of a majority
-//	kept      Field: a list; an element that a confirmed call Op added is not missing later than Within, until Undo
+//	holder    Field: an object of leases and their fencing tokens; no two sidecars hold a lease at the same time
+//	tokens    Field: as for holder; no token of a lease is reported after a larger one
+//	settled   Field: any; later than Within after the last fault, all running sidecars report the same value
+//	dropped   Field: a list of sidecars; a sidecar that has responded for Within is not missing from a majority's lists
+//	kept      Field: a list; an element added by a confirmed call Op is never missing later than Within after it, until Undo
 type Check struct {
 	Kind   string   `toml:"kind"`
 	Field  string   `toml:"field"`
@@ -82,37 +82,38 @@
 	Undo   string   `toml:"undo"`
 }
 
-// Server is how every fake server behaves.
+// Server describes the behavior of every fake server.
 type Server struct {
 	Capacity  int      `toml:"capacity"`   // requests run at once
 	Queue     int      `toml:"queue"`      // requests queued beyond those; more are rejected
 	Latency   Duration `toml:"latency"`    // mean service time of a request after the warm-up
 	ErrorRate float64  `toml:"error_rate"` // fraction of requests answered 500 after their service time, 0 to 1
-	ColdStart Duration `toml:"cold_start"` // warm-up after a start: latency is up to 4 times higher and falls linearly to normal
+	ColdStart Duration `toml:"cold_start"` // duration of the warm-up after a start: latency is 4 times higher at first and falls linearly to normal
 }
 
-// Load is the application's traffic beside each sidecar.
+// Load describes the requests that the application beside each sidecar sends.
 type Load struct {
 	Rate        float64  `toml:"rate"`         // mean arrivals a second, per sidecar
 	Shape       string   `toml:"shape"`        // "poisson" or "bursts"
 	BurstEvery  Duration `toml:"burst_every"`  // bursts: the period
 	BurstFor    Duration `toml:"burst_for"`    // bursts: how long each lasts
 	BurstFactor float64  `toml:"burst_factor"` // bursts: the rate is this many times higher
-	MaxRequests int      `toml:"max_requests"` // a bound over all sidecars; 0 means 1,000,000
+	MaxRequests int      `toml:"max_requests"` // maximum over all sidecars; 0 means 1,000,000
 	Deadline    Duration `toml:"deadline"`     // sent as X-Time-Left-Ms
 	OrderShare  float64  `toml:"order_share"`  // fraction of requests of the class that must never run twice
 }
 
-// Fault is one fault at a set time; For is how long it lasts, 0 until the end. Kinds, and their fields:
+// Fault is one fault that begins at a set time and lasts for For, or until the run's end if For is 0. Kinds, and their
+// fields:
 //
 //	kill             sidecars: SIGKILL; restarted after For
 //	pause            sidecars: SIGSTOP, SIGCONT after For
 //	term             sidecars: SIGTERM (a planned restart, or removal); started again after For
 //	join             sidecars: not started before At
 //	upgrade          sidecars: a second process takes over (handover)
-//	partition        servers: silent both ways ("both"), or only to ("in") or from ("out") the server, healed after For
+//	partition        servers: traffic blocked to ("in") or from ("out") the server, or in both directions ("both")
 //	delay            servers: every chunk in both directions is delayed by Delay, and up to Jitter more
-//	reset            servers: open connections are reset, and new ones for For
+//	reset            servers: open connections are reset, and for For new ones as well
 //	drain            servers: Terminating in discovery; Ready again, and warming up, after For
 //	discovery        (no targets): "down" does not respond for For, "lag" delays each change by up to Delay for For
 //	isolate          sidecars: datagrams to ("in") and from ("out") them, or both, dropped
@@ -120,7 +121,7 @@
 //	link             links From To: Loss, Duplicate, Reorder, Rate, Delay, Jitter
 //	cut              links From To: all traffic blocked; "out" only from From, "in" only to it
 //	flap             links From To: cut for the first half of every Period
-//	split            Groups: cut between those that are named in groups and share none
+//	split            Groups: links cut between endpoints that are each in a group but have no group in common
 //	machine-kill     machines: all their sidecars killed; started again with the disk (TMPDIR cleared) after For
 //	machine-replace  machines: the same, and the disk is empty when they come back
 //	machine-pause    machines: all their sidecars paused
@@ -149,8 +150,8 @@
 	Period    Duration   `toml:"period,omitempty" json:"period,omitzero"` // flap
 }
 
-// Chaos draws Count faults of one kind from the seed, each on one target drawn
-// at random, at times spread over the middle of the run.
+// Chaos adds Count faults of one kind, each on one target. The targets, and the
+// times in the middle of the run, are random and determined by the seed.
 type Chaos struct {
 	Kind  string   `toml:"kind"`
 	Count int      `toml:"count"`
@@ -182,8 +183,10 @@
 // zoneOf returns the zone of sidecar i.
 func (e *Experiment) zoneOf(i int) string { return e.Fleet.Zones[i%len(e.Fleet.Zones)] }
 
+// machineOf returns the number of the machine of sidecar i.
 func (e *Experiment) machineOf(i int) int { return i % e.machineCount() }
 
+// machineCount returns the number of machines that sidecars run on.
 func (e *Experiment) machineCount() int {
 	if e.Fleet.Machines == 0 {
 		return e.Fleet.Sidecars
@@ -191,8 +194,9 @@
 	return e.Fleet.Machines
 }
 
-// Parse reads an experiment from TOML text; name is the file's, for errors.
-// Errors name the file and the field at fault. Unknown fields are errors.
+// Parse reads and validates an experiment in TOML. Errors name the file, whose
+// name is given for that purpose, and the invalid field. Unknown fields are
+// errors.
 func Parse(name string, text []byte) (*Experiment, error) {
 	e := &Experiment{Sidecar: "bin/sidecar", Fleet: Fleet{Zones: []string{"a"}},
 		Server: Server{Capacity: 16, Queue: 32, Latency: Duration{5 * time.Millisecond}},
--- a/internal/lab/fake_discovery.go
+++ b/internal/lab/fake_discovery.go
@@ -24,23 +24,24 @@
 	StartedAtMillis int64   `json:"born_ms"`
 }
 
-// listResponse is the response to a call for the list or a watch, in the protocol's JSON.
+// listResponse is the response to a call for the endpoint list or to a watch, in the protocol's JSON.
 type listResponse struct {
 	Version   int64      `json:"seq"`
 	IsFull    bool       `json:"whole"`
 	Instances []Instance `json:"hosts"`
 }
 
-// maxWatchMillis is the longest time that a watch may wait.
+// maxWatchMillis is the maximum time for which a watch waits for a change, in milliseconds.
 const maxWatchMillis = 60_000
 
-// FakeDiscovery is a fake discovery service: the full list at
-// GET /registry/instances, and watches by ?after=SEQ&wait_ms=MS. Each caller
-// gets the servers' addresses on the loopback address that it called. Faults
-// make it unresponsive (down) or delay each change by a random time up to a
-// lag, so that changes may be published out of order.
+// FakeDiscovery is a fake discovery service. GET /registry/instances returns
+// the full endpoint list; with ?after=SEQ&wait_ms=MS it is a watch, which
+// returns the changes after a version. The addresses in a response are on the
+// loopback address that the caller called. Faults make the service unresponsive
+// (down), or delay each change by a random time up to a lag, so that changes
+// may be published out of order.
 type FakeDiscovery struct {
-	listener *FaultListener // nil where requests come by ServeHTTP alone
+	listener *FaultListener // nil if requests are passed to ServeHTTP directly
 	http     *http.Server
 	random   *rand.Rand
 	received callCounters
@@ -49,11 +50,11 @@
 	version     int64
 	instances   map[string]Instance
 	changedAt   map[string]int64 // the version in which each instance last changed
-	order       []string
-	downFaults  int // faults that make it unresponsive
-	lags        []time.Duration
-	unannounced []func() // to call when it responds again
-	changes     notifier // notified on every change
+	order       []string         // names of the instances, in the order in which they were added
+	downFaults  int              // active faults that make the service unresponsive
+	lags        []time.Duration  // of the active faults that delay changes
+	unannounced []func()         // callbacks of changes made while down, to call when the service responds again
+	changes     notifier         // notified of every change of the instances or of downFaults
 }
 
 // NewFakeDiscovery serves on a listener of the network until Close.
@@ -64,7 +65,7 @@
 	return d
 }
 
-// NewFakeDiscoveryHandler makes a service without a socket, whose caller calls ServeHTTP.
+// NewFakeDiscoveryHandler returns a service without a socket. The caller passes requests to its ServeHTTP.
 func NewFakeDiscoveryHandler(seed uint64) *FakeDiscovery {
 	return &FakeDiscovery{random: rand.New(rand.NewPCG(seed, 0xd15c)),
 		instances: map[string]Instance{}, changedAt: map[string]int64{}, changes: newNotifier(), version: 1}
@@ -76,8 +77,8 @@
 // Close stops the service at once.
 func (d *FakeDiscovery) Close() { d.http.Close() }
 
-// Set changes an instance in the list, now or, under lag, a little later;
-// announced, unless nil, is called once callers can get the change (not while down).
+// Set changes an instance in the list, at once or after a delay if there is a lag. announced, unless nil, is called as
+// soon as callers can get the change: after the delay, and not while the service is down.
 func (d *FakeDiscovery) Set(instance Instance, announced func()) {
 	d.mu.Lock()
 	var wait time.Duration
@@ -92,7 +93,7 @@
 	time.AfterFunc(wait, func() { d.apply(instance, announced) })
 }
 
-// apply makes a change, and announces it now or when the service responds again.
+// apply changes an instance, and calls announced at once or, while the service is down, when it responds again.
 func (d *FakeDiscovery) apply(instance Instance, announced func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -109,7 +110,7 @@
 	d.changes.notifyAll()
 }
 
-// SetDown begins or ends a fault that makes the service unresponsive. It responds again once all have ended.
+// SetDown begins or ends a fault that makes the service unresponsive. It responds again once all such faults have ended.
 func (d *FakeDiscovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -127,7 +128,8 @@
 	d.changes.notifyAll()
 }
 
-// SetLag begins or ends a fault that delays each later change by up to lag; several add up.
+// SetLag begins or ends a fault that delays each later change by a random time up to lag. The delays of several faults
+// add up.
 func (d *FakeDiscovery) SetLag(lag time.Duration, on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -138,7 +140,7 @@
 	}
 }
 
-// ServeHTTP responds to a request for the list or a watch.
+// ServeHTTP responds to a call for the list or to a watch.
 func (d *FakeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/registry/instances" {
 		http.NotFound(w, r)
@@ -158,8 +160,8 @@
 	json.NewEncoder(w).Encode(d.list(after, calledIP))
 }
 
-// awaitChange waits for a version later than after, at most for the given time, and while the service is down. It
-// reports false where the caller is to get no response.
+// awaitChange waits until the version is later than after, or until the timeout. While the service is down it waits in
+// any case. It reports false if the caller must not get a response.
 func (d *FakeDiscovery) awaitChange(caller context.Context, after int64, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(caller, timeout)
 	defer cancel()
@@ -174,14 +176,14 @@
 		case <-changed:
 		case <-ctx.Done():
 			if isDown {
-				<-caller.Done() // no response while down, until the caller disconnects
+				<-caller.Done() // a call that times out while the service is down gets no response
 				return false
 			}
 		}
 	}
 }
 
-// list returns the full list (after is 0) or the changes after a version, with addresses on an IP address.
+// list returns the full list (if after is 0) or the changes after a version. Its addresses are on the given IP address.
 func (d *FakeDiscovery) list(after int64, ip string) listResponse {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/lab/fake_server.go
+++ b/internal/lab/fake_server.go
@@ -10,11 +10,14 @@
 	"time"
 )
 
-// FakeServer is a fake endpoint that speaks the platform's protocol: it runs
-// up to Capacity requests at once with Queue more waiting, rejects the rest
-// with 503 and X-Unprocessed: 1, answers 200 with "ok:" and the request's id
-// as body (or 500 at the error rate), sends a load report in X-Backend-Load
-// and at /stats, is slower while warming up, and records every id that it ran.
+// FakeServer is a fake endpoint that speaks the platform's protocol:
+//
+//   - It runs up to Capacity requests at once with Queue more waiting, and
+//     rejects the rest with 503 and X-Unprocessed: 1.
+//   - It responds with 200 and "ok:" followed by the request's id as body, or
+//     with 500 at the error rate. It is slower while warming up.
+//   - It sends its load report in X-Backend-Load and at /stats.
+//   - It records the id of every request that it ran.
 type FakeServer struct {
 	Name string
 	Zone string
@@ -25,7 +28,7 @@
 	requests    *RequestTable
 	mu          sync.Mutex
 	drainedAt   time.Time // when discovery first reported Terminating; zero while ready
-	drainFaults int       // faults that drain it
+	drainFaults int       // active faults that drain the server
 	received    callCounters
 }
 
@@ -37,6 +40,7 @@
 	return s
 }
 
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
 // withConn adds the connection to the context of its requests.
@@ -44,7 +48,7 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// arrivalTime is when a request's last bytes reached the server's machine, before any injected delay.
+// arrivalTime returns when a request's last bytes reached the server's machine, before any injected delay.
 func arrivalTime(r *http.Request) time.Time {
 	if c, ok := r.Context().Value(connKey{}).(*faultConn); ok {
 		return time.Unix(0, c.receivedAt.Load())
@@ -58,7 +62,8 @@
 // Close stops the server at once.
 func (s *FakeServer) Close() { s.http.Close() }
 
-// countDrain counts the faults that drain the server, and reports whether this change is one of its state in discovery.
+// countDrain counts the active faults that drain the server. It reports whether the server's state in discovery changes:
+// when the first fault begins and when the last one ends.
 func (s *FakeServer) countDrain(on bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,8 +71,8 @@
 	return on && s.drainFaults == 1 || !on && s.drainFaults == 0
 }
 
-// SetDrained sets when discovery first reported that the server drains. Zero
-// means that it serves again, restarted and warming up.
+// SetDrained sets when discovery first reported that the server drains. The zero time means that the server has
+// restarted: it is ready again and warms up.
 func (s *FakeServer) SetDrained(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +99,7 @@
 		http.NotFound(w, r)
 		return
 	}
-	io.Copy(io.Discard, r.Body) // a request starts on its last byte
+	io.Copy(io.Discard, r.Body) // a server runs a request only after its last byte
 	if !s.requests.IsKnown(id) {
 		http.Error(w, "no client sent this id", http.StatusBadRequest)
 		s.requests.RecordUnknownID(s.Name, id)
@@ -125,6 +130,7 @@
 	io.WriteString(w, "ok:"+id)
 }
 
+// writeRejection responds that the request was not run.
 func writeRejection(w http.ResponseWriter) {
 	w.Header().Set("X-Unprocessed", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/lab/fault_listener.go
+++ b/internal/lab/fault_listener.go
@@ -10,8 +10,8 @@
 )
 
 // FaultListener wraps a listener and applies the network's faults to the
-// connections that it accepts. A cut link blocks bytes until it is restored,
-// and new connections as well. If the cut is a partition of a machine,
+// connections that it accepts. A cut link blocks the bytes of old and new
+// connections until it is restored. If the cut is a partition of a machine,
 // connections that existed during it are reset at its end.
 type FaultListener struct {
 	net.Listener
@@ -21,16 +21,16 @@
 	traffic connTraffic
 
 	mu          sync.Mutex
-	resetFaults int // faults that reset connections
+	resetFaults int // active faults that reset connections
 	closed      bool
 	conns       map[*faultConn]struct{}
 }
 
-// Listen makes a listener for endpoint self on a free port, which only
-// loopback addresses can reach, all of them.
+// Listen opens a listener for endpoint self on a free port. It accepts connections on all loopback addresses, and from
+// loopback addresses only.
 func (n *Network) Listen(self endpoint, sub subnet) (*FaultListener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		return raw.Control(func(fd uintptr) { // best effort: Accept checks each peer, too
+		return raw.Control(func(fd uintptr) { // errors are ignored, since Accept also checks each peer's address
 			syscall.SetsockoptString(int(fd), syscall.SOL_SOCKET, syscall.SO_BINDTODEVICE, "lo")
 		})
 	}}
@@ -45,13 +45,14 @@
 	return f, nil
 }
 
-// AddressFor is the listener's address on a loopback address, host:port.
+// AddressFor returns the listener's address on a loopback IP address, as host:port.
 func (f *FaultListener) AddressFor(ip string) string {
 	_, port, _ := net.SplitHostPort(f.Addr().String())
 	return net.JoinHostPort(ip, port)
 }
 
-// recheck marks the connections that are in a partition, and resets those whose partition has ended.
+// recheck marks the connections that are in a partition, and resets those whose partition has ended. It must be called
+// after every change of the network's rules and of the connections.
 func (f *FaultListener) recheck() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,15 +67,14 @@
 	}
 }
 
-// resetConn resets a connection and removes it. The caller holds f.mu.
+// resetConn resets a connection and removes it from the listener's. The caller holds f.mu.
 func (f *FaultListener) resetConn(c *faultConn) {
 	delete(f.conns, c)
 	c.closeOnce.Do(func() { close(c.closed) })
 	reset(c.Conn)
 }
 
-// Accept returns the next connection. While a reset fault is active, each one
-// is reset at once.
+// Accept returns the next connection. While a reset fault is active it resets new connections and waits for later ones.
 func (f *FaultListener) Accept() (net.Conn, error) {
 	for {
 		inner, err := f.Listener.Accept()
@@ -112,7 +112,7 @@
 	return err
 }
 
-// Reset begins a fault that resets every open and every new connection, or ends one.
+// Reset begins or ends a fault that resets every connection that is open at its begin or made before its end.
 func (f *FaultListener) Reset(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -126,6 +126,7 @@
 	}
 }
 
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
@@ -133,7 +134,7 @@
 	c.Close()
 }
 
-// faultConn is one accepted connection under the faults of its two links.
+// faultConn is one accepted connection, subject to the faults of the links in both directions.
 type faultConn struct {
 	net.Conn
 	listener       *FaultListener
@@ -144,7 +145,8 @@
 	receivedAt     atomic.Int64  // when the last bytes reached the machine, before any delay: Unix nanoseconds
 }
 
-// awaitLink waits until the link from one end to the other is not cut, and for its delay.
+// awaitLink waits until the link from one endpoint to the other is not cut, then for the link's delay. It returns
+// net.ErrClosed if the connection is closed meanwhile.
 func (c *faultConn) awaitLink(from, to endpoint) error {
 	for {
 		changed := c.listener.net.changed()
@@ -168,7 +170,7 @@
 	}
 }
 
-// Read returns received bytes once the link to the server allows it.
+// Read returns received bytes once the link to the server is not cut, and after its delay.
 func (c *faultConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
@@ -181,7 +183,7 @@
 	return n, err
 }
 
-// Write sends once the link from the server allows it.
+// Write sends bytes once the link from the server is not cut, and after its delay.
 func (c *faultConn) Write(b []byte) (int, error) {
 	if err := c.awaitLink(c.listener.self, c.peer); err != nil {
 		return 0, err
@@ -191,7 +193,7 @@
 	return n, err
 }
 
-// Close ends the connection.
+// Close closes the connection and unblocks its Read and Write.
 func (c *faultConn) Close() error {
 	c.listener.mu.Lock()
 	delete(c.listener.conns, c)
--- a/internal/lab/history_checks.go
+++ b/internal/lab/history_checks.go
@@ -8,7 +8,8 @@
 	"bramblestand/internal/lab/history"
 )
 
-// checkHistory runs the experiment's checks on the history. running is the sidecars that run at the end.
+// checkHistory returns the violations of the experiment's checks in the history, nil without operators. running are the
+// names of the sidecars that run at the end.
 func checkHistory(exp *Experiment, events []history.Event, running []string) []history.Violation {
 	var violations []history.Violation
 	add := func(v *history.Violation) {
@@ -53,8 +54,9 @@
 	return violations
 }
 
-// registerStep is the effect of an event on the register of one sidecar's drain, or of its ban of one server, which is
-// "true" while active.
+// registerStep returns the effect of an event on one register of a sidecar: whether it is drained (key is "drained"), or
+// whether it bans a server (key is the server's name). The value of a register is "true" or "false". kind is "write" or
+// "read", and empty for an event that does not concern the register.
 func registerStep(e history.Event, sidecar, key string) (kind, value string) {
 	switch {
 	case e.Sidecar != sidecar:
@@ -70,8 +72,8 @@
 	return "", ""
 }
 
-// requestsAfterBan finds requests that a sidecar sent to a server longer than grace after it confirmed a ban, and before
-// any call that may have ended the ban. The caller holds t.mu.
+// requestsAfterBan finds the requests that reached a server longer than grace after their sidecar confirmed a ban of it,
+// and before any call that may have ended the ban. The caller holds t.mu.
 func (t *RequestTable) requestsAfterBan(events []history.Event, grace time.Duration) (found []string) {
 	type key struct{ sidecar, server string }
 	arrivals := map[key][]arrival{}
--- a/internal/lab/inject.go
+++ b/internal/lab/inject.go
@@ -11,7 +11,7 @@
 // discoveryOutages are the windows in which a link fault cut sidecars off from discovery, by sidecar and fault.
 type discoveryOutages map[[2]int]window
 
-// record notes that a fault begins or ends to cut a sidecar off.
+// record records that a fault begins to cut a sidecar off from discovery, or with ends set, that it no longer does.
 func (o discoveryOutages) record(sidecar, fault int, ends bool, at time.Duration) {
 	k := [2]int{sidecar, fault}
 	if w, ok := o[k]; ok && ends {
@@ -31,16 +31,16 @@
 	return false
 }
 
-// Mark is the begin or end of a fault on the lab's clock, for reports.
+// Mark is the begin or the end of a fault on the lab's clock, for reports.
 type Mark struct {
 	AtMs  float64 `json:"at_ms"`
 	Label string  `json:"label"`
 }
 
-// runSchedule begins and ends the faults at their times, until ctx ends, and returns when all changes are applied.
+// runSchedule begins and ends the faults at their times, until ctx ends. It returns when all changes are applied.
 func (bed *testbed) runSchedule(ctx context.Context, events []Event) []Mark {
 	var marks []Mark
-	faultsBegun := map[int]chan struct{}{} // by fault, closed when its begin was applied
+	faultsBegun := map[int]chan struct{}{} // by fault; a channel is closed when the fault's begin has been applied
 	var changes sync.WaitGroup
 	defer changes.Wait()
 	for _, ev := range events {
@@ -58,8 +58,8 @@
 	return marks
 }
 
-// startEvent begins or ends a fault. Links change at once and in order. Sidecars, machines and servers change
-// concurrently with other events, since a kill or start may take long, but a fault's end waits for its begin.
+// startEvent begins or ends a fault. Faults on links are applied before it returns, and so in the order of the events.
+// Other faults are applied concurrently, since a kill or a start may take long, but a fault's end waits for its begin.
 func (bed *testbed) startEvent(ev Event, faultsBegun map[int]chan struct{}, changes *sync.WaitGroup) {
 	if rule, _ := (selectorResolver{bed.exp}).linkRule(ev.Fault); rule != nil {
 		bed.applyLinkEvent(ev, rule)
@@ -80,7 +80,8 @@
 	}()
 }
 
-// applyLinkEvent activates or deactivates the rule of a fault.
+// applyLinkEvent activates or deactivates the rule of a fault on links, and records which sidecars it cuts off from
+// discovery.
 func (bed *testbed) applyLinkEvent(ev Event, rule *Rule) {
 	if ev.Heal {
 		if end := bed.endRules[ev.ID]; end != nil {
@@ -102,7 +103,7 @@
 	}
 }
 
-// applyEvent begins or ends a fault that is not of links, and returns when that is done.
+// applyEvent begins or ends a fault that is not on links, and returns when that is done.
 func (bed *testbed) applyEvent(ev Event) {
 	var changes sync.WaitGroup // several sidecars at a time, since each change waits for an exit or for readiness
 	defer changes.Wait()
@@ -135,7 +136,7 @@
 	}
 }
 
-// beginSidecarFault begins a fault of sidecar i; start runs what takes time.
+// beginSidecarFault begins a fault of sidecar i. It passes changes that take long to start, which runs them concurrently.
 func (bed *testbed) beginSidecarFault(kind string, i int, start func(int, func(int))) {
 	switch kind {
 	case "join":
@@ -151,7 +152,7 @@
 	}
 }
 
-// endSidecarFault ends a fault of sidecar i; start runs what takes time.
+// endSidecarFault ends a fault of sidecar i. It passes changes that take long to start, which runs them concurrently.
 func (bed *testbed) endSidecarFault(kind string, i int, start func(int, func(int))) {
 	switch kind {
 	case "join": // the end of a temporary join
@@ -172,13 +173,13 @@
 		if ev.Heal {
 			s.SetDrained(time.Time{})
 			bed.discovery.Set(instanceOf(s, "Ready"), nil)
-		} else { // removalGrace begins when discovery can report it
+		} else { // removalGrace begins when callers of discovery can learn of the drain
 			bed.discovery.Set(instanceOf(s, "Terminating"), func() { s.SetDrained(time.Now()) })
 		}
 	}
 }
 
-// applyMachineEvent begins or ends a fault of one machine: of all its sidecars together, and its disk.
+// applyMachineEvent begins or ends a fault of one machine, which affects all of its sidecars or its disk.
 func (bed *testbed) applyMachineEvent(ev Event, m int, start func(int, func(int))) {
 	var sidecars []int
 	for i := range bed.exp.Fleet.Sidecars {
@@ -222,12 +223,13 @@
 	}
 }
 
-// losesSettings reports whether a machine's sidecars lose all settings that they confirmed.
+// losesSettings reports whether a fault makes a machine's sidecars lose all settings that they confirmed.
 func (bed *testbed) losesSettings(f Fault) bool {
 	return f.Kind == "machine-replace" || f.Kind == "machine-kill" && !bed.exp.Fleet.State
 }
 
-// killMachine kills all sidecars of a machine at once, and erases its TMPDIR or its whole disk.
+// killMachine kills all sidecars of a machine at once, and clears its whole disk if the machine is replaced, otherwise
+// only its TMPDIR.
 func (bed *testbed) killMachine(ev Event, m int, sidecars []int) error {
 	if bed.losesSettings(ev.Fault) {
 		bed.mu.Lock()
@@ -247,7 +249,8 @@
 	return bed.disks[m].reboot()
 }
 
-// restartMachine starts the sidecars of a machine that was killed.
+// restartMachine starts the sidecars of a machine that was killed. If they lost their settings, it records that in the
+// history.
 func (bed *testbed) restartMachine(ev Event, sidecars []int, start func(int, func(int))) {
 	for _, i := range sidecars {
 		if bed.losesSettings(ev.Fault) {
--- a/internal/lab/latency.go
+++ b/internal/lab/latency.go
@@ -19,36 +19,36 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// LatencyOptions is a benchmark of the latency that one sidecar adds to a call. Rates are per second and path.
+// LatencyOptions configures MeasureLatency, a benchmark of the latency that one sidecar adds to a call.
 type LatencyOptions struct {
 	Servers    int           // 1 to 1000
-	Rate       float64       // calls, over 0 to 2000
+	Rate       float64       // calls per second on each path, more than 0 and at most 2000
 	Runs       int           // 1 to 100
-	Warmup     time.Duration // of each run, sent and not counted
-	Duration   time.Duration // of each run, counted
+	Warmup     time.Duration // of each run; its calls are sent but not counted
+	Duration   time.Duration // of each run after the warm-up
 	ProbePrice float64       // prices.probe of the settings; 0 for 1
 	Seed       uint64
 }
 
-// Latency is the benchmark's result, in milliseconds: from the send of a call to the last byte of its response.
+// Latency is the result of MeasureLatency. A call's latency is the time from its send to the last byte of its response.
 type Latency struct {
 	Format     int          `json:"format"`
 	Servers    int          `json:"servers"`
-	Rate       float64      `json:"rate"` // calls per second and path
+	Rate       float64      `json:"rate"` // calls per second on each path
 	ProbePrice float64      `json:"probe_price"`
 	Warmup     Duration     `json:"warm"`
 	Duration   Duration     `json:"duration"`
 	Runs       []LatencyRun `json:"plays"`
-	// Over runs, at p50, p99 and p99.9.
+	// The p50, p99 and p99.9, by those names, over the runs. Added is the difference of Proxied and Direct in each run.
 	Direct  map[string]LatencySpread `json:"straight_ms"`
 	Proxied map[string]LatencySpread `json:"through_ms"`
 	Added   map[string]LatencySpread `json:"added_ms"`
-	// MaxAdded is the proxied p99 minus the direct median, an upper bound of what is added to 99 of 100 calls. Added at
-	// p99 assumes that the same calls are in the tails of both paths.
+	// MaxAdded is the proxied p99 minus the direct median, an upper bound of the latency added to 99 of 100 calls. Added
+	// at p99 is not such a bound, since it assumes that the same calls are in the tails of both paths.
 	MaxAdded LatencySpread `json:"added_most_ms"`
 }
 
-// LatencySpread is one figure over runs, in milliseconds.
+// LatencySpread is the range and the median of one latency over the runs, in milliseconds.
 type LatencySpread struct {
 	Min    float64 `json:"min"`
 	Median float64 `json:"median"`
@@ -60,26 +60,26 @@
 	Seed      uint64      `json:"seed"`
 	Direct    PathLatency `json:"straight"`
 	Proxied   PathLatency `json:"through"`
-	CPU       float64     `json:"cpu_ms_per_call"` // of the sidecar, its probes included
-	LabLate99 float64     `json:"lab_late_p99_ms"` // of the lab's timers
-	Late      bool        `json:"lab_ran_late"`
+	CPU       float64     `json:"cpu_ms_per_call"` // CPU time of the sidecar, including its probes
+	LabLate99 float64     `json:"lab_late_p99_ms"` // lateness of the lab's timers
+	Late      bool        `json:"lab_ran_late"`    // the lab was short of CPU: the times are not reliable
 }
 
-// PathLatency is the calls of one path.
+// PathLatency is the result of the calls on one path, without those of the warm-up.
 type PathLatency struct {
-	Sent    int         `json:"sent"`   // counted ones
-	Served  int         `json:"served"` // with the expected response
+	Sent    int         `json:"sent"`
+	Served  int         `json:"served"` // calls with the expected response
 	Latency Percentiles `json:"latency_ms"`
 }
 
-// callPath sends calls directly to servers or through the sidecar.
+// callPath sends calls on one path, either directly to servers or through the sidecar, and measures them.
 type callPath struct {
 	http     *http.Client
-	to       func() string // host:port
+	to       func() string // returns the address of the next call, host:port
 	requests *RequestTable
 
-	mu        sync.Mutex
-	histogram *hdrhistogram.Histogram // µs
+	mu        sync.Mutex              // guards the fields below
+	histogram *hdrhistogram.Histogram // latencies of served calls, in µs
 	sent      int
 	served    int
 }
@@ -89,7 +89,7 @@
 		to: to, requests: ledger, histogram: newHistogram()}
 }
 
-// call makes one call, and counts it if counts is true.
+// call makes one call, and adds it to the result if counts is true.
 func (w *callPath) call(id string, counts bool) {
 	r, err := http.NewRequest(http.MethodGet, "http://"+w.to()+"/read/"+id, http.NoBody)
 	if err != nil {
@@ -118,19 +118,20 @@
 	}
 }
 
+// result returns the result of the counted calls so far.
 func (w *callPath) result() PathLatency {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return PathLatency{Sent: w.sent, Served: w.served, Latency: percentiles(w.histogram)}
 }
 
-// MeasureLatency makes the same calls directly to a random server and through one sidecar, in turn, in one open-loop
-// stream: no call waits for a response. The servers respond at once. Each run has a sidecar and servers of its own;
-// progress is called with each run.
+// MeasureLatency measures the latency that one sidecar adds to a call. It alternates between calls directly to a random
+// server and calls through the sidecar, open-loop: no call waits for the response of another. The servers respond at
+// once. Each run has a sidecar and servers of its own. MeasureLatency calls progress after each run.
 func MeasureLatency(ctx context.Context, program, folder string, o LatencyOptions, progress func(string)) (*Latency, error) {
 	if err := firstInvalid([]fieldCheck{
 		{o.Servers < 1 || o.Servers > 1000, "servers", "is not within 1 to 1000"},
-		{!(o.Rate > 0 && o.Rate <= 2000), "rate", "is not within 0 to 2000, or is 0"},
+		{!(o.Rate > 0 && o.Rate <= 2000), "rate", "is not within (0, 2000]"},
 		{o.Runs < 1 || o.Runs > 100, "plays", "is not within 1 to 100"},
 		{o.Warmup < 0 || o.Warmup > time.Minute, "warm", "is not within 0 to 1m"},
 		{o.Duration < 100*time.Millisecond || o.Duration > 10*time.Minute, "duration", "is not within 100ms to 10m"},
@@ -191,7 +192,7 @@
 	return r, nil
 }
 
-// experiment describes the testbed of one run: servers that answer at once.
+// experiment returns the experiment that describes the testbed of one run: servers that respond at once.
 func (o *LatencyOptions) experiment(seed uint64) *Experiment {
 	return &Experiment{Name: "latency", Seed: seed, Duration: Duration{o.Warmup + o.Duration},
 		Fleet:  Fleet{Sidecars: 1, Servers: o.Servers, Zones: []string{"a"}, ProbePrice: o.ProbePrice},
@@ -199,7 +200,7 @@
 		Load:   Load{Rate: o.Rate, Shape: "poisson", Deadline: Duration{time.Second}}}
 }
 
-// randomServer returns a function that draws a server's address; it is safe for concurrent use.
+// randomServer returns a function that returns the address of a random server. It is safe for concurrent use.
 func randomServer(servers []*FakeServer, seed uint64) func() string {
 	random := rand.New(rand.NewPCG(seed, 0x1a7))
 	var mu sync.Mutex // guards random
@@ -210,14 +211,14 @@
 	}
 }
 
-// callInTurn makes the calls of one run over both paths in turn, at random times, and waits for all. It returns the
-// sidecar's processor time at the first counted call.
+// callInTurn makes the calls of one run, alternating between the paths, at random times, and waits for their responses.
+// It returns the CPU time that the sidecar had used before the first counted call.
 func (o *LatencyOptions) callInTurn(ctx context.Context, bed *testbed, seed uint64, direct, proxied *callPath) (cpuBefore time.Duration, err error) {
 	arrivals := rand.New(rand.NewPCG(seed, 0xa11))
 	var calls sync.WaitGroup
 	defer calls.Wait()
 	at := time.Duration(0)
-	for n := 0; at < o.Warmup+o.Duration; n += 2 { // in pairs, so that both paths have as many
+	for n := 0; at < o.Warmup+o.Duration; n += 2 { // in pairs, so that both paths have the same number of calls
 		isCounted := at >= o.Warmup
 		for k, path := range []*callPath{direct, proxied} {
 			at += time.Duration(arrivals.ExpFloat64() / (2 * o.Rate) * float64(time.Second))
@@ -237,13 +238,14 @@
 	return cpuBefore, nil
 }
 
-// quantiles are the reported quantiles.
+// quantiles are the names of the reported quantiles and the functions that return them.
 var quantiles = []struct {
 	name string
 	of   func(Percentiles) float64
 }{{"p50", func(p Percentiles) float64 { return p.P50 }}, {"p99", func(p Percentiles) float64 { return p.P99 }},
 	{"p99.9", func(p Percentiles) float64 { return p.P999 }}}
 
+// summarize computes the figures over all runs.
 func (l *Latency) summarize() {
 	l.Direct, l.Proxied, l.Added = map[string]LatencySpread{}, map[string]LatencySpread{}, map[string]LatencySpread{}
 	over := func(of func(LatencyRun) float64) LatencySpread {
@@ -263,14 +265,14 @@
 	l.MaxAdded = over(func(p LatencyRun) float64 { return p.Proxied.Latency.P99 - p.Direct.Latency.P50 })
 }
 
-// String describes it in one line.
+// String formats the run as one line.
 func (p LatencyRun) String() string {
 	return fmt.Sprintf("seed %d: direct %d of %d, p50 %.3f p99 %.3f p99.9 %.3f ms; proxied %d of %d, p50 %.3f p99 %.3f p99.9 %.3f ms; %.3f ms of CPU time per call",
 		p.Seed, p.Direct.Served, p.Direct.Sent, p.Direct.Latency.P50, p.Direct.Latency.P99, p.Direct.Latency.P999,
 		p.Proxied.Served, p.Proxied.Sent, p.Proxied.Latency.P50, p.Proxied.Latency.P99, p.Proxied.Latency.P999, p.CPU)
 }
 
-// Table formats the figures.
+// Table formats the figures over all runs, one per line.
 func (l *Latency) Table() string {
 	var text strings.Builder
 	w := tabwriter.NewWriter(&text, 0, 4, 2, ' ', tabwriter.AlignRight)
--- a/internal/lab/lateness.go
+++ b/internal/lab/lateness.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	tickInterval   = 5 * time.Millisecond
-	stallThreshold = 30 * time.Millisecond // a timer this late marks a stall of the lab
-	maxTimerP99    = 20 * time.Millisecond // with a higher p99 of the timers the whole run is late
+	tickInterval   = 5 * time.Millisecond  // interval of the timer that is measured
+	stallThreshold = 30 * time.Millisecond // lateness of a timer or send from which on the lab counts as stalled
+	maxTimerP99    = 20 * time.Millisecond // if the timers' p99 is higher, the whole run is marked as late
 )
 
-// lateness measures the delays of the lab's own timers and sends. Late
-// responses during its stalls do not count as a sidecar's.
+// lateness measures the delays of the lab's own timers and sends. Responses
+// that are late because of a stall of the lab do not count against a sidecar.
 type lateness struct {
 	requests *RequestTable
 
-	mu       sync.Mutex
-	timers   *hdrhistogram.Histogram // µs
-	arrivals *hdrhistogram.Histogram // µs
-	stalls   []window                // on the lab's clock, by their ends
+	mu       sync.Mutex              // guards the fields below
+	timers   *hdrhistogram.Histogram // delays of a periodic timer, in µs
+	arrivals *hdrhistogram.Histogram // delays of sends, in µs
+	stalls   []window                // on the lab's clock
 }
 
 func newLateness(ledger *RequestTable) *lateness {
@@ -39,7 +39,7 @@
 	}
 }
 
-// record records an event that was scheduled for due and happens now.
+// record records the delay of an event that was scheduled for due and happens now.
 func (l *lateness) record(h *hdrhistogram.Histogram, due time.Duration) {
 	now := l.requests.Elapsed()
 	l.mu.Lock()
@@ -50,7 +50,7 @@
 	}
 }
 
-// stalledWithin is how much of [from, to] the lab was stalled.
+// stalledWithin returns for how long within [from, to] the lab was stalled.
 func (l *lateness) stalledWithin(from, to time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,16 +61,17 @@
 	return sum
 }
 
-// Lateness is the delay of the lab's own timers and sends, in milliseconds.
-// StalledMs is the sum of its stalls, which are of 30 ms and more.
+// Lateness summarizes the delays of the lab's own timers and sends, in
+// milliseconds. StalledMs is the total duration of its stalls, which are the
+// delays of 30 ms and more.
 type Lateness struct {
 	Timers    Percentiles `json:"timers_ms"`
 	Arrivals  Percentiles `json:"arrivals_ms"`
 	StalledMs float64     `json:"stalled_ms"`
-	Late      bool        `json:"late"` // timers' p99 over 20 ms: the times in this result are not reliable
+	Late      bool        `json:"late"` // the timers' p99 is over 20 ms: the times in this result are not reliable
 }
 
-// report merges overlapping stalls, so that each counts once, and returns the summary.
+// report returns the summary. It merges overlapping stalls, so that no time counts twice.
 func (l *lateness) report() Lateness {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/merge_logs.go
+++ b/internal/lab/merge_logs.go
@@ -10,8 +10,9 @@
 )
 
 // MergeLogs writes every JSON log line of the folder's *.log files into one
-// file, ordered by their "time" fields, each with "file" added. Lines that are
-// not JSON objects are written as "text", with the time of the line before.
+// file, ordered by their "time" fields, with the name of its file added as
+// "file". A line that is not a JSON object is written as the field "text" of
+// one, and ordered by the time of the line before it.
 func MergeLogs(folder, out string) error {
 	paths, err := filepath.Glob(filepath.Join(folder, "*.log"))
 	if err != nil {
--- a/internal/lab/network.go
+++ b/internal/lab/network.go
@@ -7,43 +7,48 @@
 	"time"
 )
 
-// endpoint is one end of a link: sidecars from 0, then servers, then discovery.
-// unknownEndpoint is any other, which only rules for all endpoints match.
+// endpoint is one end of a link. Sidecars are numbered from 0, followed by the
+// servers and discovery.
 type endpoint int
 
+// unknownEndpoint is any endpoint that is not part of the experiment. Only
+// rules that match all endpoints match it.
 const unknownEndpoint endpoint = -1
 
-// Rule is one fault on directed links while it is active. Loss, duplication,
-// reordering and the rate apply to datagrams alone; TCP is blocked or delayed,
-// which is the effect of its retransmissions.
+// Rule is the effect of one fault on directed links while it is active. Loss,
+// duplication, reordering and the rate apply to datagrams only. TCP is blocked
+// or delayed instead, which is the effect of its retransmissions.
 type Rule struct {
-	Match     func(from, to endpoint) bool // the links that it applies to
-	Cut       bool                         // all traffic is blocked; TCP bytes are delivered at its end
-	Resets    bool                         // TCP connections that existed during it are reset at its end, as when a machine comes back
-	Datagrams bool                         // TCP is not affected
+	Match     func(from, to endpoint) bool // reports whether the rule applies to a link
+	Cut       bool                         // all traffic is blocked; blocked TCP bytes are delivered when the rule ends
+	Resets    bool                         // with Cut: TCP connections that existed during the cut are reset at its end, as when a machine comes back
+	Datagrams bool                         // the rule applies to datagrams only, not to TCP
 	Loss      float64                      // fraction of datagrams dropped, 0 to 1
 	Duplicate float64                      // fraction of datagrams duplicated, 0 to 1
 	Reorder   float64                      // fraction of datagrams delayed by reorderDelay, so that later ones overtake them, 0 to 1
-	Rate      float64                      // datagrams a second on each link, the rest dropped; 0 for no limit
-	Delay     time.Duration                // of each datagram, and of each chunk of TCP
+	Rate      float64                      // datagrams per second on each link, beyond which they are dropped; 0 for no limit
+	Delay     time.Duration                // of each datagram and of each chunk of TCP bytes
 	Jitter    time.Duration                // maximum of an additional delay, uniformly distributed
 
-	buckets map[[2]endpoint]*bucket
+	buckets map[[2]endpoint]*bucket // for Rate, by link
 }
 
+// bucket is the token bucket of one link.
 type bucket struct {
 	tokens float64
-	at     time.Time
+	at     time.Time // when tokens was computed
 }
 
+// reorderDelay is the additional delay of a reordered datagram.
 const reorderDelay = 30 * time.Millisecond
 
-// takeToken reports whether the rate limit allows one more datagram now. The caller holds the network's mu.
+// takeToken takes a token from a link's bucket, and reports whether there was one: whether the rate limit allows one more
+// datagram now. The caller holds the network's mu.
 func (r *Rule) takeToken(from, to endpoint, now time.Time) bool {
 	if r.buckets == nil {
 		r.buckets = map[[2]endpoint]*bucket{}
 	}
-	burst := max(1, r.Rate/10) // the tokens of a tenth of a second
+	burst := max(1, r.Rate/10) // the bucket holds the tokens of a tenth of a second, but at least one
 	b := r.buckets[[2]endpoint{from, to}]
 	if b == nil {
 		b = &bucket{burst, now}
@@ -57,8 +62,8 @@
 	return true
 }
 
-// Network is the active faults on the links between all endpoints. The rules
-// of a link combine, so that faults may overlap and end in any order.
+// Network holds the rules of the active faults on links. All rules that match a
+// link apply together, so that faults may overlap and end in any order.
 type Network struct {
 	mu        sync.Mutex
 	rules     []*Rule
@@ -67,7 +72,8 @@
 	changes   notifier
 }
 
-// NewNetwork makes a network without faults; the seed is that of losses and jitter.
+// NewNetwork returns a network without faults. The seed determines which datagrams are lost, duplicated or reordered, and
+// the jitter.
 func NewNetwork(seed uint64) *Network {
 	return &Network{random: rand.New(rand.NewPCG(seed, 0x11e7)), changes: newNotifier()}
 }
@@ -80,6 +86,7 @@
 	}
 }
 
+// change calls alter, which changes the rules, and applies the new rules to all connections.
 func (n *Network) change(alter func()) {
 	n.mu.Lock()
 	alter()
@@ -91,13 +98,15 @@
 	}
 }
 
+// changed returns a channel that is closed on the next change of the rules.
 func (n *Network) changed() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.changes.changed()
 }
 
-// streamState reports whether a TCP link is cut, whether that ends in a reset, and the delay of each chunk.
+// streamState returns the state of a link for TCP: whether it is cut, whether connections are reset when the cut ends,
+// and the delay of the next chunk of bytes.
 func (n *Network) streamState(from, to endpoint) (cut, resets bool, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -119,7 +128,7 @@
 	return time.Duration(n.random.Int64N(int64(r.Jitter)))
 }
 
-// datagramDelays returns the delay of each copy of one datagram, none if it is lost.
+// datagramDelays returns the delays of the copies of one datagram that are delivered, none if it is lost.
 func (n *Network) datagramDelays(from, to endpoint) []time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/lab/notifier.go
+++ b/internal/lab/notifier.go
@@ -1,7 +1,7 @@
 package lab
 
 // notifier notifies waiters of changes: changed returns a channel that the next
-// notifyAll closes. Its owner's lock guards it.
+// notifyAll closes. Its owner's mutex must guard both.
 type notifier struct{ ch chan struct{} }
 
 func newNotifier() notifier { return notifier{make(chan struct{})} }
--- a/internal/lab/operators.go
+++ b/internal/lab/operators.go
@@ -15,10 +15,10 @@
 	"bramblestand/internal/lab/history"
 )
 
-// adminTimeout is how long the lab waits for a response of an admin address, whose own limit is 2 s.
+// adminTimeout is how long the lab waits for the response to an admin call. The sidecar's own limit is 2 s.
 const adminTimeout = 4 * time.Second
 
-// finalQuietPeriod is the end of a run without random calls, so that its final state is observed.
+// finalQuietPeriod is how long before the run's end random calls stop, so that the final state is observed.
 const finalQuietPeriod = time.Second
 
 // operators makes the admin calls of an experiment and polls every sidecar's
@@ -36,7 +36,8 @@
 		http: &http.Client{Timeout: adminTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
-// run makes all calls and observations of the run, and returns at its end.
+// run makes the admin calls of the experiment, random ones at the configured rate, and polls every sidecar. It returns
+// at the run's end or when ctx ends.
 func (o *operators) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	calls := slices.Clone(o.exp.Calls)
@@ -63,7 +64,8 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			// Spread over the period, so that the lab does not poll all at once; the last is at the run's end.
+			// The polls of the sidecars are spread over the period, so that they are not all made at once. Each sidecar's
+			// last poll is at the run's end, or less than a period before.
 			for at := every * time.Duration(i) / time.Duration(o.exp.Fleet.Sidecars); at < o.exp.Duration.Duration; at += every {
 				if !o.requests.waitUntil(ctx, at) {
 					return
@@ -75,8 +77,8 @@
 	wg.Wait()
 }
 
-// adminCall sends one request to sidecar i's admin address. The status is 0 without a complete response, -1 if the
-// sidecar is down.
+// adminCall sends one request to sidecar i's admin address. It returns the status and the body of the response. The
+// status is 0 without a complete response, and -1 if the sidecar is down.
 func (o *operators) adminCall(method string, i int, path, body string) (status int, answer string) {
 	address := o.sidecars.AdminAddress(i)
 	if address == "" {
@@ -113,7 +115,7 @@
 		e.Outcome = history.OK
 	case status >= 400 && status < 500 || status < 0:
 		e.Outcome = history.Rejected
-	default: // 503, or no response: it may have taken effect
+	default: // 503, or no response: the call may have taken effect
 		e.Outcome = history.Unknown
 	}
 	o.history.Add(e)
@@ -152,6 +154,8 @@
 	}
 }
 
+// sidecarName returns the name of sidecar i, by which the history and its configuration name it.
 func sidecarName(i int) string { return fmt.Sprintf("s%d", i) }
 
+// serverName returns the name of server j in discovery, logs and the history.
 func serverName(j int) string { return fmt.Sprintf("v%03d", j) }
--- a/internal/lab/parallel.go
+++ b/internal/lab/parallel.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// ForEach calls f for 0 to n-1, parallel of them at a time, and returns when all calls have.
+// ForEach calls f with 0 to n-1, at most parallel calls at a time, and returns when all calls have returned.
 func ForEach(n, parallel int, f func(i int)) {
 	slots := make(chan struct{}, parallel)
 	var calls sync.WaitGroup
--- a/internal/lab/plot.go
+++ b/internal/lab/plot.go
@@ -11,12 +11,12 @@
 	"gonum.org/v1/plot/vg/vgimg"
 )
 
-// Limits of a result's plot.
+// Size and limits of a plot.
 const (
 	plotWidth      = 28 * vg.Centimeter
 	plotHeight     = 18 * vg.Centimeter
-	minPlotLatency = 0.1 // ms; a log axis has no 0
-	maxFaultLabels = 40  // more would not be readable
+	minPlotLatency = 0.1 // in ms; a logarithmic axis has no 0
+	maxFaultLabels = 40  // with more faults no labels are drawn, since they would not be readable
 )
 
 var (
@@ -27,14 +27,15 @@
 	brown  = color.RGBA{R: 120, A: 255}
 )
 
-// chart is one of a result's charts, with the range of its values.
+// chart is one of the charts of a plot, with the range of its values.
 type chart struct {
 	*plot.Plot
 	min, max float64
 }
 
-// Plot draws throughput and errors (above) and p50, p99 and p99.9 (below)
-// a second, with the faults marked, as a PNG file.
+// Plot writes a PNG file with two charts over time, in which the faults are
+// marked: served requests and errors per second in the upper one, and each
+// second's p50, p99 and p99.9 latency in the lower one.
 func (r *Result) Plot(path string) error {
 	throughput, latency := r.newCharts()
 	if err := r.addLines(throughput, latency); err != nil {
@@ -47,7 +48,8 @@
 	if err := r.addFaults(throughput, latency); err != nil {
 		return err
 	}
-	// Without load there is no range, and one value alone is given a range around it, which a log axis cannot have.
+	// The plot library's own ranges do not always work: without load there is none, and around a single value it may
+	// include values that a logarithmic axis cannot show.
 	for _, c := range []*chart{throughput, latency} {
 		c.X.Min, c.X.Max = 0, max(1, c.X.Max)
 		c.Y.Min, c.Y.Max = c.min, max(1, c.Y.Max)
@@ -55,10 +57,10 @@
 	return writePNG(path, throughput.Plot, latency.Plot)
 }
 
-// newCharts makes the empty charts.
+// newCharts returns the charts without lines.
 func (r *Result) newCharts() (throughput, latency *chart) {
 	throughput = &chart{Plot: plot.New(), max: 1}
-	throughput.Title.Text = r.Name + ": requests a second, by when sent"
+	throughput.Title.Text = r.Name + ": requests per second, by time of send"
 	throughput.Y.Label.Text = "requests/s"
 	latency = &chart{Plot: plot.New(), min: minPlotLatency, max: 1}
 	latency.Y.Label.Text = "latency ms (log)"
@@ -72,7 +74,7 @@
 	return throughput, latency
 }
 
-// addLines draws the series.
+// addLines adds the lines of the result's series to the charts.
 func (r *Result) addLines(throughput, latency *chart) error {
 	for _, l := range []struct {
 		chart *chart
@@ -101,7 +103,8 @@
 	return nil
 }
 
-// addFaults marks the faults in both charts, each from the floor to the highest value, and labels them in the upper one.
+// addFaults marks each fault in both charts by a vertical line over the range of the values, and labels it in the upper
+// one.
 func (r *Result) addFaults(throughput, latency *chart) error {
 	var labels plotter.XYLabels
 	for _, m := range r.Faults {
@@ -133,7 +136,7 @@
 	return nil
 }
 
-// writePNG draws one plot above the other into a file.
+// writePNG writes a PNG file with one plot above the other.
 func writePNG(path string, top, bottom *plot.Plot) error {
 	canvas := vgimg.New(plotWidth, plotHeight)
 	tiles := draw.Tiles{Rows: 2, Cols: 1, PadY: vg.Millimeter * 4, PadX: vg.Millimeter * 4, PadTop: vg.Millimeter * 2, PadBottom: vg.Millimeter * 2}
--- a/internal/lab/process_usage.go
+++ b/internal/lab/process_usage.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// sampleUsage reads a running process's CPU time and peak memory from /proc. It
-// may be called any number of times for a process. The caller holds s.mu.
+// sampleUsage reads a running process's CPU time and peak memory from /proc, which are lost when the process ends. It may
+// be called any number of times for a process. The caller holds s.mu.
 func (s *Sidecars) sampleUsage(state *sidecarState, process *sidecarProcess) {
 	pid := process.cmd.Process.Pid
 	if fields := statFields(pid); len(fields) > 12 {
@@ -30,14 +30,15 @@
 	}
 }
 
-// statFields returns the fields of /proc/PID/stat from the process's state on, none if there is no such process.
+// statFields returns the fields of /proc/PID/stat, beginning with the process's state. It returns none if there is no
+// such process.
 func statFields(pid int) []string {
 	stat, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
-	return strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:])) // the name before may contain any character
+	return strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:])) // the process's name before may contain any character
 }
 
-// Usage is the CPU time of all sidecars until now, in seconds, and the mean
-// and the largest peak resident memory of one, in MB.
+// Usage returns the CPU time of all sidecars until now, in seconds, and the mean
+// and the maximum of the sidecars' peak resident memory, in MB.
 func (s *Sidecars) Usage() (cpu float64, meanMB, peakMB float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,8 +54,8 @@
 	return
 }
 
-// cpuTime is the CPU time of sidecar i's running processes, from the scheduler's count of each thread, which has a finer
-// resolution than the ticks of Usage.
+// cpuTime returns the CPU time of sidecar i's running processes. It reads the scheduler's statistics of each thread,
+// whose resolution is finer than that of the clock ticks that Usage reads.
 func (s *Sidecars) cpuTime(i int) (sum time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,6 +71,7 @@
 	return sum
 }
 
+// labUsage returns the CPU time of the lab's own process in seconds and its peak resident memory in MB.
 func labUsage() (cpu, peakMB float64) {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
--- a/internal/lab/received_load.go
+++ b/internal/lab/received_load.go
@@ -12,29 +12,32 @@
 	calls  atomic.Int64 // all other requests
 }
 
-// connTraffic counts the connections that a listener accepted and their payload in bytes, without what faults block.
+// connTraffic counts the connections that a listener accepted and the payload bytes received (in) and sent (out) on them,
+// without those that faults block.
 type connTraffic struct{ conns, in, out atomic.Int64 }
 
-// ReceivedLoad is the traffic that the fake servers and the loopback interface received since the start, at one time of
-// the lab's clock. Loopback counts all traffic of the network namespace, with TCP, UDP and IP headers, without frames.
+// ReceivedLoad is the traffic that the fake servers, discovery, the relay and the loopback interface have counted up to
+// one time of the lab's clock. The loopback interface counts all traffic of the network namespace, including TCP, UDP and
+// IP headers and excluding frames.
 type ReceivedLoad struct {
 	at              time.Time
-	At              float64 `json:"at_s"` // before 0 while the sidecars start
+	At              float64 `json:"at_s"` // seconds from the load's start, negative while the sidecars start
 	Probes          int64   `json:"probes"`
 	Calls           int64   `json:"calls"`
-	Conns           int64   `json:"conns"` // accepted by servers
-	Bytes           int64   `json:"bytes"` // of servers' connections, both directions
-	DiscoveryCalls  int64   `json:"lists"` // calls of discovery
+	Conns           int64   `json:"conns"` // connections accepted by the servers
+	Bytes           int64   `json:"bytes"` // payload of those connections in both directions
+	DiscoveryCalls  int64   `json:"lists"` // calls to discovery
 	DiscoveryConns  int64   `json:"list_conns"`
-	DiscoveryBytes  int64   `json:"list_bytes"` // of discovery's connections, both directions
+	DiscoveryBytes  int64   `json:"list_bytes"` // payload of discovery's connections in both directions
 	Datagrams       int64   `json:"datagrams"`  // relayed, each copy
 	LoopbackBytes   int64   `json:"loopback_bytes"`
 	LoopbackPackets int64   `json:"loopback_packets"`
 }
 
-// receivedLoadInterval is the time between samples.
+// receivedLoadInterval is the time between two samples of the received load.
 const receivedLoadInterval = time.Second
 
+// receivedLoad takes one sample.
 func (bed *testbed) receivedLoad() ReceivedLoad {
 	b := ReceivedLoad{at: time.Now()}
 	for _, s := range bed.servers {
@@ -55,7 +58,7 @@
 	return b
 }
 
-// sampleReceivedLoad samples until ctx ends, and returns all samples.
+// sampleReceivedLoad takes a sample every receivedLoadInterval and one when ctx ends, and returns them all.
 func (bed *testbed) sampleReceivedLoad(ctx context.Context) (all []ReceivedLoad) {
 	tick := time.NewTicker(receivedLoadInterval)
 	defer tick.Stop()
--- a/internal/lab/requests.go
+++ b/internal/lab/requests.go
@@ -9,29 +9,29 @@
 // Outcome is the result of one request, as its client saw it.
 type Outcome string
 
-// The outcomes of a request. Lost and Forged are breaches; Cut is a request
-// whose sidecar was killed or paused before the response.
+// The outcomes of a request. Lost, Forged and Unfinished are breaches.
 const (
 	Served     Outcome = "served"
-	Late       Outcome = "late"    // served, after its deadline and latenessTolerance
-	Rejected   Outcome = "refused" // 429 or 503
-	Failed     Outcome = "failed"  // any other status
-	Unreached  Outcome = "unreached"
-	Cut        Outcome = "cut"
-	Lost       Outcome = "lost"
-	Forged     Outcome = "forged" // a 200 with a body that no server wrote for this request
-	Unfinished Outcome = "unfinished"
-	Excused    Outcome = "excused" // late, or timed out at its client, because the lab itself ran late
+	Late       Outcome = "late"       // served, after its deadline and latenessTolerance
+	Rejected   Outcome = "refused"    // 429 or 503
+	Failed     Outcome = "failed"     // any other status
+	Unreached  Outcome = "unreached"  // no connection to the sidecar could be opened
+	Cut        Outcome = "cut"        // no complete response, since the sidecar was killed or paused
+	Lost       Outcome = "lost"       // no complete response without such a fault
+	Forged     Outcome = "forged"     // a 200 with a body that no server wrote for this request
+	Unfinished Outcome = "unfinished" // no outcome when the run ended
+	Excused    Outcome = "excused"    // late, or timed out at its client, because the lab itself ran late
 )
 
+// record is what the lab recorded about one request. Times are on the lab's clock.
 type record struct {
 	sidecar        int
 	isOrder        bool // of the class that must never run twice
 	sent           time.Duration
 	duration       time.Duration
 	outcome        Outcome
-	clientTimedOut bool      // its client's timeout ran out
-	ranAt          []string  // servers that ran it
+	clientTimedOut bool      // the client's own timeout expired
+	ranAt          []string  // names of the servers that ran it, one for each time
 	arrivals       []arrival // at servers, only in runs with operators
 }
 
@@ -48,34 +48,34 @@
 	drained, at time.Duration
 }
 
-// RequestTable tracks every request by id: what the client saw and which servers
-// ran it. It is safe for concurrent use.
+// RequestTable tracks every request by id: what its client saw and which servers
+// ran it. It also holds the lab's clock. It is safe for concurrent use.
 type RequestTable struct {
 	mu              sync.Mutex
-	start           time.Time
-	records         map[string]*record
-	unknownIDs      []string // ids that no client sent, as server:id
+	start           time.Time          // the zero of the lab's clock
+	records         map[string]*record // by request id
+	unknownIDs      []string           // ids that servers received and no client sent, as server:id
 	afterDrain      []drainBreach
-	recordsArrivals bool                    // record them
-	unsent          map[int][]time.Duration // by sidecar, when a request was not sent because it was down
+	recordsArrivals bool                    // whether RecordArrival records anything
+	unsent          map[int][]time.Duration // by sidecar, the times at which a request was not sent because the sidecar was down
 }
 
-// recordUnsent records that a request was not sent now, because the sidecar was down.
+// recordUnsent records that a request was not sent now because its sidecar was down.
 func (t *RequestTable) recordUnsent(sidecar int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.unsent[sidecar] = append(t.unsent[sidecar], t.Elapsed())
 }
 
-// NewRequestTable makes an empty table and starts the lab's clock.
+// NewRequestTable returns an empty table and starts the lab's clock.
 func NewRequestTable() *RequestTable {
 	return &RequestTable{start: time.Now(), records: map[string]*record{}, unsent: map[int][]time.Duration{}}
 }
 
-// Elapsed is the time on the lab's clock.
+// Elapsed returns the time on the lab's clock.
 func (t *RequestTable) Elapsed() time.Duration { return time.Since(t.start) }
 
-// waitUntil waits for a time of the lab's clock, and reports whether it was reached before ctx ended.
+// waitUntil waits until a time on the lab's clock, and reports whether it was reached before ctx ended.
 func (t *RequestTable) waitUntil(ctx context.Context, at time.Duration) bool {
 	wait := at - t.Elapsed()
 	if wait <= 0 {
@@ -89,7 +89,7 @@
 	}
 }
 
-// nowMicros is the time on the lab's clock in microseconds.
+// nowMicros returns the time on the lab's clock in microseconds.
 func (t *RequestTable) nowMicros() int64 { return t.Elapsed().Microseconds() }
 
 // recordSent records a request as sent now, and returns the time.
@@ -101,6 +101,7 @@
 	return sent
 }
 
+// recordOutcome records the outcome of a request that ends now.
 func (t *RequestTable) recordOutcome(id string, outcome Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -108,7 +109,7 @@
 	r.outcome, r.duration = outcome, t.Elapsed()-r.sent
 }
 
-// recordClientTimeout records that a client's own timeout ran out.
+// recordClientTimeout records that the client's own timeout of a request expired.
 func (t *RequestTable) recordClientTimeout(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -131,7 +132,7 @@
 	}
 }
 
-// RecordUnknownID records an id that no client sent.
+// RecordUnknownID records that a server received an id that no client sent.
 func (t *RequestTable) RecordUnknownID(server, id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -147,7 +148,7 @@
 	}
 }
 
-// RecordArrival records when a request reached a server.
+// RecordArrival records when a request reached a server, if the table records arrivals.
 func (t *RequestTable) RecordArrival(server, id string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/lab/restarts.go
+++ b/internal/lab/restarts.go
@@ -5,41 +5,39 @@
 	"time"
 )
 
-// Restart is one restart of a sidecar: the seconds from the load's start to
-// its exec, the milliseconds from the exec until it was ready, until it first
-// served a request sent after the exec (-1 for none), and until it served 99%
-// of at least 5 requests sent in one second (-1 for never). Then the outcomes
-// of its requests sent within restartErrorWindow: rejected, failed (or late),
-// unreached (or cut) and lost; and the requests that its application did not
-// send between the exec and the readiness (Unsent).
+// Restart is one restart of a sidecar. ReadyMs, FirstServedMs and StableMs are
+// milliseconds from the exec of the new process. Rejected, Failed, Unreached
+// and Lost count the requests sent within restartErrorWindow after the exec.
 type Restart struct {
 	Sidecar       int     `json:"sidecar"`
-	At            float64 `json:"at_s"`
-	ReadyMs       float64 `json:"ready_ms"`
-	FirstServedMs float64 `json:"first_served_ms"`
-	StableMs      float64 `json:"settled_ms"`
+	At            float64 `json:"at_s"`            // when the process was executed, in seconds from the load's start
+	ReadyMs       float64 `json:"ready_ms"`        // until it was ready
+	FirstServedMs float64 `json:"first_served_ms"` // until it first served a request sent after the exec; -1 for none
+	StableMs      float64 `json:"settled_ms"`      // until it served 99% of at least 5 requests sent in one second; -1 for never
 	Rejected      int     `json:"refused"`
-	Failed        int     `json:"failed"`
-	Unreached     int     `json:"unreached"`
+	Failed        int     `json:"failed"`    // failed or late
+	Unreached     int     `json:"unreached"` // unreached or cut
 	Lost          int     `json:"lost"`
-	Unsent        int     `json:"waited"`
+	Unsent        int     `json:"waited"` // requests that the application did not send between the exec and the readiness
 }
 
 const (
-	restartErrorWindow = 5 * time.Second // after the exec, whose errors count as the restart's
+	// restartErrorWindow is how long after the exec requests must be sent for their errors to count as the restart's.
+	restartErrorWindow = 5 * time.Second
 
-	// Requests are served normally from the begin of the first window on in which enough of enough requests were served.
+	// A restarted sidecar is stable from the begin of the first window in which at least minStableRequests requests were
+	// sent and at least minStableServed of them were served.
 	stableWindow      = time.Second
-	stableStep        = 50 * time.Millisecond // between the begins of windows
+	stableStep        = 50 * time.Millisecond // from the begin of a window to that of the next
 	minStableRequests = 5
-	minStableServed   = 0.99 // fraction
-	maxStableTime     = 4 * restartErrorWindow
+	minStableServed   = 0.99                   // fraction of the requests sent
+	maxStableTime     = 4 * restartErrorWindow // windows begin at most this long after the exec
 )
 
-// analyzeRestart completes a restart from the records of its sidecar. The caller holds t.mu.
+// analyzeRestart sets the fields of a restart that follow from the requests of its sidecar. The caller holds t.mu.
 func (t *RequestTable) analyzeRestart(r Restart) Restart {
 	startedAt := time.Duration(r.At * float64(time.Second))
-	var sent []*record // by its application since the exec, in time order
+	var sent []*record // requests sent since the exec, in time order
 	for _, rec := range t.records {
 		if rec.sidecar == r.Sidecar && rec.sent >= startedAt {
 			sent = append(sent, rec)
@@ -65,7 +63,7 @@
 	return r
 }
 
-// countError counts the outcome of a request that was sent soon after the restart.
+// countError counts the outcome of a request that was sent within restartErrorWindow after the exec.
 func (r *Restart) countError(outcome Outcome) {
 	switch outcome {
 	case Rejected:
@@ -79,7 +77,7 @@
 	}
 }
 
-// stableAfter returns the milliseconds from startedAt until requests were served normally, -1 for never.
+// stableAfter returns the milliseconds from startedAt until the sidecar was stable, -1 for never.
 func stableAfter(requests []*record, startedAt time.Duration) float64 {
 	for from := startedAt; from < startedAt+maxStableTime; from += stableStep {
 		sent, served := 0, 0
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -13,13 +13,13 @@
 	"bramblestand/internal/lab/history"
 )
 
-// drainTimeout is how long after the load's end and the last deadline a run waits for its requests.
+// drainTimeout is how long a run waits for outstanding requests after the load's end and the last deadline.
 const drainTimeout = 10 * time.Second
 
-// Run carries out an experiment: it starts the fake servers and the sidecars, runs the load and the schedule of faults,
-// ends everything and returns the result. The folder receives the sidecars' configurations and logs, their machines'
-// disks and, with operators, history.jsonl. Run leaves no process behind, also when ctx ends early. It fails at once
-// where the experiment can need more file descriptors than this process may have.
+// Run runs an experiment: it starts the fake servers and the sidecars, runs the load and the schedule of faults, stops
+// everything and returns the result. It writes the sidecars' configurations and logs, their machines' disks and, with
+// operators, history.jsonl to the folder. No process outlives Run, even if ctx ends early. Run fails at once if the
+// experiment can need more file descriptors than this process may have.
 func Run(ctx context.Context, exp *Experiment, program, folder string, log *slog.Logger) (*Result, error) {
 	if err := exp.CheckDescriptors(1); err != nil {
 		return nil, err
@@ -39,7 +39,7 @@
 	if err := bed.sidecars.startAll(); err != nil {
 		return nil, err
 	}
-	log.Info("the fleet is up", "sidecars", exp.Fleet.Sidecars, "servers", exp.Fleet.Servers, "discovery", bed.discovery.Address())
+	log.Info("fleet started", "sidecars", exp.Fleet.Sidecars, "servers", exp.Fleet.Servers, "discovery", bed.discovery.Address())
 	r.runLoad(ctx, schedule)
 	events := bed.history.Events()
 	result := r.result(events)
@@ -57,18 +57,18 @@
 	return result, nil
 }
 
-// experimentRun is one run of an experiment on a testbed, whose fleet is up.
+// experimentRun is one run of an experiment on a testbed.
 type experimentRun struct {
 	*testbed
-	startedAt       time.Time // of the first sidecar's start
-	loopbackAtStart [2]uint64 // bytes and packets
+	startedAt       time.Time // when the sidecars' start began
+	loopbackAtStart [2]uint64 // bytes and packets that the loopback interface had sent by then
 
 	late    *lateness
 	marks   []Mark
 	control *Control // nil without operators
 }
 
-// holdJoiners keeps the sidecars that join in the run from being started with the others.
+// holdJoiners keeps the sidecars that join during the run from being started with the others.
 func (bed *testbed) holdJoiners(schedule []Event) {
 	for _, ev := range schedule {
 		if ev.Fault.Kind != "join" || ev.Heal {
@@ -80,7 +80,7 @@
 	}
 }
 
-// runLoad runs the clients, the schedule of faults and the operators to their ends. The lab's clock starts with it.
+// runLoad starts the lab's clock and runs the clients, the schedule of faults and the operators until all have ended.
 func (r *experimentRun) runLoad(ctx context.Context, schedule []Event) {
 	r.requests.start = time.Now()
 	r.late = newLateness(r.requests)
@@ -113,7 +113,7 @@
 	<-scheduleDone
 }
 
-// result analyzes the run.
+// result returns the result of the run, except its resource usage and received load.
 func (r *experimentRun) result(events []history.Event) *Result {
 	var running []string
 	for i := range r.exp.Fleet.Sidecars {
@@ -131,7 +131,7 @@
 	return result
 }
 
-// addUsage adds what the processes used and the relay carried.
+// addUsage sets the result's fields for CPU time, memory and the datagrams of the relay.
 func (r *experimentRun) addUsage(result *Result) {
 	result.SidecarCPUSeconds, result.SidecarMeanMB, result.SidecarPeakMB = r.sidecars.Usage()
 	result.LabCPUSeconds, result.LabPeakMB = labUsage()
@@ -150,7 +150,8 @@
 	return errors.Join(history.Write(file, events), file.Close())
 }
 
-// newTestbed starts what an experiment needs, except its sidecars, which the caller starts.
+// newTestbed makes the testbed of an experiment and starts its fake servers, discovery and relay. The caller starts the
+// sidecars, and closes the testbed.
 func newTestbed(exp *Experiment, program, folder string, log *slog.Logger) (bed *testbed, err error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, err
@@ -203,7 +204,7 @@
 	return bed, nil
 }
 
-// close ends everything, the sidecars first.
+// close stops everything, the sidecars first.
 func (bed *testbed) close() {
 	if bed.sidecars != nil {
 		bed.sidecars.Stop()
@@ -222,25 +223,26 @@
 	}
 }
 
+// instanceOf returns a server's entry in the endpoint list, with the given health.
 func instanceOf(s *FakeServer, health string) Instance {
 	return Instance{Name: s.Name, Address: s.Address(), Zone: s.Zone, MachineType: "m", Health: health, Weight: 1, StartedAtMillis: s.StartedAt().UnixMilli()}
 }
 
-// testbed is the fleet, the fake servers, the network and the machines of an experiment.
+// testbed holds the sidecars, fake servers, network and machines of an experiment.
 type testbed struct {
 	exp       *Experiment
 	network   *Network
 	discovery *FakeDiscovery
 	servers   []*FakeServer
-	relay     *DatagramRelay // nil without
+	relay     *DatagramRelay // nil without peers and views
 	disks     []*disk
 	sidecars  *Sidecars
 	requests  *RequestTable
 	history   *history.Log
 	log       *slog.Logger
 
-	mu               sync.Mutex
-	endRules         map[int]func() // by fault, ends it
-	wipedAt          map[int]int64  // by fault, when it erased machines' disks (microseconds)
+	mu               sync.Mutex     // guards wipedAt and discoveryOutages
+	endRules         map[int]func() // by fault, the function that deactivates its rule
+	wipedAt          map[int]int64  // by fault, when it made sidecars lose their settings, in microseconds on the lab's clock
 	discoveryOutages discoveryOutages
 }
--- a/internal/lab/schedule.go
+++ b/internal/lab/schedule.go
@@ -14,10 +14,10 @@
 	Fault Fault         `json:"fault"`
 	Heal  bool          `json:"heal"`
 	ID    int           `json:"id"` // of the fault; the same for its begin and its end
-	Quiet bool          `json:"-"`  // a later cut of a flap: no mark
+	Quiet bool          `json:"-"`  // a cut of a flap after the first: it is neither logged nor marked in reports
 }
 
-// Label is a short name for plots and logs, as "kill s2" or "heal partition v0,v1".
+// Label returns a short name for plots and logs, such as "kill s2" or "heal partition v0,v1".
 func (ev Event) Label() string {
 	var names []string
 	for _, s := range ev.Fault.Sidecars {
@@ -49,8 +49,9 @@
 	return label
 }
 
-// Schedule returns the run's faults in time order: those of the experiment, and
-// those of Chaos. It is the same for the same experiment and seed.
+// Schedule returns the begins and ends of the run's faults in time order: those
+// that the experiment lists and those drawn for Chaos. It depends only on the
+// experiment and its seed.
 func (e *Experiment) Schedule() []Event {
 	faults := slices.Clone(e.Faults)
 	random := rand.New(rand.NewPCG(e.Seed, 0xfa17))
@@ -90,8 +91,8 @@
 }
 
 // Arrivals returns the send times of one sidecar's requests: a Poisson process
-// with the load's rate (higher in bursts), limited by the duration and by
-// max_requests divided by the sidecars.
+// with the load's rate, which is higher in bursts. It is limited by the run's
+// duration, and by max_requests divided by the number of sidecars.
 func (e *Experiment) Arrivals(sidecar int) []time.Duration {
 	limit := e.Load.MaxRequests
 	if limit == 0 {
--- a/internal/lab/search.go
+++ b/internal/lab/search.go
@@ -15,52 +15,54 @@
 	"github.com/BurntSushi/toml"
 )
 
-// SearchOptions are the limits of a search.
+// SearchOptions configures a search.
 type SearchOptions struct {
-	Seeds       int // schedules to draw, with seeds from FirstSeed on
+	Seeds       int // number of schedules to draw, with consecutive seeds from FirstSeed on
 	FirstSeed   uint64
-	MaxDuration time.Duration // no run begins later than this; 0 for no limit
+	MaxDuration time.Duration // no run begins later than this after the search's start; 0 for no limit
 	Parallel    int           // runs at a time
-	Attempts    int           // runs of a smaller schedule, one of which must break the same rule
-	Kinds       []string      // of faults to draw; empty for every kind that the experiment allows
-	MaxFindings int           // findings after which no more seeds are run; 0 for no limit
+	Attempts    int           // maximum number of runs of each smaller schedule, one of which must break one of the same rules
+	Kinds       []string      // kinds of faults to draw; empty for every kind that the experiment allows
+	MaxFindings int           // number of findings after which no more seeds are run; 0 for no limit
 }
 
-// Runner runs one experiment, its logs into folder.
+// Runner runs one experiment and writes its logs to folder.
 type Runner func(ctx context.Context, exp *Experiment, folder string) (*Result, error)
 
-// Finding is a schedule that broke a rule, and the smallest found that still does.
+// Finding is a schedule that broke a rule, and the smallest schedule found by shrinking it that still breaks one of the
+// same rules.
 type Finding struct {
 	Seed         uint64   `json:"seed"`
-	Kinds        []string `json:"kinds"` // of breaches
-	Faults       int      `json:"faults"`
-	ShrunkFaults int      `json:"small_faults"`
-	ShrinkRuns   int      `json:"shrink_runs"`
-	Folder       string   `json:"folder"` // with found.toml, small.toml and the runs' logs
-	Breaches     []string `json:"breaks"` // of the run of the smallest schedule
+	Kinds        []string `json:"kinds"`        // names of the rules that it broke
+	Faults       int      `json:"faults"`       // number of faults in the schedule
+	ShrunkFaults int      `json:"small_faults"` // number of faults in the smallest schedule
+	ShrinkRuns   int      `json:"shrink_runs"`  // number of runs made to shrink it
+	Folder       string   `json:"folder"`       // with found.toml, small.toml and the runs' logs
+	Breaches     []string `json:"breaks"`       // descriptions of the breaches of the smallest schedule
 }
 
 // SearchReport is the result of a search; it is written as JSON.
 type SearchReport struct {
 	Base     string         `json:"base"`
-	Runs     int            `json:"runs"`      // seeds that were run
-	Wanted   int            `json:"wanted"`    // seeds asked for
-	LateRuns int            `json:"late_runs"` // in which the lab itself was short of CPU
-	Faults   map[string]int `json:"faults"`    // drawn, by kind
+	Runs     int            `json:"runs"`      // number of seeds that were run
+	Wanted   int            `json:"wanted"`    // number of seeds that the options ask for
+	LateRuns int            `json:"late_runs"` // number of runs in which the lab itself was short of CPU
+	Faults   map[string]int `json:"faults"`    // number of faults in the runs, by kind
 	Findings []Finding      `json:"findings"`
-	Failed   []string       `json:"failed"` // runs that ended in an error
-	Seconds  float64        `json:"seconds"`
+	Failed   []string       `json:"failed"`  // runs that ended in an error
+	Seconds  float64        `json:"seconds"` // duration of the search
 }
 
-// kinds names the rules that a result breaks.
+// kinds returns the sorted names of the rules that a result breaks.
 func (r *Result) kinds() []string {
 	rules := r.rules()
 	maps.DeleteFunc(rules, func(_ string, n int) bool { return n == 0 })
 	return slices.Sorted(maps.Keys(rules))
 }
 
-// Search draws a schedule of faults for each seed over base, runs it, and shrinks what breaks a rule. It ends on its
-// bounds, or with ctx, with what it has. progress gets a line on each step.
+// Search draws faults for each seed, adds them to those of base, runs the resulting schedule and shrinks it if it breaks
+// a rule. It writes its report to search.json in out. When it reaches a limit of the options or ctx ends, it reports what
+// it has found so far. It calls progress with a line after each step.
 func Search(ctx context.Context, base *Experiment, o SearchOptions, run Runner, out string, progress func(string)) (*SearchReport, error) {
 	if err := o.checkKinds(base); err != nil {
 		return nil, err
@@ -77,7 +79,7 @@
 	s.runSeeds(ctx)
 	report := s.report
 	slices.SortFunc(report.Findings, func(a, b Finding) int { return int(a.Seed) - int(b.Seed) })
-	if o.MaxFindings > 0 && len(report.Findings) > o.MaxFindings { // runs beside the last one may have found more
+	if o.MaxFindings > 0 && len(report.Findings) > o.MaxFindings { // runs that were in progress at the last finding may have found more
 		report.Findings = report.Findings[:o.MaxFindings]
 	}
 	for i := range report.Findings {
@@ -89,7 +91,7 @@
 	return report, WriteJSON(filepath.Join(out, "search.json"), report)
 }
 
-// checkKinds reports a kind of fault that the experiment does not allow.
+// checkKinds returns an error if the options name a kind of fault that the experiment does not allow.
 func (o *SearchOptions) checkKinds(base *Experiment) error {
 	allowed := (&faultGenerator{exp: base}).kinds()
 	for _, kind := range o.Kinds {
@@ -113,7 +115,8 @@
 	report   *SearchReport
 }
 
-// runSeeds runs the schedules of all seeds, options.Parallel at a time, until a bound is reached.
+// runSeeds runs the schedules of all seeds, options.Parallel at a time, until a limit of the options is reached or ctx
+// ends.
 func (s *search) runSeeds(ctx context.Context) {
 	seeds := make(chan uint64)
 	var workers sync.WaitGroup
@@ -139,26 +142,26 @@
 	workers.Wait()
 }
 
-// hasEnough reports whether as many findings were made as are wanted.
+// hasEnough reports whether MaxFindings is reached.
 func (s *search) hasEnough() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.options.MaxFindings > 0 && len(s.report.Findings) >= s.options.MaxFindings
 }
 
-// isOverTime reports whether no run may begin any more.
+// isOverTime reports whether MaxDuration has passed, so that no further run may begin.
 func (s *search) isOverTime() bool {
 	return s.options.MaxDuration > 0 && time.Since(s.startedAt) > s.options.MaxDuration
 }
 
-// runSeed runs the schedule of one seed, and keeps its folder where it broke a rule or could not be run.
+// runSeed runs the schedule of one seed. It keeps the folder of a schedule that broke a rule or could not be run.
 func (s *search) runSeed(ctx context.Context, seed uint64) {
 	exp := DrawFaults(s.base, seed, s.options.Kinds)
 	folder := filepath.Join(s.folder, fmt.Sprintf("seed-%d", seed))
 	result, err := s.run(ctx, exp, filepath.Join(folder, "logs"))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	isCutShort := ctx.Err() != nil // then the run proves nothing
+	isCutShort := ctx.Err() != nil // the result of an interrupted run is not used
 	switch {
 	case isCutShort:
 	case err != nil:
@@ -176,7 +179,7 @@
 	s.progress(s.progressLine())
 }
 
-// addRun counts one run that ended.
+// addRun counts one completed run and its faults.
 func (r *SearchReport) addRun(exp *Experiment, result *Result) {
 	r.Runs++
 	for _, f := range exp.Faults {
@@ -187,7 +190,7 @@
 	}
 }
 
-// progressLine says how far the search is. The caller holds s.mu.
+// progressLine describes the progress of the search and estimates the remaining time. The caller holds s.mu.
 func (s *search) progressLine() string {
 	elapsed := time.Since(s.startedAt)
 	remaining := elapsed / time.Duration(max(s.report.Runs, 1)) * time.Duration(s.options.Seeds-s.report.Runs)
@@ -198,7 +201,7 @@
 		elapsed.Round(time.Second), remaining.Round(time.Second))
 }
 
-// shrinkFinding writes a finding's schedule to found.toml, shrinks it, and writes the smallest one to small.toml.
+// shrinkFinding writes a finding's schedule to found.toml, shrinks it, and writes the smallest schedule to small.toml.
 func (s *search) shrinkFinding(ctx context.Context, f *Finding) error {
 	found := DrawFaults(s.base, f.Seed, s.options.Kinds)
 	if err := writeExperiment(filepath.Join(f.Folder, "found.toml"), found); err != nil {
@@ -226,7 +229,7 @@
 	return nil
 }
 
-// describeBreaches describes the breaches of a result.
+// describeBreaches returns sorted descriptions of the breaches of a result.
 func (r *Result) describeBreaches() []string {
 	var lines []string
 	for _, b := range r.Violations {
@@ -240,6 +243,7 @@
 	return lines
 }
 
+// writeExperiment writes an experiment as TOML, and creates the file's folder if needed.
 func writeExperiment(path string, exp *Experiment) error {
 	var text bytes.Buffer
 	if err := toml.NewEncoder(&text).Encode(exp); err != nil {
@@ -251,7 +255,7 @@
 	return os.WriteFile(path, text.Bytes(), 0o644)
 }
 
-// Summary describes the result in a few lines.
+// Summary describes the report in a few lines.
 func (r *SearchReport) Summary() string {
 	text := fmt.Sprintf("%s: %d of %d seeds run in %.0f s, %d broke a rule, %d could not be run; the lab ran late in %d\nfaults drawn %v\n",
 		r.Base, r.Runs, r.Wanted, r.Seconds, len(r.Findings), len(r.Failed), r.LateRuns, r.Faults)
--- a/internal/lab/selectors.go
+++ b/internal/lab/selectors.go
@@ -8,26 +8,29 @@
 	"strings"
 )
 
-// maxGroupDepth is how deep groups may name other groups.
+// maxGroupDepth is the maximum depth to which groups may contain other groups.
 const maxGroupDepth = 4
 
 // selectorResolver resolves the selectors by which an experiment's faults name endpoints.
 type selectorResolver struct{ exp *Experiment }
 
+// sidecars returns the number of sidecars.
 func (n selectorResolver) sidecars() int { return n.exp.Fleet.Sidecars }
 
+// server returns the endpoint of server j.
 func (n selectorResolver) server(j int) endpoint { return endpoint(n.sidecars() + j) }
 
+// discovery returns the endpoint of the discovery service.
 func (n selectorResolver) discovery() endpoint { return endpoint(n.sidecars() + n.exp.Fleet.Servers) }
 
-// endpoints resolves selectors: "s3", "s0-s9", "v3", "v0-v9", "zone:a" (its sidecars),
-// "machine:0" (its sidecars), "group:NAME" (of the experiment's groups), "all"
-// (sidecars), "servers", "discovery". Errors name the selector.
+// endpoints resolves selectors to the set of their endpoints. Selectors are "s3" and "s0-s9" (sidecars), "v3" and "v0-v9"
+// (servers), "zone:a" and "machine:0" (their sidecars), "group:NAME" (a group of the experiment), "all" (all sidecars),
+// "servers" (all servers) and "discovery". Errors name the selector.
 func (n selectorResolver) endpoints(selectors []string) (map[endpoint]bool, error) {
 	return n.resolve(selectors, 0)
 }
 
-// resolve resolves selectors, of which groups may name others maxGroupDepth deep.
+// resolve resolves selectors that are nested in groups to the given depth.
 func (n selectorResolver) resolve(selectors []string, depth int) (map[endpoint]bool, error) {
 	set := map[endpoint]bool{}
 	for _, selector := range selectors {
@@ -47,7 +50,7 @@
 	return set, nil
 }
 
-// resolveOne resolves a selector that is not a group, to none if it is invalid.
+// resolveOne resolves a selector that is not a group. It returns none if the selector is invalid.
 func (n selectorResolver) resolveOne(selector string) []endpoint {
 	kind, name, _ := strings.Cut(selector, ":")
 	switch {
@@ -65,11 +68,11 @@
 	return n.resolveRange(selector)
 }
 
-// resolveGroup resolves a group of the experiment, which may be empty.
+// resolveGroup resolves a group of the experiment that is nested to the given depth. A group may be empty.
 func (n selectorResolver) resolveGroup(name string, depth int) ([]endpoint, error) {
 	members, ok := n.exp.Groups[name]
 	if !ok || depth > maxGroupDepth {
-		return nil, fmt.Errorf("\"group:%s\" is not a group (or groups name each other too deep)", name)
+		return nil, fmt.Errorf("\"group:%s\" is not a group of the experiment, or groups are nested too deeply", name)
 	}
 	set, err := n.resolve(members, depth+1)
 	if err != nil {
@@ -78,7 +81,8 @@
 	return slices.Collect(maps.Keys(set)), nil
 }
 
-// resolveRange resolves "s3" or "s0-s9", to none if it is neither.
+// resolveRange resolves a single endpoint such as "s3" or a range such as "s0-s9". It returns none if the selector is
+// neither.
 func (n selectorResolver) resolveRange(selector string) []endpoint {
 	first, last, isRange := strings.Cut(selector, "-")
 	if !isRange {
@@ -92,7 +96,7 @@
 	return endpointRange(from, to+1)
 }
 
-// sidecarsWhere returns the sidecars that match.
+// sidecarsWhere returns the sidecars for which matches returns true.
 func (n selectorResolver) sidecarsWhere(matches func(i int) bool) (found []endpoint) {
 	for i := range n.sidecars() {
 		if matches(i) {
@@ -110,7 +114,7 @@
 	return all
 }
 
-// parseEndpoint resolves "s3" or "v3".
+// parseEndpoint resolves the name of one sidecar, such as "s3", or server, such as "v3".
 func (n selectorResolver) parseEndpoint(text string) (endpoint, error) {
 	if len(text) > 1 {
 		i, err := strconv.Atoi(text[1:])
@@ -121,17 +125,19 @@
 			return n.server(i), nil
 		}
 	}
-	return unknownEndpoint, fmt.Errorf("%q is no endpoint", text)
+	return unknownEndpoint, fmt.Errorf("%q is not an endpoint", text)
 }
 
-// linksBetween matches the links from one set to the other ("out"), back ("in"), or in both directions ("both" or "").
+// linksBetween returns a function that matches the links from one set to the other ("out"), from the other to the one
+// ("in"), or in both directions ("both" or "").
 func linksBetween(from, to map[endpoint]bool, direction string) func(a, b endpoint) bool {
 	return func(a, b endpoint) bool {
 		return a != b && (direction != "in" && from[a] && to[b] || direction != "out" && from[b] && to[a])
 	}
 }
 
-// linksAcrossGroups matches links between endpoints that are in groups but have none in common.
+// linksAcrossGroups returns a function that matches the links between endpoints that are each in a group, but have no
+// group in common.
 func linksAcrossGroups(groups []map[endpoint]bool) func(a, b endpoint) bool {
 	return func(a, b endpoint) bool {
 		inA, inB := false, false
@@ -147,23 +153,23 @@
 
 // linkRule returns the rule of a fault on links, nil for a fault of another kind.
 func (n selectorResolver) linkRule(f Fault) (*Rule, error) {
-	own := func(base endpoint, list []int) map[endpoint]bool {
+	setOf := func(base endpoint, list []int) map[endpoint]bool {
 		set := map[endpoint]bool{}
 		for _, i := range list {
 			set[base+endpoint(i)] = true
 		}
 		return set
 	}
-	any := func(set map[endpoint]bool, direction string) func(a, b endpoint) bool { // to ("in") and from ("out") the set
+	linksOf := func(set map[endpoint]bool, direction string) func(a, b endpoint) bool { // to ("in") or from ("out") the set, or both
 		return func(a, b endpoint) bool { return direction != "out" && set[b] || direction != "in" && set[a] }
 	}
 	switch f.Kind {
 	case "partition":
-		return &Rule{Cut: true, Resets: true, Match: any(own(n.server(0), f.Servers), f.Direction)}, nil
+		return &Rule{Cut: true, Resets: true, Match: linksOf(setOf(n.server(0), f.Servers), f.Direction)}, nil
 	case "delay":
-		return &Rule{Delay: f.Delay.Duration, Jitter: f.Jitter.Duration, Match: any(own(n.server(0), f.Servers), "both")}, nil
+		return &Rule{Delay: f.Delay.Duration, Jitter: f.Jitter.Duration, Match: linksOf(setOf(n.server(0), f.Servers), "both")}, nil
 	case "isolate":
-		return &Rule{Cut: true, Datagrams: true, Match: any(own(0, f.Sidecars), f.Direction)}, nil
+		return &Rule{Cut: true, Datagrams: true, Match: linksOf(setOf(0, f.Sidecars), f.Direction)}, nil
 	case "peers":
 		return &Rule{Loss: f.Share, Delay: f.Delay.Duration, Datagrams: true, Match: func(a, b endpoint) bool { return true }}, nil
 	case "split":
@@ -177,17 +183,17 @@
 		}
 		return &Rule{Cut: true, Match: linksAcrossGroups(groups)}, nil
 	case "link", "cut", "flap":
-		or := func(selectors []string) []string {
+		orAll := func(selectors []string) []string {
 			if len(selectors) == 0 {
 				return []string{"all"}
 			}
 			return selectors
 		}
-		from, err := n.endpoints(or(f.From))
+		from, err := n.endpoints(orAll(f.From))
 		if err != nil {
 			return nil, fmt.Errorf("from: %w", err)
 		}
-		to, err := n.endpoints(or(f.To))
+		to, err := n.endpoints(orAll(f.To))
 		if err != nil {
 			return nil, fmt.Errorf("to: %w", err)
 		}
--- a/internal/lab/shrink.go
+++ b/internal/lab/shrink.go
@@ -9,23 +9,24 @@
 	"sync"
 )
 
-// shrinker makes a schedule smaller while it still breaks one of the rules that the original broke.
+// shrinker searches for a smaller schedule that still breaks one of the rules that the original broke.
 type shrinker struct {
 	ctx                context.Context
 	run                Runner
-	folder             string
-	kinds              []string
-	attempts, parallel int
-	mayContinue        func() bool
-	runs               int
-	breaches           []string
+	folder             string      // of the runs' logs
+	kinds              []string    // names of the rules that the original broke
+	attempts, parallel int         // runs of each candidate, and runs at a time
+	mayContinue        func() bool // reports whether further runs may begin
+	runs               int         // number of runs so far
+	breaches           []string    // descriptions of the breaches of the smallest schedule
 }
 
-// firstFailing runs candidates concurrently and returns the index of one that breaks one of the rules, -1 for none.
+// firstFailing runs the candidates, parallel runs at a time and each candidate up to attempts times, until one breaks one
+// of the rules. It returns its index, -1 for none.
 func (s *shrinker) firstFailing(candidates []*Experiment) int {
 	type attempt struct{ candidate, n int }
 	var queue []attempt
-	for n := range s.attempts { // each candidate once, before any a second time
+	for n := range s.attempts { // every candidate is run once before any is run a second time
 		for c := range candidates {
 			queue = append(queue, attempt{c, n})
 		}
@@ -60,13 +61,15 @@
 	return -1
 }
 
+// without returns a copy of the experiment without the faults in [from, to).
 func without(exp *Experiment, from, to int) *Experiment {
 	smaller := *exp
 	smaller.Faults = append(slices.Clone(exp.Faults[:from]), exp.Faults[to:]...)
 	return &smaller
 }
 
-// shrink drops faults (halves, quarters, then one by one), then targets.
+// shrink returns the smallest experiment that it finds. It removes faults first, by halves, quarters and so on down to
+// single ones, and then halves of the remaining faults' targets.
 func (s *shrinker) shrink(exp *Experiment) *Experiment {
 	for size := (len(exp.Faults) + 1) / 2; size > 0 && len(exp.Faults) > 0; {
 		var candidates []*Experiment
@@ -101,7 +104,7 @@
 	return exp
 }
 
-// halves returns the fault with each half of its targets.
+// halves returns two copies of the fault for each kind of target that it has several of, each with half of the targets.
 func (f Fault) halves() (smaller []Fault) {
 	for _, field := range []func(*Fault) *[]int{
 		func(f *Fault) *[]int { return &f.Sidecars }, func(f *Fault) *[]int { return &f.Servers }, func(f *Fault) *[]int { return &f.Machines }} {
--- a/internal/lab/sidecar_config.go
+++ b/internal/lab/sidecar_config.go
@@ -6,6 +6,7 @@
 	"fmt"
 )
 
+// config returns the configuration of sidecar i, in JSON.
 func (s *Sidecars) config(i int, listen string) []byte {
 	peers := ""
 	if s.relay != nil {
@@ -18,18 +19,19 @@
 	return s.exp.SidecarConfig(i, s.exp.Fleet.Sidecars, listen, s.discovery.listener.AddressFor(s.subnet.address(i)), peers+s.stateDirSetting(i))
 }
 
-// PeersConfig is the part of a sidecar's configuration on its peers: the address on which it receives datagrams, the one
-// that reaches all of them, and the known ones, as address:port. A comma follows.
+// PeersConfig returns the JSON keys of a sidecar's configuration that concern its peers, followed by a comma. listen is
+// the address on which it receives datagrams, all the one that reaches all peers, known those of single peers, each as
+// address:port.
 func PeersConfig(listen, all string, known []string) string {
 	list, _ := json.Marshal(known)
 	return fmt.Sprintf(`"peer_listen":%q,"peers_all":%q,"peers":%s,`, listen, all, list)
 }
 
-// SidecarConfig is the configuration of sidecar i of total ones, with its listen address and that of discovery. more is
-// additional JSON keys, each followed by a comma.
+// SidecarConfig returns the configuration, in JSON, of sidecar i of total ones. listen is its listen address, discovery
+// that of the discovery service. more contains additional JSON keys, each followed by a comma.
 func (e *Experiment) SidecarConfig(i, total int, listen, discovery, more string) []byte {
 	zones, _ := json.Marshal(e.Fleet.Zones)
-	known, _ := json.Marshal(append([]Instance{}, e.Fleet.Known...)) // JSON's [] rather than null
+	known, _ := json.Marshal(append([]Instance{}, e.Fleet.Known...)) // an empty list must become [], not null
 	deadline := e.Load.Deadline.Microseconds()
 	if e.Fleet.View {
 		more += `"fleet":{"on":true},`
@@ -47,7 +49,8 @@
 		cmp.Or(e.Fleet.ProbePrice, 1), total, i, i%len(e.Fleet.Zones))
 }
 
-// stateDirSetting is the configuration's key for the folder of persisted state, empty if the experiment has none.
+// stateDirSetting returns the JSON key for sidecar i's folder of persisted state, followed by a comma. It is empty if the
+// experiment's sidecars do not persist state.
 func (s *Sidecars) stateDirSetting(i int) string {
 	if !s.exp.Fleet.State {
 		return ""
--- a/internal/lab/sidecar_faults.go
+++ b/internal/lab/sidecar_faults.go
@@ -7,21 +7,22 @@
 )
 
 const (
-	sendAfterTerm = 300 * time.Millisecond // an application goes on sending after SIGTERM
-	minDrainTime  = 3 * time.Second        // a sidecar may take after SIGTERM, or a deadline if that is longer
-	shutdownSlack = 400 * time.Millisecond // beyond minDrainTime until SIGKILL
-	upgradeSlack  = 700 * time.Millisecond // the same for the old process of an upgrade, in addition
+	sendAfterTerm = 300 * time.Millisecond // how long the application goes on sending after SIGTERM
+	minDrainTime  = 3 * time.Second        // how long a sidecar may drain after SIGTERM, unless the load's deadline is longer
+	shutdownSlack = 400 * time.Millisecond // added to the drain time until SIGKILL
+	upgradeSlack  = 700 * time.Millisecond // added to that for the old process of an upgrade
 	stopTimeout   = 5 * time.Second        // from SIGTERM to SIGKILL at a run's end
 )
 
-// Kill begins a fault that keeps sidecar i down, kills its processes and waits for their end.
+// Kill begins a fault that keeps sidecar i down. It kills the sidecar's processes and waits for their exit.
 func (s *Sidecars) Kill(i int) {
 	for _, process := range s.holdDown(i, true) {
 		<-process.exited
 	}
 }
 
-// holdDown begins a fault that keeps sidecar i down, and with force kills its processes. It returns those that run.
+// holdDown begins a fault that keeps sidecar i down. With force it kills the sidecar's processes. It returns those that
+// have not exited yet.
 func (s *Sidecars) holdDown(i int, force bool) []*sidecarProcess {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,7 +34,7 @@
 	return slices.Clone(state.processes)
 }
 
-// killProcesses kills all processes of a sidecar, and so interrupts their requests. The caller holds s.mu.
+// killProcesses kills all processes of a sidecar, which interrupts their requests. The caller holds s.mu.
 func (s *Sidecars) killProcesses(state *sidecarState) {
 	state.isAccepting = false
 	state.beginOutage(s.requests.Elapsed())
@@ -44,7 +45,7 @@
 	}
 }
 
-// Release ends a fault that keeps sidecar i down; with the last one it starts again.
+// Release ends a fault that keeps sidecar i down. The sidecar starts again when the last one ends.
 func (s *Sidecars) Release(i int) {
 	s.mu.Lock()
 	s.states[i].downFaults--
@@ -52,7 +53,7 @@
 	s.StartOrRecordFailure(i)
 }
 
-// Pause begins a fault that stops sidecar i's processes by SIGSTOP.
+// Pause begins a fault that pauses sidecar i's processes by SIGSTOP.
 func (s *Sidecars) Pause(i int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,7 +65,8 @@
 	}
 }
 
-// Resume ends a fault of Pause; with the last one the processes continue, or the sidecar starts if it should run.
+// Resume ends a fault that Pause began. When the last one ends, the processes continue, or the sidecar starts if none
+// runs and no fault keeps it down.
 func (s *Sidecars) Resume(i int) {
 	s.mu.Lock()
 	state := s.states[i]
@@ -84,8 +86,8 @@
 	}
 }
 
-// Terminate keeps sidecar i down by a graceful shutdown: SIGTERM, while the application goes on sending for
-// sendAfterTerm, then SIGKILL if a process has not ended within shutdownGrace.
+// Terminate begins a fault that keeps sidecar i down after a graceful shutdown. It sends SIGTERM, while the application
+// goes on sending for sendAfterTerm, and SIGKILL to a process that has not exited shutdownGrace later.
 func (s *Sidecars) Terminate(i int) {
 	processes := s.holdDown(i, false)
 	for _, process := range processes {
@@ -100,12 +102,12 @@
 	}
 }
 
-// shutdownGrace is how long a process may take to end after SIGTERM.
+// shutdownGrace returns how long a process may take to exit after SIGTERM.
 func (s *Sidecars) shutdownGrace() time.Duration {
 	return max(minDrainTime, s.exp.Load.Deadline.Duration) + shutdownSlack
 }
 
-// signalTermination sends SIGTERM to a process, whose end is then expected.
+// signalTermination sends SIGTERM to a process, whose exit is then expected.
 func (s *Sidecars) signalTermination(i int, process *sidecarProcess) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,9 +116,10 @@
 	process.cmd.Process.Signal(syscall.SIGTERM)
 }
 
-// Upgrade starts a second process of sidecar i beside the first and, once it
-// is ready, ends the first by SIGTERM, as docs/operators.md describes. It does
-// nothing while the sidecar is down, paused or in another upgrade.
+// Upgrade starts a second process of sidecar i beside the first and, once it is
+// ready, terminates the first by SIGTERM, as docs/operators.md describes. It
+// does nothing while the sidecar is down, paused, starting or in another
+// upgrade.
 func (s *Sidecars) Upgrade(i int) {
 	state := s.states[i]
 	if !state.startMu.TryLock() {
@@ -131,7 +134,7 @@
 	}
 	s.mu.Unlock()
 	if !canUpgrade {
-		s.log.Info("sidecar not upgraded, since it is down, paused or ending", "sidecar", i)
+		s.log.Info("sidecar not upgraded: it is down, paused or stopping", "sidecar", i)
 		return
 	}
 	err := s.launch(i, s.ListenAddress(i))
@@ -147,13 +150,13 @@
 	}
 }
 
-// awaitExit waits for the end of a process that got SIGTERM, and kills it
-// (which interrupts its requests) if it has not ended within grace.
+// awaitExit waits for the exit of a process that was sent SIGTERM. It kills the
+// process, which interrupts its requests, if it has not exited within grace.
 func (s *Sidecars) awaitExit(i int, process *sidecarProcess, grace time.Duration) {
 	select {
 	case <-process.exited:
 	case <-time.After(grace):
-		s.log.Warn("sidecar did not end on SIGTERM and is killed", "sidecar", i)
+		s.log.Warn("sidecar did not exit after SIGTERM, killing it", "sidecar", i)
 		s.mu.Lock()
 		state := s.states[i]
 		state.beginOutage(s.requests.Elapsed())
@@ -162,7 +165,7 @@
 		s.mu.Unlock()
 		<-process.exited
 		s.mu.Lock()
-		if len(state.processes) > 0 && state.pauseFaults == 0 { // the other process of an upgrade goes on serving
+		if len(state.processes) > 0 && state.pauseFaults == 0 { // the sidecar serves by the other process of an upgrade
 			state.endOutage(s.requests.Elapsed())
 		}
 		s.mu.Unlock()
--- a/internal/lab/sidecar_start.go
+++ b/internal/lab/sidecar_start.go
@@ -15,13 +15,14 @@
 )
 
 const (
-	maxStartAttempts = 3
-	startTimeout     = 20 * time.Second // until a process is ready
+	maxStartAttempts = 3                // of a sidecar, each with another port
+	startTimeout     = 20 * time.Second // from the start of a process until it is ready
 )
 
-// Start starts sidecar i and waits until it is ready, unless a fault keeps it
-// down or paused (it then starts when the last one ends) or it runs already.
-// If its port is in use, another one is tried, up to maxStartAttempts.
+// Start starts sidecar i and waits until it is ready. It does nothing if the
+// sidecar runs already, or if a fault keeps it down or paused, at the end of
+// which it is started. If an attempt fails, for instance since a port is in use,
+// Start tries again with other ports, up to maxStartAttempts.
 func (s *Sidecars) Start(i int) error {
 	state := s.states[i]
 	state.startMu.Lock()
@@ -42,7 +43,7 @@
 	return fmt.Errorf("sidecar %d: %w", i, err)
 }
 
-// shouldStart reports whether sidecar i is not running and no fault keeps it down.
+// shouldStart reports whether sidecar i is not running, no fault keeps it down or paused, and the run is not stopping.
 func (s *Sidecars) shouldStart(i int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,7 +51,8 @@
 	return !s.isStopping && state.downFaults == 0 && state.pauseFaults == 0 && len(state.processes) == 0
 }
 
-// start starts sidecar i once, with its ports or with new ones. The caller holds the sidecar's startMu.
+// start makes one attempt to start sidecar i, with its previous ports or with new ones. The caller holds the sidecar's
+// startMu.
 func (s *Sidecars) start(i int, newPort bool) error {
 	state := s.states[i]
 	s.mu.Lock()
@@ -77,7 +79,7 @@
 		s.restarts = append(s.restarts, Restart{Sidecar: i, At: startedAt.Seconds(), ReadyMs: ms(s.requests.Elapsed() - startedAt)})
 	}
 	state.listenAddress, state.wasStarted = listen, true
-	if state.downFaults == 0 { // else it was killed during the start
+	if state.downFaults == 0 { // otherwise a fault killed it during the start
 		state.isAccepting = true
 		if state.pauseFaults == 0 {
 			state.endOutage(s.requests.Elapsed())
@@ -100,7 +102,7 @@
 func (s *Sidecars) launch(i int, listenAddress string) error {
 	process := &sidecarProcess{exited: make(chan struct{})}
 	readyURL := "http://" + listenAddress + "/health/ready"
-	if s.exp.Ops.On { // the admin address is ready while the sidecar is drained, too
+	if s.exp.Ops.On { // the admin address reports readiness even while the sidecar is drained
 		var err error
 		if process.adminAddress, err = s.freeAddress(i); err != nil {
 			return err
@@ -119,7 +121,8 @@
 	return s.awaitReady(i, process, readyURL, logFile.Name())
 }
 
-// prepareCommand writes the configuration of sidecar i, opens its log file and makes the command of a process.
+// prepareCommand writes the configuration of sidecar i, opens its log file and sets the command of a process. The caller
+// closes the log file.
 func (s *Sidecars) prepareCommand(i int, listenAddress string, process *sidecarProcess) (*os.File, error) {
 	configPath := filepath.Join(s.folder, fmt.Sprintf("s%02d.json", i))
 	if err := os.WriteFile(configPath, s.config(i, listenAddress), 0o600); err != nil {
@@ -131,7 +134,7 @@
 	}
 	process.cmd = exec.Command(s.program)
 	process.cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+configPath, "BALANCER_LOG=json", "BALANCER_OPS="+process.adminAddress, "TMPDIR="+s.disk(i).tmp())
-	throughPipe := struct{ io.Writer }{logFile} // so that the file size limit of a full disk does not apply to the log
+	throughPipe := struct{ io.Writer }{logFile} // not an *os.File, so that the lab writes the log: the file size limit of a full disk would stop the sidecar's own writes
 	process.cmd.Stdout, process.cmd.Stderr = throughPipe, throughPipe
 	process.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	return logFile, nil
@@ -147,7 +150,7 @@
 	state := s.states[i]
 	state.processes = append(state.processes, process)
 	s.limitFileSize(i, process)
-	if state.downFaults > 0 || s.isStopping { // a fault startedAt during the start
+	if state.downFaults > 0 || s.isStopping { // a fault began during the start
 		process.isEndExpected = true
 		process.cmd.Process.Kill()
 	} else if state.pauseFaults > 0 {
@@ -156,7 +159,7 @@
 	return nil
 }
 
-// awaitReady waits until a process answers that it is ready, and kills it after startTimeout.
+// awaitReady waits until a process is ready, and kills it if it is not within startTimeout.
 func (s *Sidecars) awaitReady(i int, process *sidecarProcess, readyURL, logPath string) error {
 	client := &http.Client{Timeout: 500 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 	for end := time.Now().Add(startTimeout); ; time.Sleep(10 * time.Millisecond) {
@@ -174,7 +177,7 @@
 		}
 		s.mu.Lock()
 		if s.states[i].pauseFaults > 0 {
-			end = time.Now().Add(startTimeout) // time in which it is paused does not count
+			end = time.Now().Add(startTimeout) // the timeout starts again after a pause
 		}
 		s.mu.Unlock()
 		if time.Now().After(end) {
@@ -188,7 +191,8 @@
 	}
 }
 
-// watchProcess waits for the end of a process, and records one that the lab did not cause.
+// watchProcess waits for the exit of a process, and records a failure if a ready process exits without the lab having
+// killed or terminated it.
 func (s *Sidecars) watchProcess(i int, process *sidecarProcess, logFile *os.File) {
 	err := process.cmd.Wait()
 	logFile.Close()
@@ -208,7 +212,7 @@
 	}
 }
 
-// StartOrRecordFailure starts sidecar i as Start does, and records a failure.
+// StartOrRecordFailure calls Start and records its error as a failure.
 func (s *Sidecars) StartOrRecordFailure(i int) {
 	if err := s.Start(i); err != nil {
 		s.recordFailure(i, "did not start: %v", err)
--- a/internal/lab/sidecars.go
+++ b/internal/lab/sidecars.go
@@ -12,44 +12,45 @@
 	"golang.org/x/sys/unix"
 )
 
-// Sidecars runs the real sidecar processes of an experiment as children of
-// the lab. Each dies with the lab (the kernel's parent-death signal), and
-// Stop kills those that do not end on SIGTERM. Faults keep a sidecar down or
+// Sidecars runs the real sidecar processes of an experiment as children of the
+// lab. The kernel kills them when the lab ends (parent-death signal), and Stop
+// kills those that do not exit after SIGTERM. Faults keep a sidecar down or
 // paused; it runs again when the last of them has ended.
 type Sidecars struct {
 	program   string
-	folder    string // configurations and logs
+	folder    string // of configurations and logs
 	exp       *Experiment
 	subnet    subnet
 	discovery *FakeDiscovery
-	relay     *DatagramRelay // nil without peers
+	relay     *DatagramRelay // nil without peers and views
 	disks     []*disk
 	requests  *RequestTable
 	log       *slog.Logger
 
-	mu                 sync.Mutex
-	isStopping         bool
+	mu                 sync.Mutex // guards the fields below
+	isStopping         bool       // set by Stop
 	states             []*sidecarState
 	restarts           []Restart
-	unexpectedFailures []string // not caused by a fault: exits, failed starts and upgrades
+	unexpectedFailures []string // see UnexpectedFailures
 }
 
-func newSidecars(program, folder string, exp *Experiment, sub subnet, disco *FakeDiscovery, peers *DatagramRelay, disks []*disk, ledger *RequestTable, log *slog.Logger) *Sidecars {
-	s := &Sidecars{program: program, folder: folder, exp: exp, subnet: sub, discovery: disco, relay: peers, disks: disks, requests: ledger, log: log}
+// newSidecars returns the sidecars of an experiment, not yet started.
+func newSidecars(program, folder string, exp *Experiment, sub subnet, discovery *FakeDiscovery, relay *DatagramRelay, disks []*disk, requests *RequestTable, log *slog.Logger) *Sidecars {
+	s := &Sidecars{program: program, folder: folder, exp: exp, subnet: sub, discovery: discovery, relay: relay, disks: disks, requests: requests, log: log}
 	for range exp.Fleet.Sidecars {
 		s.states = append(s.states, &sidecarState{})
 	}
 	return s
 }
 
-// ListenAddress is where sidecar i accepts its application's requests.
+// ListenAddress returns the address where sidecar i accepts its application's requests, host:port.
 func (s *Sidecars) ListenAddress(i int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.states[i].listenAddress
 }
 
-// AdminAddress is the admin address of sidecar i's newest ready process; empty if there is none.
+// AdminAddress returns the admin address of sidecar i's newest ready process, host:port, or "" if there is none.
 func (s *Sidecars) AdminAddress(i int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,7 +81,7 @@
 	return false
 }
 
-// recordFailure records and logs a failure that no fault caused.
+// recordFailure records and logs a failure of sidecar i that no fault caused.
 func (s *Sidecars) recordFailure(i int, format string, args ...any) {
 	text := fmt.Sprintf("s%d: ", i) + fmt.Sprintf(format, args...)
 	s.log.Error("unexpected failure", "error", text)
@@ -89,23 +90,25 @@
 	s.unexpectedFailures = append(s.unexpectedFailures, text)
 }
 
-// UnexpectedFailures lists the failures that no fault caused: exits, failed starts and upgrades.
+// UnexpectedFailures returns the failures that no fault caused: exits, failed starts and upgrades, invalid responses to
+// observations, and errors of the lab's disks.
 func (s *Sidecars) UnexpectedFailures() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.unexpectedFailures)
 }
 
-// Restarts lists the restarts so far, with their times until ready.
+// Restarts returns the restarts so far. Their fields are set up to ReadyMs.
 func (s *Sidecars) Restarts() []Restart {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.restarts)
 }
 
+// disk returns the disk of sidecar i's machine.
 func (s *Sidecars) disk(i int) *disk { return s.disks[s.exp.machineOf(i)] }
 
-// limitFileSize sets the file size limit of a process to that of its machine's disk. The caller holds s.mu.
+// limitFileSize sets a process's file size limit to that of its machine's disk. The caller holds s.mu.
 func (s *Sidecars) limitFileSize(i int, process *sidecarProcess) {
 	limit := s.disk(i).fileSizeLimit()
 	if err := unix.Prlimit(process.cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: limit, Max: unix.RLIM_INFINITY}, nil); err != nil && !errors.Is(err, unix.ESRCH) {
@@ -127,7 +130,7 @@
 	}
 }
 
-// Stop ends every sidecar: SIGCONT and SIGTERM, then SIGKILL after stopTimeout. None starts afterwards.
+// Stop stops every sidecar: by SIGCONT and SIGTERM, and by SIGKILL after stopTimeout. No sidecar starts afterwards.
 func (s *Sidecars) Stop() {
 	s.mu.Lock()
 	s.isStopping = true
--- a/internal/lab/summary.go
+++ b/internal/lab/summary.go
@@ -19,7 +19,7 @@
 		r.formatSummary() + r.restartSummary()
 }
 
-// formatSummary describes the fields that were added by format 1.
+// formatSummary describes the fields that format 1 added.
 func (r *Result) formatSummary() string {
 	if r.Format == 0 {
 		return "a result of format 0: without calls, history and the lab's lateness\n"
@@ -45,7 +45,8 @@
 	return text
 }
 
-// viewSummary describes the convergence of the views after each of the first faults, and the slowest of the others.
+// viewSummary describes the convergence of the views after each of the first maxLines faults, and the slowest of the
+// others.
 func (r *Result) viewSummary() (text string) {
 	const maxLines = 10
 	worst := -1
@@ -64,7 +65,8 @@
 	return text
 }
 
-// restartSummary is a line on the restarts, if any: the median and the maximum of each time, the sums of errors.
+// restartSummary describes the restarts in one line: the median and the maximum of each time, and the sums of the errors.
+// It is empty without restarts.
 func (r *Result) restartSummary() string {
 	if len(r.Restarts) == 0 {
 		return ""
@@ -86,7 +88,8 @@
 		fmt.Sprintf("not sent until ready %d\n", sum.Unsent)
 }
 
-// formatTimes describes times, of which -1 means never. It sorts them.
+// formatTimes returns the median of times and their maximum, or how many of them are -1, which means never. It sorts
+// times.
 func formatTimes(times []float64) string {
 	slices.Sort(times)
 	median := times[len(times)/2]
--- a/internal/lab/testdata/twoholders/main.go
+++ b/internal/lab/testdata/twoholders/main.go
@@ -1,7 +1,8 @@
-// Command twoholders is a faulty sidecar for a test of the lab: the sidecar
-// with the lowest name received in the last 300 ms holds the lease "sweep",
-// without a majority, so that two hold it once a link is cut. It implements as
-// much of a sidecar as the lab needs, and rejects all requests.
+// Command twoholders is a faulty sidecar for a test of the lab. A sidecar holds
+// the lease "sweep" if it has received no announcement of a lower name in the
+// last 300 ms. Since it needs no majority, two sidecars hold the lease once a
+// link between them is cut. The program implements only as much of a sidecar as
+// the lab needs, and rejects all requests.
 package main
 
 import (
@@ -17,11 +18,11 @@
 
 const (
 	announceInterval = 50 * time.Millisecond
-	peerTimeout      = 300 * time.Millisecond // without an announcement a peer counts as down
-	startDelay       = 400 * time.Millisecond // until the peers' announcements were received
+	peerTimeout      = 300 * time.Millisecond // a peer without an announcement for this long counts as down
+	startDelay       = 400 * time.Millisecond // long enough to receive the peers' announcements before serving
 )
 
-// configuration is the part of a sidecar's configuration that it uses.
+// configuration is the part of a sidecar's configuration that this program uses.
 type configuration struct {
 	Name           string `json:"name"`
 	ListenAddress  string `json:"listen"`
@@ -33,11 +34,11 @@
 type holder struct {
 	name   string
 	socket net.PacketConn
-	all    *net.UDPAddr
+	all    *net.UDPAddr // reaches all peers
 
-	mu       sync.Mutex // guards the fields below
-	lastSeen map[string]time.Time
-	token    uint64 // of the current lease; 0 for none
+	mu       sync.Mutex           // guards the fields below
+	lastSeen map[string]time.Time // time of the last announcement, by the peer's name
+	token    uint64               // fencing token of the current lease; 0 for none
 }
 
 func main() {
@@ -82,7 +83,7 @@
 	return &holder{name: c.Name, socket: socket, all: all, lastSeen: map[string]time.Time{}}, nil
 }
 
-// receive notes the peers' announcements until the socket is closed.
+// receive records the peers' announcements until the socket is closed.
 func (h *holder) receive() {
 	buffer := make([]byte, 256)
 	for {
@@ -96,7 +97,7 @@
 	}
 }
 
-// announce sends the own name to all peers.
+// announce periodically sends this sidecar's name to all peers and updates the lease.
 func (h *holder) announce() {
 	for range time.Tick(announceInterval) {
 		h.socket.WriteTo([]byte(h.name), h.all)
@@ -104,7 +105,8 @@
 	}
 }
 
-// lease returns the token of the lease, 0 if a peer with a lower name is up.
+// lease acquires or releases the lease and returns its token. The token is 0, and the lease released, if a peer with a
+// lower name is up.
 func (h *holder) lease() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -120,7 +122,7 @@
 	return h.token
 }
 
-// serveLeases responds with the leases that this sidecar holds, in the form that the lab's check reads.
+// serveLeases responds with the leases that this sidecar holds, in the form that the lab's check "holder" reads.
 func (h *holder) serveLeases(w http.ResponseWriter, _ *http.Request) {
 	if token := h.lease(); token > 0 {
 		fmt.Fprintf(w, `{"duties":{"sweep":%d}}`, token)
--- a/internal/lab/validate.go
+++ b/internal/lab/validate.go
@@ -14,7 +14,7 @@
 	reason    string // after the field's name
 }
 
-// firstInvalid returns an error with the name of the first invalid field, nil for none.
+// firstInvalid returns an error that names the first invalid field and the reason, nil for none.
 func firstInvalid(checks []fieldCheck) error {
 	for _, c := range checks {
 		if c.isInvalid {
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// validate reports the first field that is out of range, by its TOML key.
+// validate returns an error that names the first invalid field by its TOML key, nil for none.
 func (e *Experiment) validate() error {
 	if err := e.validateRanges(); err != nil {
 		return err
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// validateRanges checks the fields outside lists.
+// validateRanges checks the fields that are not in lists.
 func (e *Experiment) validateRanges() error {
 	return firstInvalid([]fieldCheck{
 		{e.Duration.Duration <= 0 || e.Duration.Duration > time.Hour, "duration", "is not within (0, 1h]"},
@@ -71,7 +71,7 @@
 
 		{!(e.Fleet.ProbePrice >= 0 && e.Fleet.ProbePrice <= 1000), "fleet.probe_price", "is not within 0 to 1000"},
 		{e.Ops.Rate < 0 || e.Ops.Rate > 1000, "ops.rate", "is not within 0 to 1000"},
-		{!e.Ops.On && (e.Ops.Rate > 0 || len(e.Calls) > 0 || len(e.Checks) > 0), "ops.on", "is false, with calls, a rate or checks"},
+		{!e.Ops.On && (e.Ops.Rate > 0 || len(e.Calls) > 0 || len(e.Checks) > 0), "ops.on", "is false, but calls, a rate or checks are set"},
 		{e.Ops.Servers < 1 || e.Ops.Rate > 0 && e.Ops.Servers > e.Fleet.Servers, "ops.servers", "is not within 1 to fleet.servers"},
 		{e.Ops.ObserveEvery.Duration < 10*time.Millisecond, "ops.observe_every", "is under 10ms"},
 		{e.Server.Capacity < 1, "server.capacity", "is under 1"},
@@ -80,14 +80,14 @@
 		{e.Server.ErrorRate < 0 || e.Server.ErrorRate > 1, "server.error_rate", "is not within 0 to 1"},
 		{e.Load.Rate < 0 || e.Load.Rate > 10000, "load.rate", "is not within 0 to 10000"},
 		{e.Load.Shape != "poisson" && e.Load.Shape != "bursts", "load.shape", "is neither \"poisson\" nor \"bursts\""},
-		{e.Load.Shape == "bursts" && (e.Load.BurstEvery.Duration <= 0 || e.Load.BurstFor.Duration <= 0 || e.Load.BurstFactor < 1), "load.burst_every", "with burst_for and burst_factor must be positive (factor at least 1) for bursts"},
+		{e.Load.Shape == "bursts" && (e.Load.BurstEvery.Duration <= 0 || e.Load.BurstFor.Duration <= 0 || e.Load.BurstFactor < 1), "load.burst_every", "and burst_for must be positive, and burst_factor at least 1, for the shape \"bursts\""},
 		{e.Load.MaxRequests < 0, "load.max_requests", "is negative"},
 		{e.Load.Deadline.Duration < 50*time.Millisecond, "load.deadline", "is under 50ms"},
 		{e.Load.OrderShare < 0 || e.Load.OrderShare > 1, "load.order_share", "is not within 0 to 1"},
 	})
 }
 
-// validateCall checks a call of an operator; errors begin with the field.
+// validateCall checks an admin call. Errors begin with the field.
 func (e *Experiment) validateCall(c Call) error {
 	switch {
 	case !slices.Contains(opsCalls, c.Op):
@@ -102,11 +102,11 @@
 	return nil
 }
 
-// validateChaos checks faults that are drawn; errors begin with the field.
+// validateChaos checks the faults of one Chaos. Errors begin with the field.
 func (e *Experiment) validateChaos(c Chaos) error {
 	switch {
 	case !slices.Contains(sidecarKinds, c.Kind) && !slices.Contains(serverKinds, c.Kind):
-		return fmt.Errorf("kind: %q is not a kind of fault with targets", c.Kind)
+		return fmt.Errorf("kind: %q is not a kind of fault on sidecars or servers", c.Kind)
 	case c.Kind == "isolate" && !e.Fleet.datagrams():
 		return errors.New("kind: \"isolate\" needs fleet.peers or fleet.view")
 	case c.Count < 0 || c.Count > 1000:
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// validateFault checks a fault; errors begin with the field.
+// validateFault checks a fault. Errors begin with the field.
 func (e *Experiment) validateFault(f Fault) error {
 	if err := e.validateFaultRanges(f); err != nil {
 		return err
@@ -128,7 +128,7 @@
 	return e.validateTargets(f)
 }
 
-// validateFaultRanges checks what does not depend on the kind.
+// validateFaultRanges checks the fields whose range does not depend on the fault's kind.
 func (e *Experiment) validateFaultRanges(f Fault) error {
 	for _, fraction := range []struct {
 		field string
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// validateFaultKind checks what a kind needs besides its targets.
+// validateFaultKind checks what a fault's kind requires, besides its targets.
 func (e *Experiment) validateFaultKind(f Fault) error {
 	switch {
 	case (f.Kind == "isolate" || f.Kind == "peers") && !e.Fleet.datagrams():
@@ -167,14 +167,14 @@
 	case f.Kind == "flap" && (f.For.Duration <= 0 || f.For.Duration/f.Period.Duration > 10000):
 		return errors.New("for: is 0 or over 10000 periods")
 	case f.Kind == "split" && len(f.Groups) < 2:
-		return errors.New("groups: are fewer than 2")
+		return errors.New("groups: fewer than 2")
 	case f.Kind == "discovery" && f.Mode != "down" && f.Mode != "lag":
 		return fmt.Errorf("mode: %q is neither \"down\" nor \"lag\"", f.Mode)
 	}
 	return nil
 }
 
-// validateTargets checks the sidecars, servers, machines or links of a fault.
+// validateTargets checks the sidecars, servers, machines or links that a fault names, and its kind.
 func (e *Experiment) validateTargets(f Fault) error {
 	inRange := func(field string, list []int, n int) error {
 		if len(list) == 0 {
@@ -200,5 +200,5 @@
 	case f.Kind == "discovery" || f.Kind == "peers":
 		return nil
 	}
-	return fmt.Errorf("kind: %q is not a known fault", f.Kind)
+	return fmt.Errorf("kind: %q is not a kind of fault", f.Kind)
 }
--- a/internal/lab/view_convergence.go
+++ b/internal/lab/view_convergence.go
@@ -10,41 +10,43 @@
 	"bramblestand/internal/lab/history"
 )
 
-// viewPath is the admin call that is polled at every sidecar of an experiment with fleet.view.
+// viewPath is the path of the admin call that is polled at every sidecar in experiments with fleet.view.
 const viewPath = "/fleet?brief=1"
 
-// ViewConvergence is the convergence of the sidecars' membership views after one
-// fault, up to the next. Times are from the fault to a view's last change, as the
-// sidecar itself reports it, over the sidecars that responded; 0 for no change.
+// ViewConvergence is the convergence of the sidecars' membership views between
+// one fault and the next. P50Ms and MaxMs are the median and the maximum time
+// from the fault to the last change of a view, which is 0 if the view did not
+// change. Each sidecar reports its view's last change itself; those that did not
+// respond are left out.
 type ViewConvergence struct {
 	After    string  `json:"after"`   // the fault's label, or "start"
-	AtMs     float64 `json:"at_ms"`   // on the lab's clock; of "start", when the first process was
-	P50Ms    float64 `json:"p50_ms"`  // when half of the views had changed for the last time,
-	MaxMs    float64 `json:"max_ms"`  // and all
-	Changes  int     `json:"moves"`   // of all views together, as observed
-	Digests  int     `json:"digests"` // different ones at the end
+	AtMs     float64 `json:"at_ms"`   // of the fault on the lab's clock; for "start", when the first process was started
+	P50Ms    float64 `json:"p50_ms"`  // until half of the views had changed for the last time
+	MaxMs    float64 `json:"max_ms"`  // until all views had changed for the last time
+	Changes  int     `json:"moves"`   // observed changes of all views together
+	Digests  int     `json:"digests"` // number of different view digests at the end
 	Largest  int     `json:"largest"` // members in the largest view at the end
-	Isolated int     `json:"cut_off"` // sidecars isolated at the end
+	Isolated int     `json:"cut_off"` // number of isolated sidecars at the end
 }
 
-// String describes it in one line.
+// String formats the convergence as one line.
 func (v ViewConvergence) String() string {
 	return fmt.Sprintf("views after %.60s: half stable after %.0f ms, all after %.0f ms; %d changes; %d digests, %d members, %d isolated\n",
 		v.After, v.P50Ms, v.MaxMs, v.Changes, v.Digests, v.Largest, v.Isolated)
 }
 
-// viewAnswer is one answer of a sidecar on its membership view. The keys of its fields are those of the admin call.
+// viewAnswer is a sidecar's response to one admin call for its membership view.
 type viewAnswer struct {
-	at            int64 // microseconds of the lab's clock
+	at            int64 // time of the call, in microseconds on the lab's clock
 	digest        string
 	stableSince   string // RFC 3339
 	isIsolated    bool
 	epoch         string
-	stableMembers int // members in the stable view
+	stableMembers int // number of members in the stable view
 }
 
-// viewConvergences reports how the views converged after each fault, from the observations of a run. startedAt is when
-// the first process was started, clockStart the start of the lab's clock.
+// viewConvergences computes from the observations of a run how the views converged after its start and after each fault.
+// startedAt is when the first process was started, clockStart the start of the lab's clock.
 func viewConvergences(events []history.Event, marks []Mark, startedAt, clockStart time.Time) []ViewConvergence {
 	bySidecar, last := viewAnswers(events)
 	phases := viewPhases(marks, ms(startedAt.Sub(clockStart)))
@@ -58,8 +60,8 @@
 	return phases
 }
 
-// viewAnswers joins the observations of each call, and returns the answers by sidecar in time order, and the time of the
-// last observation of any kind.
+// viewAnswers combines the observations of the single fields of each response. It returns the responses by sidecar in
+// time order, and the time of the last observation of any kind.
 func viewAnswers(events []history.Event) (bySidecar map[string][]*viewAnswer, last int64) {
 	type callKey struct {
 		sidecar string
@@ -89,7 +91,7 @@
 	return bySidecar, last
 }
 
-// addField takes one field of the answer to the admin call for the fleet.
+// addField sets one field from its observation, whose key is that of the admin call's JSON.
 func (a *viewAnswer) addField(e history.Event) {
 	switch e.Key {
 	case "digest":
@@ -105,7 +107,7 @@
 	}
 }
 
-// viewPhases returns the start and each fault, those of one moment as one.
+// viewPhases returns a phase for the start and for each mark. Marks less than 1 ms apart share a phase.
 func viewPhases(marks []Mark, startMs float64) []ViewConvergence {
 	phases := []ViewConvergence{{After: "start", AtMs: startMs}}
 	for _, m := range marks {
@@ -118,13 +120,13 @@
 	return phases
 }
 
-// addSidecars takes the answers of all sidecars in a phase that lasts until endMs.
+// addSidecars sets the figures of a phase that lasts until endMs from the responses of all sidecars.
 func (v *ViewConvergence) addSidecars(bySidecar map[string][]*viewAnswer, endMs float64, clockStart time.Time) {
 	digests := map[string]bool{}
 	var changedAfter []float64
 	for _, list := range bySidecar {
 		last := v.lastAnswer(list, endMs)
-		if last == nil || float64(last.at)/1000 < endMs-history.MaxSilence.Seconds()*1000 { // it is down at the end
+		if last == nil || float64(last.at)/1000 < endMs-history.MaxSilence.Seconds()*1000 { // the sidecar is down at the end
 			continue
 		}
 		digests[last.digest] = true
@@ -145,7 +147,8 @@
 	}
 }
 
-// lastAnswer returns a sidecar's last answer in the phase, nil for none, and counts the changes of its view in it.
+// lastAnswer returns a sidecar's last response in the phase, nil for none, and counts the changes of its view in the
+// phase.
 func (v *ViewConvergence) lastAnswer(list []*viewAnswer, endMs float64) (last *viewAnswer) {
 	epoch := ""
 	for _, a := range list {
@@ -164,7 +167,8 @@
 	return last
 }
 
-// viewFigures are a result's settlings as figures: by the fault's place among all and its kind.
+// viewFigures adds the figures of the views' convergence to f. Their names contain the phase's number and the begin of
+// the fault's label.
 func (r *Result) viewFigures(f map[string]float64) {
 	for i, p := range r.Views {
 		name := "view " + strconv.Itoa(i) + " " + p.After[:min(len(p.After), 24)]
