--- a/internal/lab/analysis.go
+++ b/internal/lab/analysis.go
@@ -90,11 +90,11 @@
 	r := a.result
 	r.Requests, r.UnknownIDs = len(a.requests.records), len(a.requests.unknownIDs)
 	var afterDrain []string
-	for _, b := range a.requests.afterDrain {
-		if b.at-b.drained-a.late.stalledWithin(b.drained, b.at) <= removalGrace || outages.overlaps(b.sidecar, b.drained, b.at) {
+	for _, breach := range a.requests.afterDrain {
+		if breach.at-breach.drained-a.late.stalledWithin(breach.drained, breach.at) <= removalGrace || outages.overlaps(breach.sidecar, breach.drained, breach.at) {
 			r.Excused["after_drain"]++
 		} else {
-			afterDrain = append(afterDrain, b.text)
+			afterDrain = append(afterDrain, breach.text)
 		}
 	}
 	afterBan := a.requests.requestsAfterBan(events, removalGrace)
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -23,10 +23,10 @@
 	lateness *lateness
 }
 
-func newClient(index int, exp *Experiment, ledger *RequestTable, sidecars *Sidecars, late *lateness) *client {
+func newClient(index int, exp *Experiment, requests *RequestTable, sidecars *Sidecars, late *lateness) *client {
 	transport := &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true,
 		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
-	return &client{index: index, exp: exp, requests: ledger, sidecars: sidecars, lateness: late, http: &http.Client{Transport: transport}}
+	return &client{index: index, exp: exp, requests: requests, sidecars: sidecars, lateness: late, http: &http.Client{Transport: transport}}
 }
 
 // run sends a request at each of the arrival times, open-loop: no request waits for an earlier response. It returns when
@@ -69,14 +69,14 @@
 	sent := c.requests.recordSent(id, c.index, order)
 	response, err := c.http.Do(r)
 	if err != nil {
-		c.requests.recordOutcome(id, c.failure(id, err, sent))
+		c.requests.recordOutcome(id, c.failureOutcome(id, err, sent))
 		return
 	}
 	answer, err := io.ReadAll(response.Body)
 	response.Body.Close()
 	switch {
 	case err != nil:
-		c.requests.recordOutcome(id, c.failure(id, err, sent))
+		c.requests.recordOutcome(id, c.failureOutcome(id, err, sent))
 	case response.StatusCode == http.StatusOK && string(answer) != "ok:"+id:
 		c.requests.recordOutcome(id, Forged)
 	case response.StatusCode == http.StatusOK && c.requests.Elapsed()-sent > deadline+latenessTolerance:
@@ -90,9 +90,9 @@
 	}
 }
 
-// failure returns the outcome of a request without a complete response: Unreached if the connection could not be
+// failureOutcome returns the outcome of a request without a complete response: Unreached if the connection could not be
 // opened, Cut if the sidecar was killed or paused since the request was sent, otherwise Lost.
-func (c *client) failure(id string, err error, sent time.Duration) Outcome {
+func (c *client) failureOutcome(id string, err error, sent time.Duration) Outcome {
 	if errors.Is(err, context.DeadlineExceeded) {
 		c.requests.recordClientTimeout(id)
 	}
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -42,8 +42,8 @@
 		f["lab_late_p99_ms"] = r.Lateness.Timers.P99
 	}
 	r.viewFigures(f)
-	for _, s := range r.Restarts {
-		f["restart_ready_ms"] = max(f["restart_ready_ms"], s.ReadyMs)
+	for _, restart := range r.Restarts {
+		f["restart_ready_ms"] = max(f["restart_ready_ms"], restart.ReadyMs)
 	}
 	return f
 }
--- a/internal/lab/control.go
+++ b/internal/lab/control.go
@@ -116,8 +116,8 @@
 	for i, now := range to.status {
 		then, ok := from.status[i]
 		seconds := now.Seconds - then.Seconds
-		off := time.Duration(seconds*float64(time.Second)) - (to.at[i] - from.at[i])
-		if from.status != nil && (!ok || off.Abs() > controlSlack) {
+		difference := time.Duration(seconds*float64(time.Second)) - (to.at[i] - from.at[i])
+		if from.status != nil && (!ok || difference.Abs() > controlSlack) {
 			continue // it did not respond to both samples, or was restarted between them
 		}
 		s.Sidecars++
--- a/internal/lab/fake_server.go
+++ b/internal/lab/fake_server.go
@@ -33,8 +33,8 @@
 }
 
 // NewFakeServer serves on a listener of the network until Close.
-func NewFakeServer(name, zone string, spec Server, ledger *RequestTable, seed uint64, listener *FaultListener) *FakeServer {
-	s := &FakeServer{Name: name, Zone: zone, ServerModel: NewServerModel(spec, seed), Listener: listener, requests: ledger}
+func NewFakeServer(name, zone string, spec Server, requests *RequestTable, seed uint64, listener *FaultListener) *FakeServer {
+	s := &FakeServer{Name: name, Zone: zone, ServerModel: NewServerModel(spec, seed), Listener: listener, requests: requests}
 	s.http = &http.Server{Handler: s, IdleTimeout: 5 * time.Second, ReadHeaderTimeout: 5 * time.Second, ConnContext: withConn}
 	go s.http.Serve(listener)
 	return s
--- a/internal/lab/fault_listener.go
+++ b/internal/lab/fault_listener.go
@@ -51,9 +51,9 @@
 	return net.JoinHostPort(ip, port)
 }
 
-// recheck marks the connections that are in a partition, and resets those whose partition has ended. It must be called
+// updatePartitions marks the connections that are in a partition, and resets those whose partition has ended. It must be called
 // after every change of the network's rules and of the connections.
-func (f *FaultListener) recheck() {
+func (f *FaultListener) updatePartitions() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
@@ -95,7 +95,7 @@
 		f.conns[c] = struct{}{}
 		f.mu.Unlock()
 		f.traffic.conns.Add(1)
-		f.recheck()
+		f.updatePartitions()
 		return c, nil
 	}
 }
--- a/internal/lab/latency.go
+++ b/internal/lab/latency.go
@@ -84,23 +84,23 @@
 	served    int
 }
 
-func newCallPath(ledger *RequestTable, to func() string) *callPath {
+func newCallPath(requests *RequestTable, to func() string) *callPath {
 	return &callPath{http: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}},
-		to: to, requests: ledger, histogram: newHistogram()}
+		to: to, requests: requests, histogram: newHistogram()}
 }
 
 // call makes one call, and adds it to the result if counts is true.
-func (w *callPath) call(id string, counts bool) {
-	r, err := http.NewRequest(http.MethodGet, "http://"+w.to()+"/read/"+id, http.NoBody)
+func (p *callPath) call(id string, counts bool) {
+	r, err := http.NewRequest(http.MethodGet, "http://"+p.to()+"/read/"+id, http.NoBody)
 	if err != nil {
 		return
 	}
 	r.Header.Set("X-Correlation-Id", id)
 	r.Header.Set("X-Service-Class", "read")
 	r.Header.Set("X-Time-Left-Ms", "1000")
-	w.requests.recordSent(id, 0, false)
+	p.requests.recordSent(id, 0, false)
 	sent, served := time.Now(), false
-	if response, err := w.http.Do(r); err == nil {
+	if response, err := p.http.Do(r); err == nil {
 		body, err := io.ReadAll(response.Body)
 		response.Body.Close()
 		served = err == nil && response.StatusCode == http.StatusOK && string(body) == "ok:"+id
@@ -109,20 +109,20 @@
 	if !counts {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.sent++
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.sent++
 	if served {
-		w.served++
-		w.histogram.RecordValue(took.Microseconds())
+		p.served++
+		p.histogram.RecordValue(took.Microseconds())
 	}
 }
 
 // result returns the result of the counted calls so far.
-func (w *callPath) result() PathLatency {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return PathLatency{Sent: w.sent, Served: w.served, Latency: percentiles(w.histogram)}
+func (p *callPath) result() PathLatency {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return PathLatency{Sent: p.sent, Served: p.served, Latency: percentiles(p.histogram)}
 }
 
 // MeasureLatency measures the latency that one sidecar adds to a call. It alternates between calls directly to a random
@@ -144,12 +144,12 @@
 		l.ProbePrice = 1
 	}
 	for n := range o.Runs {
-		p, err := o.run(ctx, program, filepath.Join(folder, fmt.Sprintf("run-%v-%d", o.Rate, n)), o.Seed+uint64(n))
+		run, err := o.run(ctx, program, filepath.Join(folder, fmt.Sprintf("run-%v-%d", o.Rate, n)), o.Seed+uint64(n))
 		if err != nil {
 			return nil, fmt.Errorf("run %d: %w", n, err)
 		}
-		l.Runs = append(l.Runs, *p)
-		progress(p.String())
+		l.Runs = append(l.Runs, *run)
+		progress(run.String())
 	}
 	l.summarize()
 	return l, nil
@@ -248,28 +248,28 @@
 // summarize computes the figures over all runs.
 func (l *Latency) summarize() {
 	l.Direct, l.Proxied, l.Added = map[string]LatencySpread{}, map[string]LatencySpread{}, map[string]LatencySpread{}
-	over := func(of func(LatencyRun) float64) LatencySpread {
+	spread := func(of func(LatencyRun) float64) LatencySpread {
 		var all []float64
-		for _, p := range l.Runs {
-			all = append(all, math.Round(of(p)*1000)/1000)
+		for _, run := range l.Runs {
+			all = append(all, math.Round(of(run)*1000)/1000)
 		}
 		slices.Sort(all)
 		middle := (all[(len(all)-1)/2] + all[len(all)/2]) / 2
 		return LatencySpread{Min: all[0], Median: middle, Max: all[len(all)-1]}
 	}
 	for _, q := range quantiles {
-		l.Direct[q.name] = over(func(p LatencyRun) float64 { return q.of(p.Direct.Latency) })
-		l.Proxied[q.name] = over(func(p LatencyRun) float64 { return q.of(p.Proxied.Latency) })
-		l.Added[q.name] = over(func(p LatencyRun) float64 { return q.of(p.Proxied.Latency) - q.of(p.Direct.Latency) })
+		l.Direct[q.name] = spread(func(r LatencyRun) float64 { return q.of(r.Direct.Latency) })
+		l.Proxied[q.name] = spread(func(r LatencyRun) float64 { return q.of(r.Proxied.Latency) })
+		l.Added[q.name] = spread(func(r LatencyRun) float64 { return q.of(r.Proxied.Latency) - q.of(r.Direct.Latency) })
 	}
-	l.MaxAdded = over(func(p LatencyRun) float64 { return p.Proxied.Latency.P99 - p.Direct.Latency.P50 })
+	l.MaxAdded = spread(func(r LatencyRun) float64 { return r.Proxied.Latency.P99 - r.Direct.Latency.P50 })
 }
 
 // String formats the run as one line.
-func (p LatencyRun) String() string {
+func (r LatencyRun) String() string {
 	return fmt.Sprintf("seed %d: direct %d of %d, p50 %.3f p99 %.3f p99.9 %.3f ms; proxied %d of %d, p50 %.3f p99 %.3f p99.9 %.3f ms; %.3f ms of CPU time per call",
-		p.Seed, p.Direct.Served, p.Direct.Sent, p.Direct.Latency.P50, p.Direct.Latency.P99, p.Direct.Latency.P999,
-		p.Proxied.Served, p.Proxied.Sent, p.Proxied.Latency.P50, p.Proxied.Latency.P99, p.Proxied.Latency.P999, p.CPU)
+		r.Seed, r.Direct.Served, r.Direct.Sent, r.Direct.Latency.P50, r.Direct.Latency.P99, r.Direct.Latency.P999,
+		r.Proxied.Served, r.Proxied.Sent, r.Proxied.Latency.P50, r.Proxied.Latency.P99, r.Proxied.Latency.P999, r.CPU)
 }
 
 // Table formats the figures over all runs, one per line.
--- a/internal/lab/lateness.go
+++ b/internal/lab/lateness.go
@@ -26,8 +26,8 @@
 	stalls   []window                // on the lab's clock
 }
 
-func newLateness(ledger *RequestTable) *lateness {
-	return &lateness{requests: ledger, timers: newHistogram(), arrivals: newHistogram()}
+func newLateness(requests *RequestTable) *lateness {
+	return &lateness{requests: requests, timers: newHistogram(), arrivals: newHistogram()}
 }
 
 // watch measures a periodic timer until ctx ends.
--- a/internal/lab/network.go
+++ b/internal/lab/network.go
@@ -94,7 +94,7 @@
 	n.changes.notifyAll()
 	n.mu.Unlock()
 	for _, f := range listeners {
-		f.recheck()
+		f.updatePartitions()
 	}
 }
 
--- a/internal/lab/operators.go
+++ b/internal/lab/operators.go
@@ -31,8 +31,8 @@
 	http     *http.Client
 }
 
-func newOperators(exp *Experiment, sidecars *Sidecars, ledger *RequestTable, log *history.Log) *operators {
-	return &operators{exp: exp, sidecars: sidecars, requests: ledger, history: log,
+func newOperators(exp *Experiment, sidecars *Sidecars, requests *RequestTable, log *history.Log) *operators {
+	return &operators{exp: exp, sidecars: sidecars, requests: requests, history: log,
 		http: &http.Client{Timeout: adminTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
--- a/internal/lab/received_load.go
+++ b/internal/lab/received_load.go
@@ -39,23 +39,23 @@
 
 // receivedLoad takes one sample.
 func (bed *testbed) receivedLoad() ReceivedLoad {
-	b := ReceivedLoad{at: time.Now()}
+	load := ReceivedLoad{at: time.Now()}
 	for _, s := range bed.servers {
-		b.Probes += s.received.probes.Load()
-		b.Calls += s.received.calls.Load()
-		b.Conns += s.Listener.traffic.conns.Load()
-		b.Bytes += s.Listener.traffic.in.Load() + s.Listener.traffic.out.Load()
+		load.Probes += s.received.probes.Load()
+		load.Calls += s.received.calls.Load()
+		load.Conns += s.Listener.traffic.conns.Load()
+		load.Bytes += s.Listener.traffic.in.Load() + s.Listener.traffic.out.Load()
 	}
-	b.DiscoveryCalls = bed.discovery.received.calls.Load()
-	b.DiscoveryConns = bed.discovery.listener.traffic.conns.Load()
-	b.DiscoveryBytes = bed.discovery.listener.traffic.in.Load() + bed.discovery.listener.traffic.out.Load()
+	load.DiscoveryCalls = bed.discovery.received.calls.Load()
+	load.DiscoveryConns = bed.discovery.listener.traffic.conns.Load()
+	load.DiscoveryBytes = bed.discovery.listener.traffic.in.Load() + bed.discovery.listener.traffic.out.Load()
 	if bed.relay != nil {
 		relayed, _, _, _ := bed.relay.Counts()
-		b.Datagrams = int64(relayed)
+		load.Datagrams = int64(relayed)
 	}
 	sent := loopbackSent()
-	b.LoopbackBytes, b.LoopbackPackets = int64(sent[0]), int64(sent[1])
-	return b
+	load.LoopbackBytes, load.LoopbackPackets = int64(sent[0]), int64(sent[1])
+	return load
 }
 
 // sampleReceivedLoad takes a sample every receivedLoadInterval and one when ctx ends, and returns them all.
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -101,8 +101,8 @@
 func (r *Result) rules() map[string]int {
 	rules := map[string]int{"lost": r.Outcomes[Lost], "forged": r.Outcomes[Forged], "unfinished": r.Outcomes[Unfinished], "ran_twice": r.RanTwice,
 		"after_drain": r.AfterDrain, "after_ban": r.AfterBan, "strange": r.UnknownIDs, "oversize": r.Datagrams.Oversize, "trouble": len(r.UnexpectedFailures)}
-	for _, b := range r.Violations {
-		rules[b.Check]++
+	for _, violation := range r.Violations {
+		rules[violation.Check]++
 	}
 	return rules
 }
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -173,14 +173,14 @@
 		}
 	}()
 	bed.requests.recordsArrivals = exp.Ops.On
-	sub, call := newSubnet(), selectorResolver{exp}
-	listener, err := bed.network.Listen(call.discovery(), sub)
+	sub, resolver := newSubnet(), selectorResolver{exp}
+	listener, err := bed.network.Listen(resolver.discovery(), sub)
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	bed.discovery = NewFakeDiscovery(exp.Seed, listener)
 	for i := range exp.Fleet.Servers {
-		listener, err := bed.network.Listen(call.server(i), sub)
+		listener, err := bed.network.Listen(resolver.server(i), sub)
 		if err != nil {
 			return nil, fmt.Errorf("pin server %d: %w", i, err)
 		}
--- a/internal/lab/search.go
+++ b/internal/lab/search.go
@@ -232,8 +232,8 @@
 // describeBreaches returns sorted descriptions of the breaches of a result.
 func (r *Result) describeBreaches() []string {
 	var lines []string
-	for _, b := range r.Violations {
-		lines = append(lines, b.String())
+	for _, violation := range r.Violations {
+		lines = append(lines, violation.String())
 	}
 	lines = append(lines, r.UnexpectedFailures...)
 	for kind, examples := range r.Examples {
--- a/internal/lab/shrink.go
+++ b/internal/lab/shrink.go
@@ -86,7 +86,7 @@
 		}
 		size /= 2
 	}
-	for again := true; again && s.mayContinue(); {
+	for reduced := true; reduced && s.mayContinue(); {
 		var candidates []*Experiment
 		for i, f := range exp.Faults {
 			for _, smaller := range f.halves() {
@@ -97,7 +97,7 @@
 			}
 		}
 		c := s.firstFailing(candidates)
-		if again = c >= 0; again {
+		if reduced = c >= 0; reduced {
 			exp = candidates[c]
 		}
 	}
--- a/internal/lab/sidecar_faults.go
+++ b/internal/lab/sidecar_faults.go
@@ -139,10 +139,10 @@
 	}
 	err := s.launch(i, s.ListenAddress(i))
 	s.mu.Lock()
-	disturbed := state.downFaults > 0 || s.isStopping || old.hasExited()
+	interrupted := state.downFaults > 0 || s.isStopping || old.hasExited()
 	s.mu.Unlock()
 	switch {
-	case err != nil && !disturbed:
+	case err != nil && !interrupted:
 		s.recordFailure(i, "upgrade: the new process did not come up: %v", err)
 	case err == nil && !old.hasExited():
 		s.signalTermination(i, old)
--- a/internal/lab/sidecar_process.go
+++ b/internal/lab/sidecar_process.go
@@ -44,16 +44,16 @@
 type window struct{ from, to time.Duration }
 
 // endOutage ends the current outage, if any.
-func (p *sidecarState) endOutage(at time.Duration) {
-	if n := len(p.outages); n > 0 && p.outages[n-1].to == openEnd {
-		p.outages[n-1].to = at
+func (s *sidecarState) endOutage(at time.Duration) {
+	if n := len(s.outages); n > 0 && s.outages[n-1].to == openEnd {
+		s.outages[n-1].to = at
 	}
 }
 
 // beginOutage begins an outage, unless one is in progress.
-func (p *sidecarState) beginOutage(at time.Duration) {
-	if n := len(p.outages); n == 0 || p.outages[n-1].to != openEnd {
-		p.outages = append(p.outages, window{from: at, to: openEnd})
+func (s *sidecarState) beginOutage(at time.Duration) {
+	if n := len(s.outages); n == 0 || s.outages[n-1].to != openEnd {
+		s.outages = append(s.outages, window{from: at, to: openEnd})
 	}
 }
 
--- a/internal/lab/sidecar_start.go
+++ b/internal/lab/sidecar_start.go
@@ -162,7 +162,7 @@
 // awaitReady waits until a process is ready, and kills it if it is not within startTimeout.
 func (s *Sidecars) awaitReady(i int, process *sidecarProcess, readyURL, logPath string) error {
 	client := &http.Client{Timeout: 500 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
-	for end := time.Now().Add(startTimeout); ; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(startTimeout); ; time.Sleep(10 * time.Millisecond) {
 		if process.hasExited() {
 			return fmt.Errorf("process ended before it was ready (see %s)", logPath)
 		}
@@ -177,10 +177,10 @@
 		}
 		s.mu.Lock()
 		if s.states[i].pauseFaults > 0 {
-			end = time.Now().Add(startTimeout) // the timeout starts again after a pause
+			deadline = time.Now().Add(startTimeout) // the timeout starts again after a pause
 		}
 		s.mu.Unlock()
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			s.mu.Lock()
 			process.isEndExpected = true
 			s.mu.Unlock()
@@ -200,14 +200,14 @@
 	s.mu.Lock()
 	state.processes = slices.DeleteFunc(state.processes, func(o *sidecarProcess) bool { return o == process })
 	state.endedCPU += process.cpu
-	byItself := process.isReady && !process.isEndExpected
-	if byItself {
+	isUnexpected := process.isReady && !process.isEndExpected
+	if isUnexpected {
 		state.isAccepting = false
 		state.beginOutage(s.requests.Elapsed())
 	}
 	close(process.exited)
 	s.mu.Unlock()
-	if byItself {
+	if isUnexpected {
 		s.recordFailure(i, "ended by itself: %v", err)
 	}
 }
--- a/internal/lab/summary.go
+++ b/internal/lab/summary.go
@@ -16,11 +16,11 @@
 		fmt.Sprintf("latency ms p50 %.1f p99 %.1f p99.9 %.1f max %.1f\n", r.Latency.P50, r.Latency.P99, r.Latency.P999, r.Latency.Max) +
 		fmt.Sprintf("sidecars: %.1f CPU s, %.1f MB mean peak, %.1f MB largest; ", r.SidecarCPUSeconds, r.SidecarMeanMB, r.SidecarPeakMB) +
 		fmt.Sprintf("lab: %.1f CPU s, %.1f MB\n", r.LabCPUSeconds, r.LabPeakMB) +
-		r.formatSummary() + r.restartSummary()
+		r.format1Summary() + r.restartSummary()
 }
 
-// formatSummary describes the fields that format 1 added.
-func (r *Result) formatSummary() string {
+// format1Summary describes the fields that format 1 added.
+func (r *Result) format1Summary() string {
 	if r.Format == 0 {
 		return "a result of format 0: without calls, history and the lab's lateness\n"
 	}
@@ -73,15 +73,15 @@
 	}
 	var ready, firstServed, stable []float64
 	var sum Restart
-	for _, s := range r.Restarts {
-		ready = append(ready, s.ReadyMs)
-		firstServed = append(firstServed, s.FirstServedMs)
-		stable = append(stable, s.StableMs)
-		sum.Rejected += s.Rejected
-		sum.Failed += s.Failed
-		sum.Unreached += s.Unreached
-		sum.Lost += s.Lost
-		sum.Unsent += s.Unsent
+	for _, restart := range r.Restarts {
+		ready = append(ready, restart.ReadyMs)
+		firstServed = append(firstServed, restart.FirstServedMs)
+		stable = append(stable, restart.StableMs)
+		sum.Rejected += restart.Rejected
+		sum.Failed += restart.Failed
+		sum.Unreached += restart.Unreached
+		sum.Lost += restart.Lost
+		sum.Unsent += restart.Unsent
 	}
 	return fmt.Sprintf("restarts %d: ms to ready %s; to first served %s; to stable %s; ", len(r.Restarts), formatTimes(ready), formatTimes(firstServed), formatTimes(stable)) +
 		fmt.Sprintf("in their first 5 s rejected %d, failed %d, unreached %d, lost %d; ", sum.Rejected, sum.Failed, sum.Unreached, sum.Lost) +
--- a/internal/lab/view_convergence.go
+++ b/internal/lab/view_convergence.go
@@ -35,8 +35,8 @@
 		v.After, v.P50Ms, v.MaxMs, v.Changes, v.Digests, v.Largest, v.Isolated)
 }
 
-// viewAnswer is a sidecar's response to one admin call for its membership view.
-type viewAnswer struct {
+// viewResponse is a sidecar's response to one admin call for its membership view.
+type viewResponse struct {
 	at            int64 // time of the call, in microseconds on the lab's clock
 	digest        string
 	stableSince   string // RFC 3339
@@ -48,7 +48,7 @@
 // viewConvergences computes from the observations of a run how the views converged after its start and after each fault.
 // startedAt is when the first process was started, clockStart the start of the lab's clock.
 func viewConvergences(events []history.Event, marks []Mark, startedAt, clockStart time.Time) []ViewConvergence {
-	bySidecar, last := viewAnswers(events)
+	bySidecar, last := viewResponses(events)
 	phases := viewPhases(marks, ms(startedAt.Sub(clockStart)))
 	for i := range phases {
 		end := float64(last)/1000 + 1
@@ -60,39 +60,39 @@
 	return phases
 }
 
-// viewAnswers combines the observations of the single fields of each response. It returns the responses by sidecar in
+// viewResponses combines the observations of the single fields of each response. It returns the responses by sidecar in
 // time order, and the time of the last observation of any kind.
-func viewAnswers(events []history.Event) (bySidecar map[string][]*viewAnswer, last int64) {
+func viewResponses(events []history.Event) (bySidecar map[string][]*viewResponse, last int64) {
 	type callKey struct {
 		sidecar string
 		call    int64
 	}
-	answers := map[callKey]*viewAnswer{}
+	responses := map[callKey]*viewResponse{}
 	for _, e := range events {
 		if e.Kind != history.Observe {
 			continue
 		}
 		k := callKey{e.Sidecar, e.Call}
-		if answers[k] == nil {
-			answers[k] = &viewAnswer{at: e.Call}
+		if responses[k] == nil {
+			responses[k] = &viewResponse{at: e.Call}
 		}
-		answers[k].addField(e)
+		responses[k].addField(e)
 	}
-	bySidecar = map[string][]*viewAnswer{}
-	for k, a := range answers {
+	bySidecar = map[string][]*viewResponse{}
+	for k, a := range responses {
 		last = max(last, a.at)
 		if a.digest != "" {
 			bySidecar[k.sidecar] = append(bySidecar[k.sidecar], a)
 		}
 	}
 	for _, list := range bySidecar {
-		slices.SortFunc(list, func(a, b *viewAnswer) int { return cmp.Compare(a.at, b.at) })
+		slices.SortFunc(list, func(a, b *viewResponse) int { return cmp.Compare(a.at, b.at) })
 	}
 	return bySidecar, last
 }
 
 // addField sets one field from its observation, whose key is that of the admin call's JSON.
-func (a *viewAnswer) addField(e history.Event) {
+func (a *viewResponse) addField(e history.Event) {
 	switch e.Key {
 	case "digest":
 		a.digest = e.Value
@@ -121,11 +121,11 @@
 }
 
 // addSidecars sets the figures of a phase that lasts until endMs from the responses of all sidecars.
-func (v *ViewConvergence) addSidecars(bySidecar map[string][]*viewAnswer, endMs float64, clockStart time.Time) {
+func (v *ViewConvergence) addSidecars(bySidecar map[string][]*viewResponse, endMs float64, clockStart time.Time) {
 	digests := map[string]bool{}
 	var changedAfter []float64
 	for _, list := range bySidecar {
-		last := v.lastAnswer(list, endMs)
+		last := v.lastResponse(list, endMs)
 		if last == nil || float64(last.at)/1000 < endMs-history.MaxSilence.Seconds()*1000 { // the sidecar is down at the end
 			continue
 		}
@@ -147,9 +147,9 @@
 	}
 }
 
-// lastAnswer returns a sidecar's last response in the phase, nil for none, and counts the changes of its view in the
+// lastResponse returns a sidecar's last response in the phase, nil for none, and counts the changes of its view in the
 // phase.
-func (v *ViewConvergence) lastAnswer(list []*viewAnswer, endMs float64) (last *viewAnswer) {
+func (v *ViewConvergence) lastResponse(list []*viewResponse, endMs float64) (last *viewResponse) {
 	epoch := ""
 	for _, a := range list {
 		at := float64(a.at) / 1000
@@ -170,9 +170,9 @@
 // viewFigures adds the figures of the views' convergence to f. Their names contain the phase's number and the begin of
 // the fault's label.
 func (r *Result) viewFigures(f map[string]float64) {
-	for i, p := range r.Views {
-		name := "view " + strconv.Itoa(i) + " " + p.After[:min(len(p.After), 24)]
-		f[name+" p50_ms"], f[name+" max_ms"], f[name+" digests"] = p.P50Ms, p.MaxMs, float64(p.Digests)
-		f[name+" moves"] = float64(p.Changes)
+	for i, v := range r.Views {
+		name := "view " + strconv.Itoa(i) + " " + v.After[:min(len(v.After), 24)]
+		f[name+" p50_ms"], f[name+" max_ms"], f[name+" digests"] = v.P50Ms, v.MaxMs, float64(v.Digests)
+		f[name+" moves"] = float64(v.Changes)
 	}
 }
