--- a/internal/lab/compare_test.go
+++ b/internal/lab/compare_test.go
@@ -11,7 +11,8 @@
 	"bramblestand/internal/lab/history"
 )
 
-// Of two sets of runs, a figure whose ranges overlap is marked as within the spread, others are not; one run has no spread.
+// Compare marks a figure as within the spread if its ranges in the two sets of runs overlap, and only then. With one run
+// it says that no spread is known.
 func TestCompareReportsOverlappingRanges(t *testing.T) {
 	runs := func(p99 ...float64) *Repeated {
 		var results []*Result
@@ -20,7 +21,7 @@
 		}
 		return Repeat(results)
 	}
-	line := func(a, b *Repeated, figure string) string {
+	line := func(a, b *Repeated, figure string) string { // of the figure in the table
 		for _, l := range strings.Split(Compare(a, b), "\n") {
 			if strings.HasPrefix(l, figure+" ") {
 				return strings.Join(strings.Fields(l), " ")
@@ -60,7 +61,8 @@
 	}
 }
 
-// Late responses during a stall of the lab itself are excused; without a stall they are not.
+// Late responses, client timeouts and late arrivals after a drain are excused if a stall of the lab itself explains them,
+// and only then. A late arrival after a drain is also excused if its sidecar was cut off from discovery.
 func TestLatenessOfTheLabIsExcused(t *testing.T) {
 	exp := parse(t, "duration = \"5s\"\n[fleet]\nsidecars = 1\nservers = 1\n[load]\nrate = 1\ndeadline = \"1s\"\n")
 	for _, stalled := range []bool{true, false} {
@@ -73,7 +75,7 @@
 		}
 		l.records["late"] = &record{sent: 2 * second, duration: 1200 * time.Millisecond, outcome: Late}
 		l.records["waited"] = &record{sent: 2 * second, duration: 2 * second, outcome: Lost, clientTimedOut: true}
-		l.records["lost"] = &record{sent: 2 * second, duration: 10 * time.Millisecond, outcome: Lost} // its connection broke: not late
+		l.records["lost"] = &record{sent: 2 * second, duration: 10 * time.Millisecond, outcome: Lost} // its connection broke: lost, not late
 		l.afterDrain = []drainBreach{{"v0:x", 0, second, 3 * second}}
 		r := analyze(exp, l, late, discoveryOutages{}, nil, nil, []history.Event{})
 		want := map[bool][5]int{true: {0, 1, 2, 0, 3}, false: {1, 2, 0, 1, 0}}[stalled]
@@ -93,6 +95,6 @@
 	l.afterDrain = drained
 	r := analyze(exp, l, newLateness(l), discoveryOutages{{3, 0}: {2 * time.Second, openEnd}}, nil, nil, nil)
 	if r.AfterDrain != 0 {
-		t.Error("a sidecar that was cut off from discovery is charged with a late arrival")
+		t.Error("the late arrival of a sidecar that was cut off from discovery is not excused")
 	}
 }
--- a/internal/lab/control_test.go
+++ b/internal/lab/control_test.go
@@ -7,14 +7,15 @@
 	"bramblestand/internal/controltraffic"
 )
 
-// status is a sidecar's count so many seconds after its start, of so many probes at 300 bytes both ways.
+// status is what a sidecar has counted so many seconds after its start: the given number of probes, each of 300 bytes on
+// the wire in both directions together.
 func status(seconds float64, probes uint64) controltraffic.Status {
 	k := controltraffic.Traffic{Sent: controltraffic.Totals{Messages: probes, Bytes: 100 * probes, Packets: probes, WireBytes: 150 * probes},
 		Received: controltraffic.Totals{Messages: probes, Bytes: 100 * probes, Packets: probes, WireBytes: 150 * probes}, Opened: probes}
 	return controltraffic.Status{Seconds: seconds, Kinds: map[string]controltraffic.Traffic{"probe": k}, WireBytes: k.TotalWireBytes()}
 }
 
-// Rates are of the time between two samples; a sidecar that restarted between them is left out.
+// Rates are computed over the time between two samples. A sidecar that restarted between them is left out.
 func TestRatesBetweenControlSamples(t *testing.T) {
 	at := func(d time.Duration) map[int]time.Duration { return map[int]time.Duration{0: d, 1: d, 2: d, 3: d} }
 	from := controlSample{at: at(14 * time.Second), status: map[int]controltraffic.Status{0: status(15, 100), 1: status(15, 100), 2: status(15, 100)},
@@ -36,8 +37,8 @@
 	}
 }
 
-// A run with operators reports the control traffic as the sidecars count it: at the start a burst of probes, and one or
-// two calls of discovery each.
+// A run with operators reports the control traffic that the sidecars counted: at the start each sends a burst of probes
+// and calls discovery once or twice.
 func TestRunReportsControlTraffic(t *testing.T) {
 	t.Parallel()
 	exp, err := Parse("control.toml", []byte("name = \"control\"\nduration = \"3s\"\n[fleet]\nsidecars = 2\nservers = 30\n[load]\nrate = 5\n[ops]\non = true\nobserve = []\n"))
@@ -47,14 +48,14 @@
 	result := runLab(t, exp, t.TempDir())
 	c := result.Control
 	if c == nil || c.Steady != nil || c.Start.Sidecars != 2 {
-		t.Fatalf("control %+v, want the start of 2 sidecars alone", c)
+		t.Fatalf("control %+v, want only the start span, of 2 sidecars", c)
 	}
 	probe, discovery, orders := c.Start.Kinds["probe"], c.Start.Kinds["discovery"], c.Start.Kinds["orders"]
 	if n := probe.Sent * c.Start.Seconds; n < 30 {
-		t.Errorf("%.1f probes a sidecar, want all 30 servers probed at the first list", n)
+		t.Errorf("%.1f probes per sidecar, want all 30 servers probed at the first list", n)
 	}
 	if n := discovery.Received * c.Start.Seconds; n < 1 || discovery.ReceivedBytes*c.Start.Seconds < 30*100 {
-		t.Errorf("%.1f lists of %.0f bytes, want one of 30 servers", n, discovery.ReceivedBytes*c.Start.Seconds)
+		t.Errorf("%.1f lists with %.0f bytes in total, want at least one, with 30 servers", n, discovery.ReceivedBytes*c.Start.Seconds)
 	}
 	if orders.Received <= 0 || c.Start.Kinds["news"].Sent != 0 || c.Start.WireBytes <= probe.WireBytes {
 		t.Errorf("control %+v", c.Start)
--- a/internal/lab/descriptors_test.go
+++ b/internal/lab/descriptors_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// sized is an experiment of so many sidecars and servers.
-func sized(t *testing.T, sidecars, servers int, rate float64) *Experiment {
+// experimentOfSize returns an experiment with the given numbers of sidecars and servers and the given request rate.
+func experimentOfSize(t *testing.T, sidecars, servers int, rate float64) *Experiment {
 	t.Helper()
 	text := fmt.Sprintf("duration = \"5s\"\n[fleet]\nsidecars = %d\nservers = %d\n[load]\nrate = %v\n", sidecars, servers, rate)
 	exp, err := Parse("sized.toml", []byte(text))
@@ -21,15 +21,16 @@
 	return exp
 }
 
-// An experiment that needs more descriptors than the limit is an error with both numbers; those of lab/ pass under 20,000.
+// An experiment that needs more descriptors than the limit is rejected with an error that names both numbers. All
+// experiments in lab/ are accepted with a limit of 20,000.
 func TestDescriptorLimitIsChecked(t *testing.T) {
-	big := sized(t, 50, 960, 47)
+	big := experimentOfSize(t, 50, 960, 47)
 	err := big.checkDescriptors(1, 20_000)
 	if err == nil || !strings.Contains(err.Error(), fmt.Sprint(big.Descriptors())) || !strings.Contains(err.Error(), "20000") || !strings.Contains(err.Error(), "fleet") {
 		t.Errorf("50 x 960 at 47/s under 20000: %v, want an error with %d and 20000", err, big.Descriptors())
 	}
-	if small := sized(t, 5, 200, 20); small.checkDescriptors(1, 20_000) != nil || small.checkDescriptors(40, 20_000) == nil {
-		t.Error("5 x 200 must pass under 20000 alone, and not 40 at a time")
+	if small := experimentOfSize(t, 5, 200, 20); small.checkDescriptors(1, 20_000) != nil || small.checkDescriptors(40, 20_000) == nil {
+		t.Error("with a limit of 20000, one run of 5 x 200 must be accepted, and 40 at a time must not")
 	}
 	paths, _ := filepath.Glob("../../lab/*.toml")
 	if len(paths) < 8 {
@@ -44,8 +45,8 @@
 	}
 }
 
-// A run checks this process's own limit before it starts anything. The test is not parallel, since the whole process has
-// few descriptors meanwhile.
+// A run checks the descriptor limit of its own process before it starts anything. The test is not parallel, since it
+// lowers the limit of the whole process.
 func TestRunFailsWithTooFewDescriptors(t *testing.T) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
--- a/internal/lab/plot_test.go
+++ b/internal/lab/plot_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A run without load, and one whose responses all have the same latency, can be plotted.
+// Results whose values have no range can be plotted: without load, with only one latency, or without served requests.
 func TestPlotOfResultsWithoutRange(t *testing.T) {
 	same := Percentiles{P50: 3, P99: 3, P999: 3, Max: 3}
 	for name, r := range map[string]*Result{
--- a/internal/lab/run_test.go
+++ b/internal/lab/run_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-var programs string // the folder with sidecar and faultlab, built once
+var programs string // folder with the programs that TestMain builds: sidecar, faultlab, twoholders and forgetsbans
 
 func TestMain(m *testing.M) {
 	folder, err := os.MkdirTemp("", "lab")
@@ -40,6 +40,7 @@
 	os.Exit(code)
 }
 
+// experiment reads an experiment from a file.
 func experiment(t *testing.T, path string) *Experiment {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -67,9 +68,9 @@
 	return result
 }
 
-// The CI-sized experiment: 5 sidecars, 8 servers, kill -9 of one sidecar and
-// a partition of two servers, with faults between peers too; no request is
-// lost, forged or run twice, and no datagram is too long.
+// In the experiment for CI (5 sidecars, 8 servers, kill -9 of one sidecar, a
+// partition of two servers, and faults between peers) no request is lost,
+// forged or run twice, and no datagram is too long.
 func TestKillAndPartitionLoseNothing(t *testing.T) {
 	t.Parallel()
 	exp := experiment(t, "../../lab/ci.toml")
@@ -82,7 +83,7 @@
 		t.Errorf("faults %v, want 4 and their ends", result.Faults)
 	}
 	if d := result.Datagrams; d.Relayed == 0 || d.Dropped == 0 || d.Unknown > 0 {
-		t.Errorf("datagrams %+v, want some relayed and some dropped, none from strangers", d)
+		t.Errorf("datagrams %+v, want some relayed and some dropped, none from unknown senders", d)
 	}
 	if err := MergeLogs(folder, filepath.Join(folder, "merged.jsonl")); err != nil {
 		t.Fatal(err)
@@ -95,7 +96,7 @@
 	}
 }
 
-// A lab killed midway leaves no sidecar behind.
+// No sidecar outlives a lab that is killed during a run.
 func TestKilledLabLeavesNoProcess(t *testing.T) {
 	t.Parallel()
 	folder := t.TempDir()
@@ -133,6 +134,7 @@
 	}
 }
 
+// The error for an invalid experiment names the file and the invalid field.
 func TestInvalidExperimentsNameTheField(t *testing.T) {
 	good := "duration = \"5s\"\n[fleet]\nsidecars = 2\nservers = 2\n[load]\nrate = 5\n"
 	for text, field := range map[string]string{
@@ -161,7 +163,7 @@
 	}
 }
 
-// The same seed gives the same schedule and the same arrivals; another gives others.
+// The same seed gives the same schedule and the same arrivals; another seed gives different ones.
 func TestScheduleFollowsFromTheSeed(t *testing.T) {
 	text := "seed = 5\nduration = \"30s\"\n[fleet]\nsidecars = 4\nservers = 9\n[load]\nrate = 20\nshape = \"bursts\"\n" +
 		"burst_every = \"5s\"\nburst_for = \"1s\"\nburst_factor = 3\n[[chaos]]\nkind = \"kill\"\ncount = 3\nfor = \"1s\"\n" +
@@ -170,34 +172,35 @@
 	two, _ := Parse("b", []byte(text))
 	other, _ := Parse("c", []byte(strings.Replace(text, "seed = 5", "seed = 6", 1)))
 	if !reflect.DeepEqual(one.Schedule(), two.Schedule()) || !reflect.DeepEqual(one.Arrivals(1), two.Arrivals(1)) {
-		t.Error("one seed gave two schedules")
+		t.Error("the same seed gave different schedules or arrivals")
 	}
 	if reflect.DeepEqual(one.Schedule(), other.Schedule()) || reflect.DeepEqual(one.Arrivals(1), other.Arrivals(1)) {
-		t.Error("two seeds gave one schedule")
+		t.Error("different seeds gave the same schedule or arrivals")
 	}
 	if n := len(one.Schedule()); n != 8 {
-		t.Errorf("%d events, want 3 kills with their starts and 2 partitions", n)
+		t.Errorf("%d events, want 3 kills with their ends and 2 partitions", n)
 	}
 }
 
-// A partition in one direction blocks; at its end, connections that existed during it are reset.
+// A partition in one direction blocks the traffic in that direction. At its end, connections that existed during it are
+// reset.
 func TestPartitionBlocksThenResetsConnections(t *testing.T) {
 	network := NewNetwork(1)
-	p, err := network.Listen(7, 0) // an echo server's, under faults
+	listener, err := network.Listen(7, 0) // of an echo server
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer p.Close()
+	defer listener.Close()
 	go func() {
 		for {
-			c, err := p.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go io.Copy(c, c)
 		}
 	}()
-	conn, err := net.Dial("tcp", p.AddressFor("127.0.0.1"))
+	conn, err := net.Dial("tcp", listener.AddressFor("127.0.0.1"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -216,7 +219,7 @@
 	}
 	heal := network.Begin(&Rule{Cut: true, Resets: true, Match: func(from, _ endpoint) bool { return from == 7 }}) // responses are blocked
 	if err := roundTrip(); err == nil || !os.IsTimeout(err) {
-		t.Errorf("in the partition: %v, want silence", err)
+		t.Errorf("during the partition: %v, want a timeout", err)
 	}
 	heal()
 	conn.SetDeadline(time.Now().Add(2 * time.Second))
@@ -225,7 +228,7 @@
 	}
 }
 
-// discovery is a fake discovery service for one test.
+// discovery returns a fake discovery service that runs until the test's end.
 func discovery(t *testing.T, network *Network) *FakeDiscovery {
 	t.Helper()
 	listener, err := network.Listen(9, 0)
@@ -237,7 +240,7 @@
 	return d
 }
 
-// A watch returns the next change alone; while down there is no response.
+// A watch returns only the next change. While the service is down there is no response.
 func TestFakeDiscoveryWatchAndDown(t *testing.T) {
 	d := discovery(t, NewNetwork(1))
 	d.Set(Instance{Name: "v1", Address: "127.0.0.1:9", Health: "Ready"}, nil)
@@ -256,16 +259,16 @@
 	}
 	time.AfterFunc(100*time.Millisecond, func() { d.Set(Instance{Name: "v2", Address: "127.0.0.1:9", Health: "Ready"}, nil) })
 	if change := get("?after=2&wait_ms=5000", 3*time.Second); !strings.Contains(change, "v2") || strings.Contains(change, "v1") {
-		t.Errorf("the watch: %s, want v2 alone", change)
+		t.Errorf("the watch: %s, want only v2", change)
 	}
 	d.SetDown(true)
 	if silent := get("", 300*time.Millisecond); silent != "no answer" {
-		t.Errorf("down: %s, want silence", silent)
+		t.Errorf("down: %s, want no response", silent)
 	}
 }
 
-// If the port is in use another one is chosen; a sidecar that does not end on
-// SIGTERM (here a paused one) is killed.
+// A sidecar whose port is in use gets another one. A sidecar that does not exit
+// after SIGTERM, here since it is paused, is killed.
 func TestPortInUseAndProcessThatIgnoresSIGTERM(t *testing.T) {
 	exp, err := Parse("e.toml", []byte("duration = \"5s\"\n[fleet]\nsidecars = 1\nservers = 1\n[load]\nrate = 5\n"))
 	if err != nil {
@@ -301,15 +304,15 @@
 	s.Pause(0)
 	s.Terminate(0)
 	if len(s.states[0].processes) > 0 {
-		t.Error("a paused sidecar outlived its SIGTERM")
+		t.Error("a paused sidecar was not killed after SIGTERM")
 	}
 	if !s.WasDown(0, 0, s.requests.Elapsed()) {
-		t.Error("the SIGKILL of a paused sidecar is not a crash")
+		t.Error("the SIGKILL of a paused sidecar is not recorded as an outage")
 	}
 }
 
-// Sidecars that persist state and are killed while discovery is down serve from the persisted list after a restart; one
-// whose state file is invalid logs that, renames it and starts empty.
+// Sidecars that are killed while discovery is down serve from the persisted endpoint list after their restart. A sidecar
+// whose state file is invalid logs that, renames the file and starts empty.
 func TestPersistedListServesWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
 	exp, err := Parse("blind.toml", []byte(`name = "blind"
@@ -349,22 +352,22 @@
 	if len(result.Restarts) != 2 {
 		t.Fatalf("restarts %+v, want 2", result.Restarts)
 	}
-	back := 0.0 // when discovery answered again
+	discoveryUpMs := 0.0 // when discovery responded again
 	for _, m := range result.Faults {
 		if m.Label == "heal discovery down" {
-			back = m.AtMs
+			discoveryUpMs = m.AtMs
 		}
 	}
 	for _, r := range result.Restarts {
-		// Without state neither would be ready before discovery came back.
-		if r.FirstServedMs < 0 || r.At*1000+r.ReadyMs > back || r.At*1000+r.FirstServedMs > back {
-			t.Errorf("restart %+v: not served from the persisted list while discovery was down, until %.0f ms", r, back)
+		// Without persisted state neither sidecar would be ready before discovery responded again.
+		if r.FirstServedMs < 0 || r.At*1000+r.ReadyMs > discoveryUpMs || r.At*1000+r.FirstServedMs > discoveryUpMs {
+			t.Errorf("restart %+v: not served from the persisted list while discovery was down, until %.0f ms", r, discoveryUpMs)
 		}
 	}
-	if aside, _ := filepath.Glob(filepath.Join(folder, "m2", "state", "s2.db.bad-*")); len(aside) != 1 {
-		t.Errorf("the invalid state file was not renamed: %v", aside)
+	if renamed, _ := filepath.Glob(filepath.Join(folder, "m2", "state", "s2.db.bad-*")); len(renamed) != 1 {
+		t.Errorf("the invalid state file was not renamed: %v", renamed)
 	}
 	if log, _ := os.ReadFile(filepath.Join(folder, "s02.log")); !strings.Contains(string(log), "s2.db: invalid") {
-		t.Errorf("s2 did not name its invalid state file")
+		t.Errorf("the log of s2 does not name its invalid state file")
 	}
 }
--- a/internal/lab/search_test.go
+++ b/internal/lab/search_test.go
@@ -34,7 +34,8 @@
 	return exp
 }
 
-// Of faulty programs, a search finds each within 20 seeds and shrinks the schedule to 3 faults at most.
+// For each of two faulty sidecar programs, a search finds within 20 seeds a schedule that reveals the fault, and shrinks
+// it to 3 faults at most.
 func TestSearchFindsFaultyPrograms(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -43,7 +44,7 @@
 	}{
 		"loses a ban at a restart": {"forgetsbans", "rate = 20\ncalls = [\"ban\"]\nservers = 2\n", "linearizable", nil},
 		"two sidecars hold one lease": {"twoholders", "observe = [\"/duties\"]\n[[check]]\nkind = \"holder\"\nfield = \"duties\"\n", "one holder",
-			[]string{"kill", "pause", "term", "join", "isolate", "peers", "link", "cut", "flap", "split", "machine-kill", "machine-pause"}}, // all but upgrade, which it cannot
+			[]string{"kill", "pause", "term", "join", "isolate", "peers", "link", "cut", "flap", "split", "machine-kill", "machine-pause"}}, // all kinds except upgrade, which the program does not support
 
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -72,7 +73,8 @@
 	}
 }
 
-// A search draws every kind of fault, the same for one seed; it ends on its bounds with what it has, also with nothing.
+// A search draws every kind of fault, and the same schedule for the same seed. When its context ends it reports the
+// completed runs, even if there are no findings.
 func TestSearchDrawsEveryKindAndEnds(t *testing.T) {
 	base := parse(t, searchBase)
 	kinds := map[string]bool{}
@@ -82,7 +84,7 @@
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		if !reflect.DeepEqual(exp.Schedule(), DrawFaults(base, seed, nil).Schedule()) {
-			t.Fatalf("seed %d draws two schedules", seed)
+			t.Fatalf("two draws with seed %d differ", seed)
 		}
 		for _, f := range exp.Faults {
 			kinds[f.Kind] = true
@@ -105,6 +107,6 @@
 	}
 	report, err := Search(ctx, base, SearchOptions{Seeds: 50, Parallel: 1}, run, t.TempDir(), func(string) {})
 	if err != nil || report.Runs != 4 || len(report.Findings) != 0 || !strings.Contains(report.Summary(), "nothing found") {
-		t.Errorf("stopped in its 5th run: %+v, %v", report, err)
+		t.Errorf("stopped in its 5th run: %+v, %v, want 4 runs without findings", report, err)
 	}
 }
