--- a/internal/lab/compare_test.go
+++ b/internal/lab/compare_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// A result of an older format is read; one of a newer format is an error that names the file.
+// A result of an older format can be read. One of a newer format is rejected with an error that names the file.
 func TestOlderResultsAreRead(t *testing.T) {
 	if r, err := ReadRepeated("../../docs/lab/fleet50-result.json"); err != nil || r.Runs != 1 || r.Figures["served"].P50 == 0 {
 		t.Errorf("a result without a format: %+v, %v", r, err)
--- a/internal/lab/control.go
+++ b/internal/lab/control.go
@@ -41,7 +41,7 @@
 	Sidecars  int                    `json:"sidecars"`
 	Seconds   float64                `json:"seconds"`              // mean duration
 	WireBytes float64                `json:"wire_bytes_per_s"`     // per sidecar, all kinds in both directions, with estimated headers
-	MaxBytes  float64                `json:"wire_bytes_per_s_max"` // of the sidecar with the maximum
+	MaxBytes  float64                `json:"wire_bytes_per_s_max"` // maximum over the sidecars
 	Kinds     map[string]ControlRate `json:"kinds"`
 	CPU       float64                `json:"cpu_share"` // cores used by the sidecar's processes for all of their work
 	// What the kernel counted on the loopback interface during the span, for all of its users. Ethernet framing is not
--- a/internal/lab/control_table.go
+++ b/internal/lab/control_table.go
@@ -31,7 +31,7 @@
 	Rate       float64         `json:"rate"`             // calls per second and sidecar
 	Price      float64         `json:"probe_price"`      // prices.probe of the settings
 	StartBytes float64         `json:"start_bytes"`      // bytes on the wire per sidecar, from the process's start to 10 s of the load
-	PeakMB     float64         `json:"peak_mb"`          // peak resident memory of the sidecar with the most
+	PeakMB     float64         `json:"peak_mb"`          // maximum of the sidecars' peak resident memory
 	Ratio      [2]float64      `json:"reckoned_over_lo"` // estimated bytes divided by those of the loopback interface, start and steady; 0 if other traffic used it
 	Outcomes   map[Outcome]int `json:"outcomes"`         // of the calls
 	Breaches   int             `json:"breaches"`         // of the rules, for instance requests lost on a machine that stalls
--- a/internal/lab/datagram_relay.go
+++ b/internal/lab/datagram_relay.go
@@ -88,13 +88,13 @@
 	}
 }
 
-// Hub is every sidecar's peers_all, address:port.
+// Hub returns the hub's address, which is every sidecar's peers_all, as address:port.
 func (p *DatagramRelay) Hub() string { return p.hub.LocalAddr().String() }
 
-// RelayAddress is sidecar i's entry in the others' peers, address:port.
+// RelayAddress returns the address of sidecar i's relay socket, its entry in the others' peers, as address:port.
 func (p *DatagramRelay) RelayAddress(i int) string { return p.relays[i].LocalAddr().String() }
 
-// ListenAddress is sidecar i's peer_listen, address:port.
+// ListenAddress returns sidecar i's peer_listen, as address:port.
 func (p *DatagramRelay) ListenAddress(i int) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -26,7 +26,7 @@
 	Groups map[string][]string `toml:"groups"`
 }
 
-// Fleet is the number and kind of sidecars, servers and machines.
+// Fleet describes the sidecars, servers and machines.
 type Fleet struct {
 	Sidecars int      `toml:"sidecars"` // 1 to 300
 	Servers  int      `toml:"servers"`  // 1 to 1000
@@ -161,14 +161,14 @@
 // Duration is a time.Duration read from a TOML string.
 type Duration struct{ time.Duration }
 
-// UnmarshalText reads Go's form of a duration.
+// UnmarshalText parses Go's form of a duration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	d.Duration = v
 	return err
 }
 
-// MarshalText writes Go's form of a duration.
+// MarshalText returns Go's form of a duration.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
 var (
--- a/internal/lab/fake_discovery.go
+++ b/internal/lab/fake_discovery.go
@@ -57,7 +57,7 @@
 	changes     notifier         // notified of every change of the instances or of downFaults
 }
 
-// NewFakeDiscovery serves on a listener of the network until Close.
+// NewFakeDiscovery returns a service that serves on a listener of the network until Close. The seed is that of the lags.
 func NewFakeDiscovery(seed uint64, listener *FaultListener) *FakeDiscovery {
 	d := NewFakeDiscoveryHandler(seed)
 	d.listener, d.http = listener, &http.Server{Handler: d, ReadHeaderTimeout: 5 * time.Second}
@@ -71,7 +71,7 @@
 		instances: map[string]Instance{}, changedAt: map[string]int64{}, changes: newNotifier(), version: 1}
 }
 
-// Address is the service's address on 127.0.0.1, host:port.
+// Address returns the service's address on 127.0.0.1, host:port.
 func (d *FakeDiscovery) Address() string { return d.listener.AddressFor("127.0.0.1") }
 
 // Close stops the service at once.
--- a/internal/lab/fake_server.go
+++ b/internal/lab/fake_server.go
@@ -32,7 +32,7 @@
 	received    callCounters
 }
 
-// NewFakeServer serves on a listener of the network until Close.
+// NewFakeServer returns a server that serves on a listener of the network until Close. It records requests in the table.
 func NewFakeServer(name, zone string, spec Server, requests *RequestTable, seed uint64, listener *FaultListener) *FakeServer {
 	s := &FakeServer{Name: name, Zone: zone, ServerModel: NewServerModel(spec, seed), Listener: listener, requests: requests}
 	s.http = &http.Server{Handler: s, IdleTimeout: 5 * time.Second, ReadHeaderTimeout: 5 * time.Second, ConnContext: withConn}
@@ -56,7 +56,7 @@
 	return time.Now()
 }
 
-// Address is the server's address on 127.0.0.1, host:port.
+// Address returns the server's address on 127.0.0.1, host:port.
 func (s *FakeServer) Address() string { return s.Listener.AddressFor("127.0.0.1") }
 
 // Close stops the server at once.
--- a/internal/lab/fault_listener.go
+++ b/internal/lab/fault_listener.go
@@ -139,7 +139,7 @@
 	net.Conn
 	listener       *FaultListener
 	peer           endpoint
-	wasPartitioned bool          // during its lifetime; guarded by the listener's mu
+	wasPartitioned bool          // whether a partition has affected it; guarded by the listener's mu
 	closeOnce      sync.Once     // guards closing closed
 	closed         chan struct{} // closed with the connection
 	receivedAt     atomic.Int64  // when the last bytes reached the machine, before any delay: Unix nanoseconds
--- a/internal/lab/lateness.go
+++ b/internal/lab/lateness.go
@@ -30,7 +30,7 @@
 	return &lateness{requests: requests, timers: newHistogram(), arrivals: newHistogram()}
 }
 
-// watch measures a periodic timer until ctx ends.
+// watch measures the delays of a periodic timer until ctx ends.
 func (l *lateness) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		due := l.requests.Elapsed() + tickInterval
--- a/internal/lab/operators.go
+++ b/internal/lab/operators.go
@@ -121,7 +121,7 @@
 	o.history.Add(e)
 }
 
-// observe polls sidecar i and records each field of the responses.
+// observe polls sidecar i's admin address and records each field of the responses in the history.
 func (o *operators) observe(i int) {
 	paths := o.exp.Ops.Observe
 	if o.exp.Fleet.View {
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -78,7 +78,7 @@
 type Second struct {
 	At      int         `json:"at_s"`
 	Served  int         `json:"served"`
-	Errors  int         `json:"errors"` // rejected, failed, late, cut, lost, forged
+	Errors  int         `json:"errors"` // rejected, failed, late, cut, lost, forged, unfinished
 	Latency Percentiles `json:"latency_ms"`
 }
 
--- a/internal/lab/search_test.go
+++ b/internal/lab/search_test.go
@@ -101,7 +101,7 @@
 	var runs atomic.Int32
 	run := func(context.Context, *Experiment, string) (*Result, error) {
 		if runs.Add(1) == 5 {
-			stop() // as at Ctrl-C
+			stop() // as Ctrl-C does
 		}
 		return &Result{Format: resultFormat}, nil
 	}
--- a/internal/lab/sidecar_start.go
+++ b/internal/lab/sidecar_start.go
@@ -140,7 +140,7 @@
 	return logFile, nil
 }
 
-// startProcess starts a process under the faults that are active on its sidecar.
+// startProcess starts a process and applies the faults that are active on its sidecar to it.
 func (s *Sidecars) startProcess(i int, process *sidecarProcess) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/validate.go
+++ b/internal/lab/validate.go
@@ -11,7 +11,7 @@
 type fieldCheck struct {
 	isInvalid bool
 	field     string
-	reason    string // after the field's name
+	reason    string // follows the field's name in the error
 }
 
 // firstInvalid returns an error that names the first invalid field and the reason, nil for none.
