--- a/internal/lab/analysis.go
+++ b/internal/lab/analysis.go
@@ -94,7 +94,7 @@
 		if breach.at-breach.drained-a.late.stalledWithin(breach.drained, breach.at) <= removalGrace || outages.overlaps(breach.sidecar, breach.drained, breach.at) {
 			r.Excused["after_drain"]++
 		} else {
-			afterDrain = append(afterDrain, breach.text)
+			afterDrain = append(afterDrain, breach.serverAndID)
 		}
 	}
 	afterBan := a.requests.requestsAfterBan(events, removalGrace)
--- a/internal/lab/datagram_relay.go
+++ b/internal/lab/datagram_relay.go
@@ -45,9 +45,9 @@
 		}
 		return conn, err
 	}
-	p := &DatagramRelay{index: map[netip.AddrPort]int{}, net: network, subnet: sub}
+	d := &DatagramRelay{index: map[netip.AddrPort]int{}, net: network, subnet: sub}
 	var err error
-	if p.hub, err = open(relayAddress); err != nil {
+	if d.hub, err = open(relayAddress); err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
 	var owns []*net.UDPConn // sockets that reserve the sidecars' ports until all relay sockets are open
@@ -59,89 +59,89 @@
 	for i := range n {
 		relay, err := open(relayAddress)
 		if err != nil {
-			p.Close()
+			d.Close()
 			return nil, fmt.Errorf("peers: %w", err)
 		}
-		p.relays = append(p.relays, relay)
+		d.relays = append(d.relays, relay)
 		own, err := open(sub.address(i))
 		if err != nil {
-			p.Close()
+			d.Close()
 			return nil, fmt.Errorf("peers: %w", err)
 		}
 		owns = append(owns, own)
 		address := own.LocalAddr().(*net.UDPAddr).AddrPort()
-		p.listen = append(p.listen, address)
-		p.index[address] = i
+		d.listen = append(d.listen, address)
+		d.index[address] = i
 	}
-	go p.serve(p.hub, -1)
-	for i, relay := range p.relays {
-		go p.serve(relay, i)
+	go d.serve(d.hub, -1)
+	for i, relay := range d.relays {
+		go d.serve(relay, i)
 	}
-	return p, nil
+	return d, nil
 }
 
 // Close closes every socket.
-func (p *DatagramRelay) Close() {
-	p.hub.Close()
-	for _, r := range p.relays {
+func (d *DatagramRelay) Close() {
+	d.hub.Close()
+	for _, r := range d.relays {
 		r.Close()
 	}
 }
 
 // Hub returns the hub's address, which is every sidecar's peers_all, as address:port.
-func (p *DatagramRelay) Hub() string { return p.hub.LocalAddr().String() }
+func (d *DatagramRelay) Hub() string { return d.hub.LocalAddr().String() }
 
 // RelayAddress returns the address of sidecar i's relay socket, its entry in the others' peers, as address:port.
-func (p *DatagramRelay) RelayAddress(i int) string { return p.relays[i].LocalAddr().String() }
+func (d *DatagramRelay) RelayAddress(i int) string { return d.relays[i].LocalAddr().String() }
 
 // ListenAddress returns sidecar i's peer_listen, as address:port.
-func (p *DatagramRelay) ListenAddress(i int) string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.listen[i].String()
+func (d *DatagramRelay) ListenAddress(i int) string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.listen[i].String()
 }
 
 // ReassignAddress gives sidecar i another peer_listen with a free port, for the case that its port is in use.
-func (p *DatagramRelay) ReassignAddress(i int) error {
-	own, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(p.subnet.address(i))})
+func (d *DatagramRelay) ReassignAddress(i int) error {
+	own, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(d.subnet.address(i))})
 	if err != nil {
 		return err
 	}
 	own.Close()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	delete(p.index, p.listen[i])
-	p.listen[i] = own.LocalAddr().(*net.UDPAddr).AddrPort()
-	p.index[p.listen[i]] = i
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	delete(d.index, d.listen[i])
+	d.listen[i] = own.LocalAddr().(*net.UDPAddr).AddrPort()
+	d.index[d.listen[i]] = i
 	return nil
 }
 
 // serve relays the datagrams that conn receives until it is closed. The hub's (to is -1) go to all sidecars except the
 // sender; those of a relay socket go only to sidecar to. Datagrams that are too long or of unknown senders are counted
 // and discarded.
-func (p *DatagramRelay) serve(conn *net.UDPConn, to int) {
+func (d *DatagramRelay) serve(conn *net.UDPConn, to int) {
 	buffer := make([]byte, 2048)
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			return
 		}
-		p.mu.Lock()
-		sender, ok := p.index[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		d.mu.Lock()
+		sender, ok := d.index[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		switch {
 		case !ok:
-			p.unknown++
+			d.unknown++
 		case n > maxDatagramSize:
-			p.oversize++
+			d.oversize++
 		}
-		p.mu.Unlock()
+		d.mu.Unlock()
 		if !ok || n > maxDatagramSize {
 			continue
 		}
 		data := append([]byte(nil), buffer[:n]...)
-		for j := range p.relays {
+		for j := range d.relays {
 			if j != sender && (to < 0 || j == to) {
-				p.send(sender, j, data)
+				d.send(sender, j, data)
 			}
 		}
 	}
@@ -149,17 +149,17 @@
 
 // send sends a datagram from one sidecar to another under the network's faults: not at all, once or more often, each copy
 // after its delay.
-func (p *DatagramRelay) send(from, to int, data []byte) {
-	copies := p.net.datagramDelays(endpoint(from), endpoint(to))
-	p.mu.Lock()
+func (d *DatagramRelay) send(from, to int, data []byte) {
+	copies := d.net.datagramDelays(endpoint(from), endpoint(to))
+	d.mu.Lock()
 	if len(copies) == 0 {
-		p.dropped++
+		d.dropped++
 	}
-	p.relayed += len(copies)
-	address := p.listen[to]
-	p.mu.Unlock()
+	d.relayed += len(copies)
+	address := d.listen[to]
+	d.mu.Unlock()
 	for _, delay := range copies {
-		write := func() { p.relays[from].WriteToUDPAddrPort(data, address) }
+		write := func() { d.relays[from].WriteToUDPAddrPort(data, address) }
 		if delay > 0 {
 			time.AfterFunc(delay, write)
 			continue
@@ -169,8 +169,8 @@
 }
 
 // Counts returns the numbers of datagrams relayed (each copy), dropped by faults, too long, and from unknown senders.
-func (p *DatagramRelay) Counts() (relayed, dropped, oversize, unknown int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.relayed, p.dropped, p.oversize, p.unknown
+func (d *DatagramRelay) Counts() (relayed, dropped, oversize, unknown int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.relayed, d.dropped, d.oversize, d.unknown
 }
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -13,12 +13,12 @@
 	exp := *base
 	exp.Seed = seed
 	exp.Faults = slices.Clone(base.Faults)
-	d := &faultGenerator{exp: &exp, random: rand.New(rand.NewPCG(seed, 0xd4a))}
+	generator := &faultGenerator{exp: &exp, random: rand.New(rand.NewPCG(seed, 0xd4a))}
 	if len(kinds) == 0 {
-		kinds = d.kinds()
+		kinds = generator.kinds()
 	}
-	for range 2 + d.random.IntN(6) {
-		exp.Faults = append(exp.Faults, d.fault(kinds[d.random.IntN(len(kinds))]))
+	for range 2 + generator.random.IntN(6) {
+		exp.Faults = append(exp.Faults, generator.fault(kinds[generator.random.IntN(len(kinds))]))
 	}
 	return &exp
 }
@@ -30,33 +30,33 @@
 }
 
 // kinds returns the kinds of faults that the experiment allows.
-func (d *faultGenerator) kinds() []string {
+func (g *faultGenerator) kinds() []string {
 	kinds := []string{"kill", "pause", "term", "join", "partition", "delay", "reset", "drain", "discovery", "cut"}
-	if d.exp.Fleet.datagrams() {
+	if g.exp.Fleet.datagrams() {
 		kinds = append(kinds, "isolate", "peers", "link", "flap", "split")
 	}
-	if d.exp.Ops.On {
+	if g.exp.Ops.On {
 		kinds = append(kinds, "upgrade")
 	}
 	kinds = append(kinds, "machine-kill", "machine-replace", "machine-pause")
-	if d.exp.Fleet.State {
+	if g.exp.Fleet.State {
 		kinds = append(kinds, "disk")
 	}
 	return kinds
 }
 
 // duration draws a duration between minimum and maximum, rounded to milliseconds.
-func (d *faultGenerator) duration(minimum, maximum time.Duration) Duration {
-	return Duration{(minimum + time.Duration(d.random.Int64N(int64(max(maximum-minimum, 1))))).Round(time.Millisecond)}
+func (g *faultGenerator) duration(minimum, maximum time.Duration) Duration {
+	return Duration{(minimum + time.Duration(g.random.Int64N(int64(max(maximum-minimum, 1))))).Round(time.Millisecond)}
 }
 
 // subset draws at least one and at most half of the numbers below n, and sorts them.
-func (d *faultGenerator) subset(n int) []int {
-	return slices.Sorted(slices.Values(d.random.Perm(n)[:1+d.random.IntN(max(1, n/2))]))
+func (g *faultGenerator) subset(n int) []int {
+	return slices.Sorted(slices.Values(g.random.Perm(n)[:1+g.random.IntN(max(1, n/2))]))
 }
 
 // choose draws one of the given values.
-func (d *faultGenerator) choose(of ...string) string { return of[d.random.IntN(len(of))] }
+func (g *faultGenerator) choose(of ...string) string { return of[g.random.IntN(len(of))] }
 
 // selectors returns the selectors of the sidecars (prefix "s") or servers (prefix "v") with the given numbers.
 func selectors(prefix string, numbers []int) []string {
@@ -68,58 +68,58 @@
 }
 
 // fault draws a fault of one kind.
-func (d *faultGenerator) fault(kind string) Fault {
-	total := d.exp.Duration.Duration
-	f := Fault{Kind: kind, At: d.duration(total/10, total*6/10), For: d.duration(total/40, total/4)}
-	direction := func() string { return d.choose("both", "in", "out") }
+func (g *faultGenerator) fault(kind string) Fault {
+	total := g.exp.Duration.Duration
+	f := Fault{Kind: kind, At: g.duration(total/10, total*6/10), For: g.duration(total/40, total/4)}
+	direction := func() string { return g.choose("both", "in", "out") }
 	switch {
 	case kind == "join" || kind == "upgrade":
 		f.For = Duration{}
-		f.Sidecars = []int{d.random.IntN(d.exp.Fleet.Sidecars)}
+		f.Sidecars = []int{g.random.IntN(g.exp.Fleet.Sidecars)}
 	case slices.Contains(sidecarKinds, kind):
-		f.Sidecars = d.subset(d.exp.Fleet.Sidecars)
+		f.Sidecars = g.subset(g.exp.Fleet.Sidecars)
 		if kind == "isolate" {
 			f.Direction = direction()
 		}
 	case slices.Contains(serverKinds, kind):
-		f.Servers = d.subset(d.exp.Fleet.Servers)
+		f.Servers = g.subset(g.exp.Fleet.Servers)
 		switch kind {
 		case "partition":
 			f.Direction = direction()
 		case "delay":
-			f.Delay, f.Jitter = d.duration(time.Millisecond, 200*time.Millisecond), d.duration(0, 50*time.Millisecond)
+			f.Delay, f.Jitter = g.duration(time.Millisecond, 200*time.Millisecond), g.duration(0, 50*time.Millisecond)
 		}
 	case slices.Contains(machineKinds, kind):
-		f.Machines = d.subset(d.exp.machineCount())
+		f.Machines = g.subset(g.exp.machineCount())
 		if kind == "disk" {
-			f.Mode = d.choose("full", "readonly", "slow")
-			f.Delay = d.duration(50*time.Millisecond, 400*time.Millisecond)
+			f.Mode = g.choose("full", "readonly", "slow")
+			f.Delay = g.duration(50*time.Millisecond, 400*time.Millisecond)
 		}
 	case kind == "discovery":
-		if f.Mode = d.choose("down", "lag"); f.Mode == "lag" {
-			f.Delay = d.duration(50*time.Millisecond, time.Second)
+		if f.Mode = g.choose("down", "lag"); f.Mode == "lag" {
+			f.Delay = g.duration(50*time.Millisecond, time.Second)
 		}
 	case kind == "peers":
-		f.Share, f.Delay = d.random.Float64(), d.duration(0, 100*time.Millisecond)
+		f.Share, f.Delay = g.random.Float64(), g.duration(0, 100*time.Millisecond)
 	case kind == "split":
 		for range 2 {
-			members := selectors("s", d.subset(d.exp.Fleet.Sidecars))
-			f.Groups = append(f.Groups, append(members, selectors("v", d.subset(d.exp.Fleet.Servers))...))
+			members := selectors("s", g.subset(g.exp.Fleet.Sidecars))
+			f.Groups = append(f.Groups, append(members, selectors("v", g.subset(g.exp.Fleet.Servers))...))
 		}
 	default: // link, cut, flap
-		f.From = selectors("s", d.subset(d.exp.Fleet.Sidecars))
-		f.To = [][]string{{"all"}, selectors("s", d.subset(d.exp.Fleet.Sidecars)), selectors("v", d.subset(d.exp.Fleet.Servers)), {"discovery"}}[d.random.IntN(4)]
+		f.From = selectors("s", g.subset(g.exp.Fleet.Sidecars))
+		f.To = [][]string{{"all"}, selectors("s", g.subset(g.exp.Fleet.Sidecars)), selectors("v", g.subset(g.exp.Fleet.Servers)), {"discovery"}}[g.random.IntN(4)]
 		f.Direction = direction()
 		switch kind {
 		case "link":
-			f.Loss, f.Duplicate, f.Reorder = d.random.Float64()/2, d.random.Float64()/2, d.random.Float64()/2
-			f.Delay, f.Jitter = d.duration(0, 200*time.Millisecond), d.duration(0, 100*time.Millisecond)
-			f.Rate = float64(d.random.IntN(3)) * 20
+			f.Loss, f.Duplicate, f.Reorder = g.random.Float64()/2, g.random.Float64()/2, g.random.Float64()/2
+			f.Delay, f.Jitter = g.duration(0, 200*time.Millisecond), g.duration(0, 100*time.Millisecond)
+			f.Rate = float64(g.random.IntN(3)) * 20
 		case "flap":
-			f.Period = d.duration(50*time.Millisecond, 500*time.Millisecond)
+			f.Period = g.duration(50*time.Millisecond, 500*time.Millisecond)
 		}
 	}
-	if (kind == "kill" || kind == "term" || kind == "machine-kill") && d.random.IntN(8) == 0 {
+	if (kind == "kill" || kind == "term" || kind == "machine-kill") && g.random.IntN(8) == 0 {
 		f.For = Duration{} // until the run's end
 	}
 	return f
--- a/internal/lab/requests.go
+++ b/internal/lab/requests.go
@@ -43,7 +43,7 @@
 
 // drainBreach is a request that reached a server longer than removalGrace after its drain began.
 type drainBreach struct {
-	text        string // server:id
+	serverAndID string // server:id
 	sidecar     int
 	drained, at time.Duration
 }
--- a/internal/lab/selectors.go
+++ b/internal/lab/selectors.go
@@ -15,32 +15,32 @@
 type selectorResolver struct{ exp *Experiment }
 
 // sidecars returns the number of sidecars.
-func (n selectorResolver) sidecars() int { return n.exp.Fleet.Sidecars }
+func (r selectorResolver) sidecars() int { return r.exp.Fleet.Sidecars }
 
 // server returns the endpoint of server j.
-func (n selectorResolver) server(j int) endpoint { return endpoint(n.sidecars() + j) }
+func (r selectorResolver) server(j int) endpoint { return endpoint(r.sidecars() + j) }
 
 // discovery returns the endpoint of the discovery service.
-func (n selectorResolver) discovery() endpoint { return endpoint(n.sidecars() + n.exp.Fleet.Servers) }
+func (r selectorResolver) discovery() endpoint { return endpoint(r.sidecars() + r.exp.Fleet.Servers) }
 
 // endpoints resolves selectors to the set of their endpoints. Selectors are "s3" and "s0-s9" (sidecars), "v3" and "v0-v9"
 // (servers), "zone:a" and "machine:0" (their sidecars), "group:NAME" (a group of the experiment), "all" (all sidecars),
 // "servers" (all servers) and "discovery". Errors name the selector.
-func (n selectorResolver) endpoints(selectors []string) (map[endpoint]bool, error) {
-	return n.resolve(selectors, 0)
+func (r selectorResolver) endpoints(selectors []string) (map[endpoint]bool, error) {
+	return r.resolve(selectors, 0)
 }
 
 // resolve resolves selectors that are nested in groups to the given depth.
-func (n selectorResolver) resolve(selectors []string, depth int) (map[endpoint]bool, error) {
+func (r selectorResolver) resolve(selectors []string, depth int) (map[endpoint]bool, error) {
 	set := map[endpoint]bool{}
 	for _, selector := range selectors {
 		var found []endpoint
 		if group, ok := strings.CutPrefix(selector, "group:"); ok {
 			var err error
-			if found, err = n.resolveGroup(group, depth); err != nil {
+			if found, err = r.resolveGroup(group, depth); err != nil {
 				return nil, err
 			}
-		} else if found = n.resolveOne(selector); len(found) == 0 {
+		} else if found = r.resolveOne(selector); len(found) == 0 {
 			return nil, fmt.Errorf("%q names no sidecar, server, zone, machine or group of the experiment", selector)
 		}
 		for _, e := range found {
@@ -51,30 +51,30 @@
 }
 
 // resolveOne resolves a selector that is not a group. It returns none if the selector is invalid.
-func (n selectorResolver) resolveOne(selector string) []endpoint {
+func (r selectorResolver) resolveOne(selector string) []endpoint {
 	kind, name, _ := strings.Cut(selector, ":")
 	switch {
 	case selector == "all":
-		return endpointRange(0, n.server(0))
+		return endpointRange(0, r.server(0))
 	case selector == "servers":
-		return endpointRange(n.server(0), n.discovery())
+		return endpointRange(r.server(0), r.discovery())
 	case selector == "discovery":
-		return []endpoint{n.discovery()}
+		return []endpoint{r.discovery()}
 	case kind == "zone":
-		return n.sidecarsWhere(func(i int) bool { return n.exp.zoneOf(i) == name })
+		return r.sidecarsWhere(func(i int) bool { return r.exp.zoneOf(i) == name })
 	case kind == "machine":
-		return n.sidecarsWhere(func(i int) bool { return strconv.Itoa(n.exp.machineOf(i)) == name })
+		return r.sidecarsWhere(func(i int) bool { return strconv.Itoa(r.exp.machineOf(i)) == name })
 	}
-	return n.resolveRange(selector)
+	return r.resolveRange(selector)
 }
 
 // resolveGroup resolves a group of the experiment that is nested to the given depth. A group may be empty.
-func (n selectorResolver) resolveGroup(name string, depth int) ([]endpoint, error) {
-	members, ok := n.exp.Groups[name]
+func (r selectorResolver) resolveGroup(name string, depth int) ([]endpoint, error) {
+	members, ok := r.exp.Groups[name]
 	if !ok || depth > maxGroupDepth {
 		return nil, fmt.Errorf("\"group:%s\" is not a group of the experiment, or groups are nested too deeply", name)
 	}
-	set, err := n.resolve(members, depth+1)
+	set, err := r.resolve(members, depth+1)
 	if err != nil {
 		return nil, fmt.Errorf("group:%s: %w", name, err)
 	}
@@ -83,13 +83,13 @@
 
 // resolveRange resolves a single endpoint such as "s3" or a range such as "s0-s9". It returns none if the selector is
 // neither.
-func (n selectorResolver) resolveRange(selector string) []endpoint {
+func (r selectorResolver) resolveRange(selector string) []endpoint {
 	first, last, isRange := strings.Cut(selector, "-")
 	if !isRange {
 		last = first
 	}
-	from, err1 := n.parseEndpoint(first)
-	to, err2 := n.parseEndpoint(last)
+	from, err1 := r.parseEndpoint(first)
+	to, err2 := r.parseEndpoint(last)
 	if err1 != nil || err2 != nil || from > to || first[0] != last[0] {
 		return nil
 	}
@@ -97,8 +97,8 @@
 }
 
 // sidecarsWhere returns the sidecars for which matches returns true.
-func (n selectorResolver) sidecarsWhere(matches func(i int) bool) (found []endpoint) {
-	for i := range n.sidecars() {
+func (r selectorResolver) sidecarsWhere(matches func(i int) bool) (found []endpoint) {
+	for i := range r.sidecars() {
 		if matches(i) {
 			found = append(found, endpoint(i))
 		}
@@ -115,14 +115,14 @@
 }
 
 // parseEndpoint resolves the name of one sidecar, such as "s3", or server, such as "v3".
-func (n selectorResolver) parseEndpoint(text string) (endpoint, error) {
+func (r selectorResolver) parseEndpoint(text string) (endpoint, error) {
 	if len(text) > 1 {
 		i, err := strconv.Atoi(text[1:])
 		switch {
-		case err == nil && text[0] == 's' && i >= 0 && i < n.sidecars():
+		case err == nil && text[0] == 's' && i >= 0 && i < r.sidecars():
 			return endpoint(i), nil
-		case err == nil && text[0] == 'v' && i >= 0 && i < n.exp.Fleet.Servers:
-			return n.server(i), nil
+		case err == nil && text[0] == 'v' && i >= 0 && i < r.exp.Fleet.Servers:
+			return r.server(i), nil
 		}
 	}
 	return unknownEndpoint, fmt.Errorf("%q is not an endpoint", text)
@@ -152,7 +152,7 @@
 }
 
 // linkRule returns the rule of a fault on links, nil for a fault of another kind.
-func (n selectorResolver) linkRule(f Fault) (*Rule, error) {
+func (r selectorResolver) linkRule(f Fault) (*Rule, error) {
 	setOf := func(base endpoint, list []int) map[endpoint]bool {
 		set := map[endpoint]bool{}
 		for _, i := range list {
@@ -165,9 +165,9 @@
 	}
 	switch f.Kind {
 	case "partition":
-		return &Rule{Cut: true, Resets: true, Match: linksOf(setOf(n.server(0), f.Servers), f.Direction)}, nil
+		return &Rule{Cut: true, Resets: true, Match: linksOf(setOf(r.server(0), f.Servers), f.Direction)}, nil
 	case "delay":
-		return &Rule{Delay: f.Delay.Duration, Jitter: f.Jitter.Duration, Match: linksOf(setOf(n.server(0), f.Servers), "both")}, nil
+		return &Rule{Delay: f.Delay.Duration, Jitter: f.Jitter.Duration, Match: linksOf(setOf(r.server(0), f.Servers), "both")}, nil
 	case "isolate":
 		return &Rule{Cut: true, Datagrams: true, Match: linksOf(setOf(0, f.Sidecars), f.Direction)}, nil
 	case "peers":
@@ -175,7 +175,7 @@
 	case "split":
 		var groups []map[endpoint]bool
 		for i, g := range f.Groups {
-			set, err := n.endpoints(g)
+			set, err := r.endpoints(g)
 			if err != nil {
 				return nil, fmt.Errorf("groups[%d]: %w", i, err)
 			}
@@ -189,11 +189,11 @@
 			}
 			return selectors
 		}
-		from, err := n.endpoints(orAll(f.From))
+		from, err := r.endpoints(orAll(f.From))
 		if err != nil {
 			return nil, fmt.Errorf("from: %w", err)
 		}
-		to, err := n.endpoints(orAll(f.To))
+		to, err := r.endpoints(orAll(f.To))
 		if err != nil {
 			return nil, fmt.Errorf("to: %w", err)
 		}
